--- a/mustardward/components/configuration/__init__.py
+++ b/mustardward/components/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Follow what the operator publishes: configuration and maintenance waves."""
+"""Follow the configuration and the maintenance waves that the operator publishes."""
--- a/mustardward/components/configuration/routing.py
+++ b/mustardward/components/configuration/routing.py
@@ -1,4 +1,4 @@
-"""Find the queue of a request; pure."""
+"""Route requests to queues; pure."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteTable:
-    """Hold the queues of one version, by host, the longest prefix first."""
+    """Map each host to its queues, ordered from the longest path prefix."""
 
     by_host: dict[str, tuple[Queue, ...]] = field(default_factory=dict)
 
     def find(self, host: str, path: str) -> Queue | None:
-        """Return the queue whose prefix is the longest that the path begins with."""
+        """Return the queue with the longest prefix that matches the path."""
         for queue in self.by_host.get(host, ()):
             if path.startswith(queue.path_prefix):
                 return queue
         return None
 
 
-def build_table(config: OperatorConfig) -> RouteTable:
-    """Return the table of a version."""
+def build_route_table(config: OperatorConfig) -> RouteTable:
+    """Return the route table of a configuration version."""
     by_host: dict[str, list[Queue]] = {}
     for queue in config.routes:
         by_host.setdefault(queue.host.lower(), []).append(queue)
@@ -35,5 +35,5 @@
 
 
 def queue_key(queue: Queue) -> str:
-    """Return what names a queue over all versions of the configuration."""
+    """Return the key of a queue, which is the same in all configuration versions."""
     return f"{queue.host.lower()} {queue.path_prefix}"
--- a/mustardward/components/configuration/services.py
+++ b/mustardward/components/configuration/services.py
@@ -1,4 +1,4 @@
-"""Hold the newest configuration, and never go back to an older one."""
+"""Hold the newest version of the configuration; older versions are ignored."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from ...platform.exceptions import RECORD_ERRORS, UnreadableRecordError
 from ...platform.models import OperatorConfig, Room, UpkeepWave
 from ...platform.store import KEY_CONFIG, KEY_WAVE_PREFIX, KeyedRecord
-from ..organisations.keys import KeyTable, build_keys
+from ..organisations.keys import ApiKeyTable, build_api_keys
 from ..organisations.models import Organisation
 from ..scheduling.models import QueuePolicy
-from .routing import RouteTable, build_table, queue_key
+from .routing import RouteTable, build_route_table, queue_key
 
 _LOGGER = get_logger(__name__)
 _CONFIG = msgspec.json.Decoder(OperatorConfig)
@@ -25,23 +25,23 @@
 
 @dataclass(slots=True, eq=False)
 class Configuration:
-    """Fold the operator's topic.
+    """Apply the records of the operator's topic.
 
-    :param on_change: called after a newer version came into force.
-    :param asks_for_keys: whether callers have to show keys whatever a version says.
+    :param on_change: called after a newer version has taken effect.
+    :param require_api_keys: whether callers need API keys regardless of the version.
     """
 
     config: OperatorConfig | None = None
-    table: RouteTable = field(default_factory=RouteTable)
-    keys_in_force: KeyTable = field(default_factory=KeyTable)
-    asks_for_keys: bool = False
+    routes: RouteTable = field(default_factory=RouteTable)
+    api_keys: ApiKeyTable = field(default_factory=ApiKeyTable)
+    require_api_keys: bool = False
     waves: dict[int, UpkeepWave] = field(default_factory=dict)
     on_change: Callable[[], None] | None = None
     _policies: dict[str, QueuePolicy] = field(default_factory=dict)
     _organisations: dict[str, Organisation] = field(default_factory=dict)
 
     def apply(self, record: KeyedRecord) -> None:
-        """Fold one record."""
+        """Apply one record; an unreadable one leaves the current state unchanged."""
         try:
             if record.key == KEY_CONFIG and record.value:
                 self._apply_config(_CONFIG.decode(record.value))
@@ -57,50 +57,49 @@
                     )
                 self.waves[wave.wave] = wave
         except RECORD_ERRORS as error:
-            # What was in force before stays so.
             note_unreadable("operator", record.key, str(error))
 
     def keys(self) -> Iterable[str]:
-        """Return no keys: what the operator published stays in force."""
+        """Return no keys, so that records missing from a reload stay in effect."""
         return ()
 
     def policy_of(self, queue: str) -> QueuePolicy | None:
-        """Return the policy of a queue, or None if no version in force has it."""
+        """Return the policy of a queue, or None if no applied version had it."""
         return self._policies.get(queue)
 
     def organisation(self, name: str) -> Organisation | None:
-        """Return an organisation as it was last named, or None if it never was.
+        """Return the latest settings of an organisation, or None if it is unknown.
 
-        One that is named no more may have jobs that were accepted: they are still run,
-        within its last quota.
+        An organisation that a newer version omits keeps its last settings: its accepted
+        jobs still run, within its last quota.
         """
         return self._organisations.get(name)
 
     def quota_of(self, name: str) -> Room:
-        """Return what an organisation may have running; 0 is no limit."""
+        """Return an organisation's quota for running tasks; 0 is no limit."""
         organisation = self.organisation(name)
         return organisation.quota if organisation is not None else Room()
 
     def rate_of(self, name: str) -> float:
-        """Return the jobs a second that are an organisation's share; 0 is no bound."""
+        """Return an organisation's share in jobs per second; 0 is no limit."""
         organisation = self.organisation(name)
         return organisation.weight if organisation is not None else 0.0
 
     def standby_pools(self) -> set[str]:
-        """Return the pools whose instances are off."""
+        """Return the pools whose instances are on standby, without a worker."""
         services = self.config.services if self.config else []
         return {pool.name for pool in services if pool.standby}
 
     def _apply_config(self, config: OperatorConfig) -> None:
         if self.config is not None and config.version <= self.config.version:
             return
-        keys = build_keys(config.organisations, self.asks_for_keys)
-        self.keys_in_force = keys
-        self._organisations.update(keys.by_name)
-        # The keys themselves are not held: a digest of each is.
+        api_keys = build_api_keys(config.organisations, self.require_api_keys)
+        self.api_keys = api_keys
+        self._organisations.update(api_keys.by_name)
+        # Drops the API keys in plain text; the key table holds their digests.
         self.config = msgspec.structs.replace(config, organisations=None)
-        self.table = build_table(config)
-        # Policies of queues that went stay known: their jobs are still to be run.
+        self.routes = build_route_table(config)
+        # Policies of removed queues are kept: their accepted jobs still have to run.
         for queue in config.routes:
             self._policies[queue_key(queue)] = QueuePolicy(
                 queue.service,
@@ -114,18 +113,19 @@
             "configuration_in_force",
             version=config.version,
             queues=len(config.routes),
-            organisations=len(keys.by_name),
-            keys=len(keys.by_digest),
+            organisations=len(api_keys.by_name),
+            keys=len(api_keys.by_digest),
         )
         if self.on_change is not None:
             self.on_change()
 
 
 def _decode_wave(record: KeyedRecord) -> UpkeepWave:
-    """Return a wave that can be carried out.
+    """Return the valid maintenance wave of a record.
 
-    :raises UnreadableRecordError: if it can't: with no instance at once it would never
-        end, and under another number it would take the place of another wave.
+    :raises UnreadableRecordError: if its limit or duration is invalid, since a wave
+        that may take no instance would never end, or if its number differs from its
+        key, since it would replace another wave.
     """
     wave = _WAVE.decode(record.value)
     if record.key != f"{KEY_WAVE_PREFIX}{wave.wave}":
--- a/mustardward/components/front/admission.py
+++ b/mustardward/components/front/admission.py
@@ -10,7 +10,7 @@
 from ...platform.models import Queue
 from ..configuration.services import Configuration
 from ..ledger.follower import TopicFollower
-from ..organisations.access import identify
+from ..organisations.access import resolve_caller
 from ..organisations.models import Caller
 from .const import CONFIG_FRESH_SECONDS
 from .models import Admitted, Reply, Request, error_reply
@@ -59,7 +59,7 @@
 
     def find(self, request: Request) -> Admitted | Reply:
         """Return who calls which queue as far as is known here, or why nobody does."""
-        queue = self.configuration.table.find(request.host, request.path)
+        queue = self.configuration.routes.find(request.host, request.path)
         if queue is None:
             return error_reply(404, "no-such-queue", "no queue has this host and path")
         caller = self._identify(request, queue)
@@ -69,7 +69,7 @@
         return Admitted(queue, caller)
 
     def _identify(self, request: Request, queue: Queue) -> Caller | None:
-        return identify(self.configuration.keys_in_force, queue, request.key)
+        return resolve_caller(self.configuration.api_keys, queue, request.key)
 
     def _age(self) -> float:
         return self.timers.monotonic() - self.follower.fresh_at
--- a/mustardward/components/front/services.py
+++ b/mustardward/components/front/services.py
@@ -17,7 +17,7 @@
 from ..ledger.follower import TopicFollower
 from ..ledger.ledger import Ledger, LedgerJob, encode
 from ..ledger.models import CancelRecord, JobRecord, JobState
-from ..organisations.access import may_see
+from ..organisations.access import may_access_job
 from .admission import Admission
 from .const import ANSWER_MARGIN_SECONDS, FRESH_SECONDS, LEAST_APPEND_SECONDS
 from .models import Admitted, Reply, Request, error_reply
@@ -100,7 +100,7 @@
         job = self.ledger.jobs.get(name)
         if job is None:
             # Whose it is can't be told from here.
-            return None if self.configuration.keys_in_force.in_use else name
+            return None if self.configuration.api_keys.required else name
         return None if job.state.final or not _may_see(admitted, job) else name
 
     def tell_done(self) -> Reply:
@@ -239,4 +239,4 @@
 
 
 def _may_see(admitted: Admitted, job: LedgerJob) -> bool:
-    return may_see(admitted.caller, admitted.queue, job.record)
+    return may_access_job(admitted.caller, admitted.queue, job.record)
--- a/mustardward/components/organisations/__init__.py
+++ b/mustardward/components/organisations/__init__.py
@@ -1,1 +1,1 @@
-"""Know to which organisation a caller belongs, and what it may do."""
+"""Identify the organisations of callers and decide what they may access."""
--- a/mustardward/components/organisations/access.py
+++ b/mustardward/components/organisations/access.py
@@ -1,35 +1,35 @@
-"""Decide who may call a queue, and whose jobs a caller sees; pure."""
+"""Authorise calls to queues and access to jobs; pure."""
 
 from __future__ import annotations
 
 from ...platform.models import Queue
 from ..configuration.routing import queue_key
 from ..ledger.models import JobRecord
-from .keys import KeyTable
-from .models import ANYBODY, Caller
+from .keys import ApiKeyTable
+from .models import ANONYMOUS, Caller
 
 
-def identify(table: KeyTable, queue: Queue, key: str) -> Caller | None:
-    """Return who calls a queue with a key, or None if nobody may who shows it.
+def resolve_caller(api_keys: ApiKeyTable, queue: Queue, key: str) -> Caller | None:
+    """Return the caller that an API key stands for, or None if it is unauthorised.
 
-    A public queue takes anybody. Who shows a known key there calls for its
-    organisation all the same, so that its quota holds.
+    A public queue accepts any caller. A known key counts for its organisation there
+    too, so that the organisation's quota applies.
     """
-    organisation = table.find(key)
+    organisation = api_keys.find(key)
     if organisation is not None:
         return Caller(organisation.name)
-    if queue.public or not table.in_use:
-        return ANYBODY
+    if queue.public or not api_keys.required:
+        return ANONYMOUS
     return None
 
 
-def may_see(caller: Caller, queue: Queue, record: JobRecord) -> bool:
-    """Return whether a caller of a queue may ask for a job, or cancel it.
+def may_access_job(caller: Caller, queue: Queue, record: JobRecord) -> bool:
+    """Return whether a caller of a queue may read or cancel a job.
 
-    A job belongs to the organisation that handed it in. One that came over a public
-    queue is open to all callers of that queue, also after a change of its owner's keys;
-    one that nobody is named for is open to all who may call here, for its queue may
-    have been public then.
+    A job belongs to the organisation that submitted it. A job submitted through a
+    public queue is accessible to all callers of that queue, even after its owner's keys
+    have changed. A job without an organisation is accessible to all callers that are
+    authorised here, since its queue may have been public when it was submitted.
     """
     if not record.organisation or record.organisation == caller.organisation:
         return True
--- a/mustardward/components/organisations/keys.py
+++ b/mustardward/components/organisations/keys.py
@@ -1,8 +1,8 @@
-"""Find the organisation that a key belongs to; pure.
+"""Look up the organisation that owns an API key; pure.
 
-Keys are secrets. Only digests of them are held, made with a secret that each process
-draws for itself: a digest that leaks tells nothing about the key, and the time that a
-look-up takes tells nothing about how much of a key was guessed.
+API keys are secrets. Only keyed digests of them are held, under a random secret of each
+process: a leaked digest reveals nothing about the key, and the duration of a lookup
+reveals nothing about how much of a guessed key is right.
 """
 
 from __future__ import annotations
@@ -22,35 +22,35 @@
 _SECRET: Final = secrets.token_bytes(SECRET_BYTES)
 
 
-def digest(key: str) -> bytes:
-    """Return what stands for a key in this process."""
+def key_digest(key: str) -> bytes:
+    """Return the digest of an API key, which is valid in this process only."""
     return hashlib.blake2b(key.encode(), digest_size=DIGEST_BYTES, key=_SECRET).digest()
 
 
 @dataclass(frozen=True, slots=True)
-class KeyTable:
-    """Hold the organisations of one version, by name and by the digests of their keys.
+class ApiKeyTable:
+    """Hold the organisations of one configuration version, by name and by key digest.
 
-    :param in_use: whether callers have to show keys at all.
+    :param required: whether callers of queues that aren't public need an API key.
     """
 
-    in_use: bool = False
+    required: bool = False
     by_name: dict[str, Organisation] = field(default_factory=dict)
     by_digest: dict[bytes, Organisation] = field(default_factory=dict, repr=False)
 
     def find(self, key: str) -> Organisation | None:
-        """Return the organisation of a key, or None if it belongs to none."""
-        return self.by_digest.get(digest(key)) if key else None
+        """Return the organisation that owns a key, or None if there is none."""
+        return self.by_digest.get(key_digest(key)) if key else None
 
 
-def build_keys(
-    settings: Iterable[OrganisationSettings] | None, in_use: bool = False
-) -> KeyTable:
-    """Return the table of a version.
+def build_api_keys(
+    settings: Iterable[OrganisationSettings] | None, required: bool = False
+) -> ApiKeyTable:
+    """Return the API keys of a configuration version.
 
-    :param settings: None where the version names no organisations at all.
-    :param in_use: whether the deployment asks for keys whatever a version says: one
-        that left its organisations out would else let everybody in.
+    :param settings: None if the version has no section for organisations.
+    :param required: whether the deployment requires keys regardless of the version.
+        Without it, a version that omits its organisations would admit every caller.
     """
     by_name: dict[str, Organisation] = {}
     by_digest: dict[bytes, Organisation] = {}
@@ -58,5 +58,5 @@
         organisation = Organisation(entry.name, entry.weight, entry.quota)
         by_name[entry.name] = organisation
         for key in entry.keys:
-            by_digest[digest(key)] = organisation
-    return KeyTable(in_use or settings is not None, by_name, by_digest)
+            by_digest[key_digest(key)] = organisation
+    return ApiKeyTable(required or settings is not None, by_name, by_digest)
--- a/mustardward/components/organisations/models.py
+++ b/mustardward/components/organisations/models.py
@@ -1,4 +1,4 @@
-"""Hold what is known of organisations and of those who call for them."""
+"""Define organisations and the callers that act for them."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Organisation:
-    """Hold one organisation of the configuration in force.
+    """Describe an organisation of the current configuration.
 
-    :param weight: its share where all is full, in jobs a second.
-    :param quota: most of each resource that it may have running; 0 for no limit.
+    :param weight: its share of a full system, in jobs per second.
+    :param quota: upper limit of each resource for its running tasks; 0 for no limit.
     """
 
     name: str
@@ -22,12 +22,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """Hold who calls.
+    """Identify the sender of a request.
 
-    :param organisation: empty for a caller of a public queue who shows no known key.
+    :param organisation: empty for a caller of a public queue without a known API key.
     """
 
     organisation: str = ""
 
 
-ANYBODY = Caller()
+ANONYMOUS = Caller()
--- a/mustardward/node/app.py
+++ b/mustardward/node/app.py
@@ -73,7 +73,7 @@
         self._timers = LoopTimerService(tasks)
         self._http = HttpCaller()
         self._peers_http = HttpCaller()
-        self._configuration = Configuration(asks_for_keys=boot.has_organisations)
+        self._configuration = Configuration(require_api_keys=boot.has_organisations)
         self._ledger = Ledger()
         self._relay = self._make_relay(boot)
         store = StoreClient(self._relay, boot.platform.address)
--- a/tests/components/configuration/__init__.py
+++ b/tests/components/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Test the ledger component."""
+"""Test the configuration component."""
--- a/tests/components/configuration/test_foreign_records.py
+++ b/tests/components/configuration/test_foreign_records.py
@@ -1,4 +1,4 @@
-"""Test that what the operator published outlasts records of another writer."""
+"""Test that unreadable operator records leave the current configuration unchanged."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from mustardward.components.configuration.services import Configuration
 from mustardward.platform.store import KEY_CONFIG, KEY_WAVE_PREFIX, KeyedRecord
 
-GOOD = b'{"version":3,"routes":[],"services":[{"name":"a","standby":true}]}'
+VALID_CONFIG = b'{"version":3,"routes":[],"services":[{"name":"a","standby":true}]}'
 WAVE = {"wave": 1, "machines": ["m-1"], "duration-s": 10.0, "max-count": 2}
 
 
@@ -16,11 +16,11 @@
     "value",
     [b"\xff", b"null", b"[" * 5000, b'{"version":"x"}', b'{"version":9,"routes":7}'],
 )
-def test_a_configuration_that_cant_be_read_leaves_the_one_in_force(
+def test_an_unreadable_configuration_does_not_replace_the_current_one(
     value: bytes,
 ) -> None:
     configuration = Configuration()
-    configuration.apply(KeyedRecord(1, KEY_CONFIG, GOOD))
+    configuration.apply(KeyedRecord(1, KEY_CONFIG, VALID_CONFIG))
     configuration.apply(KeyedRecord(2, KEY_CONFIG, value))
     assert configuration.standby_pools() == {"a"}
 
@@ -30,7 +30,7 @@
     [{"max-count": 0}, {"max-count": -2}, {"duration-s": -1}, {"wave": 2}]
     + [{"machines": "m-1"}, {"machines": [None]}, {"max-count": None}],
 )
-def test_a_wave_that_cant_be_carried_out_is_left_out(change: dict[str, object]) -> None:
+def test_an_invalid_wave_is_ignored(change: dict[str, object]) -> None:
     configuration = Configuration()
     key = f"{KEY_WAVE_PREFIX}1"
     configuration.apply(KeyedRecord(1, key, msgspec.json.encode({**WAVE, **change})))
--- a/tests/components/front/test_keys.py
+++ b/tests/components/front/test_keys.py
@@ -58,7 +58,7 @@
 ):
     """Symptom: a version without its organisations lets everybody in."""
     async with a_front() as bench:
-        bench.configuration.asks_for_keys = True
+        bench.configuration.require_api_keys = True
         await bench.async_configure(2)
         assert (await bench.async_ask("GET", PREFIX, key=DAIRY)).status == 401
 
