--- a/tests/components/fleet/test_holds.py
+++ b/tests/components/fleet/test_holds.py
@@ -69,7 +69,7 @@
         """Return the state of a worker."""
         return self.bench.scheduler.board.workers[name]
 
-    def look(self, instances: list[Instance]) -> None:
+    def apply_list(self, instances: list[Instance]) -> None:
         """Apply an instance list and decide by it."""
         self.bench.now += 0.5
         self.fleet._instances = {i.machine: i for i in instances}
@@ -100,7 +100,7 @@
     """Guard against a worker that stays cordoned for a move that doesn't happen."""
     instances = [an_instance(number) for number in range(3)]
     fleet = FleetHarness(instances, outcome=OrderOutcome.REFUSED)
-    fleet.look(instances)
+    fleet.apply_list(instances)
     fleet.bench.scheduler.set_leaving("i-00", True, fleet.bench.now)
     await fleet.fleet._async_move(Move("m-00", OTHER))
     assert not fleet.worker("i-00").leaving
@@ -113,10 +113,10 @@
     fleet.bench.add(a_job(a_step(count=1, long_running=True)))
     (start,) = fleet.bench.plan_starts()
     fleet.waves.runs[1] = a_wave([start.worker.replace("i", "m")])
-    fleet.look(instances)
+    fleet.apply_list(instances)
     assert fleet.worker(start.worker).leaving
-    fleet.look([i for i in instances if i.id != start.worker])
-    fleet.look(instances)
+    fleet.apply_list([i for i in instances if i.id != start.worker])
+    fleet.apply_list(instances)
     held = start.worker.replace("i", "m") in fleet.waves.held_machines()
     assert held or not fleet.worker(start.worker).leaving
 
@@ -129,7 +129,7 @@
     (start,) = fleet.bench.plan_starts()
     machine = start.worker.replace("i", "m")
     fleet.waves.runs[1] = a_wave([machine])
-    fleet.look(instances)
+    fleet.apply_list(instances)
     assert fleet.worker(start.worker).leaving
     return fleet, machine, start.worker
 
@@ -139,9 +139,9 @@
     fleet, machine, worker_id = a_draining_fleet()
     up = dict(fleet.fleet._instances)
     number = int(machine[2:])
-    fleet.look([*up.values(), an_instance(number, state="down")])
+    fleet.apply_list([*up.values(), an_instance(number, state="down")])
     assert not fleet.worker(worker_id).leaving
-    fleet.look(list(up.values()))
+    fleet.apply_list(list(up.values()))
     assert fleet.worker(worker_id).leaving
 
 
@@ -150,7 +150,7 @@
     fleet, machine, _ = a_draining_fleet()
     fleet.bench.worker("i-90")
     new = an_instance(int(machine[2:]), id="i-90")
-    fleet.look([*fleet.fleet._instances.values(), new])
+    fleet.apply_list([*fleet.fleet._instances.values(), new])
     assert fleet.worker("i-90").leaving
 
 
@@ -159,7 +159,7 @@
     instances = [an_instance(number) for number in range(MIN_POOL_INSTANCES + 1)]
     instances += [an_instance(number, OTHER) for number in range(4, 5)]
     fleet = FleetHarness(instances, outcome=OrderOutcome.UNKNOWN)
-    fleet.look(instances)
+    fleet.apply_list(instances)
     (order,) = fleet.fleet.pool_planner.orders.values()
     return fleet, order.machine.replace("m", "i")
 
@@ -172,7 +172,7 @@
     fleet.fleet.pool_planner.record_accepted(
         worker_id.replace("i", "m"), fleet.bench.now
     )
-    fleet.look(instances)
+    fleet.apply_list(instances)
     assert fleet.worker(worker_id).leaving
 
 
@@ -187,7 +187,7 @@
     fleet.bench.add(a_job(a_step(count=1, long_running=True, cpu=20_000)))
     until = fleet.bench.now + MOVE_TIMEOUT_SECONDS
     while fleet.bench.now <= until:
-        fleet.look(instances)
+        fleet.apply_list(instances)
     assert not fleet.worker(worker_id).leaving
 
 
@@ -199,7 +199,7 @@
     (order,) = fleet.orders
     assert isinstance(order, Move)
     await fleet.fleet._async_move(order)
-    fleet.look(list(fleet.fleet._instances.values()))
+    fleet.apply_list(list(fleet.fleet._instances.values()))
     assert fleet.orders == [order, order]
     fleet.outcome = OrderOutcome.REFUSED
     await fleet.fleet._async_move(order)
@@ -211,7 +211,7 @@
     fleet, worker_id = an_unanswered_move()
     fleet.bench.worker("i-90")
     new = an_instance(int(worker_id[2:]), id="i-90")
-    fleet.look([*fleet.fleet._instances.values(), new])
+    fleet.apply_list([*fleet.fleet._instances.values(), new])
     assert fleet.worker("i-90").leaving
 
 
@@ -220,7 +220,7 @@
     fleet, worker_id = an_unanswered_move()
     fleet.bench.worker("i-90", service=OTHER)
     moved = an_instance(int(worker_id[2:]), OTHER, id="i-90")
-    fleet.look([*fleet.fleet._instances.values(), moved])
+    fleet.apply_list([*fleet.fleet._instances.values(), moved])
     assert not fleet.worker("i-90").leaving
 
 
@@ -235,7 +235,7 @@
     fleet.bench.add(a_job(a_step(count=3, long_running=True, max_per_server=1)))
     assert len(fleet.bench.plan_starts()) == 3
     fleet.bench.scheduler.lose_worker("i-00", LossCause.LEASES_OVER, fleet.bench.now)
-    fleet.look(instances)
+    fleet.apply_list(instances)
     assert [order.pool for order in fleet.orders if isinstance(order, Move)] == [POOL]
 
 
@@ -249,7 +249,7 @@
     instances = [an_instance(number) for number in range(3)]
     fleet = FleetHarness(instances)
     fleet.bench.worker("i-90", service=OTHER)
-    fleet.look([an_instance(0, OTHER, id="i-90"), *instances[1:]])
+    fleet.apply_list([an_instance(0, OTHER, id="i-90"), *instances[1:]])
     await fleet.fleet._async_move(Move("m-00", OTHER))
     assert "i-90" not in fleet.lost
 
@@ -271,8 +271,8 @@
             worker.born = 1000
         if kind == "maintenance":
             fleet.waves.runs[1] = a_wave(["m-04"])
-            fleet.look(instances)
-        fleet.look(instances)
+            fleet.apply_list(instances)
+        fleet.apply_list(instances)
         wanted = Move if kind == "move" else Maintain
         order = next(order for order in fleet.orders if isinstance(order, wanted))
         worker_id = order.machine.replace("m", "i")
--- a/tests/components/fleet/test_unreadable_rows.py
+++ b/tests/components/fleet/test_unreadable_rows.py
@@ -23,9 +23,9 @@
     def __init__(self, wave: UpkeepWave) -> None:
         self.timers = DrivenTimerService()
         self.bench = SchedulerBench(now=self.timers.monotonic())
-        self.planner = WavePlanner(MAINTENANCE_SECONDS)
+        self.wave_planner = WavePlanner(MAINTENANCE_SECONDS)
         now = self.timers.monotonic()
-        self.planner.runs[wave.wave] = WaveRun(wave, now)
+        self.wave_planner.runs[wave.wave] = WaveRun(wave, now)
         nothing: Any = SimpleNamespace
         self.fleet = Fleet(
             nothing(),
@@ -37,14 +37,14 @@
             nothing(standby_pools=lambda: [], config=None, waves={}),
             nothing(waves={}),
             nothing(post=lambda records: None),
-            self.planner,
+            self.wave_planner,
             nothing(report=lambda view, now: []),
             nothing(decide=lambda *_: [], orders={}),
             lambda: True,
             nothing(start_soon=lambda *_: None),
         )
 
-    def read(self, *rows: Instance, complete: bool = True) -> None:
+    def apply_list(self, *rows: Instance, complete: bool = True) -> None:
         """Apply an instance list and decide by it."""
         self.timers.pause(0.3)
         self.fleet._read_at = self.timers.monotonic()
@@ -60,10 +60,10 @@
     fleet.bench.add(a_job(a_step(count=1, long_running=True)))
     fleet.bench.plan_starts()
     first, second = an_instance(1), an_instance(2)
-    fleet.read(first, second)
+    fleet.apply_list(first, second)
     assert worker.leaving
-    fleet.read(second, complete=False)
-    fleet.read(first, second)
-    run = fleet.planner.runs[1]
+    fleet.apply_list(second, complete=False)
+    fleet.apply_list(first, second)
+    run = fleet.wave_planner.runs[1]
     assert not worker.leaving or "m-01" in run.draining
     assert not run.done
--- a/tests/components/fleet/test_unusable.py
+++ b/tests/components/fleet/test_unusable.py
@@ -36,7 +36,7 @@
     first = len(fleet.orders)
     until = fleet.bench.now + seconds
     while fleet.bench.now < until:
-        fleet.look(list(fleet.fleet._instances.values()) or fleet.instances)
+        fleet.apply_list(list(fleet.fleet._instances.values()) or fleet.instances)
     return [order for order in fleet.orders[first:] if isinstance(order, Move)]
 
 
