--- a/tests/components/fleet/test_holds.py
+++ b/tests/components/fleet/test_holds.py
@@ -38,7 +38,7 @@
     orders: list[object] = field(default_factory=list)
     lost: list[str] = field(default_factory=list)
     outcome: OrderOutcome = OrderOutcome.BEGUN
-    waves: WavePlanner = field(default_factory=lambda: WavePlanner(MAINTENANCE_SECONDS))
+    wave_planner: WavePlanner = field(default_factory=lambda: WavePlanner(MAINTENANCE_SECONDS))
     fleet: Fleet = field(init=False)
 
     def __post_init__(self) -> None:
@@ -55,7 +55,7 @@
             ),
             ledger=None,  # type: ignore[arg-type]
             ledger_appender=SimpleNamespace(post=lambda records: None),  # type: ignore[arg-type]
-            wave_planner=self.waves,
+            wave_planner=self.wave_planner,
             wave_reporter=SimpleNamespace(report=lambda view, now: []),  # type: ignore[arg-type]
             pool_planner=PoolPlanner(MOVE_SECONDS),
             authorised=lambda: True,
@@ -112,12 +112,12 @@
     fleet = FleetHarness(instances)
     fleet.bench.add(a_job(a_step(count=1, long_running=True)))
     (start,) = fleet.bench.plan_starts()
-    fleet.waves.runs[1] = a_wave([start.worker.replace("i", "m")])
+    fleet.wave_planner.runs[1] = a_wave([start.worker.replace("i", "m")])
     fleet.apply_list(instances)
     assert fleet.worker(start.worker).leaving
     fleet.apply_list([i for i in instances if i.id != start.worker])
     fleet.apply_list(instances)
-    held = start.worker.replace("i", "m") in fleet.waves.held_machines()
+    held = start.worker.replace("i", "m") in fleet.wave_planner.held_machines()
     assert held or not fleet.worker(start.worker).leaving
 
 
@@ -128,7 +128,7 @@
     fleet.bench.add(a_job(a_step(count=1, long_running=True)))
     (start,) = fleet.bench.plan_starts()
     machine = start.worker.replace("i", "m")
-    fleet.waves.runs[1] = a_wave([machine])
+    fleet.wave_planner.runs[1] = a_wave([machine])
     fleet.apply_list(instances)
     assert fleet.worker(start.worker).leaving
     return fleet, machine, start.worker
@@ -270,7 +270,7 @@
         for worker in fleet.bench.scheduler.board.workers.values():
             worker.born = 1000
         if kind == "maintenance":
-            fleet.waves.runs[1] = a_wave(["m-04"])
+            fleet.wave_planner.runs[1] = a_wave(["m-04"])
             fleet.apply_list(instances)
         fleet.apply_list(instances)
         wanted = Move if kind == "move" else Maintain
