--- a/mustardward/components/fleet/pools.py
+++ b/mustardward/components/fleet/pool_planner.py
@@ -18,7 +18,6 @@
 from ...helpers.policies import switchable
 from ...platform.models import INSTANCE_UP, Instance, Room
 from ..scheduling.demand import PoolLoad
-from .budget import OrderBudget
 from .const import (
     BACKLOG_START_SECONDS,
     LATER_BACKLOG_START_SECONDS,
@@ -29,9 +28,15 @@
     ORDER_RETRY_SECONDS,
     TARGET_UTILISATION,
 )
-from .lending import idle_timeout_seconds, sort_by_rack_load, surplus, unreachable_zones
+from .instance_sizes import ALL_POOLS, mean_sizes
 from .models import FleetView, Move, MoveOrder
-from .sizes import ALL_POOLS, mean_sizes
+from .order_budget import OrderBudget
+from .pool_surplus import (
+    idle_timeout_seconds,
+    sort_by_rack_load,
+    surplus,
+    unreachable_zones,
+)
 
 
 @dataclass(frozen=True, slots=True)
--- a/mustardward/components/fleet/services.py
+++ b/mustardward/components/fleet/services.py
@@ -29,15 +29,15 @@
     LIST_INTERVAL_SECONDS,
     TICK_SECONDS,
 )
-from .hosts import WorkerHosts
-from .leaving import find_cordoned, is_cordoned
-from .listing import InstanceListReader
+from .cordons import find_cordoned, is_cordoned
+from .instance_list import InstanceListReader
 from .models import Drain, FleetView, Load, Maintain, Move, WaveRun
-from .ordering import OrderExecutor, OrderOutcome
-from .pools import PoolPlanner
-from .telling import WaveReporter
+from .order_executor import OrderExecutor, OrderOutcome
+from .pool_planner import PoolPlanner
 from .unusable import UnusableTracker
-from .waves import WavePlanner, resume_wave
+from .wave_planner import WavePlanner, resume_wave
+from .wave_reporter import WaveReporter
+from .worker_hosts import WorkerHosts
 
 _LOGGER = get_logger(__name__)
 
--- a/mustardward/components/fleet/waves.py
+++ b/mustardward/components/fleet/wave_planner.py
@@ -18,7 +18,7 @@
     UNCHANGED_INCARNATION_SECONDS,
     UNLISTED_TIMEOUT_SECONDS,
 )
-from .costs import choose_rank
+from .drain_order import choose_rank
 from .models import (
     Decision,
     Drain,
--- a/mustardward/components/fleet/telling.py
+++ b/mustardward/components/fleet/wave_reporter.py
@@ -12,7 +12,7 @@
 from ..ledger.appender import GroupAppender
 from .const import MAX_LOGGED_INSTANCES, PROGRESS_LOG_SECONDS
 from .models import FleetView
-from .waves import WavePlanner
+from .wave_planner import WavePlanner
 
 _LOGGER = get_logger(__name__)
 
--- a/mustardward/components/ownership/owner.py
+++ b/mustardward/components/ownership/owner.py
@@ -13,13 +13,13 @@
 from ...platform.models import WorkerEntry
 from ...platform.store import TOPIC_STATUS, TOPIC_WORKERS, Producer
 from ..dispatch.dispatcher import Dispatcher
-from ..fleet.budget import OrderBudget
-from ..fleet.listing import InstanceListReader
-from ..fleet.ordering import OrderExecutor
-from ..fleet.pools import PoolPlanner
+from ..fleet.instance_list import InstanceListReader
+from ..fleet.order_budget import OrderBudget
+from ..fleet.order_executor import OrderExecutor
+from ..fleet.pool_planner import PoolPlanner
 from ..fleet.services import Fleet
-from ..fleet.telling import WaveReporter
-from ..fleet.waves import WavePlanner
+from ..fleet.wave_planner import WavePlanner
+from ..fleet.wave_reporter import WaveReporter
 from ..ledger.appender import GroupAppender, Record
 from ..ledger.const import MARKS_OF_OWNERS, SHARD, TOPIC
 from ..ledger.follower import TopicFollower
--- a/tests/components/fleet/test_holds.py
+++ b/tests/components/fleet/test_cordons.py
@@ -10,10 +10,10 @@
 
 from mustardward.components.fleet.const import MIN_POOL_INSTANCES, MOVE_TIMEOUT_SECONDS
 from mustardward.components.fleet.models import Maintain, Move
-from mustardward.components.fleet.ordering import OrderOutcome
-from mustardward.components.fleet.pools import PoolPlanner
+from mustardward.components.fleet.order_executor import OrderOutcome
+from mustardward.components.fleet.pool_planner import PoolPlanner
 from mustardward.components.fleet.services import Fleet
-from mustardward.components.fleet.waves import WavePlanner
+from mustardward.components.fleet.wave_planner import WavePlanner
 from mustardward.components.scheduling.losses import LossCause
 from mustardward.components.scheduling.worker_state import WorkerState
 from mustardward.platform.models import Instance
@@ -38,7 +38,9 @@
     orders: list[object] = field(default_factory=list)
     lost: list[str] = field(default_factory=list)
     outcome: OrderOutcome = OrderOutcome.BEGUN
-    wave_planner: WavePlanner = field(default_factory=lambda: WavePlanner(MAINTENANCE_SECONDS))
+    wave_planner: WavePlanner = field(
+        default_factory=lambda: WavePlanner(MAINTENANCE_SECONDS)
+    )
     fleet: Fleet = field(init=False)
 
     def __post_init__(self) -> None:
--- a/tests/components/fleet/test_listing.py
+++ b/tests/components/fleet/test_instance_list.py
@@ -10,7 +10,10 @@
     ACTIVE_LIST_INTERVAL_SECONDS,
     TICK_SECONDS,
 )
-from mustardward.components.fleet.listing import MAX_LISTING_SECONDS, InstanceListReader
+from mustardward.components.fleet.instance_list import (
+    MAX_LISTING_SECONDS,
+    InstanceListReader,
+)
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.helpers.token_bucket import TokenBucket
 from mustardward.platform.exceptions import CallRefusedError
--- a/tests/components/fleet/test_ordering.py
+++ b/tests/components/fleet/test_order_executor.py
@@ -8,7 +8,7 @@
 import pytest
 
 from mustardward.components.fleet.models import Maintain, Move
-from mustardward.components.fleet.ordering import OrderExecutor, OrderOutcome
+from mustardward.components.fleet.order_executor import OrderExecutor, OrderOutcome
 from mustardward.platform.exceptions import (
     CallRefusedError,
     CallUnknownError,
--- a/tests/components/fleet/test_pools.py
+++ b/tests/components/fleet/test_pool_planner.py
@@ -4,14 +4,14 @@
 
 from dataclasses import replace
 
-from mustardward.components.fleet.budget import OrderBudget
 from mustardward.components.fleet.const import (
     IDLE_TIMEOUT_SECONDS,
     MIN_POOL_INSTANCES,
     TARGET_UTILISATION,
 )
 from mustardward.components.fleet.models import Load, Move
-from mustardward.components.fleet.pools import PoolPlanner
+from mustardward.components.fleet.order_budget import OrderBudget
+from mustardward.components.fleet.pool_planner import PoolPlanner
 from mustardward.components.scheduling.demand import PoolLoad
 from mustardward.components.scheduling.inflow import Amount
 from mustardward.platform.models import Instance, Room
--- a/tests/components/fleet/test_unreadable_rows.py
+++ b/tests/components/fleet/test_unreadable_rows.py
@@ -7,7 +7,7 @@
 
 from mustardward.components.fleet.models import WaveRun
 from mustardward.components.fleet.services import Fleet
-from mustardward.components.fleet.waves import WavePlanner
+from mustardward.components.fleet.wave_planner import WavePlanner
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.platform.models import Instance, UpkeepWave
 
--- a/tests/components/fleet/test_unusable.py
+++ b/tests/components/fleet/test_unusable.py
@@ -18,7 +18,7 @@
 from mustardward.platform.models import Instance, Room
 
 from .builders import OTHER, POOL, STANDBY, an_instance
-from .test_holds import FleetHarness
+from .test_cordons import FleetHarness
 
 BRIEF_STATES = {"leaving"}
 """Flags that fleet management sets itself; the pool planner counts its own orders."""
--- a/tests/components/fleet/test_waves.py
+++ b/tests/components/fleet/test_wave_planner.py
@@ -12,7 +12,7 @@
     UNLISTED_TIMEOUT_SECONDS,
 )
 from mustardward.components.fleet.models import Drain, Load, Maintain
-from mustardward.components.fleet.waves import WavePlanner, resume_wave
+from mustardward.components.fleet.wave_planner import WavePlanner, resume_wave
 from mustardward.components.ledger.models import WaveRecord
 from mustardward.platform.models import Instance
 
--- a/tests/components/fleet/test_hosts.py
+++ b/tests/components/fleet/test_worker_hosts.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from mustardward.components.fleet.hosts import WorkerHosts
+from mustardward.components.fleet.worker_hosts import WorkerHosts
 from mustardward.components.scheduling.losses import LossCause
 from mustardward.platform.models import Instance
 
--- a/tests/embedded/test_long_list.py
+++ b/tests/embedded/test_long_list.py
@@ -5,7 +5,7 @@
 import anyio
 import pytest
 
-from mustardward.components.fleet.listing import InstanceListReader
+from mustardward.components.fleet.instance_list import InstanceListReader
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.platform.fleet import FleetClient
 from mustardward.platform.http import HttpCaller
--- a/tests/helpers/test_policies.py
+++ b/tests/helpers/test_policies.py
@@ -8,7 +8,7 @@
 import pytest
 
 import mustardward.node.app  # noqa: F401 - all policies are registered by it
-from mustardward.components.fleet.lending import idle_timeout_seconds, surplus
+from mustardward.components.fleet.pool_surplus import idle_timeout_seconds, surplus
 from mustardward.components.scheduling.order import (
     Capacity,
     by_slack,
