--- a/mustardward/components/fleet/services.py
+++ b/mustardward/components/fleet/services.py
@@ -253,9 +253,9 @@
             self.wave_planner.runs.values(), self.pool_planner.orders.values()
         )
         for worker in self.scheduler.board.workers.values():
-            is_leaving = is_cordoned(worker, cordoned)
-            if worker.leaving != is_leaving:
-                self.scheduler.set_leaving(worker.id, is_leaving, now)
+            should_cordon = is_cordoned(worker, cordoned)
+            if worker.leaving != should_cordon:
+                self.scheduler.set_leaving(worker.id, should_cordon, now)
 
     def _add_new_waves(self) -> None:
         for number, wave in self.configuration.waves.items():
--- a/tests/components/fleet/test_instance_list.py
+++ b/tests/components/fleet/test_instance_list.py
@@ -33,8 +33,8 @@
 
     def __init__(self, timers: DrivenTimerService) -> None:
         self.timers = timers
-        self.refused = 0
-        self.answered = 0
+        self.refused_reads = 0
+        self.served_reads = 0
         self.unreadable_page = -1
         self._bucket = TokenBucket(READS_PER_SECOND, timers.monotonic())
 
@@ -44,13 +44,13 @@
         now = self.timers.monotonic()
         self._bucket.fill(now, READS_PER_SECOND, READS_PER_SECOND)
         if not self._bucket.take():
-            self.refused += 1
+            self.refused_reads += 1
             raise CallRefusedError("status=429")
-        self.answered += 1
+        self.served_reads += 1
         number = int(token or 0)
-        following = str(number + 1) if number + 1 < PAGES else ""
+        next_token = str(number + 1) if number + 1 < PAGES else ""
         complete = number != self.unreadable_page
-        return FleetPage([an_instance(number)], complete, following)
+        return FleetPage([an_instance(number)], complete, next_token)
 
 
 def a_reader(timers: DrivenTimerService) -> tuple[MultiPageList, InstanceListReader]:
@@ -79,7 +79,7 @@
     assert read.started_at == began
     assert len(read.instances) == PAGES
     assert read.complete
-    assert pages.answered == PAGES
+    assert pages.served_reads == PAGES
     assert timers.monotonic() - began < PAGES / READS_PER_SECOND
 
 
--- a/tests/components/fleet/test_order_executor.py
+++ b/tests/components/fleet/test_order_executor.py
@@ -29,12 +29,14 @@
     def __init__(self, error: Exception | None = None, announced: bool = True) -> None:
         self.calls: list[str] = []
         self.fenced = 0
-        self.gate = anyio.Event()
-        self.gate.set()
+        self.response_gate = anyio.Event()
+        self.response_gate.set()
         self._error = error
         self._announced = announced
         client: Any = self
-        self.executor = OrderExecutor(client, 3, self.async_announce, self.note_fenced)
+        self.executor = OrderExecutor(
+            client, 3, self.async_announce, self.record_fenced
+        )
 
     async def async_announce(self, machine: str) -> bool:
         """Record an announcement, and return whether it succeeds."""
@@ -43,19 +45,19 @@
 
     async def async_move(self, machine: str, pool: str, token: int) -> None:
         """Respond to a move order."""
-        await self._async_answer(f"move {machine} {pool} {token}")
+        await self._async_respond(f"move {machine} {pool} {token}")
 
     async def async_maintain(self, machine: str, wave: int, token: int) -> None:
         """Respond to a maintenance order."""
-        await self._async_answer(f"maintain {machine} {wave} {token}")
+        await self._async_respond(f"maintain {machine} {wave} {token}")
 
-    def note_fenced(self) -> None:
+    def record_fenced(self) -> None:
         """Count the rejections of the owner's fencing token."""
         self.fenced += 1
 
-    async def _async_answer(self, call: str) -> None:
+    async def _async_respond(self, call: str) -> None:
         self.calls.append(call)
-        await self.gate.wait()
+        await self.response_gate.wait()
         if self._error is not None:
             raise self._error
 
@@ -95,7 +97,7 @@
 
 async def test_an_instance_has_one_order_at_a_time() -> None:
     harness = OrderHarness()
-    harness.gate = anyio.Event()
+    harness.response_gate = anyio.Event()
     outcomes: list[OrderOutcome] = []
 
     async def async_execute() -> None:
@@ -105,6 +107,6 @@
         tasks.start_soon(async_execute)
         await anyio.wait_all_tasks_blocked()
         assert await harness.executor.async_execute(MAINTAIN) is OrderOutcome.SKIPPED
-        harness.gate.set()
+        harness.response_gate.set()
     assert outcomes == [OrderOutcome.BEGUN]
     assert await harness.executor.async_execute(MAINTAIN) is OrderOutcome.BEGUN
--- a/tests/components/fleet/test_pool_planner.py
+++ b/tests/components/fleet/test_pool_planner.py
@@ -24,8 +24,8 @@
 def two_pools_of_four() -> list[Instance]:
     first = [an_instance(number, POOL) for number in range(4)]
     second = [an_instance(number, OTHER) for number in range(4, 8)]
-    off = [an_instance(number, STANDBY) for number in range(8, 12)]
-    return first + second + off
+    standby = [an_instance(number, STANDBY) for number in range(8, 12)]
+    return first + second + standby
 
 
 def test_a_full_pool_takes_idle_instances_of_others_before_standby_ones() -> None:
@@ -139,10 +139,10 @@
 def test_maintained_instances_are_moved_and_others_go_to_standby() -> None:
     """Guard against instances that are due for maintenance but busy."""
     planner = PoolPlanner(MOVE_SECONDS)
-    off = [an_instance(n, STANDBY) for n in range(4)]
+    standby = [an_instance(n, STANDBY) for n in range(4)]
     on = [an_instance(n, POOL) for n in range(4, 8)]
     maintenance_due = frozenset({"m-00", "m-01", "m-04", "m-06"})
-    view = replace(a_view([*off, *on[:2]]), maintenance_due=maintenance_due)
+    view = replace(a_view([*standby, *on[:2]]), maintenance_due=maintenance_due)
     lent = planner.decide(view, {}, set(), 0.0)
     assert {move.machine for move in lent} == {"m-02", "m-03"}
     planner = PoolPlanner(MOVE_SECONDS)
@@ -221,8 +221,8 @@
 def test_an_instance_is_taken_from_a_reachable_data_centre() -> None:
     """Guard against one instance after another from a disconnected data centre."""
     pool = [an_instance(n, POOL, zone="z1" if n < 2 else "z2") for n in range(4)]
-    off = [an_instance(8 + n, STANDBY, zone=f"z{n % 2 + 1}") for n in range(4)]
-    for order in (off, off[::-1]):
+    standby = [an_instance(8 + n, STANDBY, zone=f"z{n % 2 + 1}") for n in range(4)]
+    for order in (standby, standby[::-1]):
         view = replace(a_view([*pool, *order]), pools=frozenset({POOL}))
         for worker in ("i-02", "i-03"):
             del view.loads[worker]
--- a/tests/components/fleet/test_worker_hosts.py
+++ b/tests/components/fleet/test_worker_hosts.py
@@ -26,30 +26,30 @@
     return hosts
 
 
-def test_a_worker_whose_instance_is_down_is_unlisted() -> None:
+def test_an_instance_that_is_down_gives_the_cause_unlisted() -> None:
     down = an_instance_list(state="down", id=None)
     assert hosts_of_worker().loss_cause(WORKER, down, set()) is LossCause.UNLISTED
 
 
-def test_a_worker_whose_instance_has_another_worker_is_unlisted() -> None:
+def test_an_instance_with_another_worker_gives_the_cause_unlisted() -> None:
     back = an_instance_list(id="i-02")
     assert hosts_of_worker().loss_cause(WORKER, back, set()) is LossCause.UNLISTED
 
 
 @pytest.mark.parametrize("state", ["moving", "upkeep"])
-def test_a_worker_whose_instance_is_moved_or_maintained_is_ordered(state: str) -> None:
+def test_a_moved_or_maintained_instance_gives_the_cause_ordered(state: str) -> None:
     """Guard against counting orders of a previous owner as crashes."""
     away = an_instance_list(state=state, id=None)
     assert hosts_of_worker().loss_cause(WORKER, away, set()) is LossCause.ORDERED
 
 
-def test_an_order_without_a_response_counts_as_ordered() -> None:
+def test_an_unanswered_order_gives_the_cause_ordered() -> None:
     back = an_instance_list(id="i-02")
     hosts = hosts_of_worker()
     assert hosts.loss_cause(WORKER, back, {MACHINE}) is LossCause.ORDERED
 
 
-def test_a_worker_that_may_be_alive_keeps_its_instance() -> None:
+def test_a_worker_that_may_be_alive_keeps_its_machine() -> None:
     hosts = hosts_of_worker()
     away = an_instance_list(state="moving", id=None)
     hosts.update(away, alive={WORKER})
