--- a/mustardward/components/dispatch/dispatcher.py
+++ b/mustardward/components/dispatch/dispatcher.py
@@ -86,7 +86,7 @@
         self.scheduler.update_worker(worker_id, entry, now)
         # The owner before may have renewed its lease until the end of its own
         # authority.
-        lease_until = max(lease_bound(now), self.scheduler.state.held_until)
+        lease_until = max(lease_bound(now), self.scheduler.state.takeover_hold_until)
         self._open(worker_id, entry, entry.born, lease_until)
 
     def _open(
--- a/mustardward/components/ownership/owner.py
+++ b/mustardward/components/ownership/owner.py
@@ -179,7 +179,7 @@
     async def async_release(self) -> None:
         """Give the shard up, so that another entry claims it at once."""
         state = self.scheduler.state
-        settled = self._parts.timers.monotonic() >= state.held_until
+        settled = self._parts.timers.monotonic() >= state.takeover_hold_until
         await self._renewals.async_release(settled)
         self.depose()
 
--- a/mustardward/components/ownership/takeover.py
+++ b/mustardward/components/ownership/takeover.py
@@ -42,7 +42,7 @@
         :param directory: reads workers' entries; before it did, none is known.
         """
         await directory.async_wait_loaded()
-        while self.timers.monotonic() < self.state.held_until:
+        while self.timers.monotonic() < self.state.takeover_hold_until:
             self.release()
             await self.timers.async_sleep(HELD_LOOK_SECONDS)
         self.wake()
@@ -57,7 +57,7 @@
             self.wake()
         if not self._all_heard():
             return
-        self.state.held_until = 0.0
+        self.state.takeover_hold_until = 0.0
         _LOGGER.info("takeover_complete", epoch=self.epoch)
 
     def _accounted(self) -> frozenset[str]:
@@ -109,5 +109,5 @@
     """
     over = not before.node and before.settled
     authority = 0.0 if over else AUTHORITY_SECONDS
-    state.held_until = lease_bound(now) + authority
+    state.takeover_hold_until = lease_bound(now) + authority
     state.taken_over_at = now
--- a/mustardward/components/scheduling/const.py
+++ b/mustardward/components/scheduling/const.py
@@ -27,33 +27,34 @@
 
 STUCK_FACTOR: Final = 1.5
 
-MOST_CRASHES: Final = 4
+MAX_CRASHES: Final = 4
 """Workers that may crash under a task before its job is given up."""
 
-ENOUGH_CRASHES: Final = 3
+CONCLUSIVE_CRASHES: Final = 3
 """The same where the last one crashed by itself, not together with others."""
 
-TOGETHER_SECONDS: Final = 0.5
+COMMON_CAUSE_SECONDS: Final = 0.5
 """Workers that crash within this time may have a common cause, such as their rack."""
 
-TOGETHER_SHARE: Final = 0.25
+COMMON_CAUSE_SHARE: Final = 0.25
 """Share of a pool that has to crash so for a common cause to be likelier."""
 
-APART_CRASHES: Final = 2
+ISOLATION_CRASHES: Final = 2
 """Workers that crashed under a task from which on its job shares no worker."""
 
-APART_WAIT_SECONDS: Final = 2.5
+ISOLATION_WAIT_SECONDS: Final = 2.5
 """A suspected job that has waited for so long for an empty worker takes one with runs
 that are not suspects: a new instance would have come meanwhile."""
 
-SOUND_SECONDS: Final = 5.0
+CLEARED_AFTER_SECONDS: Final = 5.0
 """A lasting task that ran for so long is not suspected of its worker's crash."""
 
-TRIAL_RUNS: Final = 3
-"""Runs of a lasting suspect that may end without a crash, before SOUND_SECONDS, until
-it shares workers again: one that always fails would else have a worker for good."""
+CLEARED_AFTER_RUNS: Final = 3
+"""Runs of a lasting suspect that may end without a crash, before CLEARED_AFTER_SECONDS,
+until it shares workers again: one that always fails would else have a worker for
+good."""
 
-LOOK_SECONDS: Final = 0.1
+CHECK_INTERVAL_SECONDS: Final = 0.1
 """Interval at which all that runs is looked over for runs that stand still and for
 serving tasks that are harmed: both show after half a second or more. Looked over in
 each plan, 3,200 runs took 2.2 of 2.7 ms of a plan that had nothing to place."""
@@ -71,7 +72,7 @@
 """A worker's entry that lapsed while the store was away is back within 2 s of its
 return, if the worker lives."""
 
-VANISHED_HOLDS: Final = 2
+MISSED_HOLDS_LIMIT: Final = 2
 """Answers in a row that have to miss a run before it counts as lost."""
 
 EVACUATION_SECONDS: Final = 1.5
--- a/mustardward/components/scheduling/crashes.py
+++ b/mustardward/components/scheduling/crashes.py
@@ -18,14 +18,14 @@
 from ...platform.workers import encode_task
 from ..ledger.models import JobState
 from .const import (
-    APART_CRASHES,
-    APART_WAIT_SECONDS,
-    ENOUGH_CRASHES,
-    MOST_CRASHES,
-    SOUND_SECONDS,
-    TOGETHER_SECONDS,
-    TOGETHER_SHARE,
-    TRIAL_RUNS,
+    CLEARED_AFTER_RUNS,
+    CLEARED_AFTER_SECONDS,
+    COMMON_CAUSE_SECONDS,
+    COMMON_CAUSE_SHARE,
+    CONCLUSIVE_CRASHES,
+    ISOLATION_CRASHES,
+    ISOLATION_WAIT_SECONDS,
+    MAX_CRASHES,
 )
 from .losses import MOST_IN_LINE, LossCause
 from .models import Job, Phase, StepRun, Task
@@ -76,40 +76,41 @@
     return [
         task
         for task in worker.tasks.values()
-        if may_have_begun(task) and not _has_run_on(task, now)
+        if may_have_begun(task) and not _has_run_long(task, now)
     ]
 
 
-def _never_apart(task: Task) -> bool:
+def _never_isolate(task: Task) -> bool:
     return False
 
 
 @switchable(
     "crash-suspects-apart",
     "a task that is suspected again takes no other job's tasks down with it",
-    without=_never_apart,
+    without=_never_isolate,
 )
-def runs_apart(task: Task) -> bool:
+def needs_isolation(task: Task) -> bool:
     """Return whether a task shares no worker with other jobs."""
-    return len(task.crashes) >= APART_CRASHES
+    return len(task.crashes) >= ISOLATION_CRASHES
 
 
-def _count_alone(crashes: int, excused: bool) -> bool:
-    return crashes >= ENOUGH_CRASHES
+def _ignore_chance(crashes: int, chance_plausible: bool) -> bool:
+    return crashes >= CONCLUSIVE_CRASHES
 
 
 @switchable(
     "crash-evidence",
     "a job is not given up as soon for a crash that may have another cause",
-    without=_count_alone,
+    without=_ignore_chance,
 )
-def is_guilty(crashes: int, excused: bool) -> bool:
+def should_give_up(crashes: int, chance_plausible: bool) -> bool:
     """Return whether a task's job is to be given up.
 
     :param crashes: workers that crashed under the task.
-    :param excused: whether chance may be the cause of as many as are usually enough.
+    :param chance_plausible: whether chance may be the cause of as many as are usually
+        enough.
     """
-    return crashes >= (MOST_CRASHES if excused else ENOUGH_CRASHES)
+    return crashes >= (MAX_CRASHES if chance_plausible else CONCLUSIVE_CRASHES)
 
 
 @dataclass(slots=True, eq=False)
@@ -131,7 +132,7 @@
             return
         # Each further start of these counts, however it ended.
         for task in suspects:
-            if len(task.crashes) >= ENOUGH_CRASHES:
+            if len(task.crashes) >= CONCLUSIVE_CRASHES:
                 self._suspect(task, worker, now)
 
     def _note_crash(
@@ -152,109 +153,111 @@
     def _suspect(self, task: Task, worker: WorkerState, now: float) -> None:
         if not task.step.job.state.final:
             self.state.suspect(task, worker.incarnation)
-            task.judged_at = now + TOGETHER_SECONDS
+            task.evaluation_due_at = now + COMMON_CAUSE_SECONDS
 
-    def judge(self, now: float) -> None:
+    def evaluate(self, now: float) -> None:
         """Give up the jobs whose tasks crash their workers, and clear sound ones."""
         for job in list(self.state.suspects.values()):
             for step in job.steps.values():
                 for task in step.tasks:
                     if task.crashes:
-                        self._judge(task, now)
-        while self._recent and self._recent[0].at < now - 2 * TOGETHER_SECONDS:
+                        self._evaluate_task(task, now)
+        while self._recent and self._recent[0].at < now - 2 * COMMON_CAUSE_SECONDS:
             self._recent.popleft()
 
-    def _judge(self, task: Task, now: float) -> None:
+    def _evaluate_task(self, task: Task, now: float) -> None:
         job = task.step.job
         if job.state.final:
             return
-        if _is_sound(task):
+        if _is_cleared(task):
             _LOGGER.info("suspect_cleared", task=encode_task(task.name))
             self.state.clear(task)
             return
         if not self._is_due(task, now):
             return
-        crashed_at = task.judged_at - TOGETHER_SECONDS
-        task.judged_at = 0.0
-        together = self._crashed_together(task, crashed_at)
+        crashed_at = task.evaluation_due_at - COMMON_CAUSE_SECONDS
+        task.evaluation_due_at = 0.0
+        common_cause = self._has_common_cause(task, crashed_at)
         # A task that lasts meets more crashes by chance than one of a second.
-        excused = together or task.step.spec.long_running
-        guilty = is_guilty(len(task.crashes), excused)
+        chance_plausible = common_cause or task.step.spec.long_running
+        give_up = should_give_up(len(task.crashes), chance_plausible)
         _LOGGER.info(
             "task_suspected",
             task=encode_task(task.name),
             crashes=",".join(task.crashes),
-            together=together,
-            apart=runs_apart(task),
-            given_up=guilty,
+            together=common_cause,
+            apart=needs_isolation(task),
+            given_up=give_up,
         )
-        if guilty:
+        if give_up:
             JOBS_GIVEN_UP.inc()
             self.state.end_job(job, JobState.FAILED)
 
     def _is_due(self, task: Task, now: float) -> bool:
         """Return whether a task is to be judged; an owner before may not have."""
-        if len(task.crashes) >= MOST_CRASHES:
+        if len(task.crashes) >= MAX_CRASHES:
             return True
-        return 0.0 < task.judged_at <= now
+        return 0.0 < task.evaluation_due_at <= now
 
-    def _crashed_together(self, task: Task, at: float) -> bool:
+    def _has_common_cause(self, task: Task, at: float) -> bool:
         """Return whether much of its pool crashed with a task's last worker."""
         service = task.step.job.policy.service
         crashed = sum(
-            abs(crash.at - at) <= TOGETHER_SECONDS and task not in crash.suspects
+            abs(crash.at - at) <= COMMON_CAUSE_SECONDS and task not in crash.suspects
             for crash in self._recent
             if crash.service == service
         )
         left = sum(w.service == service for w in self.state.workers.values())
-        return crashed > TOGETHER_SHARE * (crashed + left)
+        return crashed > COMMON_CAUSE_SHARE * (crashed + left)
 
 
-def _has_run_on(task: Task, now: float) -> bool:
+def _has_run_long(task: Task, now: float) -> bool:
     """Return whether a lasting task ran for long; any other may crash at its end."""
-    return task.step.spec.long_running and now - task.started_at >= SOUND_SECONDS
+    return (
+        task.step.spec.long_running and now - task.started_at >= CLEARED_AFTER_SECONDS
+    )
 
 
-def _is_sound(task: Task) -> bool:
-    if task.step.spec.long_running and task.calm_runs >= TRIAL_RUNS:
+def _is_cleared(task: Task) -> bool:
+    if task.step.spec.long_running and task.runs_since_crash >= CLEARED_AFTER_RUNS:
         return True
     if task.phase is not Phase.RUNNING or task.worker is None:
         return False
-    return _has_run_on(task, task.worker.reported_at)
+    return _has_run_long(task, task.worker.reported_at)
 
 
-def awaits_judgement(job: Job) -> bool:
+def awaits_evaluation(job: Job) -> bool:
     """Return whether a job may be about to be given up, and starts nothing."""
-    if job.suspicion < ENOUGH_CRASHES:
+    if job.suspicion < CONCLUSIVE_CRASHES:
         return False
-    return job.suspicion >= MOST_CRASHES or any(
-        task.judged_at for step in job.steps.values() for task in step.tasks
+    return job.suspicion >= MAX_CRASHES or any(
+        task.evaluation_due_at for step in job.steps.values() for task in step.tasks
     )
 
 
-def tasks_apart(job: Job) -> list[Task]:
+def isolated_tasks(job: Job) -> list[Task]:
     """Return the tasks of a job that share no worker with other jobs."""
-    if job.suspicion < APART_CRASHES:
+    if job.suspicion < ISOLATION_CRASHES:
         return []
     tasks = [task for step in job.steps.values() for task in step.tasks]
-    return [task for task in tasks if runs_apart(task)]
+    return [task for task in tasks if needs_isolation(task)]
 
 
-def trial_workers(job: Job) -> set[str]:
+def isolation_workers(job: Job) -> set[str]:
     """Return the workers where tasks of a job run that share none."""
-    return {task.worker.id for task in tasks_apart(job) if task.worker is not None}
+    return {task.worker.id for task in isolated_tasks(job) if task.worker is not None}
 
 
-def workers_apart(jobs: Iterable[Job]) -> set[str]:
+def all_isolation_workers(jobs: Iterable[Job]) -> set[str]:
     """Return the workers where tasks run that share none."""
-    return {worker_id for job in jobs for worker_id in trial_workers(job)}
+    return {worker_id for job in jobs for worker_id in isolation_workers(job)}
 
 
 def take_suspects(step: StepRun) -> list[Task]:
     """Take the tasks that have to run apart off a step's queue; of a gang, all."""
-    if step.job.suspicion < APART_CRASHES:
+    if step.job.suspicion < ISOLATION_CRASHES:
         return []
-    suspects = [task for task in step.waiting if runs_apart(task)]
+    suspects = [task for task in step.waiting if needs_isolation(task)]
     if suspects and step.spec.gang:
         suspects = list(step.waiting) if len(step.waiting) == len(step.tasks) else []
     if suspects:
@@ -277,7 +280,7 @@
     others = [task for task in worker.tasks.values() if task.step.job is not job]
     if not others:
         return True
-    waited = any(now - task.ready_since > APART_WAIT_SECONDS for task in suspects)
+    waited = any(now - task.ready_since > ISOLATION_WAIT_SECONDS for task in suspects)
     return waited and not any(
-        runs_apart(task) or not _has_run_on(task, now) for task in others
+        needs_isolation(task) or not _has_run_long(task, now) for task in others
     )
--- a/mustardward/components/scheduling/demand.py
+++ b/mustardward/components/scheduling/demand.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from ...helpers.logging import get_logger
-from .crashes import tasks_apart
+from .crashes import isolated_tasks
 from .inflow import Amount
 from .models import StepRun
 from .scheduler_state import SchedulerState
@@ -138,7 +138,7 @@
 def _add_apart(loads: defaultdict[str, PoolLoad], state: SchedulerState) -> None:
     """Add the workers that suspected jobs need for themselves."""
     for job in state.suspects.values():
-        if tasks_apart(job):
+        if isolated_tasks(job):
             loads[job.policy.service].apart += 1
 
 
--- a/mustardward/components/scheduling/evacuation.py
+++ b/mustardward/components/scheduling/evacuation.py
@@ -29,7 +29,7 @@
 def _surely_at_work(task: Task, now: float) -> bool:
     if task.worker is None or now - task.worker.reported_at > REPORT_SECONDS:
         return False
-    return task.at_work
+    return task.is_serving
 
 
 @dataclass(slots=True, eq=False)
--- a/mustardward/components/scheduling/health.py
+++ b/mustardward/components/scheduling/health.py
@@ -19,7 +19,7 @@
 _SPEED_WEIGHT = 0.15
 
 
-def _judge_nothing(
+def _never_quarantine(
     health: Health, /, worker: WorkerState, task: Task, now: float
 ) -> None:
     """Let a worker that fails its runs have more of them."""
@@ -54,7 +54,7 @@
     @switchable(
         "quarantine",
         "a worker that fails all it starts does not draw all work",
-        without=_judge_nothing,
+        without=_never_quarantine,
     )
     def note_failed(self, worker: WorkerState, task: Task, now: float) -> None:
         """Take in a run that failed or stood still on a worker."""
--- a/mustardward/components/scheduling/intake.py
+++ b/mustardward/components/scheduling/intake.py
@@ -11,7 +11,7 @@
 from .inflow import RECENT_SECONDS, Amount
 from .models import Job, Phase, QueuePolicy, StepRun, Task
 from .scheduler_state import SchedulerState
-from .shares import Shares
+from .shares import RateShares
 from .zones import Zones
 
 OCCURRENCE_MARGIN_SECONDS = 0.03
@@ -24,7 +24,7 @@
 
     state: SchedulerState
     zones: Zones
-    shares: Shares = field(default_factory=Shares)
+    shares: RateShares = field(default_factory=RateShares)
 
     def add(self, ledger_job: LedgerJob, now: float, wall: float) -> None:
         """Take a job in, with what is stored of it."""
@@ -36,7 +36,7 @@
         age = max(0.0, wall - record.accepted_at)
         job = Job(record, policy, accepted_at=now - age)
         self._set_objective(job, job.accepted_at)
-        job.beyond = self.shares.is_beyond(job.organisation, job.accepted_at)
+        job.over_rate = self.shares.exceeds_rate(job.organisation, job.accepted_at)
         self.state.jobs[record.id] = job
         progress = ledger_job.progress
         if progress is None:
@@ -47,7 +47,7 @@
             job.held = True
             job.state = progress.state
             job.zones = frozenset(progress.zones) or None
-            job.open_zones = job.sent_zones = job.zones
+            job.stored_zones = job.pending_zones = job.zones
             self._restore(job, progress)
             self.zones.promise(job)
         if not record.times:
--- a/mustardward/components/scheduling/models.py
+++ b/mustardward/components/scheduling/models.py
@@ -60,9 +60,9 @@
         that is not known may still be on its way.
     :param sent: whether the order to start was given to the worker.
     :param crashes: the incarnations of workers that crashed under the task.
-    :param judged_at: when it is known what crashed together with the last of them, or 0
-        if that was looked at.
-    :param calm_runs: how many runs ended by themselves since, under no crash.
+    :param evaluation_due_at: when it is known what crashed together with the last of
+        them, or 0 if that was looked at.
+    :param runs_since_crash: how many runs ended by themselves since, under no crash.
     """
 
     step: StepRun
@@ -85,8 +85,8 @@
     percent_at_ms: float = -1.0
     sent: bool = False
     crashes: tuple[str, ...] = ()
-    judged_at: float = 0.0
-    calm_runs: int = 0
+    evaluation_due_at: float = 0.0
+    runs_since_crash: int = 0
 
     @property
     def name(self) -> TaskName:
@@ -95,7 +95,7 @@
         return TaskName(step.job.record.id, step.occurrence, step.number, self.index)
 
     @property
-    def at_work(self) -> bool:
+    def is_serving(self) -> bool:
         """Return whether a lasting task serves, as far as is known.
 
         What a worker reported last says nothing once it has fallen silent.
@@ -179,13 +179,13 @@
     :param home: where its short tasks go while there is room: a job is done once all of
         them are, so that a loss should take all tasks of few jobs, not some of most.
     :param zones: the data centres in which it is to start, or None for any.
-    :param open_zones: those of which the log is known to have been told: it starts
+    :param stored_zones: those of which the log is known to have been told: it starts
         nowhere else.
-    :param sent_zones: those that the record on its way to the log names.
-    :param beyond: whether it lies beyond its organisation's rate.
+    :param pending_zones: those that the record on its way to the log names.
+    :param over_rate: whether it lies beyond its organisation's rate.
     :param suspicion: most workers that crashed under one of its tasks.
-    :param crashes_noted: how many crashes this owner noted under its tasks.
-    :param crashes_sent: how many of them its newest record for the log has.
+    :param crashes_counted: how many crashes this owner noted under its tasks.
+    :param crashes_in_record: how many of them its newest record for the log has.
     """
 
     record: JobRecord
@@ -200,12 +200,12 @@
     held: bool = False
     home: Place | None = None
     zones: frozenset[str] | None = None
-    open_zones: frozenset[str] | None = None
-    sent_zones: frozenset[str] | None = None
-    beyond: bool = False
+    stored_zones: frozenset[str] | None = None
+    pending_zones: frozenset[str] | None = None
+    over_rate: bool = False
     suspicion: int = 0
-    crashes_noted: int = 0
-    crashes_sent: int = 0
+    crashes_counted: int = 0
+    crashes_in_record: int = 0
 
     @property
     def organisation(self) -> str:
--- a/mustardward/components/scheduling/offers.py
+++ b/mustardward/components/scheduling/offers.py
@@ -83,11 +83,11 @@
 
     def may_fit(self, step: StepRun) -> bool:
         """Return whether its own data centres may have room for a step."""
-        return not _covers(self._full[step.job.open_zones], step.room)
+        return not _covers(self._full[step.job.stored_zones], step.room)
 
     def note_full(self, step: StepRun, everywhere: bool) -> None:
         """Take in that a step's tasks have no room where they may start."""
-        self._full[step.job.open_zones].append(step.room)
+        self._full[step.job.stored_zones].append(step.room)
         if everywhere:
             self._nowhere.append(step.room)
             self._nowhere_of.append(step)
--- a/mustardward/components/scheduling/order.py
+++ b/mustardward/components/scheduling/order.py
@@ -162,7 +162,7 @@
     asked = sum(
         left[name].work
         for name, job in jobs.items()
-        if job.objective_at > now and not job.beyond
+        if job.objective_at > now and not job.over_rate
     )
     chosen = order if order is not None else choose_order(asked, capacity)
     return sorted(
@@ -177,8 +177,8 @@
     if step.spec.long_running:
         return (Standing.LASTING, policy.priority, False, float(step.spec.fills))
     if now + left.chain <= job.objective_at:
-        return (Standing.IN_TIME, policy.priority, job.beyond, order(job, left))
+        return (Standing.IN_TIME, policy.priority, job.over_rate, order(job, left))
     if now + left.chain <= job.late_at:
         size = left.chain * len(step.tasks)
-        return (Standing.LATE, policy.priority, job.beyond, size)
-    return (Standing.OVERDUE, policy.priority, job.beyond, job.accepted_at)
+        return (Standing.LATE, policy.priority, job.over_rate, size)
+    return (Standing.OVERDUE, policy.priority, job.over_rate, job.accepted_at)
--- a/mustardward/components/scheduling/placement.py
+++ b/mustardward/components/scheduling/placement.py
@@ -53,7 +53,7 @@
     capacity = worker.capacity
     cpu, mem_mb, gpu = capacity.cpu, capacity.mem_mb, capacity.gpu
     lasting = [t.step for t in worker.tasks.values() if t.step.spec.long_running]
-    for step in (*lasting, *worker.strays):
+    for step in (*lasting, *worker.orphan_steps):
         cpu -= step.room.cpu
         mem_mb -= step.room.mem_mb
         gpu -= step.room.gpu
--- a/mustardward/components/scheduling/planner.py
+++ b/mustardward/components/scheduling/planner.py
@@ -9,11 +9,11 @@
 from ...platform.models import Room
 from .advice import check_advice
 from .crashes import (
-    awaits_judgement,
+    all_isolation_workers,
+    awaits_evaluation,
     is_free_for,
+    isolation_workers,
     take_suspects,
-    trial_workers,
-    workers_apart,
 )
 from .models import StepRun, Task
 from .offers import Offers
@@ -79,10 +79,10 @@
 
     def _unseen(self, now: float) -> Iterator[tuple[str, Room, int]]:
         """Yield the tasks that an owner before may have started, and that may run."""
-        if now >= self.state.held_until:
+        if now >= self.state.takeover_hold_until:
             return
         for job in self.state.jobs.values():
-            if job.organisation and self.state.is_held(job, now):
+            if job.organisation and self.state.is_held_after_takeover(job, now):
                 for step in job.steps.values():
                     count = len(step.tasks) - step.done - step.active
                     yield job.organisation, step.asked, count
@@ -93,7 +93,7 @@
         ranked = prioritise(
             steps, now, self.state.estimates, self._capacity(workers, now), self.order
         )
-        apart = workers_apart(self.state.suspects.values())
+        apart = all_isolation_workers(self.state.suspects.values())
         offers = Offers([worker for worker in workers if worker.id not in apart], apart)
         if len(offers.workers) == len(workers):
             # One trial at a time goes before what ranks first.
@@ -103,11 +103,11 @@
             if self._starts_left <= 0:
                 self.waits.note_all(ranked[number:], Reason.STARTS_USED_UP)
                 return
-            if self.state.is_held(step.job, now):
+            if self.state.is_held_after_takeover(step.job, now):
                 self.waits.note(step, Reason.HELD_AFTER_TAKEOVER)
                 continue
-            if awaits_judgement(step.job):
-                self.waits.note(step, Reason.AWAITS_JUDGEMENT)
+            if awaits_evaluation(step.job):
+                self.waits.note(step, Reason.AWAITS_EVALUATION)
                 continue
             suspects = take_suspects(step)
             if suspects:
@@ -115,7 +115,7 @@
             if step.waiting:
                 self._place_among_others(step, offers, promised, now)
             if suspects:
-                self.state.put_back(step, suspects)
+                self.state.return_to_queue(step, suspects)
 
     def _place_among_others(
         self, step: StepRun, offers: Offers, promised: Counter[str], now: float
@@ -126,7 +126,7 @@
         if offers.fits_nowhere(step):
             self.waits.note(step, Reason.FITS_NOWHERE, offers)
             return
-        allowed = offers.of(step.job.open_zones)
+        allowed = offers.of(step.job.stored_zones)
         if not self._may_start(step, allowed, now):
             return
         if step.spec.gang:
@@ -156,7 +156,7 @@
         if not self._may_start(step, workers, now):
             return
         free = [w for w in workers if is_free_for(w, suspects, now)]
-        at_trial = trial_workers(step.job)
+        at_trial = isolation_workers(step.job)
         one_worker = not (step.spec.long_running or step.spec.gang)
         if step.spec.gang:
             placed = choose_gang(free, step, suspects)
@@ -166,7 +166,7 @@
             if one_worker and at_trial:
                 free = [worker for worker in free if worker.id in at_trial]
             all_fit = self._place_each(step, suspects, free, one_worker, now)
-        used = trial_workers(step.job)
+        used = isolation_workers(step.job)
         if used:
             offers.leave_out([w for w in free if w.id in used], step)
         if all_fit:
@@ -197,7 +197,7 @@
             if worker is None:
                 return False
             self._starts_left -= 1
-            self.state.assign(task, worker, self.state.next_run(), now)
+            self.state.assign(task, worker, self.state.next_run_number(), now)
             if one_worker:
                 workers = [worker]
         return True
@@ -226,7 +226,7 @@
                 return False
             step.waiting.popleft()
             self._starts_left -= 1
-            self.state.assign(task, worker, self.state.next_run(), now)
+            self.state.assign(task, worker, self.state.next_run_number(), now)
             shortlist.renew()
         self.state.ready.pop(id(step), None)
         return True
@@ -272,7 +272,7 @@
         if placed is None:
             return
         # Members wait for each other on their workers, so that all go or none.
-        run = self.state.next_run()
+        run = self.state.next_run_number()
         for task, worker in placed:
             self._starts_left -= 1
             self.state.assign(task, worker, run, now)
--- a/mustardward/components/scheduling/quotas.py
+++ b/mustardward/components/scheduling/quotas.py
@@ -24,7 +24,7 @@
 QuotaLookup = Callable[[str], Room]
 
 
-def no_quota(organisation: str) -> Room:
+def unlimited_quota(organisation: str) -> Room:
     """Return that an organisation may have running what it likes."""
     return UNLIMITED
 
@@ -36,7 +36,7 @@
     :param quota_of: the operator's word on an organisation; 0 is no limit.
     """
 
-    quota_of: QuotaLookup = no_quota
+    quota_of: QuotaLookup = unlimited_quota
     _used: dict[str, Amount] = field(default_factory=dict)
     _unseen: dict[str, Amount] = field(default_factory=dict)
 
--- a/mustardward/components/scheduling/reports.py
+++ b/mustardward/components/scheduling/reports.py
@@ -16,7 +16,7 @@
     TaskName,
 )
 from .commands import Stop
-from .const import VANISHED_HOLDS
+from .const import MISSED_HOLDS_LIMIT
 from .health import Health
 from .intake import Intake
 from .models import ACTIVE, Phase, Task
@@ -49,7 +49,7 @@
         """
         for ended in answer.ended:
             self.ended(worker, ended, now)
-        self.state.forget_strays(worker)
+        self.state.clear_orphan_runs(worker)
         listed: set[tuple[object, int]] = set()
         worker.clock_ms = answer.clock_ms
         for row in answer.running:
@@ -106,7 +106,7 @@
         if task.run == run and task.phase is Phase.STARTING and task.worker:
             # A worker may answer all else, and leave each start unanswered.
             task.avoid.add(task.worker.id)
-            self.state.doubt(task)
+            self.state.mark_uncertain(task)
 
     def stop_answered(self, task: Task, run: int, now: float) -> None:
         """Take in that a worker acknowledged a stop."""
@@ -129,7 +129,7 @@
             return
         own = task.worker is worker and task.run == ended.run and task.phase in ACTIVE
         self.lines.ended(worker, ended, own)
-        self.state.note_begun(task.step.job)
+        self.state.mark_started(task.step.job)
         if ended.how == ENDED_DONE:
             self._done(worker, task, own, now)
             return
@@ -141,7 +141,7 @@
             task.checkpoint = ended.checkpoint
         self.state.mark_dirty(task.step.job)
         if own:
-            task.calm_runs += task.phase is not Phase.STOPPING
+            task.runs_since_crash += task.phase is not Phase.STOPPING
             self.state.end_run(task, now)
         if ended.how == ENDED_FAILED:
             self.intake.task_failed(task)
@@ -164,15 +164,15 @@
     ) -> None:
         task = self._expected(row.task)
         if task is None or task.phase is Phase.DONE:
-            self._stop_stray(worker, row)
+            self._stop_orphan_run(worker, row)
             return
         if task.phase is Phase.WAITING:
             if task.step.job.state.final:
-                self._stop_stray(worker, row)
+                self._stop_orphan_run(worker, row)
                 return
             self.state.adopt(task, worker, row.run, now)
         elif task.worker is not worker or task.run != row.run:
-            self._stop_stray(worker, row)
+            self._stop_orphan_run(worker, row)
             return
         elif task.phase is Phase.STARTING:
             task.phase = Phase.RUNNING
@@ -189,8 +189,8 @@
             before = max(0.0, sent_at - task.percent_since)
             task.percent_at_ms = worker.clock_ms - 1000 * before
 
-    def _stop_stray(self, worker: WorkerState, row: RunningTask) -> None:
-        self.state.note_stray(worker, row.task)
+    def _stop_orphan_run(self, worker: WorkerState, row: RunningTask) -> None:
+        self.state.add_orphan_run(worker, row.task)
         self.state.give(Stop(row.task, worker.id, row.run, None))
 
     def _expected(self, name: TaskName) -> Task | None:
@@ -222,6 +222,6 @@
                     self.state.end_run(task, now)
             elif task.phase is Phase.RUNNING and task.started_at <= sent_at:
                 task.missed_holds += 1
-                if task.missed_holds >= VANISHED_HOLDS:
+                if task.missed_holds >= MISSED_HOLDS_LIMIT:
                     _LOGGER.warning("run_vanished", worker=worker.id, run=task.run)
                     self.state.end_run(task, now)
--- a/mustardward/components/scheduling/scheduler.py
+++ b/mustardward/components/scheduling/scheduler.py
@@ -14,7 +14,7 @@
 from ..ledger.models import JobState, Progress
 from .commands import Command
 from .const import (
-    LOOK_SECONDS,
+    CHECK_INTERVAL_SECONDS,
     STUCK_FACTOR,
     STUCK_SECONDS,
 )
@@ -30,10 +30,10 @@
 from .pacing import Pacing
 from .planner import Planner
 from .progress import progress_of
-from .quotas import QuotaLookup, Quotas, no_quota
+from .quotas import QuotaLookup, Quotas, unlimited_quota
 from .reports import Reports
 from .scheduler_state import PolicyLookup, SchedulerState
-from .shares import RateLookup, Shares, no_rate
+from .shares import RateLookup, RateShares, unlimited_rate
 from .wait_lines import WaitLines
 from .zones import Zones
 
@@ -59,13 +59,13 @@
         epoch: int,
         policy_of: PolicyLookup,
         order: str = "",
-        quota_of: QuotaLookup = no_quota,
-        rate_of: RateLookup = no_rate,
+        quota_of: QuotaLookup = unlimited_quota,
+        rate_of: RateLookup = unlimited_rate,
     ) -> None:
         self.state = SchedulerState(epoch, policy_of, quotas=Quotas(quota_of))
         self.entries = Entries(self.state)
         self._zones = Zones(self.state)
-        self.intake = Intake(self.state, self._zones, Shares(rate_of))
+        self.intake = Intake(self.state, self._zones, RateShares(rate_of))
         self.health = Health(self.state)
         self.reports = Reports(self.state, self.intake, self.health)
         self.pacing = Pacing(self.state)
@@ -74,7 +74,7 @@
         self._planner = Planner(self.state, self._zones, ORDERS.get(order))
         self.waits = WaitLines(self.state, self._planner.waits)
         self._ending: dict[str, Job] = {}
-        self._look_at = -math.inf
+        self._next_check_at = -math.inf
 
     def add_job(self, job: LedgerJob, now: float, wall: float) -> None:
         """Take an accepted job in."""
@@ -85,8 +85,8 @@
         for job_id in job_ids:
             job = self.state.jobs.get(job_id)
             if job is not None:
-                job.stored |= job.crashes_sent == job.crashes_noted
-                job.open_zones = job.sent_zones
+                job.stored |= job.crashes_in_record == job.crashes_counted
+                job.stored_zones = job.pending_zones
 
     def cancel_job(self, job_id: str) -> None:
         """End a job that a caller cancelled."""
@@ -197,10 +197,10 @@
         self.intake.open_due(now, wall)
         self.entries.run(now)
         self._evacuation.run(now)
-        if now >= self._look_at:
-            self._look_at = now + LOOK_SECONDS
+        if now >= self._next_check_at:
+            self._next_check_at = now + CHECK_INTERVAL_SECONDS
             self._stop_stuck(now)
-            self._crashes.judge(now)
+            self._crashes.evaluate(now)
             self.pacing.run(now)
         self._planner.run(now, most_starts)
         self._forget_ended()
@@ -213,8 +213,8 @@
         self.state.dirty = {}
         records = [(job_id, progress_of(job, wall)) for job_id, job in dirty.items()]
         for job_id, job in dirty.items():
-            job.sent_zones = job.zones
-            job.crashes_sent = job.crashes_noted
+            job.pending_zones = job.zones
+            job.crashes_in_record = job.crashes_counted
             self.waits.sent(job_id, now)
             if job.state.final and job_id not in self._ending:
                 self._ending[job_id] = job
@@ -226,7 +226,7 @@
                     seconds=now - job.accepted_at,
                     objective_seconds=job.objective_at - job.accepted_at,
                     organisation=job.organisation,
-                    beyond=job.beyond,
+                    beyond=job.over_rate,
                 )
         return records
 
--- a/mustardward/components/scheduling/scheduler_state.py
+++ b/mustardward/components/scheduling/scheduler_state.py
@@ -9,7 +9,7 @@
 from ...platform.workers import TaskName, encode_task
 from ..ledger.models import JobState
 from .commands import Command, Start, Stop
-from .const import APART_CRASHES, RUN_BITS
+from .const import ISOLATION_CRASHES, RUN_BITS
 from .estimates import Estimates
 from .inflow import Inflow
 from .models import ACTIVE, Job, Phase, QueuePolicy, StepRun, Task
@@ -27,11 +27,11 @@
 
     :param epoch: the owner's; it stands in the upper bits of each run's number.
     :param policy_of: the operator's word on a queue.
-    :param held_until: until when workers that were not heard of may run what an owner
-        before started.
+    :param takeover_hold_until: until when workers that were not heard of may run what
+        an owner before started.
     :param coming: processor of the instances on their way to a pool.
     :param unusable: workers that could run nothing for longer than a moment.
-    :param accounted: data centres all of whose workers told what they run.
+    :param accounted_zones: data centres all of whose workers told what they run.
     :param suspects: the jobs with tasks under which workers crashed, by id.
     """
 
@@ -43,8 +43,8 @@
     inflow: Inflow = field(default_factory=Inflow)
     dirty: dict[str, Job] = field(default_factory=dict)
     ready: dict[int, StepRun] = field(default_factory=dict)
-    held_until: float = 0.0
-    accounted: frozenset[str] = frozenset()
+    takeover_hold_until: float = 0.0
+    accounted_zones: frozenset[str] = frozenset()
     coming: dict[str, int] = field(default_factory=dict)
     unusable: frozenset[str] = frozenset()
     taken_over_at: float = 0.0
@@ -63,7 +63,7 @@
         """Give a command."""
         self._commands.append(command)
 
-    def next_run(self) -> int:
+    def next_run_number(self) -> int:
         """Return a number above all that this or an older owner gave."""
         self._counter += 1
         return (self.epoch << RUN_BITS) + self._counter
@@ -78,11 +78,11 @@
             return None
         return step.tasks[name.index]
 
-    def is_held(self, job: Job, now: float) -> bool:
+    def is_held_after_takeover(self, job: Job, now: float) -> bool:
         """Return whether what an owner before started of a job may still run unseen."""
-        if not job.held or now >= self.held_until:
+        if not job.held or now >= self.takeover_hold_until:
             return False
-        return job.open_zones is None or not job.open_zones <= self.accounted
+        return job.stored_zones is None or not job.stored_zones <= self.accounted_zones
 
     def mark_dirty(self, job: Job) -> None:
         """Note that a job's progress has to be stored."""
@@ -99,7 +99,7 @@
         task.pace = 100
         task.seen_running = False
         task.sent = False
-        self.note_begun(task.step.job)
+        self.mark_started(task.step.job)
         self.give(Start(task, worker.id, run))
 
     def adopt(self, task: Task, worker: WorkerState, run: int, now: float) -> None:
@@ -112,9 +112,9 @@
         task.started_at = now
         task.percent_since = now
         task.percent_at_ms = -1.0
-        self.note_begun(task.step.job)
+        self.mark_started(task.step.job)
 
-    def note_begun(self, job: Job) -> None:
+    def mark_started(self, job: Job) -> None:
         """Note that a task of a job has begun, which callers are shown once stored."""
         if job.state is JobState.QUEUED:
             job.state = JobState.RUNNING
@@ -136,7 +136,7 @@
         task.stop_acknowledged_at = None
         self.give(Stop(task.name, task.worker.id, task.run, task))
 
-    def doubt(self, task: Task) -> None:
+    def mark_uncertain(self, task: Task) -> None:
         """Note that a start was not answered: it may run now, later, or never.
 
         A stop of that run makes the worker reject it from then on, so once that is
@@ -159,7 +159,7 @@
         if step.open:
             self.ready[id(step)] = step
 
-    def put_back(self, step: StepRun, tasks: Iterable[Task]) -> None:
+    def return_to_queue(self, step: StepRun, tasks: Iterable[Task]) -> None:
         """Put the tasks back on a step's queue that were taken off and not assigned."""
         step.waiting.extend(task for task in tasks if task.phase is Phase.WAITING)
         if not step.waiting:
@@ -208,12 +208,12 @@
         if incarnation in task.crashes:
             return
         task.crashes += (incarnation,)
-        task.calm_runs = 0
+        task.runs_since_crash = 0
         job = task.step.job
-        job.crashes_noted += 1
+        job.crashes_counted += 1
         job.suspicion = max(job.suspicion, len(task.crashes))
         self.suspects[job.record.id] = job
-        if job.suspicion >= APART_CRASHES:
+        if job.suspicion >= ISOLATION_CRASHES:
             job.stored = False
             job.zones = None
         self.mark_dirty(job)
@@ -222,7 +222,7 @@
         """Suspect a task no longer."""
         if task.crashes:
             task.crashes = ()
-            task.judged_at = 0.0
+            task.evaluation_due_at = 0.0
             self.update_suspicion(task.step.job)
             self.mark_dirty(task.step.job)
 
@@ -237,7 +237,7 @@
         else:
             self.suspects.pop(job.record.id, None)
 
-    def note_stray(self, worker: WorkerState, name: TaskName) -> None:
+    def add_orphan_run(self, worker: WorkerState, name: TaskName) -> None:
         """Count a run that is no task's any more, until its worker lists it no more."""
         job = self.jobs.get(name.job)
         step = job.steps.get((name.occurrence, name.step)) if job is not None else None
@@ -246,21 +246,21 @@
             return
         self.quotas.take(step.job.organisation, step.asked)
         worker.take(step.room)
-        worker.strays.append(step)
+        worker.orphan_steps.append(step)
 
-    def forget_strays(self, worker: WorkerState) -> None:
+    def clear_orphan_runs(self, worker: WorkerState) -> None:
         """Count a worker's strays no more, since it lists anew what runs there."""
-        for step in worker.strays:
+        for step in worker.orphan_steps:
             self.quotas.give_back(step.job.organisation, step.asked)
             worker.give_back(step.room)
-        worker.strays.clear()
+        worker.orphan_steps.clear()
         worker.unknown_runs = False
 
     def drop_worker(self, worker: WorkerState, now: float) -> None:
         """Let everything on a worker that is surely gone wait again."""
         for task in list(worker.tasks.values()):
             self.end_run(task, now)
-        self.forget_strays(worker)
+        self.clear_orphan_runs(worker)
         self.workers.pop(worker.id, None)
 
     def replace_worker(self, old: WorkerState, new: WorkerState, now: float) -> None:
@@ -281,8 +281,8 @@
             run = task.run
             self._vacate(task)
             self._occupy(task, new, run)
-            self.doubt(task)
-        self.forget_strays(old)
+            self.mark_uncertain(task)
+        self.clear_orphan_runs(old)
         self.workers[new.id] = new
         for job in self.jobs.values():
             if job.policy.advice:
--- a/mustardward/components/scheduling/shares.py
+++ b/mustardward/components/scheduling/shares.py
@@ -22,31 +22,31 @@
 RateLookup = Callable[[str], float]
 
 
-def no_rate(organisation: str) -> float:
+def unlimited_rate(organisation: str) -> float:
     """Return that an organisation's rate is not bounded."""
     return 0.0
 
 
-def _nothing_beyond(shares: Shares, /, organisation: str, at: float) -> bool:
+def _never_exceeds_rate(shares: RateShares, /, organisation: str, at: float) -> bool:
     return False
 
 
 @dataclass(slots=True, eq=False)
-class Shares:
+class RateShares:
     """Hold a token bucket for each organisation.
 
     :param rate_of: jobs a second that are an organisation's share; 0 is no bound.
     """
 
-    rate_of: RateLookup = no_rate
+    rate_of: RateLookup = unlimited_rate
     _buckets: dict[str, TokenBucket] = field(default_factory=dict)
 
     @switchable(
         "shares",
         "what an organisation sends beyond its rate waits for all others' jobs",
-        without=_nothing_beyond,
+        without=_never_exceeds_rate,
     )
-    def is_beyond(self, organisation: str, at: float) -> bool:
+    def exceeds_rate(self, organisation: str, at: float) -> bool:
         """Take in a job; return whether it lies beyond its organisation's rate."""
         rate = self.rate_of(organisation) if organisation else 0.0
         if rate <= 0.0:
--- a/mustardward/components/scheduling/trials.py
+++ b/mustardward/components/scheduling/trials.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from .const import APART_CRASHES, APART_WAIT_SECONDS, SOUND_SECONDS
-from .crashes import has_lasting, runs_apart
+from .const import CLEARED_AFTER_SECONDS, ISOLATION_CRASHES, ISOLATION_WAIT_SECONDS
+from .crashes import has_lasting, needs_isolation
 from .models import Job, StepRun, Task
 from .placement import (
     SecondsLeft,
@@ -39,7 +39,7 @@
 
 def _seconds_in_the_way(task: Task, left: SecondsLeft, now: float) -> float:
     if task.step.spec.long_running:
-        return SOUND_SECONDS - (now - task.started_at)
+        return CLEARED_AFTER_SECONDS - (now - task.started_at)
     return left(task)
 
 
@@ -60,7 +60,7 @@
     """
     able = [worker for worker in workers if could_run(worker, step)]
     busy = [worker for worker in able if worker not in free]
-    soon = [worker for worker in busy if seconds(worker) <= APART_WAIT_SECONDS]
+    soon = [worker for worker in busy if seconds(worker) <= ISOLATION_WAIT_SECONDS]
     if not soon:
         return []
     best = min(soon, key=lambda worker: (has_lasting(worker), seconds(worker)))
@@ -80,9 +80,9 @@
 
 
 def _waits_too_long(step: StepRun, now: float) -> bool:
-    if step.job.suspicion < APART_CRASHES:
+    if step.job.suspicion < ISOLATION_CRASHES:
         return False
     return any(
-        runs_apart(task) and now - task.ready_since > APART_WAIT_SECONDS
+        needs_isolation(task) and now - task.ready_since > ISOLATION_WAIT_SECONDS
         for task in step.waiting
     )
--- a/mustardward/components/scheduling/wait_inputs.py
+++ b/mustardward/components/scheduling/wait_inputs.py
@@ -9,7 +9,7 @@
 from ...helpers.logging import LogValue
 from ...helpers.registry import Registry
 from .advice import ADVICE_TIMEOUT_SECONDS
-from .crashes import runs_apart, trial_workers
+from .crashes import isolation_workers, needs_isolation
 from .models import Phase, StepRun
 from .wait_views import Wait
 from .waits import Reason
@@ -75,20 +75,25 @@
 @INPUTS.register(Reason.HELD_AFTER_TAKEOVER)
 def _held(wait: Wait) -> Inputs:
     state = wait.state
-    where = wait.step.job.open_zones
+    where = wait.step.job.stored_zones
     zones = where if where is not None else {w.zone for w in state.workers.values()}
     return {
-        "held_seconds_left": state.held_until - wait.now,
+        "held_seconds_left": state.takeover_hold_until - wait.now,
         "taken_over_seconds": wait.now - state.taken_over_at,
         "open_zones": _named(where),
-        "unaccounted": _named(zones - state.accounted),
+        "unaccounted": _named(zones - state.accounted_zones),
     }
 
 
-@INPUTS.register(Reason.AWAITS_JUDGEMENT)
+@INPUTS.register(Reason.AWAITS_EVALUATION)
 def _judgement(wait: Wait) -> Inputs:
     job = wait.step.job
-    dates = [t.judged_at for s in job.steps.values() for t in s.tasks if t.judged_at]
+    dates = [
+        t.evaluation_due_at
+        for s in job.steps.values()
+        for t in s.tasks
+        if t.evaluation_due_at
+    ]
     return {
         "suspicion": job.suspicion,
         "unjudged": len(dates),
@@ -105,9 +110,9 @@
         if all(task.step.job is step.job for task in worker.tasks.values())
     ]
     return {
-        "suspects": sum(runs_apart(task) for task in step.waiting),
+        "suspects": sum(needs_isolation(task) for task in step.waiting),
         "suspicion": step.job.suspicion,
-        "trial_workers": _named(trial_workers(step.job)),
+        "trial_workers": _named(isolation_workers(step.job)),
         "empty_workers": _named(free),
     }
 
@@ -115,7 +120,7 @@
 @INPUTS.register(Reason.KEPT_FOR_OTHERS)
 def _kept(wait: Wait) -> Inputs:
     kept = wait.kept
-    apart = [step for step in kept.values() if any(map(runs_apart, step.tasks))]
+    apart = [step for step in kept.values() if any(map(needs_isolation, step.tasks))]
     return {
         "kept": len(kept),
         "kept_for_suspects": len(apart),
@@ -135,7 +140,7 @@
     return {
         "found_by": other.job.record.id,
         "found_reason": held.reason.value if held is not None else None,
-        "found_zones": _named(other.job.open_zones),
+        "found_zones": _named(other.job.stored_zones),
         "found_cpu": room.cpu,
         "found_mb": room.mem_mb,
         "found_gpu": room.gpu,
@@ -207,7 +212,7 @@
     job = wait.step.job
     return {
         **_zones(wait),
-        "sent_zones": _named(job.sent_zones),
+        "sent_zones": _named(job.pending_zones),
         "dirty": job.record.id in wait.state.dirty,
         "sent_seconds": _since(wait.sent_at, wait.now),
     }
@@ -247,7 +252,7 @@
 
 def _zones(wait: Wait) -> Inputs:
     job = wait.step.job
-    return {"zones": _named(job.zones), "open_zones": _named(job.open_zones)}
+    return {"zones": _named(job.zones), "open_zones": _named(job.stored_zones)}
 
 
 def _named(names: Iterable[str] | None) -> str | None:
--- a/mustardward/components/scheduling/wait_views.py
+++ b/mustardward/components/scheduling/wait_views.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from .crashes import runs_apart
+from .crashes import needs_isolation
 from .models import StepRun
 from .placement import fits, may_run, usable
 from .scheduler_state import SchedulerState
@@ -54,7 +54,7 @@
         kept = {k.worker.id: k.step for k in offers.kept if k.step is not own}
         for worker in self.workers:
             if worker.id in offers.apart:
-                suspects = [t.step for t in worker.tasks.values() if runs_apart(t)]
+                suspects = [t.step for t in worker.tasks.values() if needs_isolation(t)]
                 kept[worker.id] = suspects[0] if suspects else self.step
         return kept
 
--- a/mustardward/components/scheduling/waits.py
+++ b/mustardward/components/scheduling/waits.py
@@ -19,7 +19,7 @@
     NO_USABLE_WORKER = "no-usable-worker"
     STARTS_USED_UP = "starts-used-up"
     HELD_AFTER_TAKEOVER = "held-after-takeover"
-    AWAITS_JUDGEMENT = "awaits-judgement"
+    AWAITS_EVALUATION = "awaits-judgement"
     SUSPECTS_WAIT = "suspects-wait-for-own-worker"
     KEPT_FOR_OTHERS = "workers-kept-for-others"
     FITS_NOWHERE = "as-large-as-what-fits-nowhere"
@@ -114,6 +114,6 @@
     """
     if not elsewhere:
         return Reason.NO_ROOM
-    if step.job.zones != step.job.open_zones:
+    if step.job.zones != step.job.stored_zones:
         return Reason.ZONE_BEING_STORED
     return Reason.ROOM_PROMISED
--- a/mustardward/components/scheduling/worker_state.py
+++ b/mustardward/components/scheduling/worker_state.py
@@ -33,7 +33,7 @@
     :param leaving: whether the fleet is about to take it.
     :param due: whether its instance is still to be maintained.
     :param unanswered: the last starts that got no answer, by task and run.
-    :param strays: the steps of runs there that are no task's any more.
+    :param orphan_steps: the steps of runs there that are no task's any more.
     :param unknown_runs: whether it lists a run of a job that is not known here.
     """
 
@@ -63,7 +63,7 @@
     clock_ms: float = 0.0
     born: int = 0
     described: bool = True
-    strays: list[StepRun] = field(default_factory=list)
+    orphan_steps: list[StepRun] = field(default_factory=list)
     unknown_runs: bool = False
     unanswered: deque[tuple[TaskName, int]] = field(
         default_factory=lambda: deque(maxlen=UNANSWERED_KEPT)
@@ -109,7 +109,7 @@
     @property
     def has_runs(self) -> bool:
         """Return whether something may run there, of a known task or not."""
-        return bool(self.tasks or self.strays or self.unknown_runs)
+        return bool(self.tasks or self.orphan_steps or self.unknown_runs)
 
     @property
     def incarnation(self) -> str:
--- a/mustardward/components/scheduling/zones.py
+++ b/mustardward/components/scheduling/zones.py
@@ -87,7 +87,7 @@
         job = step.job
         if job.zones is None:
             return False
-        if job.zones != job.open_zones:
+        if job.zones != job.stored_zones:
             # The log is being told.
             return True
         room = step.room
@@ -142,7 +142,7 @@
     promised: Counter[str] = Counter()
     for step in steps:
         job = step.job
-        if job.zones is not None and job.zones != job.open_zones:
-            for zone in job.zones - (job.open_zones or frozenset()):
+        if job.zones is not None and job.zones != job.stored_zones:
+            for zone in job.zones - (job.stored_zones or frozenset()):
                 promised[zone] += step.room.cpu * len(step.waiting)
     return promised
--- a/mustardward/embedded/estate_demo.py
+++ b/mustardward/embedded/estate_demo.py
@@ -8,7 +8,7 @@
 
 import httpx
 
-from ..components.scheduling.const import MOST_CRASHES
+from ..components.scheduling.const import MAX_CRASHES
 from ..exceptions import MustardwardError
 from ..helpers.registry import Registry
 from ..platform.models import SubmittedStep
@@ -64,7 +64,7 @@
     path = await fleet.async_submit(PREFIX, [step], spec=SPEC_CRASHES)
     await fleet.async_wait_state(path, "failed")
     crashed = len(fleet.estate.crashed)
-    require(crashed <= MOST_CRASHES, f"crashed={crashed}")
+    require(crashed <= MAX_CRASHES, f"crashed={crashed}")
     return f"{crashed} workers crashed, the job was told as failed"
 
 
--- a/tests/bench/test_crashes.py
+++ b/tests/bench/test_crashes.py
@@ -8,7 +8,7 @@
 
 from bench.crashes import CASES, Case
 from bench.crashes import replay as play
-from mustardward.components.scheduling.const import MOST_CRASHES
+from mustardward.components.scheduling.const import MAX_CRASHES
 
 WAY = "apart, by evidence"
 BY_NAME = {case.name: replace(case, seconds=12.0) for case in CASES}
@@ -19,7 +19,7 @@
     """Load: a half full pool, where each worker has a lasting task."""
     result = play(case, WAY, seed=1)
     assert len(result.told_after) == case.guilty
-    assert result.taken_down <= MOST_CRASHES * case.guilty
+    assert result.taken_down <= MAX_CRASHES * case.guilty
 
 
 @pytest.mark.parametrize(
--- a/tests/components/dispatch/test_hold_walks.py
+++ b/tests/components/dispatch/test_hold_walks.py
@@ -278,7 +278,7 @@
 
 
 async def async_walk(
-    seed: int, events_made: int = 40, strays: bool = True
+    seed: int, events_made: int = 40, orphan_steps: bool = True
 ) -> list[str]:
     """Walk into trouble and out of it; return what is still held."""
     async with anyio.create_task_group() as tasks:
@@ -301,7 +301,7 @@
             lambda: walk.resize(draw.choice(NAMES)),
             lambda: setattr(walk, "authorised", draw.random() < 0.7),
         ]
-        if not strays:
+        if not orphan_steps:
             events.remove(walk.stray)
         for _ in range(events_made):
             draw.choice(events)()
@@ -329,7 +329,7 @@
     """Return what a worker's books say."""
     flags = ("confirmed", "stale", "absent", "draining", "leaving", "unknown_runs")
     on = [flag for flag in flags if getattr(worker, flag)]
-    return f"{worker.id} {on} free={worker.free_cpu} strays={len(worker.strays)}"
+    return f"{worker.id} {on} free={worker.free_cpu} orphans={len(worker.orphan_steps)}"
 
 
 @pytest.mark.parametrize("first", [0, 5, 10])
--- a/tests/components/dispatch/test_holds.py
+++ b/tests/components/dispatch/test_holds.py
@@ -60,7 +60,7 @@
     bench.add(WHOLE)
     await bench.async_pass(12.0)
     worker = bench.scheduler.state.workers[WORKER]
-    assert (worker.unknown_runs, worker.strays) == (False, [])
+    assert (worker.unknown_runs, worker.orphan_steps) == (False, [])
     assert (worker.free_cpu, bench.task().phase) == (0, Phase.RUNNING)
 
 
--- a/tests/components/dispatch/test_session.py
+++ b/tests/components/dispatch/test_session.py
@@ -116,8 +116,8 @@
     Cause: a session at takeover forgot how long the old owner may give orders.
     """
     async with a_bench() as bench:
-        held_until = lease_bound(bench.timers.monotonic()) + 4.0
-        bench.scheduler.state.held_until = held_until
+        takeover_hold_until = lease_bound(bench.timers.monotonic()) + 4.0
+        bench.scheduler.state.takeover_hold_until = takeover_hold_until
         bench.client.failure = CallUnknownError("cut off")
         bench.see()
         await bench.async_pass(LEASE_SECONDS + 2.0)
--- a/tests/components/ownership/test_takeover.py
+++ b/tests/components/ownership/test_takeover.py
@@ -47,7 +47,7 @@
     def look(self) -> bool:
         """Look once, and return whether what was held may start."""
         self.takeover.release()
-        return self.state.held_until == 0.0
+        return self.state.takeover_hold_until == 0.0
 
 
 def test_all_pools_wait_until_every_worker_was_heard_of() -> None:
@@ -80,9 +80,9 @@
 def test_an_owner_that_gave_the_shard_up_gives_no_more_orders() -> None:
     state = SchedulerBench().scheduler.state
     hold(state, OwnerRecord(1, "c", "", 5, settled=True), NOW)
-    assert state.held_until == lease_bound(NOW)
+    assert state.takeover_hold_until == lease_bound(NOW)
     hold(state, OwnerRecord(1, "c", "node-1", 5), NOW)
-    assert state.held_until == lease_bound(NOW) + AUTHORITY_SECONDS
+    assert state.takeover_hold_until == lease_bound(NOW) + AUTHORITY_SECONDS
 
 
 def test_an_owner_that_gives_up_before_it_heard_of_all_workers_says_so() -> None:
@@ -95,7 +95,7 @@
     """
     state = SchedulerBench().scheduler.state
     hold(state, OwnerRecord(2, "c", "", 5, settled=False), NOW)
-    assert state.held_until == lease_bound(NOW) + AUTHORITY_SECONDS
+    assert state.takeover_hold_until == lease_bound(NOW) + AUTHORITY_SECONDS
 
 
 def with_zones(listed: dict[str, str] | None) -> TakeoverBench:
@@ -111,17 +111,17 @@
 
 def test_a_data_centre_is_accounted_for_once_all_its_workers_were_heard_of() -> None:
     bench = with_zones({"w1": "z1", "w2": "z2"})
-    assert bench.state.accounted == {"z1"}
+    assert bench.state.accounted_zones == {"z1"}
     assert bench.woken == 1
-    assert bench.state.held_until > 0
+    assert bench.state.takeover_hold_until > 0
 
 
 def test_a_worker_that_only_the_list_names_keeps_its_data_centre_open() -> None:
-    assert with_zones({"w1": "z1", "w9": "z1"}).state.accounted == frozenset()
+    assert with_zones({"w1": "z1", "w9": "z1"}).state.accounted_zones == frozenset()
 
 
 def test_no_data_centre_is_accounted_for_before_the_list_was_read() -> None:
-    assert with_zones(None).state.accounted == frozenset()
+    assert with_zones(None).state.accounted_zones == frozenset()
 
 
 def test_a_data_centre_of_which_nobody_was_heard_is_not_accounted_for() -> None:
@@ -131,4 +131,4 @@
     bench.unheard = []
     bench.listed = {"w1": "z1", "w8": "z3"}
     bench.look()
-    assert bench.state.accounted == {"z1"}
+    assert bench.state.accounted_zones == {"z1"}
--- a/tests/components/scheduling/builders.py
+++ b/tests/components/scheduling/builders.py
@@ -131,11 +131,11 @@
         answer = HoldAnswer(self.clock_ms, running or [], ended or [])
         self.scheduler.apply_worker_report(name, answer, self.now, self.now)
 
-    def show_at_work(self, task: Task) -> None:
+    def report_serving(self, task: Task) -> None:
         """Let the worker of a lasting task report it at work, beside its others."""
         assert task.worker is not None
         rows = [
-            a_row(other, 100.0 if other is task or other.at_work else other.percent)
+            a_row(other, 100.0 if other is task or other.is_serving else other.percent)
             for other in task.worker.tasks.values()
         ]
         self.hold(task.worker.id, running=rows)
--- a/tests/components/scheduling/liveness_mutants.py
+++ b/tests/components/scheduling/liveness_mutants.py
@@ -108,13 +108,13 @@
 
 def _count_twice(patch: pytest.MonkeyPatch) -> None:
     """Count a doubted start once more, and give it back once."""
-    doubt = SchedulerState.doubt
+    mark_uncertain = SchedulerState.mark_uncertain
 
     def again(own: SchedulerState, task: Any) -> None:
-        doubt(own, task)
+        mark_uncertain(own, task)
         own.quotas.take(task.step.job.organisation, task.step.asked)
 
-    patch.setattr(SchedulerState, "doubt", again)
+    patch.setattr(SchedulerState, "mark_uncertain", again)
 
 
 def _requeue_unready(patch: pytest.MonkeyPatch) -> None:
@@ -159,7 +159,9 @@
     "no-data-centre-more": _replace(Zones, "widen", lambda *_: True),
     "advice-is-asked-once": _ask_once,
     "tickets-last-for-ever": _keep_tickets,
-    "suspects-stay-off-their-queue": _replace(SchedulerState, "put_back", _nothing),
+    "suspects-stay-off-their-queue": _replace(
+        SchedulerState, "return_to_queue", _nothing
+    ),
     "nobody-is-judged": _replace(Crashes, "_is_due", lambda *_: False),
     "suspects-wait-for-ever": _replace(planner, "is_free_for", lambda *_: False),
     "suspects-are-not-cleared": _replace(SchedulerState, "clear", _nothing),
@@ -167,11 +169,11 @@
     "leaving-is-not-taken-back": _only_leave,
     "a-quarantine-has-no-end": _replace(health, "QUARANTINE_SECONDS", math.inf),
     "a-takeover-holds-for-ever": _replace(
-        SchedulerState, "is_held", lambda own, job, now: job.held
+        SchedulerState, "is_held_after_takeover", lambda own, job, now: job.held
     ),
     "a-doubted-start-counts-twice": _count_twice,
     "quotas-are-not-given-back": _replace(Quotas, "give_back", _nothing),
-    "strays-stay": _replace(SchedulerState, "forget_strays", _nothing),
+    "strays-stay": _replace(SchedulerState, "clear_orphan_runs", _nothing),
     "a-silent-worker-stays-stale": _stay_stale,
     "a-silent-worker-is-asked-no-more": _hold_once,
     "no-room-once-is-no-room-ever": _replace(reports, "ROOM_PAUSE_SECONDS", math.inf),
--- a/tests/components/scheduling/liveness_troubles.py
+++ b/tests/components/scheduling/liveness_troubles.py
@@ -235,7 +235,7 @@
         """Let another owner begin, after none was there for a while."""
         before = OwnerRecord(self._epoch, "", "node", 0)
         if self._owner is not None:
-            settled = self.world.now >= self._owner.scheduler.state.held_until
+            settled = self.world.now >= self._owner.scheduler.state.takeover_hold_until
             if self._chance.random() < 0.3:
                 before = OwnerRecord(self._epoch, "", "", 0, settled=settled)
             self._owner.end()
--- a/tests/components/scheduling/liveness_walk.py
+++ b/tests/components/scheduling/liveness_walk.py
@@ -11,10 +11,10 @@
 from mustardward.components.ledger.ledger import LedgerJob
 from mustardward.components.scheduling.advice import ADVICE_TIMEOUT_SECONDS
 from mustardward.components.scheduling.const import (
-    APART_WAIT_SECONDS,
+    CLEARED_AFTER_SECONDS,
+    ISOLATION_WAIT_SECONDS,
     MISSING_GRACE_SECONDS,
     QUARANTINE_SECONDS,
-    SOUND_SECONDS,
     STUCK_FACTOR,
     STUCK_SECONDS,
 )
@@ -44,8 +44,8 @@
     + MISSING_GRACE_SECONDS
     + QUARANTINE_SECONDS
     + ADVICE_TIMEOUT_SECONDS
-    + APART_WAIT_SECONDS
-    + SOUND_SECONDS
+    + ISOLATION_WAIT_SECONDS
+    + CLEARED_AFTER_SECONDS
     + max(STUCK_SECONDS, 2 * STUCK_FACTOR * LONGEST_SECONDS)
 )
 """Each limit that may hold a task back once, one after the other: leases and authority
@@ -147,7 +147,7 @@
             f"  worker {w.id} {w.service} {w.zone} free={w.free_cpu}/{w.free_mem} "
             f"stale={w.stale} absent={w.absent} leaving={w.leaving} "
             f"draining={w.draining} confirmed={w.confirmed} "
-            f"unknown={w.unknown_runs} strays={len(w.strays)} "
+            f"unknown={w.unknown_runs} orphans={len(w.orphan_steps)} "
             f"quarantine={w.quarantined_until:.1f} described={w.described} "
             f"tasks={[encode_task(t) for t in w.tasks]}"
             for w in state.workers.values()
@@ -156,7 +156,10 @@
             f"  truly {w.id} runs={[encode_task(n) for n in w.runs]}"
             for w in self.world.workers.values()
         ]
-        lines += [f"  now={self.world.now:.1f} held_until={state.held_until:.1f}"]
+        lines += [
+            f"  now={self.world.now:.1f} "
+            f"takeover_hold_until={state.takeover_hold_until:.1f}"
+        ]
         lines += [
             f"  waits {step.job.record.id}.{step.number} {len(step.waiting)} "
             f"lasting={step.spec.long_running} most={step.spec.max_per_server}"
@@ -173,7 +176,7 @@
 def _job_lines(job: Job) -> list[str]:
     lines = [
         f"  job state={job.state.name} stored={job.stored} held={job.held} "
-        f"zones={job.zones} open={job.open_zones} sent={job.sent_zones} "
+        f"zones={job.zones} open={job.stored_zones} sent={job.pending_zones} "
         f"suspicion={job.suspicion} organisation={job.organisation}"
     ]
     for step in job.steps.values():
--- a/tests/components/scheduling/test_crash_walks.py
+++ b/tests/components/scheduling/test_crash_walks.py
@@ -366,10 +366,10 @@
         "may_have_begun",
         lambda task: task.seen_running,
     ),
-    "neighbours-are-convicted": (crashes, "runs_apart", lambda task: False),
+    "neighbours-are-convicted": (crashes, "needs_isolation", lambda task: False),
     "a-suspect-waits-for-ever": (planner, "is_free_for", lambda *_: False),
-    "never-given-up": (crashes, "is_guilty", lambda *_: False),
-    "given-up-at-the-first": (crashes, "is_guilty", lambda *_: True),
+    "never-given-up": (crashes, "should_give_up", lambda *_: False),
+    "given-up-at-the-first": (crashes, "should_give_up", lambda *_: True),
 }
 
 
--- a/tests/components/scheduling/test_crashes.py
+++ b/tests/components/scheduling/test_crashes.py
@@ -7,12 +7,12 @@
 from mustardward.components.ledger.models import JobState, Progress, TaskMark
 from mustardward.components.scheduling.commands import Start
 from mustardward.components.scheduling.const import (
-    APART_WAIT_SECONDS,
-    ENOUGH_CRASHES,
-    MOST_CRASHES,
-    SOUND_SECONDS,
-    TOGETHER_SECONDS,
-    TRIAL_RUNS,
+    CLEARED_AFTER_RUNS,
+    CLEARED_AFTER_SECONDS,
+    COMMON_CAUSE_SECONDS,
+    CONCLUSIVE_CRASHES,
+    ISOLATION_WAIT_SECONDS,
+    MAX_CRASHES,
 )
 from mustardward.components.scheduling.demand import measure
 from mustardward.components.scheduling.losses import LossCause
@@ -69,7 +69,7 @@
     """Guards against tasks that are started anew however many workers they crash."""
     bench = SchedulerBench()
     bench.add(a_job(a_step(count=3)))
-    assert crash_all_that_start(bench, rounds=10) <= ENOUGH_CRASHES
+    assert crash_all_that_start(bench, rounds=10) <= CONCLUSIVE_CRASHES
     assert bench.stored[JOB].state is JobState.FAILED
 
 
@@ -115,7 +115,7 @@
 def test_a_job_that_the_owner_before_had_not_judged_is_given_up() -> None:
     """Guards against a change of owner between the last crash and what follows."""
     bench = SchedulerBench(epoch=2)
-    suspected(bench, crashes=MOST_CRASHES)
+    suspected(bench, crashes=MAX_CRASHES)
     bench.worker("w1")
     assert bench.plan_starts() == []
     bench.store()
@@ -142,7 +142,7 @@
     bench.worker("w1")
     bench.add(a_job(a_step(count=1, long_running=True), job=OTHER))
     (lasting,) = bench.plan_starts()
-    bench.now += SOUND_SECONDS
+    bench.now += CLEARED_AFTER_SECONDS
     bench.add(a_job(a_step(count=1)))
     (started,) = bench.plan_starts()
     crash(bench, "w1")
@@ -155,25 +155,25 @@
     bench = SchedulerBench()
     bench.add(a_job(a_step(count=1, estimate_ms=20_000)))
     crashed = 0
-    for number in range(2 * MOST_CRASHES):
+    for number in range(2 * MAX_CRASHES):
         bench.worker(f"w{number}")
         for start in bench.plan_starts():
             for _ in range(4):
-                bench.now += SOUND_SECONDS / 2
+                bench.now += CLEARED_AFTER_SECONDS / 2
                 bench.hold(start.worker, [a_row(start.task, 10.0)])
                 bench.plan()
             crash(bench, start.worker)
             crashed += 1
         bench.store()
         bench.now += 1.0
-    assert crashed == ENOUGH_CRASHES
+    assert crashed == CONCLUSIVE_CRASHES
 
 
 def test_a_lasting_task_may_have_bad_luck_once_more() -> None:
     """Guards against a lasting job that is given up for crashes by chance."""
     bench = SchedulerBench()
     bench.add(a_job(a_step(count=1, long_running=True)))
-    assert crash_all_that_start(bench, rounds=10) == MOST_CRASHES
+    assert crash_all_that_start(bench, rounds=10) == MAX_CRASHES
     assert bench.stored[JOB].state is JobState.FAILED
 
 
@@ -184,7 +184,7 @@
     bench.add(a_job(a_step(count=1, long_running=True), job=OTHER))
     bench.plan_starts()
     bench.add(a_job(a_step(count=3)))
-    assert crash_under_job(bench, rounds=12) <= MOST_CRASHES
+    assert crash_under_job(bench, rounds=12) <= MAX_CRASHES
     assert bench.stored[JOB].state is JobState.FAILED
     assert bench.task(0, job=OTHER).phase is Phase.RUNNING
 
@@ -207,7 +207,7 @@
 def test_each_start_after_enough_crashes_counts_however_it_ended() -> None:
     """Guards against starts without a bound while other causes end the runs."""
     bench = SchedulerBench()
-    suspected(bench, crashes=MOST_CRASHES - 1)
+    suspected(bench, crashes=MAX_CRASHES - 1)
     starts = 0
     for number in range(5):
         bench.worker(f"w{number}")
@@ -254,9 +254,9 @@
     bench.add(a_job(a_step(count=1, long_running=True), job=OTHER))
     bench.plan_starts()
     suspected(bench)
-    bench.now += APART_WAIT_SECONDS + 0.1
+    bench.now += ISOLATION_WAIT_SECONDS + 0.1
     assert bench.plan_starts() == []
-    bench.now += SOUND_SECONDS
+    bench.now += CLEARED_AFTER_SECONDS
     assert len(bench.plan_starts()) == 1
 
 
@@ -264,10 +264,10 @@
     """Guards against lasting tasks that are given up for crashes far apart."""
     bench = SchedulerBench()
     bench.add(a_job(a_step(count=1, long_running=True)))
-    for number in range(2 * MOST_CRASHES):
+    for number in range(2 * MAX_CRASHES):
         bench.worker(f"w{number}")
         (start,) = bench.plan_starts()
-        bench.now += SOUND_SECONDS
+        bench.now += CLEARED_AFTER_SECONDS
         bench.hold(f"w{number}", running=[a_row(start.task, 100.0)])
         bench.plan()
         assert start.task.crashes == ()
@@ -284,13 +284,13 @@
     job.progress = Progress(JobState.RUNNING, tasks=marks)
     bench.add(job)
     bench.worker("w1")
-    for number in range(2 * TRIAL_RUNS):
+    for number in range(2 * CLEARED_AFTER_RUNS):
         bench.now += 1.0
         (start,) = bench.plan_starts()
-        if number < TRIAL_RUNS:
+        if number < CLEARED_AFTER_RUNS:
             bench.scheduler.state.stop(start.task, "test")
         assert start.task.crashes == ("old-0", "old-1")
-        bench.end(start.task, "stopped" if number < TRIAL_RUNS else "failed")
+        bench.end(start.task, "stopped" if number < CLEARED_AFTER_RUNS else "failed")
     bench.now += 1.0
     (start,) = bench.plan_starts()
     assert start.task.crashes == ()
@@ -303,7 +303,7 @@
     marks = [TaskMark(0, 0, 0, (), "", ("old-0",))]
     job.progress = Progress(JobState.RUNNING, tasks=marks)
     bench.add(job)
-    for _ in range(TRIAL_RUNS - 1):
+    for _ in range(CLEARED_AFTER_RUNS - 1):
         bench.worker("w1")
         bench.now += 1.0
         (start,) = bench.plan_starts()
@@ -338,11 +338,11 @@
     bench.worker("w2")
     (start,) = bench.plan_starts()
     crash(bench, "w1")
-    bench.now += TOGETHER_SECONDS / 2
+    bench.now += COMMON_CAUSE_SECONDS / 2
     crash(bench, "w2")
-    bench.now += TOGETHER_SECONDS
+    bench.now += COMMON_CAUSE_SECONDS
     bench.plan()
-    assert len(start.task.crashes) == MOST_CRASHES - 1
+    assert len(start.task.crashes) == MAX_CRASHES - 1
     assert not start.task.step.job.state.final
 
 
@@ -358,7 +358,7 @@
         bench.worker(f"w{number}")
     for start in bench.plan_starts():
         crash(bench, start.worker)
-    bench.now += 2 * TOGETHER_SECONDS
+    bench.now += 2 * COMMON_CAUSE_SECONDS
     bench.plan()
     bench.store()
     assert bench.stored[JOB].state is JobState.FAILED
--- a/tests/components/scheduling/test_evacuation.py
+++ b/tests/components/scheduling/test_evacuation.py
@@ -17,7 +17,7 @@
     tasks = [start.task for start in starts]
     assert sorted(start.worker for start in starts) == ["w1", "w2", "w3"]
     for task in tasks:
-        bench.show_at_work(task)
+        bench.report_serving(task)
     return bench, tasks
 
 
@@ -39,7 +39,7 @@
     (start,) = bench.plan_starts()
     assert start.worker == "w3"
     assert bench.plan_stops() == []
-    bench.show_at_work(start.task)
+    bench.report_serving(start.task)
     assert len(bench.plan_stops()) == 1
 
 
@@ -70,7 +70,7 @@
     bench.worker("w1")
     bench.add(a_job(a_step(count=2, long_running=True, may_miss=1)))
     for start in bench.plan_starts():
-        bench.show_at_work(start.task)
+        bench.report_serving(start.task)
     bench.scheduler.set_leaving("w1", True, bench.now)
     assert len(bench.plan_stops()) == 1
     bench.scheduler.state.workers["w1"].stale = True
@@ -88,7 +88,7 @@
     bench.scheduler.set_leaving("w2", True, bench.now)
     assert bench.plan_stops() == []
     for task in tasks:
-        bench.show_at_work(task)
+        bench.report_serving(task)
     assert len(bench.plan_stops()) == 1
 
 
@@ -101,6 +101,6 @@
     bench.worker("w2")
     bench.scheduler.set_leaving("w1", True, bench.now)
     assert bench.plan_stops() == []
-    bench.show_at_work(bench.task(0))
-    bench.show_at_work(bench.task(1))
+    bench.report_serving(bench.task(0))
+    bench.report_serving(bench.task(1))
     assert len(bench.plan_stops()) == 1
--- a/tests/components/scheduling/test_hold_walks.py
+++ b/tests/components/scheduling/test_hold_walks.py
@@ -192,7 +192,7 @@
         )
         state = self.bench.scheduler.state
         state.taken_over_at = before.now
-        state.held_until = before.now + 1.5
+        state.takeover_hold_until = before.now + 1.5
         for job_id, job in self.accepted.items():
             job.progress = self.log.get(job_id)
             self.bench.scheduler.add_job(job, before.now, before.now)
@@ -353,7 +353,7 @@
                 id(step): [
                     worker
                     for worker in state.workers.values()
-                    if worker.zone in (step.job.open_zones or ZONES)
+                    if worker.zone in (step.job.stored_zones or ZONES)
                 ]
                 for step in state.ready.values()
             }
--- a/tests/components/scheduling/test_holds.py
+++ b/tests/components/scheduling/test_holds.py
@@ -11,7 +11,7 @@
 from mustardward.components.ledger.marks import pack
 from mustardward.components.ledger.models import JobState, Progress, StepMark, TaskMark
 from mustardward.components.scheduling.commands import Start
-from mustardward.components.scheduling.const import MOST_CRASHES
+from mustardward.components.scheduling.const import MAX_CRASHES
 from mustardward.components.scheduling.models import Phase, QueuePolicy, Task
 from mustardward.platform.models import ENDED_DONE, Room
 from mustardward.platform.workers import EndedTask, RunningTask, TaskName
@@ -169,7 +169,7 @@
     """Guards against a job that starts nothing and is not given up either."""
     bench = SchedulerBench(epoch=2)
     bench.worker("w1")
-    bench.add(suspected(MOST_CRASHES, **kind))
+    bench.add(suspected(MAX_CRASHES, **kind))
     assert Play(bench).run(1.0) == []
     assert bench.stored[JOB].state is JobState.FAILED
 
--- a/tests/components/scheduling/test_planning.py
+++ b/tests/components/scheduling/test_planning.py
@@ -422,7 +422,7 @@
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=9, gang=True)))
-    first = bench.scheduler.state.next_run()
+    first = bench.scheduler.state.next_run_number()
     for _ in range(5):
         assert bench.plan_starts() == []
-    assert bench.scheduler.state.next_run() == first + 1
+    assert bench.scheduler.state.next_run_number() == first + 1
--- a/tests/components/scheduling/test_quota_walks.py
+++ b/tests/components/scheduling/test_quota_walks.py
@@ -254,7 +254,9 @@
                 worker.ended.clear()
                 worker.ended_at.clear()
                 self.scheduler.remove_worker(name, LossCause.UNLISTED, self.now)
-        self.scheduler.state.held_until = min(self.scheduler.state.held_until, self.now)
+        self.scheduler.state.takeover_hold_until = min(
+            self.scheduler.state.takeover_hold_until, self.now
+        )
 
     def restart(self, name: str) -> None:
         """Start a worker again under its id; what it was told is still under way.
@@ -285,7 +287,7 @@
             self.jobs[job_id].progress = progress
         self.scheduler = self._owner()
         state = self.scheduler.state
-        state.held_until = ALWAYS
+        state.takeover_hold_until = ALWAYS
         state.taken_over_at = self.now
         for name in WORKERS:
             self._see(name)
@@ -319,7 +321,7 @@
                 self._see(name)
             self._hold(name)
         if all(worker.confirmed for worker in state.workers.values()):
-            state.held_until = 0.0
+            state.takeover_hold_until = 0.0
 
     def counts_match(self) -> None:
         """Compare the count with one made anew from all that is held."""
@@ -333,7 +335,7 @@
             ) + sum(
                 room.cpu
                 for worker in state.workers.values()
-                for owner, room in worker.strays
+                for owner, room in worker.orphan_steps
                 if owner == organisation
             )
             assert state.quotas.used(organisation).cpu == counted
@@ -377,15 +379,15 @@
 def _count_only_running(patch: pytest.MonkeyPatch) -> None:
     """Let what is being started or stopped count for nothing."""
     take, give_back = Quotas.take, Quotas.give_back
-    doubt = SchedulerState.doubt
+    mark_uncertain = SchedulerState.mark_uncertain
 
     def forget(state: SchedulerState, task: object) -> None:
-        doubt(state, task)  # type: ignore[arg-type]
+        mark_uncertain(state, task)  # type: ignore[arg-type]
         step = task.step  # type: ignore[attr-defined]
         give_back(state.quotas, step.job.organisation, step.asked)
         take(state.quotas, "", step.asked)
 
-    patch.setattr(SchedulerState, "doubt", forget)
+    patch.setattr(SchedulerState, "mark_uncertain", forget)
 
 
 def _forget_unseen(patch: pytest.MonkeyPatch) -> None:
@@ -395,7 +397,7 @@
 
 def _forget_strays(patch: pytest.MonkeyPatch) -> None:
     """Let runs that are no task's any more count for nothing."""
-    patch.setattr(SchedulerState, "note_stray", lambda state, worker, name: None)
+    patch.setattr(SchedulerState, "add_orphan_run", lambda state, worker, name: None)
 
 
 def _trust_rebirths(patch: pytest.MonkeyPatch) -> None:
@@ -415,7 +417,9 @@
 
 def _start_unheld(patch: pytest.MonkeyPatch) -> None:
     """Let jobs of an owner before start at once."""
-    patch.setattr(SchedulerState, "is_held", lambda state, job, now: False)
+    patch.setattr(
+        SchedulerState, "is_held_after_takeover", lambda state, job, now: False
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/components/scheduling/test_quotas.py
+++ b/tests/components/scheduling/test_quotas.py
@@ -67,7 +67,7 @@
     bench.add(a_job(a_step(count=2), organisation=DAIRY))
     first, second = bench.plan_starts()
     bench.scheduler.state.stop(first.task, "test")
-    bench.scheduler.state.doubt(second.task)
+    bench.scheduler.state.mark_uncertain(second.task)
     bench.add(a_job(a_step(count=2), job=ANOTHER, organisation=DAIRY))
     assert bench.plan_starts() == []
     bench.end(first.task, "stopped")
@@ -129,13 +129,13 @@
     """
     bench = a_bench(Room(cpu=3000))
     state = bench.scheduler.state
-    state.held_until = bench.now + 9.0
+    state.takeover_hold_until = bench.now + 9.0
     held = a_job(a_step(count=2), organisation=DAIRY)
     held.progress = Progress(JobState.RUNNING)
     bench.add(held)
     bench.add(a_job(a_step(count=3), job=ANOTHER, organisation=DAIRY))
     assert len(bench.plan_starts()) == 1
-    state.held_until = 0.0
+    state.takeover_hold_until = 0.0
     assert len(bench.plan_starts()) == 2
 
 
--- a/tests/components/scheduling/test_room_walks.py
+++ b/tests/components/scheduling/test_room_walks.py
@@ -53,7 +53,7 @@
         rows = [RunningTask(t, r, "", 50.0, 0.0) for t, r in worker.running.items()]
         answer = HoldAnswer(0.0, rows, list(worker.ended), worker.born)
         self.scheduler.apply_worker_report(name, answer, self.now, self.now)
-        self.strays_seen += len(known.strays)
+        self.strays_seen += len(known.orphan_steps)
 
     def fail(self, name: str) -> None:
         """Let a run fail."""
@@ -112,7 +112,7 @@
         state = self.scheduler.state
         used: Counter[str] = Counter()
         for worker in state.workers.values():
-            steps = [task.step for task in worker.tasks.values()] + worker.strays
+            steps = [task.step for task in worker.tasks.values()] + worker.orphan_steps
             used.update({o: 0 for o in ORGANISATIONS})
             for step in steps:
                 used[step.job.organisation] += step.asked.cpu
@@ -173,20 +173,22 @@
 def _keep_strays_of_the_lost(patch: pytest.MonkeyPatch) -> None:
     """Give nothing back for the strays of a worker."""
     patch.setattr(
-        SchedulerState, "forget_strays", lambda state, worker: worker.strays.clear()
+        SchedulerState,
+        "clear_orphan_runs",
+        lambda state, worker: worker.orphan_steps.clear(),
     )
 
 
 def _give_doubted_room_back_twice(patch: pytest.MonkeyPatch) -> None:
     """Give the room of a start without an answer back twice."""
-    doubt = SchedulerState.doubt
+    mark_uncertain = SchedulerState.mark_uncertain
 
     def twice(state: SchedulerState, task: Task) -> None:
-        doubt(state, task)
+        mark_uncertain(state, task)
         if task.worker is not None:
             task.worker.give_back(task.step.room)
 
-    patch.setattr(SchedulerState, "doubt", twice)
+    patch.setattr(SchedulerState, "mark_uncertain", twice)
 
 
 @pytest.mark.parametrize(
--- a/tests/components/scheduling/test_shares.py
+++ b/tests/components/scheduling/test_shares.py
@@ -5,7 +5,7 @@
 import pytest
 
 from mustardward.components.scheduling.scheduler import Scheduler
-from mustardward.components.scheduling.shares import Shares
+from mustardward.components.scheduling.shares import RateShares
 from mustardward.helpers.policies import switch_off
 
 from .builders import SchedulerBench, a_job, a_step
@@ -29,23 +29,23 @@
     ("gap", "within"), [(0.25, 20), (0.125, 12), (0.0, 4), (1.0, 20)]
 )
 def test_a_rate_is_kept_over_time_with_a_seconds_burst(gap: float, within: int) -> None:
-    shares = Shares(lambda name: 4.0)
-    seen = [shares.is_beyond(HOT, 10.0 + gap * number) for number in range(20)]
+    shares = RateShares(lambda name: 4.0)
+    seen = [shares.exceeds_rate(HOT, 10.0 + gap * number) for number in range(20)]
     assert abs(seen.count(False) - within) <= 1
 
 
 def test_what_came_late_gives_no_rate_back() -> None:
     """Jobs are told in the order of the log, their times are other entries' clocks."""
-    shares = Shares(lambda name: 1.0)
-    assert not shares.is_beyond(HOT, 100.0)
-    assert shares.is_beyond(HOT, 90.0)
-    assert shares.is_beyond(HOT, 100.0)
-    assert not shares.is_beyond(HOT, 101.0)
+    shares = RateShares(lambda name: 1.0)
+    assert not shares.exceeds_rate(HOT, 100.0)
+    assert shares.exceeds_rate(HOT, 90.0)
+    assert shares.exceeds_rate(HOT, 100.0)
+    assert not shares.exceeds_rate(HOT, 101.0)
 
 
 def test_without_an_organisation_or_a_rate_nothing_lies_beyond() -> None:
-    assert not any(Shares(lambda name: 1.0).is_beyond("", 0.0) for _ in range(9))
-    assert not any(Shares().is_beyond(HOT, 0.0) for _ in range(9))
+    assert not any(RateShares(lambda name: 1.0).exceeds_rate("", 0.0) for _ in range(9))
+    assert not any(RateShares().exceeds_rate(HOT, 0.0) for _ in range(9))
 
 
 def _late_jobs_of_the_small(seconds: float = 6.0) -> int:
--- a/tests/components/scheduling/test_shortlist.py
+++ b/tests/components/scheduling/test_shortlist.py
@@ -65,7 +65,7 @@
         if expected is None:
             break
         run.waiting.remove(task)
-        state.assign(task, expected, state.next_run(), bench.now)
+        state.assign(task, expected, state.next_run_number(), bench.now)
         shortlist.renew()
         following = next(iter(run.waiting), None)
         if following is not None and following.avoid == task.avoid:
--- a/tests/components/scheduling/test_stuck.py
+++ b/tests/components/scheduling/test_stuck.py
@@ -42,7 +42,7 @@
     bench.add(a_job(a_step(count=2, long_running=True, may_miss=1)))
     starts = bench.plan_starts()
     for start in starts:
-        bench.show_at_work(start.task)
+        bench.report_serving(start.task)
     bench.now += 30.0
     worker.stale = True
     assert bench.plan_stops() == []
--- a/tests/components/scheduling/test_takeover.py
+++ b/tests/components/scheduling/test_takeover.py
@@ -17,7 +17,7 @@
     """Return a scheduler that took over and has not heard of all workers."""
     bench = SchedulerBench(epoch=2)
     bench.scheduler.state.taken_over_at = bench.now
-    bench.scheduler.state.held_until = bench.now + 9.0
+    bench.scheduler.state.takeover_hold_until = bench.now + 9.0
     return bench
 
 
@@ -33,7 +33,7 @@
     bench.worker("w1")
     bench.add(a_job_taken_in())
     assert bench.plan_starts() == []
-    bench.scheduler.state.held_until = 0.0
+    bench.scheduler.state.takeover_hold_until = 0.0
     assert len(bench.plan_starts()) == 2
 
 
@@ -81,7 +81,7 @@
 
 def test_what_runs_is_adopted_and_not_started_again() -> None:
     bench = a_successor()
-    bench.scheduler.state.held_until = 0.0
+    bench.scheduler.state.takeover_hold_until = 0.0
     bench.add(a_job(a_step(count=2)))
     bench.scheduler.update_worker("w1", an_entry(), bench.now)
     running = RunningTask(TaskName(JOB, 0, 0, 0), 1048577, "abc", 40.0, 0.0)
@@ -96,7 +96,7 @@
 
 def test_ends_that_were_stored_are_not_counted_twice() -> None:
     bench = a_successor()
-    bench.scheduler.state.held_until = 0.0
+    bench.scheduler.state.takeover_hold_until = 0.0
     job = a_job(a_step(count=1))
     job.progress = Progress(JobState.RUNNING, tasks=[TaskMark(0, 0, 0, (7,))])
     bench.add(job)
--- a/tests/components/scheduling/test_waits.py
+++ b/tests/components/scheduling/test_waits.py
@@ -114,8 +114,8 @@
     bench = SchedulerBench(epoch=2)
     state = bench.scheduler.state
     state.taken_over_at = bench.now
-    state.held_until = bench.now + 9.0
-    state.accounted = frozenset({"z1"})
+    state.takeover_hold_until = bench.now + 9.0
+    state.accounted_zones = frozenset({"z1"})
     bench.worker("w1", zone="z1")
     job = a_job()
     job.progress = Progress(JobState.RUNNING, zones=["z1", "z2"])
@@ -129,12 +129,12 @@
     }
 
 
-@SCENES.register(Reason.AWAITS_JUDGEMENT)
-def awaits_judgement() -> tuple[SchedulerBench, dict[str, str]]:
+@SCENES.register(Reason.AWAITS_EVALUATION)
+def awaits_evaluation() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(suspected(crashes=3))
-    bench.task(0).judged_at = bench.now + 60.0
+    bench.task(0).evaluation_due_at = bench.now + 60.0
     wait_on(bench)
     return bench, {"suspicion": "3", "unjudged": "1", "overdue_seconds": "-56"}
 
@@ -249,7 +249,7 @@
     bench.worker("w2", zone="z2")
     bench.add(a_job())
     job = bench.task(0).step.job
-    job.zones, job.open_zones = None, frozenset({"z1"})
+    job.zones, job.stored_zones = None, frozenset({"z1"})
     wait_on(bench)
     return bench, {"zones": "-", "open_zones": "z1", "allowed": "1", "kept": "0"}
 
@@ -432,7 +432,7 @@
     bench.worker("w2", zone="z2")
     bench.add(a_job(a_step(long_running=True)))
     job = bench.task(0).step.job
-    job.zones = job.open_zones = frozenset({"z1"})
+    job.zones = job.stored_zones = frozenset({"z1"})
     wait_on(bench)
     (line,) = tell(bench, caplog)
     assert line["reason"] == Reason.NO_ROOM.value
--- a/tests/components/scheduling/test_zones.py
+++ b/tests/components/scheduling/test_zones.py
@@ -117,13 +117,13 @@
     bench = SchedulerBench(epoch=2)
     state = bench.scheduler.state
     state.taken_over_at = bench.now
-    state.held_until = bench.now + 8.0
+    state.takeover_hold_until = bench.now + 8.0
     bench.worker("z1-0", zone="z1")
     bench.worker("z2-0", zone="z2")
     for number, zones in enumerate((["z1"], ["z3"], ["z1", "z3"], [])):
         bench.add(taken_in(*zones, job=f"{number:016x}"))
     assert bench.plan_starts() == []
-    state.accounted = frozenset({"z1", "z2"})
+    state.accounted_zones = frozenset({"z1", "z2"})
     starts = bench.plan_starts()
     assert {start.task.step.job.record.id for start in starts} == {f"{0:016x}"}
     bench.now += 9.0
