--- a/bench/turns.py
+++ b/bench/turns.py
@@ -207,7 +207,7 @@
     def grow(self, now: float) -> None:
         """Let the pool's second part be known, and come."""
         kind = self._kind
-        coming = self._scheduler.state.coming
+        coming = self._scheduler.state.incoming_cpu
         if self._grown:
             return
         if now >= kind.late_pool_at:
--- a/mustardward/components/fleet/pools.py
+++ b/mustardward/components/fleet/pools.py
@@ -179,14 +179,14 @@
         size = sizes.get(pool) or sizes[ANY_POOL]
         taken = sum(
             amount.share_of(size)
-            for amount in (load.lasting, load.running, load.waiting)
+            for amount in (load.long_running, load.running, load.waiting)
         )
         asked = taken / TARGET_SHARE + load.backlog.share_of(size) / CLEAR_SECONDS
         asked = min(asked, self._need_then(load, size, have))
-        coming = load.lasting.share_of(size) + load.inflow.share_of(size)
+        coming = load.long_running.share_of(size) + load.inflow.share_of(size)
         asked = max(asked, coming / TARGET_SHARE)
-        need = max(LEAST_INSTANCES, load.spread, math.ceil(asked))
-        need += min(load.apart, MOST_WORKERS_APART)
+        need = max(LEAST_INSTANCES, load.spread_workers, math.ceil(asked))
+        need += min(load.isolation_workers, MOST_WORKERS_APART)
         history = self._needs.setdefault(pool, [])
         history.append((now, need))
         while history[0][0] < now - idle_seconds():
@@ -206,10 +206,10 @@
         stood idle for seconds.
         """
         seconds = self.move_seconds + ORDER_SECONDS
-        lasting = load.lasting.share_of(size)
+        lasting = load.long_running.share_of(size)
         inflow = load.inflow.share_of(size)
         done = max(0.0, have - lasting) * seconds
-        left = max(0.0, load.left.share_of(size) + inflow * seconds - done)
+        left = max(0.0, load.remaining.share_of(size) + inflow * seconds - done)
         return (lasting + inflow + left / THEN_CLEAR_SECONDS) / TARGET_SHARE
 
     def _lendable(self, look: _Look) -> dict[str, list[Instance]]:
--- a/mustardward/components/fleet/services.py
+++ b/mustardward/components/fleet/services.py
@@ -105,7 +105,7 @@
         now = self.timers.monotonic()
         barred = self._barred()
         view = self._view()
-        self.scheduler.state.unusable = view.unusable
+        self.scheduler.state.unusable_workers = view.unusable
         taken = self.planner.taken() | barred
         for move in self.pools.decide(
             view, measure(self.scheduler.state, now), taken, now
@@ -123,7 +123,7 @@
                 self.tasks.start_soon(self._async_maintain, decision)
         # Before a call is sent: a task that were placed until then would end.
         self._settle_leaving()
-        self.scheduler.state.coming = self._coming()
+        self.scheduler.state.incoming_cpu = self._coming()
         self.scheduler.set_maintenance_due(
             {self._worker_of(machine) for machine in view.due}
         )
--- a/mustardward/components/scheduling/advice.py
+++ b/mustardward/components/scheduling/advice.py
@@ -32,5 +32,5 @@
     if is_new and now >= step.advice_requested_until:
         step.advice_requested_until = now + ADVICE_TIMEOUT_SECONDS
         step.advice_requested_for = names
-        state.give(RequestAdvice(step, tuple(worker.id for worker in workers)))
+        state.add_command(RequestAdvice(step, tuple(worker.id for worker in workers)))
     return bool(allowed)
--- a/mustardward/components/scheduling/crashes.py
+++ b/mustardward/components/scheduling/crashes.py
@@ -152,7 +152,7 @@
 
     def _suspect(self, task: Task, worker: WorkerState, now: float) -> None:
         if not task.step.job.state.final:
-            self.state.suspect(task, worker.incarnation)
+            self.state.record_crash(task, worker.incarnation)
             task.evaluation_due_at = now + COMMON_CAUSE_SECONDS
 
     def evaluate(self, now: float) -> None:
@@ -171,7 +171,7 @@
             return
         if _is_cleared(task):
             _LOGGER.info("suspect_cleared", task=encode_task(task.name))
-            self.state.clear(task)
+            self.state.clear_suspicion(task)
             return
         if not self._is_due(task, now):
             return
--- a/mustardward/components/scheduling/demand.py
+++ b/mustardward/components/scheduling/demand.py
@@ -22,28 +22,29 @@
     :param workers: that are confirmed, not leaving, and can run something.
     :param capacity: of these, in thousandths of a core.
     :param memory: of these, in MB.
-    :param lasting: taken or waited for by tasks that last.
+    :param long_running: taken or waited for by tasks that last.
     :param running: taken by all others.
     :param waiting: asked for by tasks whose turn has come.
     :param backlog: the same times their expected run time, in seconds.
-    :param left: all that its jobs still ask for but for what lasts, times seconds: of
-        tasks that run, wait, and wait for others.
+    :param remaining: all that its jobs still ask for but for what lasts, times seconds:
+        of tasks that run, wait, and wait for others.
     :param inflow: what keeps up with the last arrivals.
-    :param spread: workers that a step needs by its limit of tasks for each worker.
-    :param apart: workers that suspected jobs need for themselves.
+    :param spread_workers: workers that a step needs by its limit of tasks for each
+        worker.
+    :param isolation_workers: workers that suspected jobs need for themselves.
     """
 
     workers: int = 0
     capacity: int = 0
     memory: int = 0
-    lasting: Amount = field(default_factory=Amount)
+    long_running: Amount = field(default_factory=Amount)
     running: Amount = field(default_factory=Amount)
     waiting: Amount = field(default_factory=Amount)
     backlog: Amount = field(default_factory=Amount)
-    left: Amount = field(default_factory=Amount)
+    remaining: Amount = field(default_factory=Amount)
     inflow: Amount = field(default_factory=Amount)
-    spread: int = 0
-    apart: int = 0
+    spread_workers: int = 0
+    isolation_workers: int = 0
 
 
 def log_loads(state: SchedulerState, now: float) -> None:
@@ -55,16 +56,16 @@
             workers=load.workers,
             capacity=load.capacity,
             memory=load.memory,
-            lasting=load.lasting.cpu,
-            lasting_mb=load.lasting.mem_mb,
+            lasting=load.long_running.cpu,
+            lasting_mb=load.long_running.mem_mb,
             running=load.running.cpu,
             running_mb=load.running.mem_mb,
             waiting=load.waiting.cpu,
             backlog=load.backlog.cpu,
-            left=load.left.cpu,
+            left=load.remaining.cpu,
             inflow=load.inflow.cpu,
-            spread=load.spread,
-            apart=load.apart,
+            spread=load.spread_workers,
+            apart=load.isolation_workers,
         )
 
 
@@ -74,7 +75,7 @@
     steps: dict[int, StepRun] = {}
     for worker in state.workers.values():
         load = loads[worker.service]
-        usable = not worker.leaving and worker.id not in state.unusable
+        usable = not worker.leaving and worker.id not in state.unusable_workers
         if worker.confirmed and usable and not worker.absent:
             load.workers += 1
             load.capacity += worker.capacity.cpu
@@ -82,26 +83,26 @@
         for task in worker.tasks.values():
             steps[id(task.step)] = task.step
             if task.step.spec.long_running:
-                load.lasting.add(task.step.room)
+                load.long_running.add(task.step.room)
             else:
                 load.running.add(task.step.room)
                 left = state.estimates.seconds(task.step) - (now - task.started_at)
-                load.left.add(task.step.room, max(0.0, left))
-    _add_left(loads, state)
+                load.remaining.add(task.step.room, max(0.0, left))
+    _add_remaining(loads, state)
     shares = _shares_that_may_start(state)
     for step in state.ready.values():
         steps[id(step)] = step
         load = loads[step.job.policy.service]
         count = len(step.waiting) * shares.get(step.job.organisation, 1.0)
         if step.spec.long_running:
-            load.lasting.add(step.room, count)
+            load.long_running.add(step.room, count)
         else:
             load.waiting.add(step.room, count)
             load.backlog.add(step.room, count * state.estimates.seconds(step))
     for step in steps.values():
         load = loads[step.job.policy.service]
-        load.spread = max(load.spread, _spread(step))
-    _add_apart(loads, state)
+        load.spread_workers = max(load.spread_workers, _workers_to_spread(step))
+    _add_isolation_workers(loads, state)
     for service, load in loads.items():
         load.inflow = state.inflow.rate(service, now)
     return dict(loads)
@@ -116,14 +117,14 @@
     for step in state.ready.values():
         if step.job.organisation:
             amount = waiting.setdefault(step.job.organisation, Amount())
-            amount.add(step.asked, len(step.waiting))
+            amount.add(step.requested, len(step.waiting))
     return {
         organisation: state.quotas.share_that_may_start(organisation, amount)
         for organisation, amount in waiting.items()
     }
 
 
-def _add_left(loads: defaultdict[str, PoolLoad], state: SchedulerState) -> None:
+def _add_remaining(loads: defaultdict[str, PoolLoad], state: SchedulerState) -> None:
     """Add what of the jobs' work has not begun."""
     for job in state.jobs.values():
         if job.state.final:
@@ -132,17 +133,19 @@
         for step in job.steps.values():
             if not step.spec.long_running:
                 count = len(step.tasks) - step.done - step.active
-                load.left.add(step.room, count * state.estimates.seconds(step))
+                load.remaining.add(step.room, count * state.estimates.seconds(step))
 
 
-def _add_apart(loads: defaultdict[str, PoolLoad], state: SchedulerState) -> None:
+def _add_isolation_workers(
+    loads: defaultdict[str, PoolLoad], state: SchedulerState
+) -> None:
     """Add the workers that suspected jobs need for themselves."""
     for job in state.suspects.values():
         if isolated_tasks(job):
-            loads[job.policy.service].apart += 1
+            loads[job.policy.service].isolation_workers += 1
 
 
-def _spread(step: StepRun) -> int:
+def _workers_to_spread(step: StepRun) -> int:
     most = step.spec.max_per_server
     if not most or step.job.state.final:
         return 0
--- a/mustardward/components/scheduling/intake.py
+++ b/mustardward/components/scheduling/intake.py
@@ -44,7 +44,7 @@
             self.state.mark_dirty(job)
         else:
             job.stored = True
-            job.held = True
+            job.from_previous_owner = True
             job.state = progress.state
             job.zones = frozenset(progress.zones) or None
             job.stored_zones = job.pending_zones = job.zones
@@ -89,9 +89,9 @@
         if step.spec.gang:
             # Members end done together, and one such end speaks for all of them.
             for member in step.tasks:
-                self.state.finish(member)
+                self.state.finish_task(member)
         else:
-            self.state.finish(task)
+            self.state.finish_task(task)
         if step.complete:
             self.state.ready.pop(id(step), None)
             self._advance(step.job, now)
--- a/mustardward/components/scheduling/models.py
+++ b/mustardward/components/scheduling/models.py
@@ -125,7 +125,7 @@
 
     :param open: whether all tasks of the steps before it are done.
     :param advice_requested_for: the workers of which advice was asked last.
-    :param asked: what one task asks for, by which its organisation's quota counts.
+    :param requested: what one task asks for, by which its organisation's quota counts.
     :param room: what one task takes of a worker. A step that fills takes what others
         leave unused, so its processor share is not counted. Held, since each plan asks
         it of every task that runs.
@@ -145,13 +145,13 @@
     tickets_valid_until: float = 0.0
     advice_requested_until: float = 0.0
     advice_requested_for: frozenset[str] = frozenset()
-    asked: Room = field(init=False)
+    requested: Room = field(init=False)
     room: Room = field(init=False)
 
     def __post_init__(self) -> None:
         """Work out what one task takes."""
         spec = self.spec
-        self.asked = spec.asked
+        self.requested = spec.asked
         self.room = Room(0 if spec.fills else spec.cpu, spec.mem_mb, spec.gpu)
 
     @property
@@ -175,7 +175,8 @@
     :param objective_at: until when it earns in full; steady seconds.
     :param stored: whether the log shows that an owner has taken it in. Nothing of it
         starts before, so that the next owner knows which jobs nobody can have started.
-    :param held: whether an owner before had taken it in, and may have started it.
+    :param from_previous_owner: whether an owner before had taken it in, and may have
+        started it.
     :param home: where its short tasks go while there is room: a job is done once all of
         them are, so that a loss should take all tasks of few jobs, not some of most.
     :param zones: the data centres in which it is to start, or None for any.
@@ -197,7 +198,7 @@
     next_occurrence: int = 0
     state: JobState = JobState.QUEUED
     stored: bool = False
-    held: bool = False
+    from_previous_owner: bool = False
     home: Place | None = None
     zones: frozenset[str] | None = None
     stored_zones: frozenset[str] | None = None
--- a/mustardward/components/scheduling/pacing.py
+++ b/mustardward/components/scheduling/pacing.py
@@ -74,7 +74,9 @@
         for task in filling:
             if task.pace != throttle.percent:
                 task.pace = throttle.percent
-                self.state.give(Pace(task, worker.id, task.run, throttle.percent))
+                self.state.add_command(
+                    Pace(task, worker.id, task.run, throttle.percent)
+                )
 
 
 def _fills(task: Task) -> bool:
--- a/mustardward/components/scheduling/placement.py
+++ b/mustardward/components/scheduling/placement.py
@@ -180,7 +180,7 @@
     shared = any(other.long_running for other in others) and not spec.target_ms
     return (
         float(max(0, here + 1 - most)),
-        float(worker.due),
+        float(worker.maintenance_due),
         float(serving),
         float(not shared),
         float(here),
--- a/mustardward/components/scheduling/planner.py
+++ b/mustardward/components/scheduling/planner.py
@@ -85,7 +85,7 @@
             if job.organisation and self.state.is_held_after_takeover(job, now):
                 for step in job.steps.values():
                     count = len(step.tasks) - step.done - step.active
-                    yield job.organisation, step.asked, count
+                    yield job.organisation, step.requested, count
 
     def _place(
         self, workers: list[WorkerState], steps: list[StepRun], now: float
@@ -203,7 +203,7 @@
         return True
 
     def _capacity(self, workers: list[WorkerState], now: float) -> Capacity:
-        coming = self.state.coming.get(workers[0].service, 0)
+        coming = self.state.incoming_cpu.get(workers[0].service, 0)
         return capacity_of(workers, coming, self.state.estimates, now)
 
     def _place_tasks(
@@ -249,7 +249,7 @@
         # All members of a suspected gang were taken off its queue.
         count = (len(step.waiting) or len(step.tasks)) if step.spec.gang else 1
         organisation = step.job.organisation
-        if self.state.quotas.allows(organisation, step.asked, count):
+        if self.state.quotas.allows(organisation, step.requested, count):
             return True
         self.quota_waits.note(organisation, max(count, len(step.waiting)))
         self.waits.note(step, Reason.QUOTA)
--- a/mustardward/components/scheduling/quotas.py
+++ b/mustardward/components/scheduling/quotas.py
@@ -40,12 +40,12 @@
     _used: dict[str, Amount] = field(default_factory=dict)
     _unseen: dict[str, Amount] = field(default_factory=dict)
 
-    def take(self, organisation: str, room: Room) -> None:
+    def reserve(self, organisation: str, room: Room) -> None:
         """Count a run."""
         if organisation:
             self._used.setdefault(organisation, Amount()).add(room)
 
-    def give_back(self, organisation: str, room: Room) -> None:
+    def release(self, organisation: str, room: Room) -> None:
         """Count a run no more."""
         if organisation:
             self._used[organisation].add(room, -1)
--- a/mustardward/components/scheduling/reports.py
+++ b/mustardward/components/scheduling/reports.py
@@ -40,7 +40,7 @@
     health: Health
     lines: RunLines = field(default_factory=RunLines)
 
-    def held(
+    def apply_hold(
         self, worker: WorkerState, answer: HoldAnswer, sent_at: float, now: float
     ) -> None:
         """Take in a worker's lists.
@@ -153,7 +153,7 @@
                 self.state.estimates.learn(task.step, seconds)
             self.health.note_done(worker, task, seconds)
         elif task.phase in ACTIVE and task.worker is not None:
-            self.state.give(Stop(task.name, task.worker.id, task.run, None))
+            self.state.add_command(Stop(task.name, task.worker.id, task.run, None))
         if not task.step.job.state.final:
             self.intake.task_done(task, now)
         elif own:
@@ -191,7 +191,7 @@
 
     def _stop_orphan_run(self, worker: WorkerState, row: RunningTask) -> None:
         self.state.add_orphan_run(worker, row.task)
-        self.state.give(Stop(row.task, worker.id, row.run, None))
+        self.state.add_command(Stop(row.task, worker.id, row.run, None))
 
     def _expected(self, name: TaskName) -> Task | None:
         """Return a task, also of an occurrence that is not open here yet."""
--- a/mustardward/components/scheduling/scheduler.py
+++ b/mustardward/components/scheduling/scheduler.py
@@ -19,7 +19,6 @@
     STUCK_SECONDS,
 )
 from .crashes import Crashes, suspects_of
-from .entries import Entries
 from .evacuation import Evacuation
 from .health import Health
 from .incarnations import make_worker
@@ -35,6 +34,7 @@
 from .scheduler_state import PolicyLookup, SchedulerState
 from .shares import RateLookup, RateShares, unlimited_rate
 from .wait_lines import WaitLines
+from .worker_entries import WorkerEntries
 from .zones import Zones
 
 _LOGGER = get_logger(__name__)
@@ -63,7 +63,7 @@
         rate_of: RateLookup = unlimited_rate,
     ) -> None:
         self.state = SchedulerState(epoch, policy_of, quotas=Quotas(quota_of))
-        self.entries = Entries(self.state)
+        self.entries = WorkerEntries(self.state)
         self._zones = Zones(self.state)
         self.intake = Intake(self.state, self._zones, RateShares(rate_of))
         self.health = Health(self.state)
@@ -112,7 +112,7 @@
 
     def update_worker(self, worker_id: str, entry: WorkerEntry, now: float) -> bool:
         """Take in a worker's entry; return whether the worker is new."""
-        return self.entries.see(worker_id, entry, now)
+        return self.entries.update(worker_id, entry, now)
 
     def replace_worker(
         self, worker_id: str, born: int, entry: WorkerEntry, now: float
@@ -144,11 +144,11 @@
 
     def mark_worker_missing(self, worker_id: str, now: float) -> None:
         """Take in that a worker's entry is gone; what runs there may go on."""
-        self.entries.miss(worker_id, now)
+        self.entries.mark_missing(worker_id, now)
 
     def mark_worker_absent(self, worker_id: str) -> None:
         """Give a worker no new tasks until a good entry names it again."""
-        self.entries.bar(worker_id)
+        self.entries.mark_absent(worker_id)
 
     def remove_worker(self, worker_id: str, cause: LossCause, now: float) -> None:
         """Take in that nothing runs on a worker any more."""
@@ -165,7 +165,7 @@
         """Take in what runs and has ended on a worker."""
         worker = self.state.workers.get(worker_id)
         if worker is not None:
-            self.reports.held(worker, answer, sent_at, now)
+            self.reports.apply_hold(worker, answer, sent_at, now)
 
     def set_leaving(self, worker_id: str, leaving: bool, now: float) -> None:
         """Give a worker no new tasks and empty it, or take that back."""
@@ -177,7 +177,7 @@
     def set_maintenance_due(self, worker_ids: set[str]) -> None:
         """Say on which workers nothing stays for long, since maintenance comes."""
         for worker in self.state.workers.values():
-            worker.due = worker.id in worker_ids
+            worker.maintenance_due = worker.id in worker_ids
 
     def set_tickets(
         self, step: StepRun, tickets: dict[str, str], valid_until: float
@@ -195,7 +195,7 @@
         :param most_starts: starts that can be carried out soon; no more are decided.
         """
         self.intake.open_due(now, wall)
-        self.entries.run(now)
+        self.entries.check(now)
         self._evacuation.run(now)
         if now >= self._next_check_at:
             self._next_check_at = now + CHECK_INTERVAL_SECONDS
--- a/mustardward/components/scheduling/scheduler_state.py
+++ b/mustardward/components/scheduling/scheduler_state.py
@@ -29,8 +29,8 @@
     :param policy_of: the operator's word on a queue.
     :param takeover_hold_until: until when workers that were not heard of may run what
         an owner before started.
-    :param coming: processor of the instances on their way to a pool.
-    :param unusable: workers that could run nothing for longer than a moment.
+    :param incoming_cpu: processor of the instances on their way to a pool.
+    :param unusable_workers: workers that could run nothing for longer than a moment.
     :param accounted_zones: data centres all of whose workers told what they run.
     :param suspects: the jobs with tasks under which workers crashed, by id.
     """
@@ -45,8 +45,8 @@
     ready: dict[int, StepRun] = field(default_factory=dict)
     takeover_hold_until: float = 0.0
     accounted_zones: frozenset[str] = frozenset()
-    coming: dict[str, int] = field(default_factory=dict)
-    unusable: frozenset[str] = frozenset()
+    incoming_cpu: dict[str, int] = field(default_factory=dict)
+    unusable_workers: frozenset[str] = frozenset()
     taken_over_at: float = 0.0
     quotas: Quotas = field(default_factory=Quotas)
     suspects: dict[str, Job] = field(default_factory=dict)
@@ -59,7 +59,7 @@
         self._commands = []
         return commands
 
-    def give(self, command: Command) -> None:
+    def add_command(self, command: Command) -> None:
         """Give a command."""
         self._commands.append(command)
 
@@ -80,7 +80,7 @@
 
     def is_held_after_takeover(self, job: Job, now: float) -> bool:
         """Return whether what an owner before started of a job may still run unseen."""
-        if not job.held or now >= self.takeover_hold_until:
+        if not job.from_previous_owner or now >= self.takeover_hold_until:
             return False
         return job.stored_zones is None or not job.stored_zones <= self.accounted_zones
 
@@ -90,7 +90,7 @@
 
     def assign(self, task: Task, worker: WorkerState, run: int, now: float) -> None:
         """Give a waiting task to a worker; it was taken off the step's queue before."""
-        self._occupy(task, worker, run)
+        self._reserve(task, worker, run)
         task.phase = Phase.STARTING
         task.started_at = now
         task.percent = 0.0
@@ -100,13 +100,13 @@
         task.seen_running = False
         task.sent = False
         self.mark_started(task.step.job)
-        self.give(Start(task, worker.id, run))
+        self.add_command(Start(task, worker.id, run))
 
     def adopt(self, task: Task, worker: WorkerState, run: int, now: float) -> None:
         """Take over a task that an earlier owner started."""
         if task in task.step.waiting:
             task.step.waiting.remove(task)
-        self._occupy(task, worker, run)
+        self._reserve(task, worker, run)
         task.phase = Phase.RUNNING
         task.seen_running = True
         task.started_at = now
@@ -134,7 +134,7 @@
         )
         task.phase = Phase.STOPPING
         task.stop_acknowledged_at = None
-        self.give(Stop(task.name, task.worker.id, task.run, task))
+        self.add_command(Stop(task.name, task.worker.id, task.run, task))
 
     def mark_uncertain(self, task: Task) -> None:
         """Note that a start was not answered: it may run now, later, or never.
@@ -147,11 +147,11 @@
         task.phase = Phase.UNCERTAIN
         task.stop_acknowledged_at = None
         task.worker.unanswered.append((task.name, task.run))
-        self.give(Stop(task.name, task.worker.id, task.run, task))
+        self.add_command(Stop(task.name, task.worker.id, task.run, task))
 
     def requeue(self, task: Task, now: float) -> None:
         """Let a task whose run is over wait for its next one."""
-        self._vacate(task)
+        self._release(task)
         task.phase = Phase.WAITING
         task.ready_since = now
         step = task.step
@@ -167,19 +167,19 @@
         elif step.open:
             self.ready[id(step)] = step
 
-    def finish(self, task: Task) -> None:
+    def finish_task(self, task: Task) -> None:
         """Note that a task is done."""
         if task.phase is Phase.DONE:
             return
         step = task.step
         if task.phase in ACTIVE:
-            self._vacate(task)
+            self._release(task)
         elif task in step.waiting:
             step.waiting.remove(task)
         task.phase = Phase.DONE
         task.checkpoint = ""
         step.done += 1
-        self.clear(task)
+        self.clear_suspicion(task)
         self.mark_dirty(step.job)
 
     def end_job(self, job: Job, state: JobState) -> None:
@@ -199,7 +199,7 @@
                     self.stop(task, state.name.lower())
         self.mark_dirty(job)
 
-    def suspect(self, task: Task, incarnation: str) -> None:
+    def record_crash(self, task: Task, incarnation: str) -> None:
         """Note that a worker crashed under a task.
 
         What makes its job run apart is stored before it starts again, so that another
@@ -218,7 +218,7 @@
             job.zones = None
         self.mark_dirty(job)
 
-    def clear(self, task: Task) -> None:
+    def clear_suspicion(self, task: Task) -> None:
         """Suspect a task no longer."""
         if task.crashes:
             task.crashes = ()
@@ -244,15 +244,15 @@
         if step is None:
             worker.unknown_runs = True
             return
-        self.quotas.take(step.job.organisation, step.asked)
-        worker.take(step.room)
+        self.quotas.reserve(step.job.organisation, step.requested)
+        worker.reserve(step.room)
         worker.orphan_steps.append(step)
 
     def clear_orphan_runs(self, worker: WorkerState) -> None:
         """Count a worker's strays no more, since it lists anew what runs there."""
         for step in worker.orphan_steps:
-            self.quotas.give_back(step.job.organisation, step.asked)
-            worker.give_back(step.room)
+            self.quotas.release(step.job.organisation, step.requested)
+            worker.release(step.room)
         worker.orphan_steps.clear()
         worker.unknown_runs = False
 
@@ -273,14 +273,14 @@
         """
         for name, run in old.unanswered:
             new.unanswered.append((name, run))
-            self.give(Stop(name, new.id, run, None))
+            self.add_command(Stop(name, new.id, run, None))
         for task in list(old.tasks.values()):
             if task.seen_running:
                 self.end_run(task, now)
                 continue
             run = task.run
-            self._vacate(task)
-            self._occupy(task, new, run)
+            self._release(task)
+            self._reserve(task, new, run)
             self.mark_uncertain(task)
         self.clear_orphan_runs(old)
         self.workers[new.id] = new
@@ -292,16 +292,16 @@
     def end_run(self, task: Task, now: float) -> None:
         """Note that a task's run is over without having been done."""
         if task.step.job.state.final:
-            self._vacate(task)
+            self._release(task)
             task.phase = Phase.WAITING
         else:
             self.requeue(task, now)
 
-    def _occupy(self, task: Task, worker: WorkerState, run: int) -> None:
+    def _reserve(self, task: Task, worker: WorkerState, run: int) -> None:
         step = task.step
-        worker.take(step.room)
+        worker.reserve(step.room)
         worker.tasks[task.name] = task
-        self.quotas.take(step.job.organisation, step.asked)
+        self.quotas.reserve(step.job.organisation, step.requested)
         step.active += 1
         step.on_worker[worker.id] += 1
         task.worker = worker
@@ -309,14 +309,14 @@
         task.missed_holds = 0
         task.stop_acknowledged_at = None
 
-    def _vacate(self, task: Task) -> None:
+    def _release(self, task: Task) -> None:
         worker = task.worker
         if worker is None:
             return
         step = task.step
-        worker.give_back(step.room)
+        worker.release(step.room)
         worker.tasks.pop(task.name, None)
-        self.quotas.give_back(step.job.organisation, step.asked)
+        self.quotas.release(step.job.organisation, step.requested)
         step.active -= 1
         step.on_worker[worker.id] -= 1
         task.worker = None
--- a/mustardward/components/scheduling/entries.py
+++ b/mustardward/components/scheduling/worker_entries.py
@@ -15,7 +15,7 @@
 
 _LOGGER = get_logger(__name__)
 
-OWN_ENTRY_SECONDS: Final = 2.5
+ENTRY_CONFIRMED_SECONDS: Final = 2.5
 """A worker writes its entry anew with each heartbeat, and is taken out of the store
 after three that are missed: what stands for so long is its own."""
 
@@ -30,13 +30,13 @@
 
 
 @dataclass(slots=True, eq=False)
-class Entries:
+class WorkerEntries:
     """Keep workers as their entries describe them."""
 
     state: SchedulerState
     _disputes: dict[str, _Dispute] = field(default_factory=dict)
 
-    def see(self, worker_id: str, entry: WorkerEntry, now: float) -> bool:
+    def update(self, worker_id: str, entry: WorkerEntry, now: float) -> bool:
         """Take in a worker's entry; return whether the worker is new."""
         worker = self.state.workers.get(worker_id)
         is_new = worker is None
@@ -53,34 +53,34 @@
             # An incarnation never changes its pool, so one of the two entries is
             # another writer's.
             note_unreadable("worker", worker_id, f"service={entry.service}")
-            self.bar(worker_id)
+            self.mark_absent(worker_id)
             self._disputes[worker_id] = _Dispute(worker, entry, now)
             return False
         self._use(worker, entry, now)
         return is_new
 
-    def miss(self, worker_id: str, now: float) -> None:
+    def mark_missing(self, worker_id: str, now: float) -> None:
         """Take in that a worker's entry is gone; what runs there may go on."""
         self._disputes.pop(worker_id, None)
         worker = self.state.workers.get(worker_id)
         if worker is not None and worker.missing_since is None:
             worker.missing_since = now
 
-    def bar(self, worker_id: str) -> None:
+    def mark_absent(self, worker_id: str) -> None:
         """Give a worker no new tasks until a good entry names it again."""
         self._disputes.pop(worker_id, None)
         worker = self.state.workers.get(worker_id)
         if worker is not None:
             worker.absent = True
 
-    def run(self, now: float) -> None:
+    def check(self, now: float) -> None:
         """Take in that entries stayed away, or stayed."""
         for worker in self.state.workers.values():
             since = worker.missing_since
             if since is not None and now - since > MISSING_GRACE_SECONDS:
                 worker.absent = True
         for dispute in list(self._disputes.values()):
-            self._settle(dispute, now)
+            self._resolve(dispute, now)
 
     def _use(self, worker: WorkerState, entry: WorkerEntry, now: float) -> None:
         self._disputes.pop(worker.id, None)
@@ -93,13 +93,13 @@
             worker.drains_at = now + (entry.remaining_ms or 0) / 1000
             _LOGGER.info("worker_draining", worker=worker.id)
 
-    def _settle(self, dispute: _Dispute, now: float) -> None:
+    def _resolve(self, dispute: _Dispute, now: float) -> None:
         """Believe an entry that stays, once the worker answered and runs nothing."""
         worker = dispute.worker
         if self.state.workers.get(worker.id) is not worker:
             del self._disputes[worker.id]
             return
-        if now - dispute.since < OWN_ENTRY_SECONDS or worker.has_runs:
+        if now - dispute.since < ENTRY_CONFIRMED_SECONDS or worker.has_runs:
             return
         if worker.confirmed and not worker.stale:
             worker.describe(dispute.entry)
--- a/mustardward/components/scheduling/worker_state.py
+++ b/mustardward/components/scheduling/worker_state.py
@@ -31,7 +31,7 @@
     :param absent: whether its entry stayed away, so that it counts as gone unless it
         comes back.
     :param leaving: whether the fleet is about to take it.
-    :param due: whether its instance is still to be maintained.
+    :param maintenance_due: whether its instance is still to be maintained.
     :param unanswered: the last starts that got no answer, by task and run.
     :param orphan_steps: the steps of runs there that are no task's any more.
     :param unknown_runs: whether it lists a run of a job that is not known here.
@@ -52,7 +52,7 @@
     missing_since: float | None = None
     absent: bool = False
     leaving: bool = False
-    due: bool = False
+    maintenance_due: bool = False
     leaving_since: float = 0.0
     refusing_until: float = 0.0
     quarantined_until: float = 0.0
@@ -77,13 +77,13 @@
         self.labels = tuple(entry.labels)
         self.resize(entry.capacity)
 
-    def take(self, room: Room) -> None:
+    def reserve(self, room: Room) -> None:
         """Count a run's room as taken."""
         self.free_cpu -= room.cpu
         self.free_mem -= room.mem_mb
         self.free_gpu -= room.gpu
 
-    def give_back(self, room: Room) -> None:
+    def release(self, room: Room) -> None:
         """Count a run's room as free again."""
         self.free_cpu += room.cpu
         self.free_mem += room.mem_mb
@@ -92,8 +92,8 @@
     def resize(self, room: Room) -> None:
         """Take over a room; what runs may take more of it than there is."""
         old = self.capacity
-        self.take(old)
-        self.give_back(room)
+        self.reserve(old)
+        self.release(room)
         self.capacity = room
         if room != old:
             _LOGGER.info(
--- a/mustardward/components/scheduling/zones.py
+++ b/mustardward/components/scheduling/zones.py
@@ -113,7 +113,7 @@
         capacity: Counter[str] = Counter()
         for worker in self.state.workers.values():
             usable = worker.confirmed and not (worker.leaving or worker.draining)
-            usable = usable and worker.id not in self.state.unusable
+            usable = usable and worker.id not in self.state.unusable_workers
             if worker.service == job.policy.service and usable and not worker.absent:
                 capacity[worker.zone] += worker.capacity.cpu
         return {zone: cpu for zone, cpu in capacity.items() if cpu > 0}
--- a/tests/components/fleet/builders.py
+++ b/tests/components/fleet/builders.py
@@ -65,6 +65,6 @@
         running=Amount(cores * 1000),
         waiting=Amount(waiting * 1000),
         backlog=Amount(seconds * 1000),
-        left=Amount((3.0 * cores + seconds) * 1000),
-        spread=spread,
+        remaining=Amount((3.0 * cores + seconds) * 1000),
+        spread_workers=spread,
     )
--- a/tests/components/fleet/test_pools.py
+++ b/tests/components/fleet/test_pools.py
@@ -135,7 +135,7 @@
 def test_work_that_is_short_of_memory_gets_workers_by_its_memory() -> None:
     planner = PoolPlanner(MOVE_SECONDS)
     fleet = [an_instance(n, POOL if n < 2 else STANDBY) for n in range(8)]
-    load = PoolLoad(lasting=Amount(cpu=1000, mem_mb=4 * 8000 * TARGET_SHARE))
+    load = PoolLoad(long_running=Amount(cpu=1000, mem_mb=4 * 8000 * TARGET_SHARE))
     moves = planner.decide(a_view(fleet), {POOL: load}, set(), 0.0)
     assert [move.pool for move in moves].count(POOL) == 2
 
@@ -205,7 +205,7 @@
     view = a_view([*first, *second, an_instance(8, STANDBY)])
     load = a_load(cores=2.0)
     assert PoolPlanner(MOVE_SECONDS).decide(view, {POOL: load}, set(), 0.0) == []
-    load.apart = 1
+    load.isolation_workers = 1
     moves = PoolPlanner(MOVE_SECONDS).decide(view, {POOL: load}, set(), 0.0)
     assert moves == [Move("m-08", POOL)]
 
--- a/tests/components/fleet/test_unusable.py
+++ b/tests/components/fleet/test_unusable.py
@@ -56,7 +56,7 @@
     replaced = flag not in SHORT_STATES and not usable(worker, fleet.bench.now)
     moves = asked(fleet, SILENT_SECONDS + 2.0)
     assert {move.pool for move in moves} == ({POOL} if replaced else set())
-    assert ("i-00" in fleet.bench.scheduler.state.unusable) == replaced
+    assert ("i-00" in fleet.bench.scheduler.state.unusable_workers) == replaced
 
 
 def test_a_worker_that_refuses_or_is_in_quarantine_counts() -> None:
--- a/tests/components/scheduling/liveness_mutants.py
+++ b/tests/components/scheduling/liveness_mutants.py
@@ -96,14 +96,14 @@
 
 
 def _stay_stale(patch: pytest.MonkeyPatch) -> None:
-    held = Reports.held
+    apply_hold = Reports.apply_hold
 
     def stay(own: Reports, worker: Any, *others: Any) -> None:
         stale = worker.stale
-        held(own, worker, *others)
+        apply_hold(own, worker, *others)
         worker.stale = stale
 
-    patch.setattr(Reports, "held", stay)
+    patch.setattr(Reports, "apply_hold", stay)
 
 
 def _count_twice(patch: pytest.MonkeyPatch) -> None:
@@ -112,7 +112,7 @@
 
     def again(own: SchedulerState, task: Any) -> None:
         mark_uncertain(own, task)
-        own.quotas.take(task.step.job.organisation, task.step.asked)
+        own.quotas.reserve(task.step.job.organisation, task.step.requested)
 
     patch.setattr(SchedulerState, "mark_uncertain", again)
 
@@ -164,15 +164,17 @@
     ),
     "nobody-is-judged": _replace(Crashes, "_is_due", lambda *_: False),
     "suspects-wait-for-ever": _replace(planner, "is_free_for", lambda *_: False),
-    "suspects-are-not-cleared": _replace(SchedulerState, "clear", _nothing),
+    "suspects-are-not-cleared": _replace(SchedulerState, "clear_suspicion", _nothing),
     "an-entry-that-is-back-is-not-read": _stay_absent,
     "leaving-is-not-taken-back": _only_leave,
     "a-quarantine-has-no-end": _replace(health, "QUARANTINE_SECONDS", math.inf),
     "a-takeover-holds-for-ever": _replace(
-        SchedulerState, "is_held_after_takeover", lambda own, job, now: job.held
+        SchedulerState,
+        "is_held_after_takeover",
+        lambda own, job, now: job.from_previous_owner,
     ),
     "a-doubted-start-counts-twice": _count_twice,
-    "quotas-are-not-given-back": _replace(Quotas, "give_back", _nothing),
+    "quotas-are-not-given-back": _replace(Quotas, "release", _nothing),
     "strays-stay": _replace(SchedulerState, "clear_orphan_runs", _nothing),
     "a-silent-worker-stays-stale": _stay_stale,
     "a-silent-worker-is-asked-no-more": _hold_once,
--- a/tests/components/scheduling/test_crashes.py
+++ b/tests/components/scheduling/test_crashes.py
@@ -244,7 +244,7 @@
     bench.plan_starts()
     suspected(bench)
     assert bench.plan_starts() == []
-    assert measure(bench.scheduler.state, bench.now)[POOL].apart == 1
+    assert measure(bench.scheduler.state, bench.now)[POOL].isolation_workers == 1
 
 
 def test_a_suspected_job_runs_beside_what_is_not_suspected_in_the_end() -> None:
--- a/tests/components/scheduling/test_demand.py
+++ b/tests/components/scheduling/test_demand.py
@@ -19,9 +19,9 @@
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=5, max_per_server=2, long_running=True)))
-    assert measure(bench.scheduler.state, bench.now)[POOL].spread == 3
+    assert measure(bench.scheduler.state, bench.now)[POOL].spread_workers == 3
     assert len(bench.plan_starts()) == 2
-    assert measure(bench.scheduler.state, bench.now)[POOL].spread == 3
+    assert measure(bench.scheduler.state, bench.now)[POOL].spread_workers == 3
 
 
 def test_what_runs_and_what_waits_is_told_apart() -> None:
@@ -39,7 +39,7 @@
     bench = SchedulerBench()
     bench.worker("w1")
     bench.worker("w2")
-    bench.scheduler.state.unusable = frozenset({"w2"})
+    bench.scheduler.state.unusable_workers = frozenset({"w2"})
     load = measure(bench.scheduler.state, bench.now)[POOL]
     assert (load.workers, load.capacity, load.memory) == (1, 8000, 8000)
 
--- a/tests/components/scheduling/test_holds.py
+++ b/tests/components/scheduling/test_holds.py
@@ -379,7 +379,7 @@
     bench.scheduler.state.mark_dirty(start.task.step.job)
     under_way = dict(bench.scheduler.take_dirty(bench.now, bench.now))
     bench.scheduler.state.end_run(start.task, bench.now)
-    bench.scheduler.state.suspect(start.task, "w1")
+    bench.scheduler.state.record_crash(start.task, "w1")
     bench.scheduler.mark_stored(under_way)
     assert bench.plan_starts() == []
     bench.store()
--- a/tests/components/scheduling/test_planning.py
+++ b/tests/components/scheduling/test_planning.py
@@ -282,7 +282,7 @@
 def test_the_most_urgent_goes_first_while_all_can_be_in_time() -> None:
     """Load: one large job and five small ones, and instances on their way."""
     bench = SchedulerBench()
-    bench.scheduler.state.coming[POOL] = 40_000
+    bench.scheduler.state.incoming_cpu[POOL] = 40_000
     assert set(starts_in_shortage(bench, 10)) == {OTHER}
 
 
--- a/tests/components/scheduling/test_quota_walks.py
+++ b/tests/components/scheduling/test_quota_walks.py
@@ -328,7 +328,7 @@
         state = self.scheduler.state
         for organisation in ORGANISATIONS:
             counted = sum(
-                task.step.asked.cpu
+                task.step.requested.cpu
                 for worker in state.workers.values()
                 for task in worker.tasks.values()
                 if task.step.job.organisation == organisation
@@ -378,14 +378,14 @@
 
 def _count_only_running(patch: pytest.MonkeyPatch) -> None:
     """Let what is being started or stopped count for nothing."""
-    take, give_back = Quotas.take, Quotas.give_back
+    reserve, release = Quotas.reserve, Quotas.release
     mark_uncertain = SchedulerState.mark_uncertain
 
     def forget(state: SchedulerState, task: object) -> None:
         mark_uncertain(state, task)  # type: ignore[arg-type]
         step = task.step  # type: ignore[attr-defined]
-        give_back(state.quotas, step.job.organisation, step.asked)
-        take(state.quotas, "", step.asked)
+        release(state.quotas, step.job.organisation, step.requested)
+        reserve(state.quotas, "", step.requested)
 
     patch.setattr(SchedulerState, "mark_uncertain", forget)
 
--- a/tests/components/scheduling/test_quotas.py
+++ b/tests/components/scheduling/test_quotas.py
@@ -218,6 +218,6 @@
 
 def test_an_organisation_without_a_quota_is_not_bounded() -> None:
     quotas = Quotas(lambda organisation: Room(cpu=1) if organisation else Room(cpu=1))
-    quotas.take("", Room(cpu=50))
+    quotas.reserve("", Room(cpu=50))
     assert quotas.allows("", Room(cpu=99))
     assert quotas.used("") == Amount()
--- a/tests/components/scheduling/test_room_walks.py
+++ b/tests/components/scheduling/test_room_walks.py
@@ -115,7 +115,7 @@
             steps = [task.step for task in worker.tasks.values()] + worker.orphan_steps
             used.update({o: 0 for o in ORGANISATIONS})
             for step in steps:
-                used[step.job.organisation] += step.asked.cpu
+                used[step.job.organisation] += step.requested.cpu
             cpu = worker.capacity.cpu - sum(step.room.cpu for step in steps)
             mem = worker.capacity.mem_mb - sum(step.room.mem_mb for step in steps)
             assert (worker.free_cpu, worker.free_mem) == (cpu, mem), "room"
@@ -186,7 +186,7 @@
     def twice(state: SchedulerState, task: Task) -> None:
         mark_uncertain(state, task)
         if task.worker is not None:
-            task.worker.give_back(task.step.room)
+            task.worker.release(task.step.room)
 
     patch.setattr(SchedulerState, "mark_uncertain", twice)
 
--- a/tests/components/scheduling/test_zones.py
+++ b/tests/components/scheduling/test_zones.py
@@ -84,7 +84,7 @@
 def test_a_job_goes_where_workers_can_run_it() -> None:
     """Guards against jobs that wait for a data centre whose workers run nothing."""
     bench = a_bench()
-    bench.scheduler.state.unusable = frozenset({"z1-0", "z2-0"})
+    bench.scheduler.state.unusable_workers = frozenset({"z1-0", "z2-0"})
     for number in range(3):
         bench.add(a_job(a_step(), job=f"{number:016x}"), stored=False)
     assert {tuple(record.zones) for record in store(bench).values()} == {("z3",)}
