--- a/mustardward/components/ownership/load.py
+++ b/mustardward/components/ownership/load.py
@@ -8,7 +8,7 @@
 from ...helpers.logging import get_logger
 from ..dispatch.lanes import Lanes
 from ..dispatch.window import StartWindow
-from ..scheduling.run_lines import RunLines
+from ..scheduling.run_logger import RunLogger
 from .const import WATCH_OWN_SECONDS
 
 _LOGGER = get_logger(__name__)
@@ -26,7 +26,7 @@
     node: str
     lanes: Lanes
     window: StartWindow
-    lines: RunLines
+    lines: RunLogger
     _looked_at: float | None = None
     _told_at: float | None = None
     _most_lag: float = 0.0
--- a/mustardward/components/ownership/owner.py
+++ b/mustardward/components/ownership/owner.py
@@ -157,7 +157,7 @@
             tasks.start_soon(self._storing.async_run, dispatcher.sessions)
             tasks.start_soon(self._async_plan)
             orders = dispatcher.orders
-            lines = self.scheduler.reports.lines
+            lines = self.scheduler.reports.run_logger
             load = OwnerLoad(parts.node, orders.lanes, orders.window, lines)
             tasks.start_soon(self._async_watch, directory, load)
             if parts.fleet is not None:
@@ -314,7 +314,7 @@
             if now - told_at > TELL_SECONDS:
                 told_at = now
                 log_loads(self.scheduler.state, now)
-                self.scheduler.waits.tell(now)
+                self.scheduler.wait_logger.log_due(now)
                 load.tell(now)
             if now - swept_at > SWEEP_SECONDS:
                 swept_at = now
--- a/mustardward/components/scheduling/offers.py
+++ b/mustardward/components/scheduling/candidates.py
@@ -8,6 +8,7 @@
 from typing import NamedTuple
 
 from ...platform.models import Room
+from .isolation import SecondsToEmpty, choose_to_empty
 from .models import StepRun, Task
 from .placement import (
     SecondsLeft,
@@ -16,13 +17,12 @@
     seconds_to_room,
     tasks_in,
 )
-from .trials import SecondsToEmpty, choose_to_empty
 from .worker_state import WorkerState
 
-Where = frozenset[str] | None
+ZoneSet = frozenset[str] | None
 
 
-class Kept(NamedTuple):
+class Reservation(NamedTuple):
     """Hold a worker that a plan gives to nobody else, and the step it is kept for."""
 
     worker: WorkerState
@@ -30,90 +30,95 @@
 
 
 @dataclass(slots=True, eq=False)
-class Offers:
+class Candidates:
     """Hold a pool's workers in one plan, and the rooms that were found too large.
 
-    :param apart: the workers where suspected tasks run.
+    :param isolation_workers: the workers where suspected tasks run.
     :param by_zone: the workers of each data centre.
-    :param kept: the workers that were taken out, and for whom.
+    :param reservations: the workers that were taken out, and for whom.
     """
 
     workers: list[WorkerState]
-    apart: Set[str] = frozenset()
+    isolation_workers: Set[str] = frozenset()
     by_zone: dict[str, list[WorkerState]] = field(default_factory=dict)
-    kept: list[Kept] = field(default_factory=list)
-    _lists: dict[Where, list[WorkerState]] = field(default_factory=dict)
-    _full: dict[Where, list[Room]] = field(default_factory=lambda: defaultdict(list))
-    _nowhere: list[Room] = field(default_factory=list)
-    _nowhere_of: list[StepRun] = field(default_factory=list)
-    _one_is_kept: bool = False
+    reservations: list[Reservation] = field(default_factory=list)
+    _workers_in: dict[ZoneSet, list[WorkerState]] = field(default_factory=dict)
+    _full_rooms: dict[ZoneSet, list[Room]] = field(
+        default_factory=lambda: defaultdict(list)
+    )
+    _oversized_rooms: list[Room] = field(default_factory=list)
+    _oversized_steps: list[StepRun] = field(default_factory=list)
+    _has_emptying_worker: bool = False
     _by_size: dict[Room, list[WorkerState]] = field(default_factory=dict)
-    _room_kept: list[tuple[WorkerState, Room]] = field(default_factory=list)
+    _reserved_rooms: list[tuple[WorkerState, Room]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         """Part the workers by data centre."""
-        self._part()
+        self._group_by_zone()
 
-    def _part(self) -> None:
+    def _group_by_zone(self) -> None:
         by_zone: dict[str, list[WorkerState]] = defaultdict(list)
         for worker in self.workers:
             by_zone[worker.zone].append(worker)
         self.by_zone = dict(by_zone)
-        self._lists = {None: self.workers}
+        self._workers_in = {None: self.workers}
 
-    def of(self, where: Where) -> list[WorkerState]:
+    def in_zones(self, where: ZoneSet) -> list[WorkerState]:
         """Return the workers of some data centres, or of all."""
-        found = self._lists.get(where)
+        found = self._workers_in.get(where)
         if found is None:
             zones = sorted(where or ())
             found = [w for zone in zones for w in self.by_zone.get(zone, ())]
-            self._lists[where] = found
+            self._workers_in[where] = found
         return found
 
-    def fits_nowhere(self, step: StepRun) -> bool:
+    def is_oversized(self, step: StepRun) -> bool:
         """Return whether a step needs as much as what no worker of the pool has."""
-        return _covers(self._nowhere, step.room)
+        return _covers(self._oversized_rooms, step.room)
 
-    def found_by(self, step: StepRun) -> StepRun | None:
+    def find_oversized_step(self, step: StepRun) -> StepRun | None:
         """Return the step whose tasks showed that a step fits nowhere, if any."""
-        for other in self._nowhere_of:
+        for other in self._oversized_steps:
             if _covers([other.room], step.room):
                 return other
         return None
 
     def may_fit(self, step: StepRun) -> bool:
         """Return whether its own data centres may have room for a step."""
-        return not _covers(self._full[step.job.stored_zones], step.room)
+        return not _covers(self._full_rooms[step.job.stored_zones], step.room)
 
-    def note_full(self, step: StepRun, everywhere: bool) -> None:
+    def record_full(self, step: StepRun, everywhere: bool) -> None:
         """Take in that a step's tasks have no room where they may start."""
-        self._full[step.job.stored_zones].append(step.room)
+        self._full_rooms[step.job.stored_zones].append(step.room)
         if everywhere:
-            self._nowhere.append(step.room)
-            self._nowhere_of.append(step)
+            self._oversized_rooms.append(step.room)
+            self._oversized_steps.append(step)
 
-    def keep_for_lasting(self, step: StepRun, left: SecondsLeft) -> None:
+    def reserve_for_long_running(self, step: StepRun, left: SecondsLeft) -> None:
         """Keep a worker for a lasting step that waits, if it can run there in time.
 
         Steps share a worker as long as all that they need has room there.
 
         :param left: how long a task is expected to run on.
         """
-        for number, (worker, room) in enumerate(self._room_kept):
+        for number, (worker, room) in enumerate(self._reserved_rooms):
             count = lasting_tasks_to_fit(worker, step)
             if 0 < count <= tasks_in(room, step.room):
-                self._room_kept[number] = (worker, _less(room, step.room, count))
+                self._reserved_rooms[number] = (
+                    worker,
+                    _subtract(room, step.room, count),
+                )
                 return
-        taken = {item.worker.id for item in self.kept}
-        for worker in self._soonest(step.room, left):
+        taken = {item.worker.id for item in self.reservations}
+        for worker in self._rank_by_free_time(step.room, left):
             count = lasting_tasks_to_fit(worker, step)
             if worker.id not in taken and count:
-                room = _less(room_beside_lasting(worker), step.room, count)
-                self._room_kept.append((worker, room))
-                self.leave_out([worker], step)
+                room = _subtract(room_beside_lasting(worker), step.room, count)
+                self._reserved_rooms.append((worker, room))
+                self.exclude([worker], step)
                 return
 
-    def _soonest(self, size: Room, left: SecondsLeft) -> list[WorkerState]:
+    def _rank_by_free_time(self, size: Room, left: SecondsLeft) -> list[WorkerState]:
         """Return who will have room for a task, the soonest and emptiest first.
 
         Ranked once a plan for each size, since many steps may wait.
@@ -126,7 +131,7 @@
             self._by_size[size] = found
         return found
 
-    def keep_to_empty(
+    def reserve_emptying_worker(
         self,
         step: StepRun,
         suspects: list[Task],
@@ -134,22 +139,24 @@
         seconds: SecondsToEmpty,
     ) -> None:
         """Keep one worker that becomes empty by itself, whoever waits for it."""
-        if self._one_is_kept:
+        if self._has_emptying_worker:
             return
-        kept = choose_to_empty(self.workers, free, step, suspects, seconds)
-        self._one_is_kept = bool(kept)
-        self.leave_out(kept, step)
+        reservations = choose_to_empty(self.workers, free, step, suspects, seconds)
+        self._has_emptying_worker = bool(reservations)
+        self.exclude(reservations, step)
 
-    def leave_out(self, taken: list[WorkerState], step: StepRun) -> None:
+    def exclude(self, taken: list[WorkerState], step: StepRun) -> None:
         """Give workers to no other step in this plan."""
         left = [worker for worker in self.workers if worker not in taken]
         if len(left) < len(self.workers):
-            self.kept.extend(Kept(w, step) for w in taken if w in self.workers)
+            self.reservations.extend(
+                Reservation(w, step) for w in taken if w in self.workers
+            )
             self.workers = left
-            self._part()
+            self._group_by_zone()
 
 
-def _less(room: Room, size: Room, count: int) -> Room:
+def _subtract(room: Room, size: Room, count: int) -> Room:
     """Return what some tasks of a size leave of a room."""
     return Room(
         room.cpu - count * size.cpu,
--- a/mustardward/components/scheduling/crashes.py
+++ b/mustardward/components/scheduling/crashes.py
@@ -27,7 +27,7 @@
     ISOLATION_WAIT_SECONDS,
     MAX_CRASHES,
 )
-from .losses import MOST_IN_LINE, LossCause
+from .losses import MAX_RUNS_PER_LINE, LossCause
 from .models import Job, Phase, StepRun, Task
 from .scheduler_state import SchedulerState
 from .worker_state import WorkerState
@@ -144,7 +144,9 @@
             worker=worker.id,
             born=worker.born,
             tasks=len(suspects),
-            suspects=",".join(encode_task(t.name) for t in suspects[:MOST_IN_LINE]),
+            suspects=",".join(
+                encode_task(t.name) for t in suspects[:MAX_RUNS_PER_LINE]
+            ),
         )
         self._recent.append(_Crash(now, worker.service, tuple(suspects)))
         for task in suspects:
--- a/mustardward/components/scheduling/inflow.py
+++ b/mustardward/components/scheduling/inflow.py
@@ -18,20 +18,20 @@
 WINDOW_SECONDS: Final = 0.75
 """Half of the time that an instance takes to come, and some 10 jobs of a quick turn."""
 
-FIRST_SECONDS: Final = 0.3
+MIN_RATE_SECONDS: Final = 0.3
 """Least time that a rate is told from: of a turn that has just begun, the first seven
 jobs tell it."""
 
-FEWEST: Final = 8
+MIN_ARRIVALS: Final = 8
 """Arrivals that a rate is told from at least, where so many came in RECENT_SECONDS: of
 a kind that comes four times a second, 0.75 s hold three, and tell next to nothing."""
 
 RECENT_SECONDS: Final = 3.0
-GAP_JOBS: Final = 2.0
+MAX_JOBS_PER_GAP: Final = 2.0
 """A rate is at most so many jobs in the time since the last one came: after a turn's
 end it falls within a second."""
 
-REMEMBERED: Final = 64
+MAX_ARRIVALS: Final = 64
 """Arrivals whose work makes up the mean. Sizes differ by factors: asked for by the
 work of the last few alone, one large job of a turn brought twice what it needed."""
 
@@ -69,8 +69,8 @@
 class _Arrivals:
     """Hold the last arrivals of one pool, the newest at the end."""
 
-    times: deque[float] = field(default_factory=lambda: deque(maxlen=REMEMBERED))
-    works: deque[Amount] = field(default_factory=lambda: deque(maxlen=REMEMBERED))
+    times: deque[float] = field(default_factory=lambda: deque(maxlen=MAX_ARRIVALS))
+    works: deque[Amount] = field(default_factory=lambda: deque(maxlen=MAX_ARRIVALS))
 
     def rate(self, now: float) -> float:
         """Return how many jobs a second come, told from the last ones."""
@@ -78,15 +78,17 @@
         first = now
         for at in reversed(self.times):
             age = now - at
-            if age >= RECENT_SECONDS or (age >= WINDOW_SECONDS and count >= FEWEST):
+            if age >= RECENT_SECONDS or (
+                age >= WINDOW_SECONDS and count >= MIN_ARRIVALS
+            ):
                 break
             count += 1
             first = at
         if count < 2:
             return 0.0
         gap = max(now - self.times[-1], 1e-9)
-        seen = (count - 1) / max(now - first, FIRST_SECONDS)
-        return min(seen, GAP_JOBS / gap)
+        seen = (count - 1) / max(now - first, MIN_RATE_SECONDS)
+        return min(seen, MAX_JOBS_PER_GAP / gap)
 
     def mean_work(self) -> Amount:
         """Return what a job asks for, as room times seconds."""
@@ -96,7 +98,7 @@
         return mean
 
 
-def _tell_no_rate(inflow: Inflow, /, service: str, now: float) -> Amount:
+def _forecast_nothing(inflow: Inflow, /, service: str, now: float) -> Amount:
     return Amount()
 
 
@@ -115,7 +117,7 @@
     @switchable(
         "arrivals-forecast",
         "instances for a turn are ordered by its first arrivals",
-        without=_tell_no_rate,
+        without=_forecast_nothing,
     )
     def rate(self, service: str, now: float) -> Amount:
         """Return the room that keeps up with the arrivals.
--- a/mustardward/components/scheduling/losses.py
+++ b/mustardward/components/scheduling/losses.py
@@ -13,7 +13,7 @@
 
 _LOGGER = get_logger(__name__)
 
-MOST_IN_LINE: Final = 32
+MAX_RUNS_PER_LINE: Final = 32
 """Runs that one line names."""
 
 
@@ -48,7 +48,7 @@
         draining=worker.draining,
         leaving=worker.leaving,
         tasks=len(runs),
-        runs=",".join(runs[:MOST_IN_LINE]),
+        runs=",".join(runs[:MAX_RUNS_PER_LINE]),
     )
 
 
--- a/mustardward/components/scheduling/placement.py
+++ b/mustardward/components/scheduling/placement.py
@@ -18,7 +18,7 @@
 SecondsLeft = Callable[[Task], float]
 RoomOf = Callable[[WorkerState], Room]
 
-MOST_IN_ROOM: Final = 1_000_000
+MAX_TASKS_PER_ROOM: Final = 1_000_000
 """Tasks that a room has place for if they take none."""
 
 
@@ -73,7 +73,7 @@
     """Return how many tasks of a size a room has place for."""
     pairs = ((room.cpu, size.cpu), (room.mem_mb, size.mem_mb), (room.gpu, size.gpu))
     counts = [have // need for have, need in pairs if need]
-    return max(0, min(counts, default=MOST_IN_ROOM))
+    return max(0, min(counts, default=MAX_TASKS_PER_ROOM))
 
 
 def seconds_to_room(worker: WorkerState, room: Room, left: SecondsLeft) -> float:
--- a/mustardward/components/scheduling/planner.py
+++ b/mustardward/components/scheduling/planner.py
@@ -8,6 +8,7 @@
 
 from ...platform.models import Room
 from .advice import check_advice
+from .candidates import Candidates
 from .crashes import (
     all_isolation_workers,
     awaits_evaluation,
@@ -15,8 +16,8 @@
     isolation_workers,
     take_suspects,
 )
+from .isolation import put_trials_first, seconds_to_empty
 from .models import StepRun, Task
-from .offers import Offers
 from .order import Capacity, Order, capacity_of, prioritise
 from .placement import (
     GangPlaces,
@@ -25,10 +26,9 @@
     choose_home,
     usable,
 )
-from .quota_waits import QuotaWaits
+from .quota_wait_logger import QuotaWaitLogger
 from .scheduler_state import SchedulerState
-from .trials import put_trials_first, seconds_to_empty
-from .waits import Reason, Waits, reason_elsewhere
+from .wait_tracker import Reason, WaitTracker, reason_elsewhere
 from .worker_state import WorkerState
 from .zones import Zones, promised_room
 
@@ -40,20 +40,20 @@
     state: SchedulerState
     zones: Zones
     order: Order | None = None
-    quota_waits: QuotaWaits = field(default_factory=QuotaWaits)
-    waits: Waits = field(default_factory=Waits)
+    quota_wait_logger: QuotaWaitLogger = field(default_factory=QuotaWaitLogger)
+    wait_tracker: WaitTracker = field(default_factory=WaitTracker)
     _starts_left: int = 0
     _turn: int = 0
 
-    def run(self, now: float, most_starts: int) -> None:
+    def run(self, now: float, max_starts: int) -> None:
         """Give the starts that are possible, up to a number of them."""
-        self._starts_left = most_starts
-        self.waits.begin(now, most_starts)
+        self._starts_left = max_starts
+        self.wait_tracker.begin_plan(now, max_starts)
         self.state.quotas.set_unseen(self._unseen(now))
         by_service: dict[str, list[StepRun]] = {}
         for step in self.state.ready.values():
             if step.waiting and not step.job.stored:
-                self.waits.note(step, Reason.NOT_STORED)
+                self.wait_tracker.record(step, Reason.NOT_STORED)
             elif step.waiting:
                 by_service.setdefault(step.job.policy.service, []).append(step)
         for service in self._in_turn(sorted(by_service)):
@@ -65,8 +65,10 @@
             if workers:
                 self._place(workers, by_service[service], now)
             else:
-                self.waits.note_all(by_service[service], Reason.NO_USABLE_WORKER)
-        self.quota_waits.flush(self.state.quotas, now)
+                self.wait_tracker.record_all(
+                    by_service[service], Reason.NO_USABLE_WORKER
+                )
+        self.quota_wait_logger.flush(self.state.quotas, now)
 
     def _in_turn(self, services: list[str]) -> list[str]:
         """Return the pools, another one first each time.
@@ -93,63 +95,68 @@
         ranked = prioritise(
             steps, now, self.state.estimates, self._capacity(workers, now), self.order
         )
-        apart = all_isolation_workers(self.state.suspects.values())
-        offers = Offers([worker for worker in workers if worker.id not in apart], apart)
-        if len(offers.workers) == len(workers):
+        isolation_ids = all_isolation_workers(self.state.suspects.values())
+        candidates = Candidates(
+            [worker for worker in workers if worker.id not in isolation_ids],
+            isolation_ids,
+        )
+        if len(candidates.workers) == len(workers):
             # One trial at a time goes before what ranks first.
             ranked = put_trials_first(ranked, now)
         promised = promised_room(steps)
         for number, step in enumerate(ranked):
             if self._starts_left <= 0:
-                self.waits.note_all(ranked[number:], Reason.STARTS_USED_UP)
+                self.wait_tracker.record_all(ranked[number:], Reason.STARTS_USED_UP)
                 return
             if self.state.is_held_after_takeover(step.job, now):
-                self.waits.note(step, Reason.HELD_AFTER_TAKEOVER)
+                self.wait_tracker.record(step, Reason.HELD_AFTER_TAKEOVER)
                 continue
             if awaits_evaluation(step.job):
-                self.waits.note(step, Reason.AWAITS_EVALUATION)
+                self.wait_tracker.record(step, Reason.AWAITS_EVALUATION)
                 continue
             suspects = take_suspects(step)
             if suspects:
-                self._place_apart(step, suspects, workers, offers, now)
+                self._place_apart(step, suspects, workers, candidates, now)
             if step.waiting:
-                self._place_among_others(step, offers, promised, now)
+                self._place_among_others(step, candidates, promised, now)
             if suspects:
                 self.state.return_to_queue(step, suspects)
 
     def _place_among_others(
-        self, step: StepRun, offers: Offers, promised: Counter[str], now: float
+        self, step: StepRun, candidates: Candidates, promised: Counter[str], now: float
     ) -> None:
-        if not offers.workers:
-            self.waits.note(step, Reason.KEPT_FOR_OTHERS, offers)
+        if not candidates.workers:
+            self.wait_tracker.record(step, Reason.RESERVED_FOR_OTHERS, candidates)
             return
-        if offers.fits_nowhere(step):
-            self.waits.note(step, Reason.FITS_NOWHERE, offers)
+        if candidates.is_oversized(step):
+            self.wait_tracker.record(step, Reason.FITS_NOWHERE, candidates)
             return
-        allowed = offers.of(step.job.stored_zones)
+        allowed = candidates.in_zones(step.job.stored_zones)
         if not self._may_start(step, allowed, now):
             return
         if step.spec.gang:
             self._place_gang(step, allowed, now)
             return
-        if offers.may_fit(step) and self._place_tasks(step, allowed, now):
+        if candidates.may_fit(step) and self._place_tasks(step, allowed, now):
             return
         if step.spec.long_running:
             # A task that lasts would wait for ever while shorter ones take each hole.
-            offers.keep_for_lasting(step, self.state.estimates.left_at(now))
-            self.waits.note(step, Reason.NO_ROOM, offers)
+            candidates.reserve_for_long_running(step, self.state.estimates.left_at(now))
+            self.wait_tracker.record(step, Reason.NO_ROOM, candidates)
             return
-        elsewhere = self.zones.widen(step, offers.by_zone, promised)
-        self.waits.note(step, reason_elsewhere(step, elsewhere), offers, promised)
+        elsewhere = self.zones.widen(step, candidates.by_zone, promised)
+        self.wait_tracker.record(
+            step, reason_elsewhere(step, elsewhere), candidates, promised
+        )
         if not _restricted(step):
-            offers.note_full(step, everywhere=not elsewhere)
+            candidates.record_full(step, everywhere=not elsewhere)
 
     def _place_apart(
         self,
         step: StepRun,
         suspects: list[Task],
         workers: list[WorkerState],
-        offers: Offers,
+        candidates: Candidates,
         now: float,
     ) -> None:
         """Place suspected tasks where a crash ends no other job's."""
@@ -168,13 +175,13 @@
             all_fit = self._place_each(step, suspects, free, one_worker, now)
         used = isolation_workers(step.job)
         if used:
-            offers.leave_out([w for w in free if w.id in used], step)
+            candidates.exclude([w for w in free if w.id in used], step)
         if all_fit:
             return
-        self.waits.note(step, Reason.SUSPECTS_WAIT)
+        self.wait_tracker.record(step, Reason.SUSPECTS_WAIT)
         if not (one_worker and used):
             job, left = step.job, self.state.estimates.left_at(now)
-            offers.keep_to_empty(
+            candidates.reserve_emptying_worker(
                 step, suspects, free, lambda w: seconds_to_empty(w, job, left, now)
             )
 
@@ -241,7 +248,7 @@
         """Return whether this plan may still start something."""
         if self._starts_left > 0:
             return True
-        self.waits.note(step, Reason.STARTS_USED_UP)
+        self.wait_tracker.record(step, Reason.STARTS_USED_UP)
         return False
 
     def _within_quota(self, step: StepRun) -> bool:
@@ -251,19 +258,19 @@
         organisation = step.job.organisation
         if self.state.quotas.allows(organisation, step.requested, count):
             return True
-        self.quota_waits.note(organisation, max(count, len(step.waiting)))
-        self.waits.note(step, Reason.QUOTA)
+        self.quota_wait_logger.note(organisation, max(count, len(step.waiting)))
+        self.wait_tracker.record(step, Reason.QUOTA)
         return False
 
     def _place_gang(
         self, step: StepRun, workers: list[WorkerState], now: float
     ) -> None:
         if step.active or len(step.waiting) != len(step.tasks):
-            self.waits.note(step, Reason.GANG_INCOMPLETE)
+            self.wait_tracker.record(step, Reason.GANG_INCOMPLETE)
             return
         placed = choose_gang(workers, step, step.waiting)
         if placed is None:
-            self.waits.note(step, Reason.GANG_HAS_NO_ROOM)
+            self.wait_tracker.record(step, Reason.GANG_HAS_NO_ROOM)
         else:
             step.waiting.clear()
         self._start_gang(placed, now)
@@ -282,7 +289,7 @@
     ) -> bool:
         if check_advice(self.state, step, workers, now):
             return True
-        self.waits.note(step, Reason.ADVICE_UNANSWERED)
+        self.wait_tracker.record(step, Reason.ADVICE_UNANSWERED)
         return False
 
 
--- a/mustardward/components/scheduling/quota_waits.py
+++ b/mustardward/components/scheduling/quota_wait_logger.py
@@ -13,16 +13,16 @@
 
 _LOGGER = get_logger(__name__)
 
-TELL_SECONDS: Final = 1.0
+QUOTA_LOG_INTERVAL_SECONDS: Final = 1.0
 """Interval of an organisation's lines; plans are made a hundred times as often."""
 
 
 @dataclass(slots=True, eq=False)
-class QuotaWaits:
+class QuotaWaitLogger:
     """Gather what a plan held back."""
 
     _waiting: Counter[str] = field(default_factory=Counter)
-    _told_at: dict[str, float] = field(default_factory=dict)
+    _logged_at: dict[str, float] = field(default_factory=dict)
 
     def note(self, organisation: str, tasks: int) -> None:
         """Take in that tasks wait for their organisation's quota."""
@@ -31,9 +31,12 @@
     def flush(self, quotas: Quotas, now: float) -> None:
         """Write the lines that are due."""
         for organisation, tasks in self._waiting.items():
-            if now - self._told_at.get(organisation, -math.inf) < TELL_SECONDS:
+            if (
+                now - self._logged_at.get(organisation, -math.inf)
+                < QUOTA_LOG_INTERVAL_SECONDS
+            ):
                 continue
-            self._told_at[organisation] = now
+            self._logged_at[organisation] = now
             used = quotas.used(organisation)
             quota = quotas.quota_of(organisation)
             QUOTA_WAITS.labels(organisation).inc()
--- a/mustardward/components/scheduling/reports.py
+++ b/mustardward/components/scheduling/reports.py
@@ -20,13 +20,13 @@
 from .health import Health
 from .intake import Intake
 from .models import ACTIVE, Phase, Task
-from .run_lines import RunLines
+from .run_logger import RunLogger
 from .scheduler_state import SchedulerState
 from .worker_state import WorkerState
 
 _LOGGER = get_logger(__name__)
 
-MOST_ENDS = 500
+MAX_LISTED_ENDS = 500
 ROOM_PAUSE_SECONDS = 0.1
 UNHEALTHY_PAUSE_SECONDS = 0.5
 
@@ -38,7 +38,7 @@
     state: SchedulerState
     intake: Intake
     health: Health
-    lines: RunLines = field(default_factory=RunLines)
+    run_logger: RunLogger = field(default_factory=RunLogger)
 
     def apply_hold(
         self, worker: WorkerState, answer: HoldAnswer, sent_at: float, now: float
@@ -55,7 +55,7 @@
         for row in answer.running:
             listed.add((row.task, row.run))
             self._running(worker, row, sent_at, now)
-        if len(answer.ended) < MOST_ENDS:
+        if len(answer.ended) < MAX_LISTED_ENDS:
             self._missing(worker, listed, sent_at, now)
         worker.confirmed = True
         worker.stale = False
@@ -77,7 +77,7 @@
             task.percent_since = now
             waited = now - task.ready_since
             expected = self.state.estimates.seconds(task.step)
-            self.lines.started(task, task.worker, waited, expected)
+            self.run_logger.started(task, task.worker, waited, expected)
             return
         worker = task.worker
         if reason == REFUSED_ROOM:
@@ -128,7 +128,7 @@
         if task is None or task.phase is Phase.DONE:
             return
         own = task.worker is worker and task.run == ended.run and task.phase in ACTIVE
-        self.lines.ended(worker, ended, own)
+        self.run_logger.ended(worker, ended, own)
         self.state.mark_started(task.step.job)
         if ended.how == ENDED_DONE:
             self._done(worker, task, own, now)
--- a/mustardward/components/scheduling/run_lines.py
+++ b/mustardward/components/scheduling/run_logger.py
@@ -18,14 +18,14 @@
 
 _LOGGER = get_logger(__name__)
 
-MOST_IN_LINE: Final = 32
+MAX_RUNS_PER_LINE: Final = 32
 """Runs that one line tells of: some 1,300 characters."""
 
 Key = tuple[str, str]
 
 
 @dataclass(slots=True)
-class RunLines:
+class RunLogger:
     """Gather what is to be told, by event and job.
 
     :param started_count: runs that were told as started, since the begin.
@@ -55,8 +55,8 @@
     def flush(self) -> None:
         """Write a line for each event and job."""
         for (event, job), runs in self._gathered.items():
-            for first in range(0, len(runs), MOST_IN_LINE):
-                part = runs[first : first + MOST_IN_LINE]
+            for first in range(0, len(runs), MAX_RUNS_PER_LINE):
+                part = runs[first : first + MAX_RUNS_PER_LINE]
                 _LOGGER.info(event, job=job, count=len(part), runs=",".join(part))
         self._gathered.clear()
 
--- a/mustardward/components/scheduling/scheduler.py
+++ b/mustardward/components/scheduling/scheduler.py
@@ -33,7 +33,7 @@
 from .reports import Reports
 from .scheduler_state import PolicyLookup, SchedulerState
 from .shares import RateLookup, RateShares, unlimited_rate
-from .wait_lines import WaitLines
+from .wait_logger import WaitLogger
 from .worker_entries import WorkerEntries
 from .zones import Zones
 
@@ -72,7 +72,7 @@
         self._crashes = Crashes(self.state)
         self._evacuation = Evacuation(self.state)
         self._planner = Planner(self.state, self._zones, ORDERS.get(order))
-        self.waits = WaitLines(self.state, self._planner.waits)
+        self.wait_logger = WaitLogger(self.state, self._planner.wait_tracker)
         self._ending: dict[str, Job] = {}
         self._next_check_at = -math.inf
 
@@ -188,11 +188,11 @@
         step.advice_requested_until = 0.0
 
     def plan(
-        self, now: float, wall: float, most_starts: int = sys.maxsize
+        self, now: float, wall: float, max_starts: int = sys.maxsize
     ) -> list[Command]:
         """Return the commands that are due.
 
-        :param most_starts: starts that can be carried out soon; no more are decided.
+        :param max_starts: starts that can be carried out soon; no more are decided.
         """
         self.intake.open_due(now, wall)
         self.entries.check(now)
@@ -202,9 +202,9 @@
             self._stop_stuck(now)
             self._crashes.evaluate(now)
             self.pacing.run(now)
-        self._planner.run(now, most_starts)
+        self._planner.run(now, max_starts)
         self._forget_ended()
-        self.reports.lines.flush()
+        self.reports.run_logger.flush()
         return self.state.take_commands()
 
     def take_dirty(self, now: float, wall: float) -> list[tuple[str, Progress]]:
@@ -215,7 +215,7 @@
         for job_id, job in dirty.items():
             job.pending_zones = job.zones
             job.crashes_in_record = job.crashes_counted
-            self.waits.sent(job_id, now)
+            self.wait_logger.record_sent(job_id, now)
             if job.state.final and job_id not in self._ending:
                 self._ending[job_id] = job
                 self._zones.forget(job)
--- a/mustardward/components/scheduling/wait_inputs.py
+++ b/mustardward/components/scheduling/wait_inputs.py
@@ -11,17 +11,17 @@
 from .advice import ADVICE_TIMEOUT_SECONDS
 from .crashes import isolation_workers, needs_isolation
 from .models import Phase, StepRun
-from .wait_views import Wait
-from .waits import Reason
+from .wait_context import WaitContext
+from .wait_tracker import Reason
 from .worker_state import WorkerState
 
-MOST_NAMED: Final = 8
+MAX_NAMES: Final = 8
 """Workers, jobs or data centres that one pair names."""
 
 Inputs = dict[str, LogValue]
 
 
-_FAULTS: Final[dict[str, Callable[[WorkerState, float], bool]]] = {
+_UNUSABLE_CONDITIONS: Final[dict[str, Callable[[WorkerState, float], bool]]] = {
     "absent": lambda worker, now: worker.absent,
     "draining": lambda worker, now: worker.draining,
     "leaving": lambda worker, now: worker.leaving,
@@ -33,17 +33,19 @@
 }
 """What makes a worker unusable, in the terms of ``placement.usable``."""
 
-INPUTS: Final[Registry[Reason, Callable[[Wait], Inputs]]] = Registry("wait inputs")
+INPUTS: Final[Registry[Reason, Callable[[WaitContext], Inputs]]] = Registry(
+    "wait inputs"
+)
 
 
-def inputs_of(wait: Wait, reason: Reason) -> Inputs:
+def inputs_of(wait: WaitContext, reason: Reason) -> Inputs:
     """Return the inputs of a reason."""
     describe = INPUTS.get(reason)
     return describe(wait) if describe is not None else {}
 
 
 @INPUTS.register(Reason.NOT_STORED)
-def _storing(wait: Wait) -> Inputs:
+def _storing(wait: WaitContext) -> Inputs:
     job = wait.step.job
     return {
         "dirty": job.record.id in wait.state.dirty,
@@ -53,11 +55,11 @@
 
 
 @INPUTS.register(Reason.NO_USABLE_WORKER)
-def _unusable(wait: Wait) -> Inputs:
+def _unusable(wait: WaitContext) -> Inputs:
     """Count the workers with room by what makes them unusable; one may have several."""
     counts = {
-        name: sum(is_faulty(worker, wait.now) for worker in wait.with_room)
-        for name, is_faulty in _FAULTS.items()
+        name: sum(condition(worker, wait.now) for worker in wait.with_room)
+        for name, condition in _UNUSABLE_CONDITIONS.items()
     }
     named = ",".join(f"{name}:{count}" for name, count in counts.items() if count)
     heard = [w.reported_at for w in wait.with_room if w.reported_at]
@@ -68,12 +70,12 @@
 
 
 @INPUTS.register(Reason.STARTS_USED_UP)
-def _starts(wait: Wait) -> Inputs:
-    return {"most_starts": wait.waits.most_starts}
+def _starts(wait: WaitContext) -> Inputs:
+    return {"most_starts": wait.wait_tracker.max_starts}
 
 
 @INPUTS.register(Reason.HELD_AFTER_TAKEOVER)
-def _held(wait: Wait) -> Inputs:
+def _takeover_hold(wait: WaitContext) -> Inputs:
     state = wait.state
     where = wait.step.job.stored_zones
     zones = where if where is not None else {w.zone for w in state.workers.values()}
@@ -86,7 +88,7 @@
 
 
 @INPUTS.register(Reason.AWAITS_EVALUATION)
-def _judgement(wait: Wait) -> Inputs:
+def _judgement(wait: WaitContext) -> Inputs:
     job = wait.step.job
     dates = [
         t.evaluation_due_at
@@ -102,7 +104,7 @@
 
 
 @INPUTS.register(Reason.SUSPECTS_WAIT)
-def _suspects(wait: Wait) -> Inputs:
+def _suspects(wait: WaitContext) -> Inputs:
     step = wait.step
     free = [
         worker.id
@@ -117,39 +119,43 @@
     }
 
 
-@INPUTS.register(Reason.KEPT_FOR_OTHERS)
-def _kept(wait: Wait) -> Inputs:
-    kept = wait.kept
-    apart = [step for step in kept.values() if any(map(needs_isolation, step.tasks))]
+@INPUTS.register(Reason.RESERVED_FOR_OTHERS)
+def _reserved(wait: WaitContext) -> Inputs:
+    reserved = wait.reserved
+    for_suspects = [
+        step for step in reserved.values() if any(map(needs_isolation, step.tasks))
+    ]
     return {
-        "kept": len(kept),
-        "kept_for_suspects": len(apart),
-        "kept_for_lasting": len(kept) - len(apart),
-        "kept_for": _named(f"{w}:{s.job.record.id}" for w, s in kept.items()),
+        "kept": len(reserved),
+        "kept_for_suspects": len(for_suspects),
+        "kept_for_lasting": len(reserved) - len(for_suspects),
+        "kept_for": _named(f"{w}:{s.job.record.id}" for w, s in reserved.items()),
     }
 
 
 @INPUTS.register(Reason.FITS_NOWHERE)
-def _nowhere(wait: Wait) -> Inputs:
-    offers = wait.held.offers if wait.held is not None else None
-    other = offers.found_by(wait.step) if offers is not None else None
+def _nowhere(wait: WaitContext) -> Inputs:
+    candidates = wait.decision.candidates if wait.decision is not None else None
+    other = (
+        candidates.find_oversized_step(wait.step) if candidates is not None else None
+    )
     if other is None:
-        return _kept(wait)
+        return _reserved(wait)
     room = other.room
-    held = wait.waits.of(other)
+    decision = wait.wait_tracker.get(other)
     return {
         "found_by": other.job.record.id,
-        "found_reason": held.reason.value if held is not None else None,
+        "found_reason": decision.reason.value if decision is not None else None,
         "found_zones": _named(other.job.stored_zones),
         "found_cpu": room.cpu,
         "found_mb": room.mem_mb,
         "found_gpu": room.gpu,
-        **_kept(wait),
+        **_reserved(wait),
     }
 
 
 @INPUTS.register(Reason.ADVICE_UNANSWERED)
-def _advice(wait: Wait) -> Inputs:
+def _advice(wait: WaitContext) -> Inputs:
     step = wait.step
     asked = (
         step.advice_requested_until - ADVICE_TIMEOUT_SECONDS
@@ -163,7 +169,7 @@
 
 
 @INPUTS.register(Reason.QUOTA)
-def _quota(wait: Wait) -> Inputs:
+def _quota(wait: WaitContext) -> Inputs:
     organisation = wait.step.job.organisation
     quotas = wait.state.quotas
     quota = quotas.quota_of(organisation)
@@ -184,7 +190,7 @@
 
 
 @INPUTS.register(Reason.GANG_INCOMPLETE)
-def _members(wait: Wait) -> Inputs:
+def _members(wait: WaitContext) -> Inputs:
     phases = Counter(task.phase.value for task in wait.step.tasks)
     return {
         "members": ",".join(f"{phase}:{n}" for phase, n in sorted(phases.items())),
@@ -192,7 +198,7 @@
 
 
 @INPUTS.register(Reason.GANG_HAS_NO_ROOM)
-def _gang(wait: Wait) -> Inputs:
+def _gang(wait: WaitContext) -> Inputs:
     spec = wait.step.spec
     return {
         "members": len(wait.step.tasks),
@@ -203,12 +209,12 @@
 
 
 @INPUTS.register(Reason.NO_ROOM)
-def _room(wait: Wait) -> Inputs:
-    return {**_zones(wait), **_kept(wait)}
+def _room(wait: WaitContext) -> Inputs:
+    return {**_zones(wait), **_reserved(wait)}
 
 
 @INPUTS.register(Reason.ZONE_BEING_STORED)
-def _next_zone(wait: Wait) -> Inputs:
+def _next_zone(wait: WaitContext) -> Inputs:
     job = wait.step.job
     return {
         **_zones(wait),
@@ -219,11 +225,11 @@
 
 
 @INPUTS.register(Reason.ROOM_PROMISED)
-def _promised(wait: Wait) -> Inputs:
+def _promised(wait: WaitContext) -> Inputs:
     free: Counter[str] = Counter()
     for worker in wait.allowed:
         free[worker.zone] += worker.free_cpu
-    promised = wait.held.promised if wait.held is not None else None
+    promised = wait.decision.promised if wait.decision is not None else None
     return {
         **_zones(wait),
         "free": _named(f"{zone}:{cpu}" for zone, cpu in free.items()),
@@ -232,7 +238,7 @@
 
 
 @INPUTS.register(Reason.RULES)
-def _rules(wait: Wait) -> Inputs:
+def _rules(wait: WaitContext) -> Inputs:
     step = wait.step
     label = step.spec.required_label
     most = step.spec.max_per_server
@@ -250,7 +256,7 @@
     }
 
 
-def _zones(wait: Wait) -> Inputs:
+def _zones(wait: WaitContext) -> Inputs:
     job = wait.step.job
     return {"zones": _named(job.zones), "open_zones": _named(job.stored_zones)}
 
@@ -260,8 +266,8 @@
     names = sorted(names or ())
     if not names:
         return None
-    more = [f"+{len(names) - MOST_NAMED}"] if len(names) > MOST_NAMED else []
-    return ",".join([*names[:MOST_NAMED], *more])
+    more = [f"+{len(names) - MAX_NAMES}"] if len(names) > MAX_NAMES else []
+    return ",".join([*names[:MAX_NAMES], *more])
 
 
 def _since(at: float | None, now: float) -> float | None:
--- a/mustardward/components/scheduling/wait_lines.py
+++ b/mustardward/components/scheduling/wait_logger.py
@@ -12,23 +12,23 @@
 from ...platform.workers import encode_task
 from .models import Job, Phase, StepRun, Task
 from .scheduler_state import SchedulerState
+from .wait_context import WaitContext, refine_reason
 from .wait_inputs import inputs_of, phases_of
-from .wait_views import Wait, settle
-from .waits import Held, Reason, Waits
+from .wait_tracker import Reason, WaitDecision, WaitTracker
 from .worker_state import WorkerState
 
 _LOGGER = get_logger(__name__)
 
-WAIT_TOLD_SECONDS: Final = 3.0
+WAIT_LOG_AFTER_SECONDS: Final = 3.0
 """A wait, or an order without an end, that is longer than this is told."""
 
-TELL_AGAIN_SECONDS: Final = 5.0
+WAIT_LOG_INTERVAL_SECONDS: Final = 5.0
 """Shortest time between two lines of a step."""
 
-MOST_LINES: Final = 20
+MAX_LINES: Final = 20
 """Lines of one look; the oldest waits come first, the others are counted."""
 
-MOST_WORKERS: Final = 4000
+MAX_WORKERS_SCANNED: Final = 4000
 """Workers that one look goes over for its lines: it is to hold the owner up for some
 milliseconds at most, also where a pool has thousands."""
 
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Found:
+class _WaitingStep:
     """Hold a step that is to be told.
 
     :param reason: why it waits, as far as that is known without a look at its pool.
@@ -55,95 +55,101 @@
     step: StepRun
     reason: Reason
     seconds: float
-    held: Held | None
+    decision: WaitDecision | None
     order: _Order | None
 
 
 @dataclass(frozen=True, slots=True)
-class _Told:
+class _LoggedWait:
     """Hold when a step was told, the reason that its plan gave and the one told."""
 
     at: float
     reason: Reason
-    settled: Reason
+    refined_reason: Reason
 
 
 @dataclass(slots=True, eq=False)
-class WaitLines:
+class WaitLogger:
     """Look at all steps once in a while."""
 
     state: SchedulerState
-    waits: Waits
-    _sent: dict[str, float] = field(default_factory=dict)
-    _told: dict[StepRun, _Told] = field(default_factory=dict)
-    _since: dict[Task, tuple[Phase, int, float]] = field(default_factory=dict)
+    wait_tracker: WaitTracker
+    _record_sent_at: dict[str, float] = field(default_factory=dict)
+    _logged: dict[StepRun, _LoggedWait] = field(default_factory=dict)
+    _phase_since: dict[Task, tuple[Phase, int, float]] = field(default_factory=dict)
 
-    def sent(self, job_id: str, now: float) -> None:
+    def record_sent(self, job_id: str, now: float) -> None:
         """Take in that a job's record leaves for the log."""
-        self._sent[job_id] = now
+        self._record_sent_at[job_id] = now
 
-    def tell(self, now: float) -> None:
+    def log_due(self, now: float) -> None:
         """Write the lines that are due, and bring counter and gauge up to date."""
-        self.waits.forget()
-        self._sent = {k: at for k, at in self._sent.items() if k in self.state.jobs}
-        self._told = {
-            step: told
-            for step, told in self._told.items()
-            if now - told.at < TELL_AGAIN_SECONDS
+        self.wait_tracker.prune()
+        self._record_sent_at = {
+            k: at for k, at in self._record_sent_at.items() if k in self.state.jobs
         }
-        found = sorted(self._find(now), key=lambda item: -item.seconds)
-        due = [item for item in found if item.step not in self._told]
-        written = self._write_some(due, now)
+        self._logged = {
+            step: logged
+            for step, logged in self._logged.items()
+            if now - logged.at < WAIT_LOG_INTERVAL_SECONDS
+        }
+        found = sorted(self._find_waiting(now), key=lambda item: -item.seconds)
+        due = [item for item in found if item.step not in self._logged]
+        written = self._log_first(due, now)
         if written < len(due):
             _LOGGER.info("task_waits_untold", count=len(due) - written)
         for item in found:
-            TASK_WAITS.labels(self._settled(item).value).inc()
+            TASK_WAITS.labels(self._refined_reason(item).value).inc()
         OLDEST_WAIT_SECONDS.set(found[0].seconds if found else 0.0)
 
-    def _write_some(self, due: list[_Found], now: float) -> int:
+    def _log_first(self, due: list[_WaitingStep], now: float) -> int:
         """Write the first lines; return how many."""
         looked_at = 0
-        for number, item in enumerate(due[:MOST_LINES]):
-            if looked_at >= MOST_WORKERS:
+        for number, item in enumerate(due[:MAX_LINES]):
+            if looked_at >= MAX_WORKERS_SCANNED:
                 return number
-            looked_at += self._write(item, now)
-        return min(len(due), MOST_LINES)
+            looked_at += self._log_wait(item, now)
+        return min(len(due), MAX_LINES)
 
-    def _settled(self, item: _Found) -> Reason:
-        told = self._told.get(item.step)
-        if told is None or told.reason is not item.reason:
+    def _refined_reason(self, item: _WaitingStep) -> Reason:
+        logged = self._logged.get(item.step)
+        if logged is None or logged.reason is not item.reason:
             return item.reason
-        return told.settled
+        return logged.refined_reason
 
-    def _find(self, now: float) -> Iterator[_Found]:
-        pools = self._pools()
-        orders = self._orders(now)
+    def _find_waiting(self, now: float) -> Iterator[_WaitingStep]:
+        pools = self._free_rooms_by_pool()
+        orders = self._overdue_orders(now)
         for job in self.state.jobs.values():
             for step in job.steps.values():
                 order = orders.get(step)
                 if order is None and not (step.open and _has_room(pools, step)):
                     continue
                 waited = _waited(job, step, now)
-                if waited > WAIT_TOLD_SECONDS and _has_room(pools, step):
-                    held = self.waits.of(step)
-                    reason = self._reason(step, held, now)
-                    yield _Found(step, reason, waited, held, order)
+                if waited > WAIT_LOG_AFTER_SECONDS and _has_room(pools, step):
+                    decision = self.wait_tracker.get(step)
+                    reason = self._reason(step, decision, now)
+                    yield _WaitingStep(step, reason, waited, decision, order)
                 elif order is not None:
                     seconds = now - order.since
-                    yield _Found(step, Reason.UNFINISHED_ORDER, seconds, None, order)
+                    yield _WaitingStep(
+                        step, Reason.UNFINISHED_ORDER, seconds, None, order
+                    )
 
-    def _reason(self, step: StepRun, held: Held | None, now: float) -> Reason:
+    def _reason(
+        self, step: StepRun, decision: WaitDecision | None, now: float
+    ) -> Reason:
         if not step.waiting:
             return Reason.OFF_QUEUE
-        if now - self.waits.planned_at > PLAN_MISSING_SECONDS:
+        if now - self.wait_tracker.planned_at > PLAN_MISSING_SECONDS:
             return Reason.NOT_PLANNED
-        if held is not None:
-            return held.reason
+        if decision is not None:
+            return decision.reason
         if id(step) not in self.state.ready:
             return Reason.NOT_READY
         return Reason.NOT_NOTED
 
-    def _pools(self) -> dict[str, list[Room]]:
+    def _free_rooms_by_pool(self) -> dict[str, list[Room]]:
         """Return the largest rooms of each pool's workers that are listed."""
         pools: dict[str, list[WorkerState]] = {}
         for worker in self.state.workers.values():
@@ -151,24 +157,24 @@
                 pools.setdefault(worker.service, []).append(worker)
         return {service: _largest(workers) for service, workers in pools.items()}
 
-    def _orders(self, now: float) -> dict[StepRun, _Order]:
+    def _overdue_orders(self, now: float) -> dict[StepRun, _Order]:
         """Return each step's task whose order has not ended for too long."""
-        before = self._since
-        self._since = {}
+        before = self._phase_since
+        self._phase_since = {}
         oldest: dict[StepRun, _Order] = {}
-        for task in self._between():
+        for task in self._tasks_in_transition():
             phase, run, since = before.get(task, (None, 0, 0.0))
             if phase is not task.phase or run != task.run:
                 since = task.started_at if task.phase is Phase.STARTING else now
-            self._since[task] = (task.phase, task.run, since)
-            if now - since <= WAIT_TOLD_SECONDS:
+            self._phase_since[task] = (task.phase, task.run, since)
+            if now - since <= WAIT_LOG_AFTER_SECONDS:
                 continue
             known = oldest.get(task.step)
             if known is None or since < known.since:
                 oldest[task.step] = _Order(task, since)
         return oldest
 
-    def _between(self) -> Iterator[Task]:
+    def _tasks_in_transition(self) -> Iterator[Task]:
         """Yield the tasks that are being started or stopped."""
         for job in self.state.jobs.values():
             for step in job.steps.values():
@@ -183,23 +189,23 @@
                     ):
                         yield task
 
-    def _write(self, item: _Found, now: float) -> int:
+    def _log_wait(self, item: _WaitingStep, now: float) -> int:
         """Write a line; return how many workers were looked at for it."""
         step = item.step
         job = step.job
         workers = self.state.workers.values()
         service = job.policy.service
-        wait = Wait(
+        wait = WaitContext(
             step,
-            item.held,
+            item.decision,
             self.state,
-            self.waits,
+            self.wait_tracker,
             [worker for worker in workers if worker.service == service],
-            self._sent.get(job.record.id),
+            self._record_sent_at.get(job.record.id),
             now,
         )
-        reason = settle(wait, item.reason)
-        self._told[step] = _Told(now, item.reason, reason)
+        reason = refine_reason(wait, item.reason)
+        self._logged[step] = _LoggedWait(now, item.reason, reason)
         _LOGGER.info(
             "task_waiting",
             job=job.record.id,
@@ -208,8 +214,10 @@
             reason=reason.value,
             seconds=item.seconds,
             **phases_of(step),
-            reason_seconds=now - item.held.since if item.held is not None else None,
-            plan_seconds=now - self.waits.planned_at,
+            reason_seconds=now - item.decision.since
+            if item.decision is not None
+            else None,
+            plan_seconds=now - self.wait_tracker.planned_at,
             cpu=step.room.cpu,
             mem_mb=step.room.mem_mb,
             gpu=step.room.gpu,
@@ -218,7 +226,7 @@
             able=len(wait.able),
             allowed=len(wait.allowed),
             **inputs_of(wait, reason),
-            **_order_pairs(item.order, now),
+            **_order_fields(item.order, now),
         )
         return len(wait.workers)
 
@@ -252,7 +260,7 @@
     )
 
 
-def _order_pairs(order: _Order | None, now: float) -> dict[str, LogValue]:
+def _order_fields(order: _Order | None, now: float) -> dict[str, LogValue]:
     """Return what is known of the order that has not ended for longest."""
     if order is None:
         return {}
@@ -265,7 +273,7 @@
         "order_seconds": now - order.since,
         "order_run": task.run,
         "order_worker": worker.id if worker is not None else None,
-        "order_sent": task.sent,
+        "order_sent": task.record_sent,
         "stop_acknowledged": stopped_at is not None,
         "acknowledged_seconds": now - stopped_at if stopped_at is not None else None,
         "worker_heard_seconds": now - worker.reported_at
--- a/mustardward/components/scheduling/waits.py
+++ b/mustardward/components/scheduling/wait_tracker.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
+from .candidates import Candidates
 from .models import StepRun
-from .offers import Offers
 
 
 class Reason(Enum):
@@ -21,7 +21,7 @@
     HELD_AFTER_TAKEOVER = "held-after-takeover"
     AWAITS_EVALUATION = "awaits-judgement"
     SUSPECTS_WAIT = "suspects-wait-for-own-worker"
-    KEPT_FOR_OTHERS = "workers-kept-for-others"
+    RESERVED_FOR_OTHERS = "workers-kept-for-others"
     FITS_NOWHERE = "as-large-as-what-fits-nowhere"
     ADVICE_UNANSWERED = "advice-unanswered"
     QUOTA = "quota"
@@ -39,12 +39,12 @@
 
 
 @dataclass(slots=True, eq=False)
-class Held:
+class WaitDecision:
     """Hold what the planner decided on a step.
 
     :param since: of the first plan in a row that gave this reason; steady seconds.
     :param plan: the number of the last one.
-    :param offers: what the pool still offered, if the reason came from there.
+    :param candidates: what the pool still offered, if the reason came from there.
     :param promised: room given away by data centre in that plan, in thousandths of a
         core, if the reason came from there.
     """
@@ -52,59 +52,69 @@
     reason: Reason
     since: float
     plan: int
-    offers: Offers | None = None
+    candidates: Candidates | None = None
     promised: Counter[str] | None = None
 
 
 @dataclass(slots=True, eq=False)
-class Waits:
+class WaitTracker:
     """Take in what each plan let pass; the newest reason of a plan stands.
 
     :param planned_at: when the last plan was made; steady seconds.
-    :param most_starts: how many starts it could decide.
+    :param max_starts: how many starts it could decide.
     """
 
     planned_at: float = -math.inf
-    most_starts: int = 0
+    max_starts: int = 0
     _plan: int = 0
-    _held: dict[StepRun, Held] = field(default_factory=dict)
+    _decisions: dict[StepRun, WaitDecision] = field(default_factory=dict)
 
-    def begin(self, now: float, most_starts: int) -> None:
+    def begin_plan(self, now: float, max_starts: int) -> None:
         """Take in that a plan begins."""
         self._plan += 1
         self.planned_at = now
-        self.most_starts = most_starts
+        self.max_starts = max_starts
 
-    def note(
+    def record(
         self,
         step: StepRun,
         reason: Reason,
-        offers: Offers | None = None,
+        candidates: Candidates | None = None,
         promised: Counter[str] | None = None,
     ) -> None:
         """Take in that a step waits on, and why."""
-        held = self._held.get(step)
-        if held is None or held.reason is not reason or held.plan < self._plan - 1:
+        decision = self._decisions.get(step)
+        if (
+            decision is None
+            or decision.reason is not reason
+            or decision.plan < self._plan - 1
+        ):
             since = self.planned_at
-            self._held[step] = Held(reason, since, self._plan, offers, promised)
+            self._decisions[step] = WaitDecision(
+                reason, since, self._plan, candidates, promised
+            )
             return
-        held.plan = self._plan
-        held.offers = offers
-        held.promised = promised
+        decision.plan = self._plan
+        decision.candidates = candidates
+        decision.promised = promised
 
-    def note_all(self, steps: Iterable[StepRun], reason: Reason) -> None:
+    def record_all(self, steps: Iterable[StepRun], reason: Reason) -> None:
         """Take in that steps wait on for one reason."""
         for step in steps:
-            self.note(step, reason)
+            self.record(step, reason)
 
-    def of(self, step: StepRun) -> Held | None:
+    def get(self, step: StepRun) -> WaitDecision | None:
         """Return why the last plan let a step pass, or None if it did not."""
-        held = self._held.get(step)
-        return held if held is not None and held.plan == self._plan else None
+        decision = self._decisions.get(step)
+        return (
+            decision if decision is not None and decision.plan == self._plan else None
+        )
 
-    def forget(self) -> None:
+    def prune(self) -> None:
         """Drop what older plans decided."""
-        self._held = {s: h for s, h in self._held.items() if h.plan == self._plan}
+        self._decisions = {
+            s: h for s, h in self._decisions.items() if h.plan == self._plan
+        }
 
 
 def reason_elsewhere(step: StepRun, elsewhere: bool) -> Reason:
--- a/mustardward/components/scheduling/worker_state.py
+++ b/mustardward/components/scheduling/worker_state.py
@@ -13,7 +13,7 @@
 
 _LOGGER = get_logger(__name__)
 
-UNANSWERED_KEPT: Final = 64
+MAX_UNANSWERED_STARTS: Final = 64
 """Starts without an answer that are remembered of a worker: an order that is carried
 out late is so within seconds, in which a worker is given no more than so many."""
 
@@ -66,7 +66,7 @@
     orphan_steps: list[StepRun] = field(default_factory=list)
     unknown_runs: bool = False
     unanswered: deque[tuple[TaskName, int]] = field(
-        default_factory=lambda: deque(maxlen=UNANSWERED_KEPT)
+        default_factory=lambda: deque(maxlen=MAX_UNANSWERED_STARTS)
     )
 
     def describe(self, entry: WorkerEntry) -> None:
--- a/tests/components/explain/test_log_lines.py
+++ b/tests/components/explain/test_log_lines.py
@@ -10,10 +10,10 @@
 
 from mustardward.cli.main import main
 from mustardward.components.explain.log_lines import read_story, waits_of
-from mustardward.components.scheduling.waits import Reason
+from mustardward.components.scheduling.wait_tracker import Reason
 
 from ..scheduling.builders import JOB
-from ..scheduling.test_waits import OTHER, SCENES, starts_of, wait_on
+from ..scheduling.test_wait_tracker import OTHER, SCENES, starts_of, wait_on
 
 
 def written(caplog: pytest.LogCaptureFixture, at: float = 1000.0) -> list[str]:
@@ -102,7 +102,7 @@
 
     Its own task has no line, since no worker has room for it.
     """
-    lines = [("n", text) for text in waiting(Reason.KEPT_FOR_OTHERS, caplog)]
+    lines = [("n", text) for text in waiting(Reason.RESERVED_FOR_OTHERS, caplog)]
     keeper = f"{1:016x}"
     story = read_story(lines, keeper)
     told = [item for item in story.lines if f"job={JOB}" in item.inputs]
--- a/tests/components/ownership/test_load.py
+++ b/tests/components/ownership/test_load.py
@@ -13,7 +13,7 @@
 from mustardward.components.ownership.load import OwnerLoad
 from mustardward.components.reports.day_lines import read_day
 from mustardward.components.reports.stories import OwnerLook
-from mustardward.components.scheduling.run_lines import RunLines
+from mustardward.components.scheduling.run_logger import RunLogger
 
 from ..reports.test_day import a_day, line
 
@@ -26,7 +26,7 @@
     """Symptom: jobs wait though there is room, and no line says why."""
     async with anyio.create_task_group() as tasks:
         caplog.set_level("INFO", "absl")
-        lines = RunLines()
+        lines = RunLogger()
         load = OwnerLoad("n-1", Lanes(tasks), StartWindow(), lines)
         load.look(10.0)
         load.tell(10.0)
--- a/tests/components/scheduling/liveness_walk.py
+++ b/tests/components/scheduling/liveness_walk.py
@@ -176,7 +176,8 @@
 def _job_lines(job: Job) -> list[str]:
     lines = [
         f"  job state={job.state.name} stored={job.stored} "
-        f"from_previous_owner={job.from_previous_owner} zones={job.zones} open={job.stored_zones} sent={job.pending_zones} "
+        f"from_previous_owner={job.from_previous_owner} zones={job.zones} "
+        f"stored_zones={job.stored_zones} pending_zones={job.pending_zones} "
         f"suspicion={job.suspicion} organisation={job.organisation}"
     ]
     for step in job.steps.values():
--- a/tests/components/scheduling/test_demand.py
+++ b/tests/components/scheduling/test_demand.py
@@ -6,7 +6,7 @@
 
 from mustardward.components.scheduling.demand import measure
 from mustardward.components.scheduling.inflow import (
-    GAP_JOBS,
+    MAX_JOBS_PER_GAP,
     RECENT_SECONDS,
     WINDOW_SECONDS,
 )
@@ -64,7 +64,7 @@
     gap = WINDOW_SECONDS / 16
     assert inflow_of(bench) == pytest.approx(15 * 2000 / (WINDOW_SECONDS - gap))
     bench.now += WINDOW_SECONDS
-    assert inflow_of(bench) <= GAP_JOBS / WINDOW_SECONDS * 2000
+    assert inflow_of(bench) <= MAX_JOBS_PER_GAP / WINDOW_SECONDS * 2000
     bench.now += RECENT_SECONDS
     assert inflow_of(bench) == 0
 
--- a/tests/components/scheduling/test_run_lines.py
+++ b/tests/components/scheduling/test_run_logger.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from mustardward.components.scheduling.run_lines import MOST_IN_LINE
+from mustardward.components.scheduling.run_logger import MAX_RUNS_PER_LINE
 from mustardward.helpers.bounded_output import LINES_A_SECOND
 
 from .builders import SchedulerBench, a_job, a_step
@@ -55,8 +55,8 @@
     bench = SchedulerBench()
     for number in range(20):
         bench.worker(f"w{number}")
-    bench.add(a_job(a_step(count=MOST_IN_LINE + 1)))
+    bench.add(a_job(a_step(count=MAX_RUNS_PER_LINE + 1)))
     bench.plan_starts()
     bench.plan()
     lines = lines_of(caplog, "runs_started")
-    assert [len(RUN.findall(line)) for line in lines] == [MOST_IN_LINE, 1]
+    assert [len(RUN.findall(line)) for line in lines] == [MAX_RUNS_PER_LINE, 1]
--- a/tests/components/scheduling/test_wait_lines.py
+++ b/tests/components/scheduling/test_wait_logger.py
@@ -6,18 +6,18 @@
 
 import pytest
 
-from mustardward.components.scheduling.wait_lines import (
-    MOST_LINES,
-    MOST_WORKERS,
-    TELL_AGAIN_SECONDS,
-    WAIT_TOLD_SECONDS,
+from mustardward.components.scheduling.wait_logger import (
+    MAX_LINES,
+    MAX_WORKERS_SCANNED,
+    WAIT_LOG_AFTER_SECONDS,
+    WAIT_LOG_INTERVAL_SECONDS,
 )
-from mustardward.components.scheduling.waits import Reason
+from mustardward.components.scheduling.wait_tracker import Reason
 from mustardward.helpers.instruments import REGISTRY
 from mustardward.platform.models import ENDED_DONE, Room
 
 from .builders import JOB, SchedulerBench, a_job, a_step
-from .test_waits import starts_of, tell, wait_on
+from .test_wait_tracker import starts_of, tell, wait_on
 
 JOBS = 100
 
@@ -48,9 +48,9 @@
     """Guards against a log that is full of waits when a pool is held up."""
     bench = a_bench_that_waits()
     lines = tell(bench, caplog)
-    assert [int(line["job"], 16) for line in lines] == list(range(MOST_LINES))
+    assert [int(line["job"], 16) for line in lines] == list(range(MAX_LINES))
     (untold,) = tell(bench, caplog, "task_waits_untold")
-    assert untold["count"] == str(JOBS - 2 * MOST_LINES)
+    assert untold["count"] == str(JOBS - 2 * MAX_LINES)
 
 
 def test_a_large_pool_gets_fewer_lines_a_look(
@@ -58,7 +58,7 @@
 ) -> None:
     """Guards against an owner that is late since it looks at thousands of workers."""
     bench = SchedulerBench()
-    for number in range(MOST_WORKERS // 2 + 1):
+    for number in range(MAX_WORKERS_SCANNED // 2 + 1):
         bench.worker(f"w{number}").stale = True
     for number in range(9):
         bench.add(a_job(job=f"{number:016x}"))
@@ -73,7 +73,7 @@
 ) -> None:
     bench = a_bench_that_waits()
     told: Counter[str] = Counter()
-    for _ in range(int(TELL_AGAIN_SECONDS)):
+    for _ in range(int(WAIT_LOG_INTERVAL_SECONDS)):
         told.update(line["job"] for line in tell(bench, caplog))
         wait_on(bench, 1.0)
     assert len(told) == JOBS
@@ -131,9 +131,9 @@
     bench.worker("w1")
     bench.add(a_job())
     starts_of(bench)
-    wait_on(bench, 2 * WAIT_TOLD_SECONDS)
+    wait_on(bench, 2 * WAIT_LOG_AFTER_SECONDS)
     tell(bench, caplog)
-    assert oldest_seconds() == 2 * WAIT_TOLD_SECONDS
+    assert oldest_seconds() == 2 * WAIT_LOG_AFTER_SECONDS
 
 
 def test_looks_hold_on_to_nothing_of_jobs_that_are_over(
@@ -142,8 +142,8 @@
     """Guards against memory that grows with each job."""
     bench = a_bench_that_waits(jobs=9)
     tell(bench, caplog)
-    waits = bench.scheduler.waits
-    assert waits._told and waits.waits._held
+    wait_logger = bench.scheduler.wait_logger
+    assert wait_logger._logged and wait_logger.wait_tracker._decisions
     bench.scheduler.state.workers["w1"].stale = False
     for _ in range(4):
         for start in bench.plan_starts():
@@ -151,12 +151,12 @@
         bench.store()
     bench.plan()
     assert not bench.scheduler.state.jobs
-    wait_on(bench, TELL_AGAIN_SECONDS)
+    wait_on(bench, WAIT_LOG_INTERVAL_SECONDS)
     tell(bench, caplog)
-    assert not waits._told
-    assert not waits._sent
-    assert not waits._since
-    assert not waits.waits._held
+    assert not wait_logger._logged
+    assert not wait_logger._record_sent_at
+    assert not wait_logger._phase_since
+    assert not wait_logger.wait_tracker._decisions
 
 
 @pytest.mark.parametrize(
--- a/tests/components/scheduling/test_waits.py
+++ b/tests/components/scheduling/test_wait_tracker.py
@@ -13,8 +13,8 @@
 from mustardward.components.reports.day_lines import read_pairs
 from mustardward.components.scheduling.commands import Start
 from mustardward.components.scheduling.models import Phase, QueuePolicy
-from mustardward.components.scheduling.wait_lines import WAIT_TOLD_SECONDS
-from mustardward.components.scheduling.waits import Reason
+from mustardward.components.scheduling.wait_logger import WAIT_LOG_AFTER_SECONDS
+from mustardward.components.scheduling.wait_tracker import Reason
 from mustardward.helpers.registry import Registry
 from mustardward.platform.models import Room
 
@@ -27,12 +27,12 @@
 
 
 def wait_on(
-    bench: SchedulerBench, seconds: float = 4.0, most_starts: int = sys.maxsize
+    bench: SchedulerBench, seconds: float = 4.0, max_starts: int = sys.maxsize
 ) -> None:
     """Let time go by, with a plan each half of a second."""
     for _ in range(int(2 * seconds)):
         bench.now += 0.5
-        bench.scheduler.plan(bench.now, bench.now, most_starts)
+        bench.scheduler.plan(bench.now, bench.now, max_starts)
 
 
 def tell(
@@ -41,7 +41,7 @@
     """Return the pairs of the lines that a look writes."""
     caplog.set_level("INFO", "absl")
     caplog.clear()
-    bench.scheduler.waits.tell(bench.now)
+    bench.scheduler.wait_logger.log_due(bench.now)
     lines = [read_pairs(record.getMessage()) for record in caplog.records]
     return [pairs for pairs in lines if pairs["event"] == event]
 
@@ -105,7 +105,7 @@
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job())
-    wait_on(bench, most_starts=0)
+    wait_on(bench, max_starts=0)
     return bench, {"most_starts": "0", "allowed": "1"}
 
 
@@ -150,7 +150,7 @@
     return bench, {"suspects": "1", "suspicion": "2", "empty_workers": "-"}
 
 
-@SCENES.register(Reason.KEPT_FOR_OTHERS)
+@SCENES.register(Reason.RESERVED_FOR_OTHERS)
 def kept_for_others() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1")
@@ -219,7 +219,7 @@
     first, second = starts_of(bench)
     bench.accept(second)
     bench.scheduler.reports.start_refused(first.task, first.run, bench.now)
-    bench.scheduler.waits.tell(bench.now)
+    bench.scheduler.wait_logger.log_due(bench.now)
     wait_on(bench)
     return bench, {
         "members": "stopping:1,waiting:1",
@@ -419,7 +419,7 @@
     bench.add(a_job())
     wait_on(bench)
     (line,) = [pairs for pairs in tell(bench, caplog) if pairs["job"] == JOB]
-    assert line["reason"] == Reason.KEPT_FOR_OTHERS.value
+    assert line["reason"] == Reason.RESERVED_FOR_OTHERS.value
     assert line["kept_for"] == f"w1:{OTHER}"
 
 
@@ -455,7 +455,7 @@
     bench.add(a_job(job=OTHER))
     wait_on(bench)
     (line,) = [pairs for pairs in tell(bench, caplog) if pairs["job"] == OTHER]
-    assert line["reason"] == Reason.KEPT_FOR_OTHERS.value
+    assert line["reason"] == Reason.RESERVED_FOR_OTHERS.value
     assert line["kept_for"] == f"w1:{JOB}"
     assert line["kept_for_suspects"] == "1"
 
@@ -509,7 +509,7 @@
     bench.worker("w1")
     bench.worker("w2")
     bench.add(a_job(a_step(count=16)))
-    wait_on(bench, most_starts=1)
+    wait_on(bench, max_starts=1)
     (line,) = tell(bench, caplog)
     assert line["reason"] == Reason.STARTS_USED_UP.value
     assert (line["ready"], line["most_starts"]) == ("8", "1")
@@ -600,7 +600,7 @@
     bench.add(a_job())
     wait_on(bench, 2.0)
     worker.stale = False
-    wait_on(bench, 2.0, most_starts=0)
+    wait_on(bench, 2.0, max_starts=0)
     (line,) = tell(bench, caplog)
     assert line["reason"] == Reason.STARTS_USED_UP.value
     assert (line["seconds"], line["reason_seconds"]) == ("4", "1.5")
@@ -625,7 +625,7 @@
     bench = SchedulerBench()
     bench.worker("w1").stale = True
     bench.add(a_job())
-    wait_on(bench, WAIT_TOLD_SECONDS)
+    wait_on(bench, WAIT_LOG_AFTER_SECONDS)
     assert tell(bench, caplog) == []
     wait_on(bench, 0.5)
     assert len(tell(bench, caplog)) == 1
