--- a/bench/turns.py
+++ b/bench/turns.py
@@ -20,8 +20,8 @@
 from mustardward.components.ledger.ledger import LedgerJob
 from mustardward.components.ledger.models import JobRecord
 from mustardward.components.scheduling.commands import Start
+from mustardward.components.scheduling.job_order import ORDERS
 from mustardward.components.scheduling.models import QueuePolicy
-from mustardward.components.scheduling.order import ORDERS
 from mustardward.components.scheduling.scheduler import Scheduler
 from mustardward.platform.models import Room, SubmittedStep, WorkerEntry
 from mustardward.platform.workers import EndedTask, HoldAnswer, TaskName
--- a/mustardward/components/scheduling/candidates.py
+++ b/mustardward/components/scheduling/candidates.py
@@ -8,14 +8,14 @@
 from typing import NamedTuple
 
 from ...platform.models import Room
-from .isolation import SecondsToEmpty, choose_to_empty
+from .isolation import SecondsToEmpty, choose_workers_to_empty
 from .models import StepRun, Task
 from .placement import (
-    SecondsLeft,
-    lasting_tasks_to_fit,
-    room_beside_lasting,
+    RemainingSeconds,
+    count_fitting,
+    long_running_tasks_to_fit,
+    room_after_short_tasks,
     seconds_to_room,
-    tasks_in,
 )
 from .worker_state import WorkerState
 
@@ -94,39 +94,47 @@
             self._oversized_rooms.append(step.room)
             self._oversized_steps.append(step)
 
-    def reserve_for_long_running(self, step: StepRun, left: SecondsLeft) -> None:
+    def reserve_for_long_running(
+        self, step: StepRun, remaining: RemainingSeconds
+    ) -> None:
         """Keep a worker for a lasting step that waits, if it can run there in time.
 
         Steps share a worker as long as all that they need has room there.
 
-        :param left: how long a task is expected to run on.
+        :param remaining: how long a task is expected to run on.
         """
         for number, (worker, room) in enumerate(self._reserved_rooms):
-            count = lasting_tasks_to_fit(worker, step)
-            if 0 < count <= tasks_in(room, step.room):
+            count = long_running_tasks_to_fit(worker, step)
+            if 0 < count <= count_fitting(room, step.room):
                 self._reserved_rooms[number] = (
                     worker,
                     _subtract(room, step.room, count),
                 )
                 return
         taken = {item.worker.id for item in self.reservations}
-        for worker in self._rank_by_free_time(step.room, left):
-            count = lasting_tasks_to_fit(worker, step)
+        for worker in self._rank_by_free_time(step.room, remaining):
+            count = long_running_tasks_to_fit(worker, step)
             if worker.id not in taken and count:
-                room = _subtract(room_beside_lasting(worker), step.room, count)
+                room = _subtract(room_after_short_tasks(worker), step.room, count)
                 self._reserved_rooms.append((worker, room))
                 self.exclude([worker], step)
                 return
 
-    def _rank_by_free_time(self, size: Room, left: SecondsLeft) -> list[WorkerState]:
+    def _rank_by_free_time(
+        self, size: Room, remaining: RemainingSeconds
+    ) -> list[WorkerState]:
         """Return who will have room for a task, the soonest and emptiest first.
 
         Ranked once a plan for each size, since many steps may wait.
         """
         found = self._by_size.get(size)
         if found is None:
-            able = [w for w in self.workers if tasks_in(room_beside_lasting(w), size)]
-            seconds = {w.id: seconds_to_room(w, size, left) for w in able}
+            able = [
+                w
+                for w in self.workers
+                if count_fitting(room_after_short_tasks(w), size)
+            ]
+            seconds = {w.id: seconds_to_room(w, size, remaining) for w in able}
             found = sorted(able, key=lambda w: (seconds[w.id], -w.free_cpu))
             self._by_size[size] = found
         return found
@@ -141,18 +149,20 @@
         """Keep one worker that becomes empty by itself, whoever waits for it."""
         if self._has_emptying_worker:
             return
-        reservations = choose_to_empty(self.workers, free, step, suspects, seconds)
+        reservations = choose_workers_to_empty(
+            self.workers, free, step, suspects, seconds
+        )
         self._has_emptying_worker = bool(reservations)
         self.exclude(reservations, step)
 
     def exclude(self, taken: list[WorkerState], step: StepRun) -> None:
         """Give workers to no other step in this plan."""
-        left = [worker for worker in self.workers if worker not in taken]
-        if len(left) < len(self.workers):
+        remaining = [worker for worker in self.workers if worker not in taken]
+        if len(remaining) < len(self.workers):
             self.reservations.extend(
                 Reservation(w, step) for w in taken if w in self.workers
             )
-            self.workers = left
+            self.workers = remaining
             self._group_by_zone()
 
 
--- a/mustardward/components/scheduling/crashes.py
+++ b/mustardward/components/scheduling/crashes.py
@@ -34,7 +34,7 @@
 
 _LOGGER = get_logger(__name__)
 
-_CRASH_CAUSES = frozenset((LossCause.UNLISTED, LossCause.REPLACED, LossCause.REBORN))
+_CRASH_CAUSES = frozenset((LossCause.UNLISTED, LossCause.REPLACED, LossCause.RESTARTED))
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
     return cause in _CRASH_CAUSES and not (worker.draining or worker.leaving)
 
 
-def may_have_begun(task: Task) -> bool:
+def may_have_started(task: Task) -> bool:
     """Return whether a worker may have begun a task's run, and not stopped it."""
     if task.stop_acknowledged_at is not None:
         return False
@@ -63,7 +63,7 @@
 
 
 def _suspect_all(worker: WorkerState, now: float) -> list[Task]:
-    return [task for task in worker.tasks.values() if may_have_begun(task)]
+    return [task for task in worker.tasks.values() if may_have_started(task)]
 
 
 @switchable(
@@ -76,7 +76,7 @@
     return [
         task
         for task in worker.tasks.values()
-        if may_have_begun(task) and not _has_run_long(task, now)
+        if may_have_started(task) and not _has_run_long(task, now)
     ]
 
 
@@ -209,8 +209,8 @@
             for crash in self._recent
             if crash.service == service
         )
-        left = sum(w.service == service for w in self.state.workers.values())
-        return crashed > COMMON_CAUSE_SHARE * (crashed + left)
+        remaining = sum(w.service == service for w in self.state.workers.values())
+        return crashed > COMMON_CAUSE_SHARE * (crashed + remaining)
 
 
 def _has_run_long(task: Task, now: float) -> bool:
@@ -255,7 +255,7 @@
     return {worker_id for job in jobs for worker_id in isolation_workers(job)}
 
 
-def take_suspects(step: StepRun) -> list[Task]:
+def take_isolated_tasks(step: StepRun) -> list[Task]:
     """Take the tasks that have to run apart off a step's queue; of a gang, all."""
     if step.job.suspicion < ISOLATION_CRASHES:
         return []
@@ -267,12 +267,12 @@
     return suspects
 
 
-def has_lasting(worker: WorkerState) -> bool:
+def has_long_running(worker: WorkerState) -> bool:
     """Return whether a worker does not become empty by itself."""
     return any(task.step.spec.long_running for task in worker.tasks.values())
 
 
-def is_free_for(worker: WorkerState, suspects: list[Task], now: float) -> bool:
+def can_isolate(worker: WorkerState, suspects: list[Task], now: float) -> bool:
     """Return whether suspected tasks of one job may use a worker.
 
     Where no worker becomes empty, lasting tasks that ran for long are no suspects of
--- a/mustardward/components/scheduling/demand.py
+++ b/mustardward/components/scheduling/demand.py
@@ -75,8 +75,8 @@
     steps: dict[int, StepRun] = {}
     for worker in state.workers.values():
         load = loads[worker.service]
-        usable = not worker.leaving and worker.id not in state.unusable_workers
-        if worker.confirmed and usable and not worker.absent:
+        is_usable = not worker.leaving and worker.id not in state.unusable_workers
+        if worker.confirmed and is_usable and not worker.absent:
             load.workers += 1
             load.capacity += worker.capacity.cpu
             load.memory += worker.capacity.mem_mb
@@ -86,8 +86,8 @@
                 load.long_running.add(task.step.room)
             else:
                 load.running.add(task.step.room)
-                left = state.estimates.seconds(task.step) - (now - task.started_at)
-                load.remaining.add(task.step.room, max(0.0, left))
+                remaining = state.estimates.seconds(task.step) - (now - task.started_at)
+                load.remaining.add(task.step.room, max(0.0, remaining))
     _add_remaining(loads, state)
     shares = _shares_that_may_start(state)
     for step in state.ready.values():
--- a/mustardward/components/scheduling/estimates.py
+++ b/mustardward/components/scheduling/estimates.py
@@ -16,7 +16,9 @@
 from .models import Job, StepRun, Task
 
 
-def _learn_nothing(estimates: Estimates, /, step: StepRun, seconds: float) -> None:
+def _keep_declared_times(
+    estimates: Estimates, /, step: StepRun, seconds: float
+) -> None:
     """Believe declared run times."""
 
 
@@ -38,7 +40,7 @@
     @switchable(
         "learned-run-times",
         "order and sizes of pools follow what runs took, not what was declared",
-        without=_learn_nothing,
+        without=_keep_declared_times,
     )
     def learn(self, step: StepRun, seconds: float) -> None:
         """Take in one run that ended done."""
@@ -59,18 +61,18 @@
             return UNKNOWN_ESTIMATE_SECONDS
         return declared * self.ratio(step.job.record.queue)
 
-    def left_at(self, now: float) -> Callable[[Task], float]:
+    def remaining_seconds_at(self, now: float) -> Callable[[Task], float]:
         """Return how long tasks are expected to run on, in seconds.
 
         One that runs over its estimate is expected to run on for as long again.
         """
-        return lambda task: abs(self.seconds_left(task, now))
+        return lambda task: abs(self.remaining_seconds(task, now))
 
-    def seconds_left(self, task: Task, now: float) -> float:
+    def remaining_seconds(self, task: Task, now: float) -> float:
         """Return what is left of a task's estimate; below 0 once it is over that."""
         return self.seconds(task.step) - (now - task.started_at)
 
-    def work_left(self, job: Job) -> float:
+    def remaining_work(self, job: Job) -> float:
         """Return what has not begun of a job's work, in core seconds."""
         ratio = self.ratio(job.record.queue)
         total = 0.0
@@ -83,18 +85,18 @@
             total += (spec.count - begun) * spec.cpu / 1000 * declared * ratio
         return total
 
-    def chain(self, job: Job, only_left: bool) -> float:
+    def critical_path(self, job: Job, only_remaining: bool) -> float:
         """Return the longest chain of a job's work, in seconds.
 
-        :param only_left: leave out the steps that are done.
+        :param only_remaining: leave out the steps that are done.
         """
         ratio = self.ratio(job.record.queue)
         ends: list[float] = []
         for number, spec in enumerate(job.record.steps):
             declared = spec.estimate_ms / 1000 or UNKNOWN_ESTIMATE_SECONDS
             step = job.steps.get((0, number))
-            gone = only_left and step is not None and step.complete
-            length = 0.0 if gone or spec.long_running else declared * ratio
+            is_complete = only_remaining and step is not None and step.complete
+            length = 0.0 if is_complete or spec.long_running else declared * ratio
             begin = max((ends[earlier] for earlier in spec.after), default=0.0)
             ends.append(begin + length)
         return max(ends, default=0.0)
--- a/mustardward/components/scheduling/evacuation.py
+++ b/mustardward/components/scheduling/evacuation.py
@@ -9,7 +9,7 @@
 from .scheduler_state import SchedulerState
 from .worker_state import WorkerState
 
-REPORT_SECONDS = 2.5
+MAX_REPORT_AGE_SECONDS = 2.5
 """Age at which a worker's report tells nothing any more: an owner that is short of
 processor time reads late, and a failure meanwhile must not be added to."""
 
@@ -22,12 +22,12 @@
     its worker reported last may be by now.
     """
     others = (other for other in task.step.tasks if other is not task)
-    away = sum(not _surely_at_work(other, now) for other in others)
-    return away < max(1, task.step.spec.may_miss)
+    missing = sum(not _is_surely_serving(other, now) for other in others)
+    return missing < max(1, task.step.spec.may_miss)
 
 
-def _surely_at_work(task: Task, now: float) -> bool:
-    if task.worker is None or now - task.worker.reported_at > REPORT_SECONDS:
+def _is_surely_serving(task: Task, now: float) -> bool:
+    if task.worker is None or now - task.worker.reported_at > MAX_REPORT_AGE_SECONDS:
         return False
     return task.is_serving
 
@@ -42,23 +42,25 @@
         """Give the stops that are due."""
         for worker in self.state.workers.values():
             if worker.leaving or worker.draining or worker.absent:
-                self._empty(worker, now)
+                self._evacuate(worker, now)
 
-    def _empty(self, worker: WorkerState, now: float) -> None:
+    def _evacuate(self, worker: WorkerState, now: float) -> None:
         for task in list(worker.tasks.values()):
             if task.phase is not Phase.RUNNING:
                 continue
             if task.step.spec.long_running:
                 if may_interrupt(task, now):
                     self.state.stop(task, "evacuation")
-            elif self._not_worth_waiting(worker, task, now):
+            elif self._should_stop_now(worker, task, now):
                 self.state.stop(task, "evacuation")
 
-    def _not_worth_waiting(self, worker: WorkerState, task: Task, now: float) -> bool:
+    def _should_stop_now(self, worker: WorkerState, task: Task, now: float) -> bool:
         if task.step.spec.saves_progress:
             return True
-        left = self.state.estimates.seconds(task.step) - (now - task.started_at)
+        remaining_seconds = self.state.estimates.seconds(task.step) - (
+            now - task.started_at
+        )
         if worker.draining:
-            return now + left > worker.drains_at
+            return now + remaining_seconds > worker.drains_at
         since = worker.leaving_since if worker.leaving else worker.missing_since
         return since is not None and now - since > EVACUATION_SECONDS
--- a/mustardward/components/scheduling/health.py
+++ b/mustardward/components/scheduling/health.py
@@ -20,22 +20,24 @@
 
 
 def _never_quarantine(
-    health: Health, /, worker: WorkerState, task: Task, now: float
+    health: WorkerHealth, /, worker: WorkerState, task: Task, now: float
 ) -> None:
     """Let a worker that fails its runs have more of them."""
 
 
-def _learn_no_speed(health: Health, /, worker: WorkerState, ratio: float) -> None:
+def _assume_equal_speed(
+    health: WorkerHealth, /, worker: WorkerState, ratio: float
+) -> None:
     """Take all workers for equally fast."""
 
 
 @dataclass(slots=True, eq=False)
-class Health:
+class WorkerHealth:
     """Put workers into quarantine, and let them try again."""
 
     state: SchedulerState
 
-    def note_done(self, worker: WorkerState, task: Task, seconds: float) -> None:
+    def record_success(self, worker: WorkerState, task: Task, seconds: float) -> None:
         """Take in a run that a worker carried out."""
         worker.failed_jobs.clear()
         expected = self.state.estimates.seconds(task.step)
@@ -45,7 +47,7 @@
     @switchable(
         "worker-speed",
         "tasks go to workers that were not slow with others",
-        without=_learn_no_speed,
+        without=_assume_equal_speed,
     )
     def _learn_speed(self, worker: WorkerState, ratio: float) -> None:
         seen = min(1.0, max(0.1, ratio))
@@ -56,7 +58,7 @@
         "a worker that fails all it starts does not draw all work",
         without=_never_quarantine,
     )
-    def note_failed(self, worker: WorkerState, task: Task, now: float) -> None:
+    def record_failure(self, worker: WorkerState, task: Task, now: float) -> None:
         """Take in a run that failed or stood still on a worker."""
         worker.failed_jobs.add(task.step.job.record.id)
         if len(worker.failed_jobs) < FAILURES_TO_QUARANTINE:
@@ -65,11 +67,11 @@
             return
         worker.quarantined_until = now + QUARANTINE_SECONDS
         # A trial follows: one more failure condemns it again, one run done clears it.
-        kept = list(worker.failed_jobs)[: FAILURES_TO_QUARANTINE - 1]
-        worker.failed_jobs = set(kept)
+        remembered = list(worker.failed_jobs)[: FAILURES_TO_QUARANTINE - 1]
+        worker.failed_jobs = set(remembered)
         _LOGGER.warning("worker_quarantined", worker=worker.id, service=worker.service)
 
     def _may_quarantine(self, worker: WorkerState, now: float) -> bool:
         pool = [w for w in self.state.workers.values() if w.service == worker.service]
-        held = sum(other.quarantined_until > now for other in pool)
-        return held + 1 <= QUARANTINE_SHARE * len(pool)
+        quarantined = sum(other.quarantined_until > now for other in pool)
+        return quarantined + 1 <= QUARANTINE_SHARE * len(pool)
--- a/mustardward/components/scheduling/intake.py
+++ b/mustardward/components/scheduling/intake.py
@@ -10,9 +10,9 @@
 from .const import LATE_FACTOR
 from .inflow import RECENT_SECONDS, Amount
 from .models import Job, Phase, QueuePolicy, StepRun, Task
+from .rate_shares import RateShares
 from .scheduler_state import SchedulerState
-from .shares import RateShares
-from .zones import Zones
+from .zone_chooser import ZoneChooser
 
 OCCURRENCE_MARGIN_SECONDS = 0.03
 """Clocks differ a little; a timed occurrence must never begin before its time."""
@@ -23,7 +23,7 @@
     """Turn accepted jobs into steps and tasks."""
 
     state: SchedulerState
-    zones: Zones
+    zones: ZoneChooser
     shares: RateShares = field(default_factory=RateShares)
 
     def add(self, ledger_job: LedgerJob, now: float, wall: float) -> None:
@@ -31,8 +31,8 @@
         record = ledger_job.record
         if ledger_job.state.final or record.is_stub or record.id in self.state.jobs:
             return
-        known = self.state.policy_of(record.queue)
-        policy = known or QueuePolicy(service=record.service)
+        configured = self.state.policy_of(record.queue)
+        policy = configured or QueuePolicy(service=record.service)
         age = max(0.0, wall - record.accepted_at)
         job = Job(record, policy, accepted_at=now - age)
         self._set_objective(job, job.accepted_at)
@@ -49,7 +49,7 @@
             job.zones = frozenset(progress.zones) or None
             job.stored_zones = job.pending_zones = job.zones
             self._restore(job, progress)
-            self.zones.promise(job)
+            self.zones.add_work(job)
         if not record.times:
             self._open_occurrence(job, 0, now)
             job.next_occurrence = 1
@@ -107,8 +107,8 @@
             self.state.end_job(step.job, JobState.FAILED)
 
     def _set_objective(self, job: Job, begun_at: float) -> None:
-        chain = self.state.estimates.chain(job, only_left=False)
-        objective = job.policy.stretch * chain + job.policy.target_seconds
+        critical_path = self.state.estimates.critical_path(job, only_remaining=False)
+        objective = job.policy.stretch * critical_path + job.policy.target_seconds
         job.objective_at = begun_at + objective
         job.late_at = begun_at + LATE_FACTOR * objective
 
@@ -173,7 +173,7 @@
             task.checkpoint = task_mark.checkpoint
             task.crashes = task_mark.crashes
         self.state.update_suspicion(job)
-        self._make_begun(job)
+        self._make_started_occurrences(job)
 
     def _restore_done(self, job: Job, mark: StepMark) -> None:
         step = self.step_of(job, mark.occurrence, mark.step)
@@ -188,7 +188,7 @@
                 task.phase = Phase.DONE
                 step.done += 1
 
-    def _make_begun(self, job: Job) -> None:
+    def _make_started_occurrences(self, job: Job) -> None:
         """Make the occurrences up to the last with marks; their time has come.
 
         Of an earlier one nothing may be stored yet, though a later one began.
--- a/mustardward/components/scheduling/isolation.py
+++ b/mustardward/components/scheduling/isolation.py
@@ -5,14 +5,14 @@
 from collections.abc import Callable
 
 from .const import CLEARED_AFTER_SECONDS, ISOLATION_CRASHES, ISOLATION_WAIT_SECONDS
-from .crashes import has_lasting, needs_isolation
+from .crashes import has_long_running, needs_isolation
 from .models import Job, StepRun, Task
 from .placement import (
-    SecondsLeft,
+    RemainingSeconds,
     choose_gang,
+    count_fitting,
     may_run,
-    room_beside_lasting,
-    tasks_in,
+    room_after_short_tasks,
 )
 from .worker_state import WorkerState
 
@@ -22,28 +22,31 @@
 def could_run(worker: WorkerState, step: StepRun) -> bool:
     """Return whether a worker can run a task once all that ends by itself has ended."""
     return (
-        may_run(worker, step) and tasks_in(room_beside_lasting(worker), step.room) > 0
+        may_run(worker, step)
+        and count_fitting(room_after_short_tasks(worker), step.room) > 0
     )
 
 
 def seconds_to_empty(
-    worker: WorkerState, job: Job, left: SecondsLeft, now: float
+    worker: WorkerState, job: Job, remaining: RemainingSeconds, now: float
 ) -> float:
     """Return when nothing on a worker keeps a suspected job off it any more.
 
-    :param left: how long a task is expected to run on.
+    :param remaining: how long a task is expected to run on.
     """
     others = [task for task in worker.tasks.values() if task.step.job is not job]
-    return max((_seconds_in_the_way(task, left, now) for task in others), default=0.0)
+    return max(
+        (_blocking_seconds(task, remaining, now) for task in others), default=0.0
+    )
 
 
-def _seconds_in_the_way(task: Task, left: SecondsLeft, now: float) -> float:
+def _blocking_seconds(task: Task, remaining: RemainingSeconds, now: float) -> float:
     if task.step.spec.long_running:
         return CLEARED_AFTER_SECONDS - (now - task.started_at)
-    return left(task)
+    return remaining(task)
 
 
-def choose_to_empty(
+def choose_workers_to_empty(
     workers: list[WorkerState],
     free: list[WorkerState],
     step: StepRun,
@@ -63,23 +66,23 @@
     soon = [worker for worker in busy if seconds(worker) <= ISOLATION_WAIT_SECONDS]
     if not soon:
         return []
-    best = min(soon, key=lambda worker: (has_lasting(worker), seconds(worker)))
+    best = min(soon, key=lambda worker: (has_long_running(worker), seconds(worker)))
     if not step.spec.gang:
         return [best]
-    if choose_gang(able, step, suspects, room_beside_lasting) is None:
+    if choose_gang(able, step, suspects, room_after_short_tasks) is None:
         return []
     return [best, *(worker for worker in able if worker in free)]
 
 
-def put_trials_first(steps: list[StepRun], now: float) -> list[StepRun]:
+def put_overdue_isolation_first(steps: list[StepRun], now: float) -> list[StepRun]:
     """Return the steps with those first whose suspects have waited for too long.
 
     Work that ranks before them would else take each worker before it is empty.
     """
-    return sorted(steps, key=lambda step: not _waits_too_long(step, now))
+    return sorted(steps, key=lambda step: not _has_waited_too_long(step, now))
 
 
-def _waits_too_long(step: StepRun, now: float) -> bool:
+def _has_waited_too_long(step: StepRun, now: float) -> bool:
     if step.job.suspicion < ISOLATION_CRASHES:
         return False
     return any(
--- a/mustardward/components/scheduling/order.py
+++ b/mustardward/components/scheduling/job_order.py
@@ -27,25 +27,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
+class RemainingWork:
     """Hold what is left of a job: its longest chain (s) and its work (core s)."""
 
-    chain: float
+    critical_path: float
     work: float
 
 
-COMING_SECONDS: Final = 1.0
+INCOMING_SECONDS: Final = 1.0
 """Until an instance that is on its way takes work, from half of its way on."""
 
-Order = Callable[[Job, Left], float]
+JobOrder = Callable[[Job, RemainingWork], float]
 
-ORDERS: Final[dict[str, Order]] = {}
+ORDERS: Final[dict[str, JobOrder]] = {}
 HORIZON_SECONDS: Final = 2.5
 """Work of more than so much of its pool's time is more than can be in time; with 1.5
 and 4 s a replay of turns earned 0.05 and 0.02 less in one of its three loads."""
 
 
-class Standing(IntEnum):
+class DeadlineClass(IntEnum):
     """Order steps by what a start now is worth."""
 
     LASTING = 0
@@ -54,10 +54,10 @@
     OVERDUE = 3
 
 
-def register(name: str) -> Callable[[Order], Order]:
+def register(name: str) -> Callable[[JobOrder], JobOrder]:
     """File an order of the work that can still be in time."""
 
-    def file(order: Order) -> Order:
+    def file(order: JobOrder) -> JobOrder:
         ORDERS[name] = order
         return order
 
@@ -65,27 +65,27 @@
 
 
 @register("slack")
-def by_slack(job: Job, left: Left) -> float:
+def by_slack(job: Job, remaining: RemainingWork) -> float:
     """Return when a job has to be at work without a pause."""
-    return job.objective_at - left.chain
+    return job.objective_at - remaining.critical_path
 
 
 @register("arrival")
-def by_arrival(job: Job, left: Left) -> float:
+def by_arrival(job: Job, remaining: RemainingWork) -> float:
     """Return when a job came."""
     return job.accepted_at
 
 
 @register("chain")
-def by_chain(job: Job, left: Left) -> float:
+def by_critical_path(job: Job, remaining: RemainingWork) -> float:
     """Return the seconds that a job takes at least from now on."""
-    return left.chain
+    return remaining.critical_path
 
 
 @register("work")
-def by_work(job: Job, left: Left) -> float:
+def by_work(job: Job, remaining: RemainingWork) -> float:
     """Return what has not begun of a job's work."""
-    return left.work
+    return remaining.work
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,39 +93,39 @@
     """Hold what a pool can do from now on, in cores.
 
     :param begun: what is left of the work that has begun, in core seconds.
-    :param coming: of instances that are on their way to it.
-    :param coming_in: until they are there, in seconds.
+    :param incoming: of instances that are on their way to it.
+    :param incoming_after_seconds: until they are there, in seconds.
     """
 
     now: float
     begun: float = 0.0
-    coming: float = 0.0
-    coming_in: float = 0.0
+    incoming: float = 0.0
+    incoming_after_seconds: float = 0.0
 
     def until(self, seconds: float) -> float:
         """Return the core seconds that it can do within a time."""
-        later = max(0.0, seconds - self.coming_in)
-        return self.now * max(0.0, seconds) + self.coming * later - self.begun
+        later = max(0.0, seconds - self.incoming_after_seconds)
+        return self.now * max(0.0, seconds) + self.incoming * later - self.begun
 
 
 def capacity_of(
-    workers: Iterable[WorkerState], coming: int, estimates: Estimates, now: float
+    workers: Iterable[WorkerState], incoming: int, estimates: Estimates, now: float
 ) -> Capacity:
     """Return what some workers can do.
 
-    :param coming: processor of instances on their way, in thousandths of a core.
+    :param incoming: processor of instances on their way, in thousandths of a core.
     """
     here = begun = 0.0
     for worker in workers:
         here += worker.capacity.cpu
         for task in worker.tasks.values():
             if not task.step.spec.long_running:
-                left = max(0.0, estimates.seconds_left(task, now))
-                begun += task.step.room.cpu * left
-    return Capacity(here / 1000, begun / 1000, coming / 1000, COMING_SECONDS)
+                remaining = max(0.0, estimates.remaining_seconds(task, now))
+                begun += task.step.room.cpu * remaining
+    return Capacity(here / 1000, begun / 1000, incoming / 1000, INCOMING_SECONDS)
 
 
-def _choose_by_slack(asked: float, capacity: Capacity) -> Order:
+def _choose_by_slack(demand: float, capacity: Capacity) -> JobOrder:
     return by_slack
 
 
@@ -134,20 +134,20 @@
     "the smallest jobs first once a pool can't do all in time",
     without=_choose_by_slack,
 )
-def choose_order(asked: float, capacity: Capacity) -> Order:
+def choose_order(demand: float, capacity: Capacity) -> JobOrder:
     """Return how to order work that can still be in time.
 
-    :param asked: what is asked of the pool, in core seconds.
+    :param demand: what is asked of the pool, in core seconds.
     """
-    return by_work if asked > capacity.until(HORIZON_SECONDS) else by_slack
+    return by_work if demand > capacity.until(HORIZON_SECONDS) else by_slack
 
 
-def prioritise(
+def order_steps(
     steps: Iterable[StepRun],
     now: float,
     estimates: Estimates,
     capacity: Capacity,
-    order: Order | None = None,
+    order: JobOrder | None = None,
 ) -> list[StepRun]:
     """Return steps, the first to be placed first.
 
@@ -155,30 +155,38 @@
     """
     steps = list(steps)
     jobs = {step.job.record.id: step.job for step in steps}
-    left = {
-        name: Left(estimates.chain(job, only_left=True), estimates.work_left(job))
+    remaining = {
+        name: RemainingWork(
+            estimates.critical_path(job, only_remaining=True),
+            estimates.remaining_work(job),
+        )
         for name, job in jobs.items()
     }
-    asked = sum(
-        left[name].work
+    demand = sum(
+        remaining[name].work
         for name, job in jobs.items()
         if job.objective_at > now and not job.over_rate
     )
-    chosen = order if order is not None else choose_order(asked, capacity)
+    chosen = order if order is not None else choose_order(demand, capacity)
     return sorted(
-        steps, key=lambda step: rank(step, now, left[step.job.record.id], chosen)
+        steps, key=lambda step: rank(step, now, remaining[step.job.record.id], chosen)
     )
 
 
-def rank(step: StepRun, now: float, left: Left, order: Order) -> Rank:
+def rank(step: StepRun, now: float, remaining: RemainingWork, order: JobOrder) -> Rank:
     """Return the sort key of a step; the smallest comes first."""
     job = step.job
     policy = job.policy
     if step.spec.long_running:
-        return (Standing.LASTING, policy.priority, False, float(step.spec.fills))
-    if now + left.chain <= job.objective_at:
-        return (Standing.IN_TIME, policy.priority, job.over_rate, order(job, left))
-    if now + left.chain <= job.late_at:
-        size = left.chain * len(step.tasks)
-        return (Standing.LATE, policy.priority, job.over_rate, size)
-    return (Standing.OVERDUE, policy.priority, job.over_rate, job.accepted_at)
+        return (DeadlineClass.LASTING, policy.priority, False, float(step.spec.fills))
+    if now + remaining.critical_path <= job.objective_at:
+        return (
+            DeadlineClass.IN_TIME,
+            policy.priority,
+            job.over_rate,
+            order(job, remaining),
+        )
+    if now + remaining.critical_path <= job.late_at:
+        size = remaining.critical_path * len(step.tasks)
+        return (DeadlineClass.LATE, policy.priority, job.over_rate, size)
+    return (DeadlineClass.OVERDUE, policy.priority, job.over_rate, job.accepted_at)
--- a/mustardward/components/scheduling/losses.py
+++ b/mustardward/components/scheduling/losses.py
@@ -29,7 +29,7 @@
     REPLACED = "replaced"
     """Another incarnation answers at its address."""
 
-    REBORN = "reborn"
+    RESTARTED = "reborn"
     """It started again under its id."""
 
     LEASES_EXPIRED = "leases-over"
--- a/mustardward/components/scheduling/models.py
+++ b/mustardward/components/scheduling/models.py
@@ -161,7 +161,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class FailureDomain:
     """Name a failure domain: a data centre and a rack there."""
 
     zone: str
@@ -177,7 +177,8 @@
         starts before, so that the next owner knows which jobs nobody can have started.
     :param from_previous_owner: whether an owner before had taken it in, and may have
         started it.
-    :param home: where its short tasks go while there is room: a job is done once all of
+    :param home_rack: where its short tasks go while there is room: a job is done once
+        all of
         them are, so that a loss should take all tasks of few jobs, not some of most.
     :param zones: the data centres in which it is to start, or None for any.
     :param stored_zones: those of which the log is known to have been told: it starts
@@ -199,7 +200,7 @@
     state: JobState = JobState.QUEUED
     stored: bool = False
     from_previous_owner: bool = False
-    home: Place | None = None
+    home_rack: FailureDomain | None = None
     zones: frozenset[str] | None = None
     stored_zones: frozenset[str] | None = None
     pending_zones: frozenset[str] | None = None
--- a/mustardward/components/scheduling/pacing.py
+++ b/mustardward/components/scheduling/pacing.py
@@ -10,17 +10,17 @@
 from .scheduler_state import SchedulerState
 from .worker_state import WorkerState
 
-OVER_SHARE = 0.9
+HARMED_SHARE = 0.9
 """Share of its target at which a serving task counts as harmed; the figure is rough,
 and covers the last half second."""
 
-UNDER_SHARE = 0.7
+RELAXED_SHARE = 0.7
 CHANGE_SECONDS = 0.6
 """Shortest time between two changes: a change shows in the figure only after it."""
 
 RAISE_SECONDS = 1.5
-LOWEST = 20
-RAISE_STEP = 25
+MIN_PERCENT = 20
+RAISE_STEP_PERCENT = 25
 
 
 @dataclass(slots=True)
@@ -31,7 +31,7 @@
     changed_at: float = 0.0
 
 
-def _pace_nothing(pacing: Pacing, /, now: float) -> None:
+def _never_throttle(pacing: Pacing, /, now: float) -> None:
     """Let all that fills work at full speed."""
 
 
@@ -45,7 +45,7 @@
     @switchable(
         "pacing",
         "what fills gives way to serving tasks on its worker",
-        without=_pace_nothing,
+        without=_never_throttle,
     )
     def run(self, now: float) -> None:
         """Give the pace orders that are due."""
@@ -64,12 +64,14 @@
         serving = [task for task in worker.tasks.values() if _serves(task)]
         worst = max((t.figure / t.step.spec.target_ms for t in serving), default=0.0)
         since = now - throttle.changed_at
-        if worst > OVER_SHARE and since >= CHANGE_SECONDS:
+        if worst > HARMED_SHARE and since >= CHANGE_SECONDS:
             half = throttle.percent // 2
-            throttle.percent = half if half >= LOWEST else 0
+            throttle.percent = half if half >= MIN_PERCENT else 0
             throttle.changed_at = now
-        elif worst < UNDER_SHARE and throttle.percent < 100 and since >= RAISE_SECONDS:
-            throttle.percent = min(100, throttle.percent + RAISE_STEP)
+        elif (
+            worst < RELAXED_SHARE and throttle.percent < 100 and since >= RAISE_SECONDS
+        ):
+            throttle.percent = min(100, throttle.percent + RAISE_STEP_PERCENT)
             throttle.changed_at = now
         for task in filling:
             if task.pace != throttle.percent:
--- a/mustardward/components/scheduling/placement.py
+++ b/mustardward/components/scheduling/placement.py
@@ -10,12 +10,12 @@
 
 from ...helpers.policies import switchable
 from ...platform.models import Room
-from .models import Place, StepRun, Task
+from .models import FailureDomain, StepRun, Task
 from .worker_state import WorkerState
 
 Score = tuple[float, ...]
-GangPlaces = list[tuple[Task, WorkerState]]
-SecondsLeft = Callable[[Task], float]
+GangPlacement = list[tuple[Task, WorkerState]]
+RemainingSeconds = Callable[[Task], float]
 RoomOf = Callable[[WorkerState], Room]
 
 MAX_TASKS_PER_ROOM: Final = 1_000_000
@@ -48,50 +48,54 @@
     return Room(worker.free_cpu, worker.free_mem, worker.free_gpu)
 
 
-def room_beside_lasting(worker: WorkerState) -> Room:
+def room_after_short_tasks(worker: WorkerState) -> Room:
     """Return a worker's room once all that ends by itself has ended."""
     capacity = worker.capacity
     cpu, mem_mb, gpu = capacity.cpu, capacity.mem_mb, capacity.gpu
-    lasting = [t.step for t in worker.tasks.values() if t.step.spec.long_running]
-    for step in (*lasting, *worker.orphan_steps):
+    long_running = [t.step for t in worker.tasks.values() if t.step.spec.long_running]
+    for step in (*long_running, *worker.orphan_steps):
         cpu -= step.room.cpu
         mem_mb -= step.room.mem_mb
         gpu -= step.room.gpu
     return Room(cpu, mem_mb, gpu)
 
 
-def lasting_tasks_to_fit(worker: WorkerState, step: StepRun) -> int:
+def long_running_tasks_to_fit(worker: WorkerState, step: StepRun) -> int:
     """Return how many waiting tasks of a lasting step a worker will have room for."""
     if not may_run(worker, step):
         return 0
-    count = min(len(step.waiting), tasks_in(room_beside_lasting(worker), step.room))
+    count = min(
+        len(step.waiting), count_fitting(room_after_short_tasks(worker), step.room)
+    )
     most = step.spec.max_per_server
     return min(count, most - step.on_worker[worker.id]) if most else count
 
 
-def tasks_in(room: Room, size: Room) -> int:
+def count_fitting(room: Room, size: Room) -> int:
     """Return how many tasks of a size a room has place for."""
     pairs = ((room.cpu, size.cpu), (room.mem_mb, size.mem_mb), (room.gpu, size.gpu))
     counts = [have // need for have, need in pairs if need]
     return max(0, min(counts, default=MAX_TASKS_PER_ROOM))
 
 
-def seconds_to_room(worker: WorkerState, room: Room, left: SecondsLeft) -> float:
+def seconds_to_room(
+    worker: WorkerState, room: Room, remaining: RemainingSeconds
+) -> float:
     """Return when enough has ended on a worker for a task, or infinity.
 
-    :param left: how long a task is expected to run on.
+    :param remaining: how long a task is expected to run on.
     """
     if fits(worker, room):
         return 0.0
     cpu, mem_mb, gpu = worker.free_cpu, worker.free_mem, worker.free_gpu
     ending = [t for t in worker.tasks.values() if not t.step.spec.long_running]
-    for task in sorted(ending, key=left):
+    for task in sorted(ending, key=remaining):
         given = task.step.room
         cpu += given.cpu
         mem_mb += given.mem_mb
         gpu += given.gpu
         if cpu >= room.cpu and mem_mb >= room.mem_mb and gpu >= room.gpu:
-            return max(0.0, left(task))
+            return max(0.0, remaining(task))
     return math.inf
 
 
@@ -99,7 +103,7 @@
     """Return whether nothing keeps a worker from tasks that has no end of its own.
 
     The fleet replaces a worker for which this does not hold for long. What ends by
-    itself, or is the fleet's own doing, belongs to ``usable`` alone.
+    itself, or is the fleet's own doing, belongs to ``is_usable`` alone.
     """
     return (
         worker.confirmed
@@ -110,7 +114,7 @@
     )
 
 
-def usable(worker: WorkerState, now: float) -> bool:
+def is_usable(worker: WorkerState, now: float) -> bool:
     """Return whether a worker may be given new tasks."""
     return (
         is_operational(worker)
@@ -120,7 +124,7 @@
     )
 
 
-def score(worker: WorkerState, step: StepRun, avoided: Set[str]) -> Score:
+def placement_score(worker: WorkerState, step: StepRun, avoided: Set[str]) -> Score:
     """Return how well a worker suits a step's tasks; the smallest suits best.
 
     Lasting tasks keep a worker from being lent or sent off, so they share workers; one
@@ -130,48 +134,48 @@
     first.
     """
     spec = step.spec
-    shunned = float(worker.id in avoided)
+    is_avoided = float(worker.id in avoided)
     far = float(bool(spec.data_rack) and spec.data_rack not in worker.labels)
     if spec.long_running:
-        return (shunned, far, *_lasting_score(worker, step))
-    away = _away(worker, step.job.home)
-    beside = _others_beside(worker, step)
+        return (is_avoided, far, *_long_running_score(worker, step))
+    distance = _distance(worker, step.job.home_rack)
+    shared_tasks = _tasks_of_other_jobs(worker, step)
     speed = round(1 / worker.speed, 1)
-    return (shunned, beside, far, speed, away, float(worker.free_cpu))
+    return (is_avoided, shared_tasks, far, speed, distance, float(worker.free_cpu))
 
 
-def _others_beside(worker: WorkerState, step: StepRun) -> float:
+def _tasks_of_other_jobs(worker: WorkerState, step: StepRun) -> float:
     """Return how many other jobs' tasks a suspected job's crash would end."""
     if not step.job.suspicion:
         return 0.0
     return float(sum(task.step.job is not step.job for task in worker.tasks.values()))
 
 
-def _away(worker: WorkerState, home: Place | None) -> float:
+def _distance(worker: WorkerState, home_rack: FailureDomain | None) -> float:
     """Return how far a worker is from a job's other tasks: 0 on their rack."""
-    if home is None or worker.rack == home.rack:
+    if home_rack is None or worker.rack == home_rack.rack:
         return 0.0
-    return 1.0 if worker.zone == home.zone else 2.0
+    return 1.0 if worker.zone == home_rack.zone else 2.0
 
 
-def _choose_no_home(workers: Iterable[WorkerState]) -> Place | None:
+def _choose_no_home_rack(workers: Iterable[WorkerState]) -> FailureDomain | None:
     return None
 
 
 @switchable(
     "one-rack-a-job",
     "a lost rack or data centre takes few jobs, not some of each",
-    without=_choose_no_home,
+    without=_choose_no_home_rack,
 )
-def choose_home(workers: Iterable[WorkerState]) -> Place | None:
+def choose_home_rack(workers: Iterable[WorkerState]) -> FailureDomain | None:
     """Return the rack with most room, where most of a job finds its place."""
-    room: Counter[Place] = Counter()
+    room: Counter[FailureDomain] = Counter()
     for worker in workers:
-        room[Place(worker.zone, worker.rack)] += worker.free_cpu
+        room[FailureDomain(worker.zone, worker.rack)] += worker.free_cpu
     return max(room, key=lambda place: room[place], default=None)
 
 
-def _lasting_score(worker: WorkerState, step: StepRun) -> Score:
+def _long_running_score(worker: WorkerState, step: StepRun) -> Score:
     spec = step.spec
     here = step.on_worker[worker.id]
     most = 1 if spec.target_ms else max(1, spec.may_miss)
@@ -189,7 +193,7 @@
     )
 
 
-class Shortlist:
+class RankedWorkers:
     """Hold the workers that have room for a step's tasks, the best one first.
 
     Only the worker that a task went to is looked at again. With a look at each worker
@@ -205,9 +209,9 @@
         self._step = step
         self._avoided = avoided
         self._ranked = [
-            (score(worker, step, avoided), number, worker)
+            (placement_score(worker, step, avoided), number, worker)
             for number, worker in enumerate(workers)
-            if self._suits(worker)
+            if self._is_suitable(worker)
         ]
         heapify(self._ranked)
 
@@ -215,16 +219,16 @@
         """Return the worker that suits the next task best, or None."""
         return self._ranked[0][2] if self._ranked else None
 
-    def renew(self) -> None:
+    def update_best(self) -> None:
         """Rank the best worker anew, since a task went there."""
         _, number, worker = self._ranked[0]
-        if self._suits(worker):
-            own = score(worker, self._step, self._avoided)
+        if self._is_suitable(worker):
+            own = placement_score(worker, self._step, self._avoided)
             heapreplace(self._ranked, (own, number, worker))
         else:
             heappop(self._ranked)
 
-    def _suits(self, worker: WorkerState) -> bool:
+    def _is_suitable(self, worker: WorkerState) -> bool:
         return fits(worker, self._step.room) and may_run(worker, self._step)
 
 
@@ -233,7 +237,7 @@
     step: StepRun,
     tasks: Iterable[Task],
     room_of: RoomOf = free_room,
-) -> GangPlaces | None:
+) -> GangPlacement | None:
     """Return a worker for every task of a gang, or None.
 
     Members wait for each other only for a short time, so a gang is placed as a whole
@@ -256,16 +260,16 @@
 
 def _place_all(
     workers: list[WorkerState], step: StepRun, tasks: Iterable[Task], room_of: RoomOf
-) -> GangPlaces | None:
+) -> GangPlacement | None:
     room = step.room
     rooms = {worker.id: room_of(worker) for worker in workers}
-    left = {name: [r.cpu, r.mem_mb, r.gpu] for name, r in rooms.items()}
+    remaining = {name: [r.cpu, r.mem_mb, r.gpu] for name, r in rooms.items()}
     count = {w.id: step.on_worker[w.id] for w in workers}
     limit = step.spec.max_per_server or len(step.tasks)
-    placed: GangPlaces = []
+    placed: GangPlacement = []
     for task in tasks:
         for worker in workers:
-            free = left[worker.id]
+            free = remaining[worker.id]
             if count[worker.id] >= limit or not may_run(worker, step):
                 continue
             if free[0] < room.cpu or free[1] < room.mem_mb or free[2] < room.gpu:
--- a/mustardward/components/scheduling/planner.py
+++ b/mustardward/components/scheduling/planner.py
@@ -12,25 +12,25 @@
 from .crashes import (
     all_isolation_workers,
     awaits_evaluation,
-    is_free_for,
+    can_isolate,
     isolation_workers,
-    take_suspects,
+    take_isolated_tasks,
 )
-from .isolation import put_trials_first, seconds_to_empty
+from .isolation import put_overdue_isolation_first, seconds_to_empty
+from .job_order import Capacity, JobOrder, capacity_of, order_steps
 from .models import StepRun, Task
-from .order import Capacity, Order, capacity_of, prioritise
 from .placement import (
-    GangPlaces,
-    Shortlist,
+    GangPlacement,
+    RankedWorkers,
     choose_gang,
-    choose_home,
-    usable,
+    choose_home_rack,
+    is_usable,
 )
 from .quota_wait_logger import QuotaWaitLogger
 from .scheduler_state import SchedulerState
 from .wait_tracker import Reason, WaitTracker, reason_elsewhere
 from .worker_state import WorkerState
-from .zones import Zones, promised_room
+from .zone_chooser import ZoneChooser, promised_room
 
 
 @dataclass(slots=True, eq=False)
@@ -38,16 +38,16 @@
     """Place what is ready, the most urgent first."""
 
     state: SchedulerState
-    zones: Zones
-    order: Order | None = None
+    zones: ZoneChooser
+    order: JobOrder | None = None
     quota_wait_logger: QuotaWaitLogger = field(default_factory=QuotaWaitLogger)
     wait_tracker: WaitTracker = field(default_factory=WaitTracker)
-    _starts_left: int = 0
-    _turn: int = 0
+    _remaining_starts: int = 0
+    _rotation: int = 0
 
     def run(self, now: float, max_starts: int) -> None:
         """Give the starts that are possible, up to a number of them."""
-        self._starts_left = max_starts
+        self._remaining_starts = max_starts
         self.wait_tracker.begin_plan(now, max_starts)
         self.state.quotas.set_unseen(self._unseen(now))
         by_service: dict[str, list[StepRun]] = {}
@@ -56,27 +56,27 @@
                 self.wait_tracker.record(step, Reason.NOT_STORED)
             elif step.waiting:
                 by_service.setdefault(step.job.policy.service, []).append(step)
-        for service in self._in_turn(sorted(by_service)):
+        for service in self._rotate(sorted(by_service)):
             workers = [
                 worker
                 for worker in self.state.workers.values()
-                if worker.service == service and usable(worker, now)
+                if worker.service == service and is_usable(worker, now)
             ]
             if workers:
-                self._place(workers, by_service[service], now)
+                self._place_pool(workers, by_service[service], now)
             else:
                 self.wait_tracker.record_all(
                     by_service[service], Reason.NO_USABLE_WORKER
                 )
         self.quota_wait_logger.flush(self.state.quotas, now)
 
-    def _in_turn(self, services: list[str]) -> list[str]:
+    def _rotate(self, services: list[str]) -> list[str]:
         """Return the pools, another one first each time.
 
         Where few starts may be decided, the first pool would else have all of them.
         """
-        self._turn += 1
-        first = self._turn % max(1, len(services))
+        self._rotation += 1
+        first = self._rotation % max(1, len(services))
         return services[first:] + services[:first]
 
     def _unseen(self, now: float) -> Iterator[tuple[str, Room, int]]:
@@ -89,10 +89,10 @@
                     count = len(step.tasks) - step.done - step.active
                     yield job.organisation, step.requested, count
 
-    def _place(
+    def _place_pool(
         self, workers: list[WorkerState], steps: list[StepRun], now: float
     ) -> None:
-        ranked = prioritise(
+        ordered = order_steps(
             steps, now, self.state.estimates, self._capacity(workers, now), self.order
         )
         isolation_ids = all_isolation_workers(self.state.suspects.values())
@@ -102,11 +102,11 @@
         )
         if len(candidates.workers) == len(workers):
             # One trial at a time goes before what ranks first.
-            ranked = put_trials_first(ranked, now)
+            ordered = put_overdue_isolation_first(ordered, now)
         promised = promised_room(steps)
-        for number, step in enumerate(ranked):
-            if self._starts_left <= 0:
-                self.wait_tracker.record_all(ranked[number:], Reason.STARTS_USED_UP)
+        for number, step in enumerate(ordered):
+            if self._remaining_starts <= 0:
+                self.wait_tracker.record_all(ordered[number:], Reason.STARTS_USED_UP)
                 return
             if self.state.is_held_after_takeover(step.job, now):
                 self.wait_tracker.record(step, Reason.HELD_AFTER_TAKEOVER)
@@ -114,15 +114,15 @@
             if awaits_evaluation(step.job):
                 self.wait_tracker.record(step, Reason.AWAITS_EVALUATION)
                 continue
-            suspects = take_suspects(step)
+            suspects = take_isolated_tasks(step)
             if suspects:
-                self._place_apart(step, suspects, workers, candidates, now)
+                self._place_isolated(step, suspects, workers, candidates, now)
             if step.waiting:
-                self._place_among_others(step, candidates, promised, now)
+                self._place_shared(step, candidates, promised, now)
             if suspects:
                 self.state.return_to_queue(step, suspects)
 
-    def _place_among_others(
+    def _place_shared(
         self, step: StepRun, candidates: Candidates, promised: Counter[str], now: float
     ) -> None:
         if not candidates.workers:
@@ -141,17 +141,19 @@
             return
         if step.spec.long_running:
             # A task that lasts would wait for ever while shorter ones take each hole.
-            candidates.reserve_for_long_running(step, self.state.estimates.left_at(now))
+            candidates.reserve_for_long_running(
+                step, self.state.estimates.remaining_seconds_at(now)
+            )
             self.wait_tracker.record(step, Reason.NO_ROOM, candidates)
             return
-        elsewhere = self.zones.widen(step, candidates.by_zone, promised)
+        elsewhere = self.zones.add_zone(step, candidates.by_zone, promised)
         self.wait_tracker.record(
             step, reason_elsewhere(step, elsewhere), candidates, promised
         )
         if not _restricted(step):
             candidates.record_full(step, everywhere=not elsewhere)
 
-    def _place_apart(
+    def _place_isolated(
         self,
         step: StepRun,
         suspects: list[Task],
@@ -162,16 +164,16 @@
         """Place suspected tasks where a crash ends no other job's."""
         if not self._may_start(step, workers, now):
             return
-        free = [w for w in workers if is_free_for(w, suspects, now)]
-        at_trial = isolation_workers(step.job)
+        free = [w for w in workers if can_isolate(w, suspects, now)]
+        isolating = isolation_workers(step.job)
         one_worker = not (step.spec.long_running or step.spec.gang)
         if step.spec.gang:
             placed = choose_gang(free, step, suspects)
             self._start_gang(placed, now)
             all_fit = placed is not None
         else:
-            if one_worker and at_trial:
-                free = [worker for worker in free if worker.id in at_trial]
+            if one_worker and isolating:
+                free = [worker for worker in free if worker.id in isolating]
             all_fit = self._place_each(step, suspects, free, one_worker, now)
         used = isolation_workers(step.job)
         if used:
@@ -180,9 +182,9 @@
             return
         self.wait_tracker.record(step, Reason.SUSPECTS_WAIT)
         if not (one_worker and used):
-            job, left = step.job, self.state.estimates.left_at(now)
+            job, remaining = step.job, self.state.estimates.remaining_seconds_at(now)
             candidates.reserve_emptying_worker(
-                step, suspects, free, lambda w: seconds_to_empty(w, job, left, now)
+                step, suspects, free, lambda w: seconds_to_empty(w, job, remaining, now)
             )
 
     def _place_each(
@@ -198,43 +200,43 @@
         :param one_worker: whether all go to one, so that no more of them crash at once.
         """
         for task in suspects:
-            if not self._has_starts(step) or not self._within_quota(step):
+            if not self._can_start_more(step) or not self._within_quota(step):
                 return True
-            worker = Shortlist(workers, step, task.avoid).best()
+            worker = RankedWorkers(workers, step, task.avoid).best()
             if worker is None:
                 return False
-            self._starts_left -= 1
+            self._remaining_starts -= 1
             self.state.assign(task, worker, self.state.next_run_number(), now)
             if one_worker:
                 workers = [worker]
         return True
 
     def _capacity(self, workers: list[WorkerState], now: float) -> Capacity:
-        coming = self.state.incoming_cpu.get(workers[0].service, 0)
-        return capacity_of(workers, coming, self.state.estimates, now)
+        incoming = self.state.incoming_cpu.get(workers[0].service, 0)
+        return capacity_of(workers, incoming, self.state.estimates, now)
 
     def _place_tasks(
         self, step: StepRun, workers: list[WorkerState], now: float
     ) -> bool:
         """Return whether no task of a step lacks room on a worker."""
-        if step.job.home is None and workers:
-            step.job.home = choose_home(workers)
-        shortlist: Shortlist | None = None
+        if step.job.home_rack is None and workers:
+            step.job.home_rack = choose_home_rack(workers)
+        ranked_workers: RankedWorkers | None = None
         avoided: Set[str] = frozenset()
         while step.waiting:
-            if not self._has_starts(step) or not self._within_quota(step):
+            if not self._can_start_more(step) or not self._within_quota(step):
                 return True
             task = step.waiting[0]
-            if shortlist is None or task.avoid != avoided:
+            if ranked_workers is None or task.avoid != avoided:
                 avoided = task.avoid
-                shortlist = Shortlist(workers, step, avoided)
-            worker = shortlist.best()
+                ranked_workers = RankedWorkers(workers, step, avoided)
+            worker = ranked_workers.best()
             if worker is None:
                 return False
             step.waiting.popleft()
-            self._starts_left -= 1
+            self._remaining_starts -= 1
             self.state.assign(task, worker, self.state.next_run_number(), now)
-            shortlist.renew()
+            ranked_workers.update_best()
         self.state.ready.pop(id(step), None)
         return True
 
@@ -244,9 +246,9 @@
             return False
         return self._within_quota(step)
 
-    def _has_starts(self, step: StepRun) -> bool:
+    def _can_start_more(self, step: StepRun) -> bool:
         """Return whether this plan may still start something."""
-        if self._starts_left > 0:
+        if self._remaining_starts > 0:
             return True
         self.wait_tracker.record(step, Reason.STARTS_USED_UP)
         return False
@@ -275,13 +277,13 @@
             step.waiting.clear()
         self._start_gang(placed, now)
 
-    def _start_gang(self, placed: GangPlaces | None, now: float) -> None:
+    def _start_gang(self, placed: GangPlacement | None, now: float) -> None:
         if placed is None:
             return
         # Members wait for each other on their workers, so that all go or none.
         run = self.state.next_run_number()
         for task, worker in placed:
-            self._starts_left -= 1
+            self._remaining_starts -= 1
             self.state.assign(task, worker, run, now)
 
     def _has_advice(
--- a/mustardward/components/scheduling/reports.py
+++ b/mustardward/components/scheduling/reports.py
@@ -17,7 +17,7 @@
 )
 from .commands import Stop
 from .const import MISSED_HOLDS_LIMIT
-from .health import Health
+from .health import WorkerHealth
 from .intake import Intake
 from .models import ACTIVE, Phase, Task
 from .run_logger import RunLogger
@@ -37,7 +37,7 @@
 
     state: SchedulerState
     intake: Intake
-    health: Health
+    health: WorkerHealth
     run_logger: RunLogger = field(default_factory=RunLogger)
 
     def apply_hold(
@@ -136,7 +136,7 @@
         if ended.how == ENDED_FAILED and ended.run not in task.failed_runs:
             task.failed_runs += (ended.run,)
             task.avoid.add(worker.id)
-            self.health.note_failed(worker, task, now)
+            self.health.record_failure(worker, task, now)
         if ended.checkpoint:
             task.checkpoint = ended.checkpoint
         self.state.mark_dirty(task.step.job)
@@ -151,7 +151,7 @@
             seconds = now - task.started_at
             if not task.checkpoint:
                 self.state.estimates.learn(task.step, seconds)
-            self.health.note_done(worker, task, seconds)
+            self.health.record_success(worker, task, seconds)
         elif task.phase in ACTIVE and task.worker is not None:
             self.state.add_command(Stop(task.name, task.worker.id, task.run, None))
         if not task.step.job.state.final:
--- a/mustardward/components/scheduling/run_logger.py
+++ b/mustardward/components/scheduling/run_logger.py
@@ -41,7 +41,7 @@
     ) -> None:
         """Take in a start; how long the task waited, and should run, in seconds."""
         self.started_count += 1
-        text = f"{_place(task)}:{task.run}@{worker.id}+{waited:.3f}~{expected:.2f}"
+        text = f"{_run_key(task)}:{task.run}@{worker.id}+{waited:.3f}~{expected:.2f}"
         self._gathered["runs_started", task.step.job.record.id].append(text)
 
     def ended(self, worker: WorkerState, ended: EndedTask, own: bool) -> None:
@@ -61,5 +61,5 @@
         self._gathered.clear()
 
 
-def _place(task: Task) -> str:
+def _run_key(task: Task) -> str:
     return f"{task.step.occurrence}.{task.step.number}.{task.index}"
--- a/mustardward/components/scheduling/scheduler.py
+++ b/mustardward/components/scheduling/scheduler.py
@@ -20,27 +20,27 @@
 )
 from .crashes import Crashes, suspects_of
 from .evacuation import Evacuation
-from .health import Health
+from .health import WorkerHealth
 from .incarnations import make_worker
 from .intake import Intake
+from .job_order import ORDERS
 from .losses import LossCause, log_worker_lost
 from .models import Job, Phase, StepRun, Task
-from .order import ORDERS
 from .pacing import Pacing
 from .planner import Planner
 from .progress import progress_of
 from .quotas import QuotaLookup, Quotas, unlimited_quota
+from .rate_shares import RateLookup, RateShares, unlimited_rate
 from .reports import Reports
 from .scheduler_state import PolicyLookup, SchedulerState
-from .shares import RateLookup, RateShares, unlimited_rate
 from .wait_logger import WaitLogger
 from .worker_entries import WorkerEntries
-from .zones import Zones
+from .zone_chooser import ZoneChooser
 
 _LOGGER = get_logger(__name__)
 
 
-def _stop_nothing(scheduler: Scheduler, /, now: float) -> None:
+def _never_stop_stuck(scheduler: Scheduler, /, now: float) -> None:
     """Let runs that stand still keep their room."""
 
 
@@ -64,14 +64,14 @@
     ) -> None:
         self.state = SchedulerState(epoch, policy_of, quotas=Quotas(quota_of))
         self.entries = WorkerEntries(self.state)
-        self._zones = Zones(self.state)
-        self.intake = Intake(self.state, self._zones, RateShares(rate_of))
-        self.health = Health(self.state)
+        self._zone_chooser = ZoneChooser(self.state)
+        self.intake = Intake(self.state, self._zone_chooser, RateShares(rate_of))
+        self.health = WorkerHealth(self.state)
         self.reports = Reports(self.state, self.intake, self.health)
         self.pacing = Pacing(self.state)
         self._crashes = Crashes(self.state)
         self._evacuation = Evacuation(self.state)
-        self._planner = Planner(self.state, self._zones, ORDERS.get(order))
+        self._planner = Planner(self.state, self._zone_chooser, ORDERS.get(order))
         self.wait_logger = WaitLogger(self.state, self._planner.wait_tracker)
         self._ending: dict[str, Job] = {}
         self._next_check_at = -math.inf
@@ -137,10 +137,10 @@
         if old is None:
             self.state.workers[worker_id] = new
         else:
-            log_worker_lost(old, LossCause.REBORN, now)
+            log_worker_lost(old, LossCause.RESTARTED, now)
             suspects = suspects_of(old, now)
             self.state.replace_worker(old, new, now)
-            self._crashes.note(old, LossCause.REBORN, suspects, now)
+            self._crashes.note(old, LossCause.RESTARTED, suspects, now)
 
     def mark_worker_missing(self, worker_id: str, now: float) -> None:
         """Take in that a worker's entry is gone; what runs there may go on."""
@@ -218,7 +218,7 @@
             self.wait_logger.record_sent(job_id, now)
             if job.state.final and job_id not in self._ending:
                 self._ending[job_id] = job
-                self._zones.forget(job)
+                self._zone_chooser.forget(job)
                 _LOGGER.info(
                     "job_ended",
                     job=job_id,
@@ -244,14 +244,14 @@
     @switchable(
         "stuck-runs",
         "a run that stands still is stopped and done elsewhere",
-        without=_stop_nothing,
+        without=_never_stop_stuck,
     )
     def _stop_stuck(self, now: float) -> None:
         for worker in self.state.workers.values():
             for task in list(worker.tasks.values()):
                 if self._is_stuck(task):
                     task.avoid.add(worker.id)
-                    self.health.note_failed(worker, task, now)
+                    self.health.record_failure(worker, task, now)
                     self.state.stop(task, "stuck")
 
     def _is_stuck(self, task: Task) -> bool:
--- a/mustardward/components/scheduling/wait_context.py
+++ b/mustardward/components/scheduling/wait_context.py
@@ -6,7 +6,7 @@
 
 from .crashes import needs_isolation
 from .models import StepRun
-from .placement import fits, may_run, usable
+from .placement import fits, is_usable, may_run
 from .scheduler_state import SchedulerState
 from .wait_tracker import Reason, WaitDecision, WaitTracker
 from .worker_state import WorkerState
@@ -41,7 +41,7 @@
         """Look at the workers."""
         step = self.step
         self.with_room = [w for w in self.workers if fits(w, step.room)]
-        self.able = [w for w in self.with_room if usable(w, self.now)]
+        self.able = [w for w in self.with_room if is_usable(w, self.now)]
         self.allowed = [w for w in self.able if may_run(w, step)]
         self.reserved = self._find_reserved()
 
--- a/mustardward/components/scheduling/zones.py
+++ b/mustardward/components/scheduling/zone_chooser.py
@@ -23,12 +23,12 @@
 ByZone = Mapping[str, Sequence[WorkerState]]
 
 
-def _choose_none(zones: Zones, /, job: Job) -> None:
+def _choose_no_zones(zones: ZoneChooser, /, job: Job) -> None:
     """Let a job start in any data centre."""
 
 
 @dataclass(slots=True, eq=False)
-class Zones:
+class ZoneChooser:
     """Choose data centres by the work that was promised to their workers.
 
     Work is in core seconds, by pool and data centre. What each job adds is held by its
@@ -36,13 +36,13 @@
     """
 
     state: SchedulerState
-    _promised: dict[Key, float] = field(default_factory=lambda: defaultdict(float))
-    _shares: dict[str, tuple[list[Key], float]] = field(default_factory=dict)
+    _assigned_work: dict[Key, float] = field(default_factory=lambda: defaultdict(float))
+    _work_by_job: dict[str, tuple[list[Key], float]] = field(default_factory=dict)
 
     @switchable(
         "zones-told",
         "a data centre that is cut off holds up the jobs that may run in it, no others",
-        without=_choose_none,
+        without=_choose_no_zones,
     )
     def choose(self, job: Job) -> None:
         """Choose where a job that was just taken in may start.
@@ -58,27 +58,27 @@
         if not capacity or "" in capacity:
             return
         near = self._near_data(job) & set(capacity)
-        job.zones = frozenset(near or (self._least_promised(job, capacity),))
-        self.promise(job)
+        job.zones = frozenset(near or (self._least_assigned(job, capacity),))
+        self.add_work(job)
 
-    def promise(self, job: Job) -> None:
+    def add_work(self, job: Job) -> None:
         """Count a job's work for the data centres in which it may start."""
         self.forget(job)
         if not job.zones:
             return
-        share = self.state.estimates.work_left(job) / len(job.zones)
+        share = self.state.estimates.remaining_work(job) / len(job.zones)
         keys = [(job.policy.service, zone) for zone in job.zones]
         for key in keys:
-            self._promised[key] += share
-        self._shares[job.record.id] = (keys, share)
+            self._assigned_work[key] += share
+        self._work_by_job[job.record.id] = (keys, share)
 
     def forget(self, job: Job) -> None:
         """Count a job's work no longer, since it is over."""
-        keys, share = self._shares.pop(job.record.id, ([], 0.0))
+        keys, share = self._work_by_job.pop(job.record.id, ([], 0.0))
         for key in keys:
-            self._promised[key] -= share
+            self._assigned_work[key] -= share
 
-    def widen(self, step: StepRun, by_zone: ByZone, promised: Counter[str]) -> bool:
+    def add_zone(self, step: StepRun, by_zone: ByZone, promised: Counter[str]) -> bool:
         """Let a job start in one data centre more, where there is room for its step.
 
         :param promised: room given away like that in this plan; it is added to.
@@ -104,7 +104,7 @@
         if free[best] - promised[best] >= room.cpu:
             promised[best] += room.cpu * len(step.waiting)
             job.zones = job.zones | {best}
-            self.promise(job)
+            self.add_work(job)
             self.state.mark_dirty(job)
         return True
 
@@ -112,18 +112,20 @@
         """Return the processors of the job's pool by data centre."""
         capacity: Counter[str] = Counter()
         for worker in self.state.workers.values():
-            usable = worker.confirmed and not (worker.leaving or worker.draining)
-            usable = usable and worker.id not in self.state.unusable_workers
-            if worker.service == job.policy.service and usable and not worker.absent:
+            is_usable = worker.confirmed and not (worker.leaving or worker.draining)
+            is_usable = is_usable and worker.id not in self.state.unusable_workers
+            if worker.service == job.policy.service and is_usable and not worker.absent:
                 capacity[worker.zone] += worker.capacity.cpu
         return {zone: cpu for zone, cpu in capacity.items() if cpu > 0}
 
-    def _least_promised(self, job: Job, capacity: dict[str, int]) -> str:
-        work = self.state.estimates.work_left(job)
+    def _least_assigned(self, job: Job, capacity: dict[str, int]) -> str:
+        work = self.state.estimates.remaining_work(job)
         service = job.policy.service
         return min(
             sorted(capacity),
-            key=lambda zone: (self._promised[service, zone] + work) / capacity[zone],
+            key=lambda zone: (
+                (self._assigned_work[service, zone] + work) / capacity[zone]
+            ),
         )
 
     def _near_data(self, job: Job) -> set[str]:
--- a/tests/components/fleet/test_unusable.py
+++ b/tests/components/fleet/test_unusable.py
@@ -13,7 +13,7 @@
     UNHEARD_SECONDS,
 )
 from mustardward.components.fleet.models import Move
-from mustardward.components.scheduling.placement import usable
+from mustardward.components.scheduling.placement import is_usable
 from mustardward.components.scheduling.worker_state import WorkerState
 from mustardward.platform.models import Instance, Room
 
@@ -53,7 +53,7 @@
     asked(fleet, 1.0)
     worker = fleet.worker("i-00")
     setattr(worker, flag, not getattr(worker, flag))
-    replaced = flag not in SHORT_STATES and not usable(worker, fleet.bench.now)
+    replaced = flag not in SHORT_STATES and not is_usable(worker, fleet.bench.now)
     moves = asked(fleet, SILENT_SECONDS + 2.0)
     assert {move.pool for move in moves} == ({POOL} if replaced else set())
     assert ("i-00" in fleet.bench.scheduler.state.unusable_workers) == replaced
--- a/tests/components/scheduling/liveness_mutants.py
+++ b/tests/components/scheduling/liveness_mutants.py
@@ -16,7 +16,7 @@
 from mustardward.components.scheduling.reports import Reports
 from mustardward.components.scheduling.scheduler import Scheduler
 from mustardward.components.scheduling.scheduler_state import SchedulerState
-from mustardward.components.scheduling.zones import Zones
+from mustardward.components.scheduling.zone_chooser import ZoneChooser
 
 Mutate = Callable[[pytest.MonkeyPatch], None]
 
@@ -156,14 +156,14 @@
     "data-centres-told-are-not-opened": _replace(
         Scheduler, "mark_stored", _store_without_zones
     ),
-    "no-data-centre-more": _replace(Zones, "widen", lambda *_: True),
+    "no-data-centre-more": _replace(ZoneChooser, "add_zone", lambda *_: True),
     "advice-is-asked-once": _ask_once,
     "tickets-last-for-ever": _keep_tickets,
     "suspects-stay-off-their-queue": _replace(
         SchedulerState, "return_to_queue", _nothing
     ),
     "nobody-is-judged": _replace(Crashes, "_is_due", lambda *_: False),
-    "suspects-wait-for-ever": _replace(planner, "is_free_for", lambda *_: False),
+    "suspects-wait-for-ever": _replace(planner, "can_isolate", lambda *_: False),
     "suspects-are-not-cleared": _replace(SchedulerState, "clear_suspicion", _nothing),
     "an-entry-that-is-back-is-not-read": _stay_absent,
     "leaving-is-not-taken-back": _only_leave,
--- a/tests/components/scheduling/test_crash_walks.py
+++ b/tests/components/scheduling/test_crash_walks.py
@@ -363,11 +363,11 @@
     ),
     "an-order-without-answer-does-not-count": (
         crashes,
-        "may_have_begun",
+        "may_have_started",
         lambda task: task.seen_running,
     ),
     "neighbours-are-convicted": (crashes, "needs_isolation", lambda task: False),
-    "a-suspect-waits-for-ever": (planner, "is_free_for", lambda *_: False),
+    "a-suspect-waits-for-ever": (planner, "can_isolate", lambda *_: False),
     "never-given-up": (crashes, "should_give_up", lambda *_: False),
     "given-up-at-the-first": (crashes, "should_give_up", lambda *_: True),
 }
--- a/tests/components/scheduling/test_planning.py
+++ b/tests/components/scheduling/test_planning.py
@@ -320,7 +320,7 @@
     worker = state.workers["w1"]
     worker.failed_jobs.update({"x", "y"})
     task = bench.task(0, job=OTHER)
-    bench.scheduler.health.note_failed(worker, task, bench.now)
+    bench.scheduler.health.record_failure(worker, task, bench.now)
     assert worker.quarantined_until > bench.now
     assert all(s.worker != "w1" for s in bench.plan_starts())
 
@@ -331,7 +331,7 @@
     bench.add(a_job(a_step(count=1)))
     for worker in workers:
         worker.failed_jobs.update({"x", "y", "z"})
-        bench.scheduler.health.note_failed(worker, bench.task(0), bench.now)
+        bench.scheduler.health.record_failure(worker, bench.task(0), bench.now)
     held = [w for w in workers if w.quarantined_until > bench.now]
     assert len(held) == 1
 
--- a/tests/components/scheduling/test_shortlist.py
+++ b/tests/components/scheduling/test_ranked_workers.py
@@ -9,11 +9,11 @@
 
 from mustardward.components.scheduling.models import Task
 from mustardward.components.scheduling.placement import (
-    Shortlist,
-    choose_home,
+    RankedWorkers,
+    choose_home_rack,
     fits,
     may_run,
-    score,
+    placement_score,
 )
 from mustardward.components.scheduling.worker_state import WorkerState
 
@@ -38,7 +38,7 @@
     """Return the first of the workers that suit a task best."""
     step = task.step
     able = [w for w in workers if fits(w, step.room) and may_run(w, step)]
-    return min(able, key=lambda w: score(w, step, task.avoid), default=None)
+    return min(able, key=lambda w: placement_score(w, step, task.avoid), default=None)
 
 
 @given(st.lists(ROOMS, max_size=8), STEPS, st.lists(st.integers(0, 9), max_size=6))
@@ -57,9 +57,9 @@
         if index < len(run.tasks):
             run.tasks[index].avoid.add(f"w{worker_number}")
     workers = list(state.workers.values())
-    run.job.home = choose_home(workers)
+    run.job.home_rack = choose_home_rack(workers)
     for task in list(run.waiting):
-        shortlist = Shortlist(workers, run, task.avoid)
+        shortlist = RankedWorkers(workers, run, task.avoid)
         expected = by_looking_at_each(workers, task)
         assert shortlist.best() is expected
         if expected is None:
--- a/tests/components/scheduling/test_shares.py
+++ b/tests/components/scheduling/test_rate_shares.py
@@ -4,8 +4,8 @@
 
 import pytest
 
+from mustardward.components.scheduling.rate_shares import RateShares
 from mustardward.components.scheduling.scheduler import Scheduler
-from mustardward.components.scheduling.shares import RateShares
 from mustardward.helpers.policies import switch_off
 
 from .builders import SchedulerBench, a_job, a_step
--- a/tests/helpers/test_policies.py
+++ b/tests/helpers/test_policies.py
@@ -9,7 +9,7 @@
 
 import mustardward.node.app  # noqa: F401 - all policies are registered by it
 from mustardward.components.fleet.lending import idle_seconds, spare
-from mustardward.components.scheduling.order import (
+from mustardward.components.scheduling.job_order import (
     Capacity,
     by_slack,
     by_work,
