--- a/mustardward/components/ownership/takeover.py
+++ b/mustardward/components/ownership/takeover.py
@@ -50,8 +50,8 @@
     def release(self) -> None:
         """Start again what was held, once every worker that may run it was heard of."""
         accounted = self._accounted()
-        if accounted != self.state.accounted:
-            self.state.accounted = accounted
+        if accounted != self.state.accounted_zones:
+            self.state.accounted_zones = accounted
             zones = ",".join(sorted(accounted))
             _LOGGER.info("zones_accounted", epoch=self.epoch, zones=zones)
             self.wake()
--- a/mustardward/components/scheduling/crashes.py
+++ b/mustardward/components/scheduling/crashes.py
@@ -120,7 +120,7 @@
     state: SchedulerState
     _recent: deque[_Crash] = field(default_factory=deque)
 
-    def note(
+    def record_loss(
         self, worker: WorkerState, cause: LossCause, suspects: list[Task], now: float
     ) -> None:
         """Take in that a worker was lost, after its tasks were taken from it.
@@ -128,14 +128,14 @@
         :param suspects: its tasks that may have crashed it.
         """
         if is_crash(worker, cause):
-            self._note_crash(worker, suspects, now)
+            self._record_crash(worker, suspects, now)
             return
         # Each further start of these counts, however it ended.
         for task in suspects:
             if len(task.crashes) >= CONCLUSIVE_CRASHES:
                 self._suspect(task, worker, now)
 
-    def _note_crash(
+    def _record_crash(
         self, worker: WorkerState, suspects: list[Task], now: float
     ) -> None:
         CRASHES.inc()
--- a/mustardward/components/scheduling/inflow.py
+++ b/mustardward/components/scheduling/inflow.py
@@ -108,7 +108,7 @@
 
     _arrivals: dict[str, _Arrivals] = field(default_factory=dict)
 
-    def note(self, service: str, now: float, work: Amount) -> None:
+    def record(self, service: str, now: float, work: Amount) -> None:
         """Take in a job's work, as room times seconds."""
         arrivals = self._arrivals.setdefault(service, _Arrivals())
         arrivals.times.append(now)
--- a/mustardward/components/scheduling/intake.py
+++ b/mustardward/components/scheduling/intake.py
@@ -127,16 +127,16 @@
         # within a turn has to know: it would else size the pool by what waits alone.
         arrived_at = job.accepted_at if now <= self.state.taken_over_at else now
         if now - arrived_at < RECENT_SECONDS:
-            self._note_arrival(job, occurrence, arrived_at)
+            self._record_arrival(job, occurrence, arrived_at)
 
-    def _note_arrival(self, job: Job, occurrence: int, at: float) -> None:
+    def _record_arrival(self, job: Job, occurrence: int, at: float) -> None:
         work = Amount()
         for number, spec in enumerate(job.record.steps):
             if not spec.long_running:
                 step = job.steps[(occurrence, number)]
                 work.add(step.room, spec.count * self.state.estimates.seconds(step))
         if work.cpu or work.mem_mb:
-            self.state.inflow.note(job.policy.service, at, work)
+            self.state.inflow.record(job.policy.service, at, work)
 
     def _open_steps(self, job: Job, occurrence: int, now: float) -> None:
         for number, spec in enumerate(job.record.steps):
--- a/mustardward/components/scheduling/planner.py
+++ b/mustardward/components/scheduling/planner.py
@@ -260,7 +260,7 @@
         organisation = step.job.organisation
         if self.state.quotas.allows(organisation, step.requested, count):
             return True
-        self.quota_wait_logger.note(organisation, max(count, len(step.waiting)))
+        self.quota_wait_logger.record(organisation, max(count, len(step.waiting)))
         self.wait_tracker.record(step, Reason.QUOTA)
         return False
 
--- a/mustardward/components/scheduling/quota_wait_logger.py
+++ b/mustardward/components/scheduling/quota_wait_logger.py
@@ -24,7 +24,7 @@
     _waiting: Counter[str] = field(default_factory=Counter)
     _logged_at: dict[str, float] = field(default_factory=dict)
 
-    def note(self, organisation: str, tasks: int) -> None:
+    def record(self, organisation: str, tasks: int) -> None:
         """Take in that tasks wait for their organisation's quota."""
         self._waiting[organisation] += tasks
 
--- a/mustardward/components/scheduling/scheduler.py
+++ b/mustardward/components/scheduling/scheduler.py
@@ -140,7 +140,7 @@
             log_worker_lost(old, LossCause.RESTARTED, now)
             suspects = suspects_of(old, now)
             self.state.replace_worker(old, new, now)
-            self._crashes.note(old, LossCause.RESTARTED, suspects, now)
+            self._crashes.record_loss(old, LossCause.RESTARTED, suspects, now)
 
     def mark_worker_missing(self, worker_id: str, now: float) -> None:
         """Take in that a worker's entry is gone; what runs there may go on."""
@@ -157,7 +157,7 @@
             log_worker_lost(worker, cause, now)
             suspects = suspects_of(worker, now)
             self.state.drop_worker(worker, now)
-            self._crashes.note(worker, cause, suspects, now)
+            self._crashes.record_loss(worker, cause, suspects, now)
 
     def apply_worker_report(
         self, worker_id: str, answer: HoldAnswer, sent_at: float, now: float
@@ -218,7 +218,7 @@
             self.wait_logger.record_sent(job_id, now)
             if job.state.final and job_id not in self._ending:
                 self._ending[job_id] = job
-                self._zone_chooser.forget(job)
+                self._zone_chooser.remove_work(job)
                 _LOGGER.info(
                     "job_ended",
                     job=job_id,
--- a/mustardward/components/scheduling/wait_inputs.py
+++ b/mustardward/components/scheduling/wait_inputs.py
@@ -31,7 +31,7 @@
     "unconfirmed": lambda worker, now: not worker.confirmed,
     "unknown-runs": lambda worker, now: worker.unknown_runs,
 }
-"""What makes a worker unusable, in the terms of ``placement.usable``."""
+"""What makes a worker unusable, in the terms of ``placement.is_usable``."""
 
 INPUTS: Final[Registry[Reason, Callable[[WaitContext], Inputs]]] = Registry(
     "wait inputs"
--- a/mustardward/components/scheduling/zone_chooser.py
+++ b/mustardward/components/scheduling/zone_chooser.py
@@ -63,7 +63,7 @@
 
     def add_work(self, job: Job) -> None:
         """Count a job's work for the data centres in which it may start."""
-        self.forget(job)
+        self.remove_work(job)
         if not job.zones:
             return
         share = self.state.estimates.remaining_work(job) / len(job.zones)
@@ -72,7 +72,7 @@
             self._assigned_work[key] += share
         self._work_by_job[job.record.id] = (keys, share)
 
-    def forget(self, job: Job) -> None:
+    def remove_work(self, job: Job) -> None:
         """Count a job's work no longer, since it is over."""
         keys, share = self._work_by_job.pop(job.record.id, ([], 0.0))
         for key in keys:
--- a/tests/components/explain/test_log_lines.py
+++ b/tests/components/explain/test_log_lines.py
@@ -29,7 +29,7 @@
     caplog.set_level("INFO", "absl")
     caplog.clear()
     bench, _ = SCENES[reason]()
-    bench.scheduler.waits.tell(bench.now)
+    bench.scheduler.wait_logger.log_due(bench.now)
     return written(caplog)
 
 
--- a/tests/components/scheduling/test_ranked_workers.py
+++ b/tests/components/scheduling/test_ranked_workers.py
@@ -1,4 +1,4 @@
-"""Test that the shortlist places tasks where a look at each worker would."""
+"""Test that the ranked_workers places tasks where a look at each worker would."""
 
 from __future__ import annotations
 
@@ -59,14 +59,14 @@
     workers = list(state.workers.values())
     run.job.home_rack = choose_home_rack(workers)
     for task in list(run.waiting):
-        shortlist = RankedWorkers(workers, run, task.avoid)
+        ranked_workers = RankedWorkers(workers, run, task.avoid)
         expected = by_looking_at_each(workers, task)
-        assert shortlist.best() is expected
+        assert ranked_workers.best() is expected
         if expected is None:
             break
         run.waiting.remove(task)
         state.assign(task, expected, state.next_run_number(), bench.now)
-        shortlist.renew()
+        ranked_workers.update_best()
         following = next(iter(run.waiting), None)
         if following is not None and following.avoid == task.avoid:
-            assert shortlist.best() is by_looking_at_each(workers, following)
+            assert ranked_workers.best() is by_looking_at_each(workers, following)
