--- a/mustardward/components/scheduling/const.py
+++ b/mustardward/components/scheduling/const.py
@@ -75,5 +75,5 @@
 MISSED_HOLDS_LIMIT: Final = 2
 """Answers in a row that have to miss a run before it counts as lost."""
 
-EVACUATION_SECONDS: Final = 1.5
+EVACUATION_GRACE_SECONDS: Final = 1.5
 """Runs shorter than this may end by themselves before an instance is maintained."""
--- a/mustardward/components/scheduling/crashes.py
+++ b/mustardward/components/scheduling/crashes.py
@@ -114,7 +114,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Crashes:
+class CrashTracker:
     """Suspect, clear and give up jobs."""
 
     state: SchedulerState
--- a/mustardward/components/scheduling/demand.py
+++ b/mustardward/components/scheduling/demand.py
@@ -146,7 +146,7 @@
 
 
 def _workers_to_spread(step: StepRun) -> int:
-    most = step.spec.max_per_server
-    if not most or step.job.state.final:
+    limit = step.spec.max_per_server
+    if not limit or step.job.state.final:
         return 0
-    return math.ceil((len(step.tasks) - step.done) / most)
+    return math.ceil((len(step.tasks) - step.done) / limit)
--- a/mustardward/components/scheduling/evacuation.py
+++ b/mustardward/components/scheduling/evacuation.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from .const import EVACUATION_SECONDS
+from .const import EVACUATION_GRACE_SECONDS
 from .models import Phase, Task
 from .scheduler_state import SchedulerState
 from .worker_state import WorkerState
@@ -63,4 +63,4 @@
         if worker.draining:
             return now + remaining_seconds > worker.drains_at
         since = worker.leaving_since if worker.leaving else worker.missing_since
-        return since is not None and now - since > EVACUATION_SECONDS
+        return since is not None and now - since > EVACUATION_GRACE_SECONDS
--- a/mustardward/components/scheduling/intake.py
+++ b/mustardward/components/scheduling/intake.py
@@ -23,8 +23,8 @@
     """Turn accepted jobs into steps and tasks."""
 
     state: SchedulerState
-    zones: ZoneChooser
-    shares: RateShares = field(default_factory=RateShares)
+    zone_chooser: ZoneChooser
+    rate_shares: RateShares = field(default_factory=RateShares)
 
     def add(self, ledger_job: LedgerJob, now: float, wall: float) -> None:
         """Take a job in, with what is stored of it."""
@@ -36,11 +36,11 @@
         age = max(0.0, wall - record.accepted_at)
         job = Job(record, policy, accepted_at=now - age)
         self._set_objective(job, job.accepted_at)
-        job.over_rate = self.shares.exceeds_rate(job.organisation, job.accepted_at)
+        job.over_rate = self.rate_shares.exceeds_rate(job.organisation, job.accepted_at)
         self.state.jobs[record.id] = job
         progress = ledger_job.progress
         if progress is None:
-            self.zones.choose(job)
+            self.zone_chooser.choose(job)
             self.state.mark_dirty(job)
         else:
             job.stored = True
@@ -49,7 +49,7 @@
             job.zones = frozenset(progress.zones) or None
             job.stored_zones = job.pending_zones = job.zones
             self._restore(job, progress)
-            self.zones.add_work(job)
+            self.zone_chooser.add_work(job)
         if not record.times:
             self._open_occurrence(job, 0, now)
             job.next_occurrence = 1
--- a/mustardward/components/scheduling/job_order.py
+++ b/mustardward/components/scheduling/job_order.py
@@ -48,7 +48,7 @@
 class DeadlineClass(IntEnum):
     """Order steps by what a start now is worth."""
 
-    LASTING = 0
+    LONG_RUNNING = 0
     IN_TIME = 1
     LATE = 2
     OVERDUE = 3
@@ -57,11 +57,11 @@
 def register(name: str) -> Callable[[JobOrder], JobOrder]:
     """File an order of the work that can still be in time."""
 
-    def file(order: JobOrder) -> JobOrder:
+    def add(order: JobOrder) -> JobOrder:
         ORDERS[name] = order
         return order
 
-    return file
+    return add
 
 
 @register("slack")
@@ -104,8 +104,10 @@
 
     def until(self, seconds: float) -> float:
         """Return the core seconds that it can do within a time."""
-        later = max(0.0, seconds - self.incoming_after_seconds)
-        return self.now * max(0.0, seconds) + self.incoming * later - self.begun
+        incoming_seconds = max(0.0, seconds - self.incoming_after_seconds)
+        return (
+            self.now * max(0.0, seconds) + self.incoming * incoming_seconds - self.begun
+        )
 
 
 def capacity_of(
@@ -115,14 +117,14 @@
 
     :param incoming: processor of instances on their way, in thousandths of a core.
     """
-    here = begun = 0.0
+    available = begun = 0.0
     for worker in workers:
-        here += worker.capacity.cpu
+        available += worker.capacity.cpu
         for task in worker.tasks.values():
             if not task.step.spec.long_running:
                 remaining = max(0.0, estimates.remaining_seconds(task, now))
                 begun += task.step.room.cpu * remaining
-    return Capacity(here / 1000, begun / 1000, incoming / 1000, INCOMING_SECONDS)
+    return Capacity(available / 1000, begun / 1000, incoming / 1000, INCOMING_SECONDS)
 
 
 def _choose_by_slack(demand: float, capacity: Capacity) -> JobOrder:
@@ -178,7 +180,12 @@
     job = step.job
     policy = job.policy
     if step.spec.long_running:
-        return (DeadlineClass.LASTING, policy.priority, False, float(step.spec.fills))
+        return (
+            DeadlineClass.LONG_RUNNING,
+            policy.priority,
+            False,
+            float(step.spec.fills),
+        )
     if now + remaining.critical_path <= job.objective_at:
         return (
             DeadlineClass.IN_TIME,
--- a/mustardward/components/scheduling/models.py
+++ b/mustardward/components/scheduling/models.py
@@ -79,7 +79,7 @@
     pace: int = 100
     missed_holds: int = 0
     stop_acknowledged_at: float | None = None
-    avoid: set[str] = field(default_factory=set)
+    avoided_workers: set[str] = field(default_factory=set)
     ready_since: float = 0.0
     seen_running: bool = False
     percent_at_ms: float = -1.0
--- a/mustardward/components/scheduling/pacing.py
+++ b/mustardward/components/scheduling/pacing.py
@@ -50,18 +50,18 @@
     def run(self, now: float) -> None:
         """Give the pace orders that are due."""
         for worker in self.state.workers.values():
-            filling = [t for t in worker.tasks.values() if _fills(t)]
+            filling = [t for t in worker.tasks.values() if _is_filling(t)]
             if filling:
                 self._control(worker, filling, now)
 
     def needs_frequent_polls(self, worker: WorkerState) -> bool:
         """Return whether serving and filling tasks stand side by side."""
         tasks = worker.tasks.values()
-        return any(_fills(t) for t in tasks) and any(_serves(t) for t in tasks)
+        return any(_is_filling(t) for t in tasks) and any(_is_serving(t) for t in tasks)
 
     def _control(self, worker: WorkerState, filling: list[Task], now: float) -> None:
         throttle = self._throttles.setdefault(worker.id, _Throttle())
-        serving = [task for task in worker.tasks.values() if _serves(task)]
+        serving = [task for task in worker.tasks.values() if _is_serving(task)]
         worst = max((t.figure / t.step.spec.target_ms for t in serving), default=0.0)
         since = now - throttle.changed_at
         if worst > HARMED_SHARE and since >= CHANGE_SECONDS:
@@ -81,9 +81,9 @@
                 )
 
 
-def _fills(task: Task) -> bool:
+def _is_filling(task: Task) -> bool:
     return task.phase is Phase.RUNNING and task.step.spec.fills
 
 
-def _serves(task: Task) -> bool:
+def _is_serving(task: Task) -> bool:
     return task.phase is Phase.RUNNING and task.step.spec.target_ms > 0
--- a/mustardward/components/scheduling/placement.py
+++ b/mustardward/components/scheduling/placement.py
@@ -67,8 +67,8 @@
     count = min(
         len(step.waiting), count_fitting(room_after_short_tasks(worker), step.room)
     )
-    most = step.spec.max_per_server
-    return min(count, most - step.on_worker[worker.id]) if most else count
+    limit = step.spec.max_per_server
+    return min(count, limit - step.on_worker[worker.id]) if limit else count
 
 
 def count_fitting(room: Room, size: Room) -> int:
@@ -178,12 +178,12 @@
 def _long_running_score(worker: WorkerState, step: StepRun) -> Score:
     spec = step.spec
     here = step.on_worker[worker.id]
-    most = 1 if spec.target_ms else max(1, spec.may_miss)
+    limit = 1 if spec.target_ms else max(1, spec.may_miss)
     others = [other.step.spec for other in worker.tasks.values()]
     serving = sum(other.fills != spec.fills for other in others) if spec.fills else 0
     shared = any(other.long_running for other in others) and not spec.target_ms
     return (
-        float(max(0, here + 1 - most)),
+        float(max(0, here + 1 - limit)),
         float(worker.maintenance_due),
         float(serving),
         float(not shared),
--- a/mustardward/components/scheduling/planner.py
+++ b/mustardward/components/scheduling/planner.py
@@ -38,7 +38,7 @@
     """Place what is ready, the most urgent first."""
 
     state: SchedulerState
-    zones: ZoneChooser
+    zone_chooser: ZoneChooser
     order: JobOrder | None = None
     quota_wait_logger: QuotaWaitLogger = field(default_factory=QuotaWaitLogger)
     wait_tracker: WaitTracker = field(default_factory=WaitTracker)
@@ -49,7 +49,7 @@
         """Give the starts that are possible, up to a number of them."""
         self._remaining_starts = max_starts
         self.wait_tracker.begin_plan(now, max_starts)
-        self.state.quotas.set_unseen(self._unseen(now))
+        self.state.quotas.set_unconfirmed(self._unconfirmed_runs(now))
         by_service: dict[str, list[StepRun]] = {}
         for step in self.state.ready.values():
             if step.waiting and not step.job.stored:
@@ -79,7 +79,7 @@
         first = self._rotation % max(1, len(services))
         return services[first:] + services[:first]
 
-    def _unseen(self, now: float) -> Iterator[tuple[str, Room, int]]:
+    def _unconfirmed_runs(self, now: float) -> Iterator[tuple[str, Room, int]]:
         """Yield the tasks that an owner before may have started, and that may run."""
         if now >= self.state.takeover_hold_until:
             return
@@ -146,7 +146,7 @@
             )
             self.wait_tracker.record(step, Reason.NO_ROOM, candidates)
             return
-        elsewhere = self.zones.add_zone(step, candidates.by_zone, promised)
+        elsewhere = self.zone_chooser.add_zone(step, candidates.by_zone, promised)
         self.wait_tracker.record(
             step, reason_elsewhere(step, elsewhere), candidates, promised
         )
@@ -202,7 +202,7 @@
         for task in suspects:
             if not self._can_start_more(step) or not self._within_quota(step):
                 return True
-            worker = RankedWorkers(workers, step, task.avoid).best()
+            worker = RankedWorkers(workers, step, task.avoided_workers).best()
             if worker is None:
                 return False
             self._remaining_starts -= 1
@@ -227,8 +227,8 @@
             if not self._can_start_more(step) or not self._within_quota(step):
                 return True
             task = step.waiting[0]
-            if ranked_workers is None or task.avoid != avoided:
-                avoided = task.avoid
+            if ranked_workers is None or task.avoided_workers != avoided:
+                avoided = task.avoided_workers
                 ranked_workers = RankedWorkers(workers, step, avoided)
             worker = ranked_workers.best()
             if worker is None:
--- a/mustardward/components/scheduling/quotas.py
+++ b/mustardward/components/scheduling/quotas.py
@@ -38,7 +38,7 @@
 
     quota_of: QuotaLookup = unlimited_quota
     _used: dict[str, Amount] = field(default_factory=dict)
-    _unseen: dict[str, Amount] = field(default_factory=dict)
+    _unconfirmed: dict[str, Amount] = field(default_factory=dict)
 
     def reserve(self, organisation: str, room: Room) -> None:
         """Count a run."""
@@ -54,16 +54,16 @@
         """Return what is counted of an organisation."""
         return self._used.get(organisation, Amount())
 
-    def unseen(self, organisation: str) -> Amount:
+    def unconfirmed(self, organisation: str) -> Amount:
         """Return what of an organisation may run unseen."""
-        return self._unseen.get(organisation, Amount())
+        return self._unconfirmed.get(organisation, Amount())
 
-    def set_unseen(self, runs: Iterable[tuple[str, Room, int]]) -> None:
+    def set_unconfirmed(self, runs: Iterable[tuple[str, Room, int]]) -> None:
         """Say what may run unseen, as organisation, room and number of tasks."""
-        self._unseen = {}
+        self._unconfirmed = {}
         for organisation, room, count in runs:
             if organisation:
-                self._unseen.setdefault(organisation, Amount()).add(room, count)
+                self._unconfirmed.setdefault(organisation, Amount()).add(room, count)
 
     def allows(self, organisation: str, room: Room, count: int = 1) -> bool:
         """Return whether so many more tasks may run at once.
@@ -75,10 +75,10 @@
             return True
         quota = self.quota_of(organisation)
         used = self._used.get(organisation, _NOTHING)
-        unseen = self._unseen.get(organisation, _NOTHING)
-        cpu = used.cpu + unseen.cpu
-        mem_mb = used.mem_mb + unseen.mem_mb
-        gpu = used.gpu + unseen.gpu
+        unconfirmed = self._unconfirmed.get(organisation, _NOTHING)
+        cpu = used.cpu + unconfirmed.cpu
+        mem_mb = used.mem_mb + unconfirmed.mem_mb
+        gpu = used.gpu + unconfirmed.gpu
         if count == 1 and not (cpu or mem_mb or gpu):
             return True
         return (
--- a/mustardward/components/scheduling/rate_shares.py
+++ b/mustardward/components/scheduling/rate_shares.py
@@ -51,7 +51,7 @@
         rate = self.rate_of(organisation) if organisation else 0.0
         if rate <= 0.0:
             return False
-        most = max(1.0, rate * BURST_SECONDS)
-        bucket = self._buckets.setdefault(organisation, TokenBucket(most, at))
-        bucket.fill(at, rate, most)
+        capacity = max(1.0, rate * BURST_SECONDS)
+        bucket = self._buckets.setdefault(organisation, TokenBucket(capacity, at))
+        bucket.fill(at, rate, capacity)
         return not bucket.take()
--- a/mustardward/components/scheduling/reports.py
+++ b/mustardward/components/scheduling/reports.py
@@ -48,15 +48,15 @@
         :param sent_at: when the call was sent; what was ordered since may be missing.
         """
         for ended in answer.ended:
-            self.ended(worker, ended, now)
+            self.apply_end(worker, ended, now)
         self.state.clear_orphan_runs(worker)
         listed: set[tuple[object, int]] = set()
         worker.clock_ms = answer.clock_ms
         for row in answer.running:
             listed.add((row.task, row.run))
-            self._running(worker, row, sent_at, now)
+            self._handle_running(worker, row, sent_at, now)
         if len(answer.ended) < MAX_LISTED_ENDS:
-            self._missing(worker, listed, sent_at, now)
+            self._handle_missing(worker, listed, sent_at, now)
         worker.confirmed = True
         worker.stale = False
         worker.reported_at = sent_at
@@ -77,7 +77,7 @@
             task.percent_since = now
             waited = now - task.ready_since
             expected = self.state.estimates.seconds(task.step)
-            self.run_logger.started(task, task.worker, waited, expected)
+            self.run_logger.record_start(task, task.worker, waited, expected)
             return
         worker = task.worker
         if reason == REFUSED_ROOM:
@@ -87,25 +87,25 @@
         elif reason == REFUSED_LATE:
             worker.stale = True
         _LOGGER.info("start_rejected", worker=worker.id, run=run, reason=reason)
-        self._not_started(task, now)
+        self._handle_not_started(task, now)
 
     def start_refused(self, task: Task, run: int, now: float) -> None:
         """Take in that a start certainly was not carried out."""
         if task.run != run or task.phase is not Phase.STARTING or task.worker is None:
             return
         task.worker.refusing_until = now + UNHEALTHY_PAUSE_SECONDS
-        self._not_started(task, now)
+        self._handle_not_started(task, now)
 
     def start_withdrawn(self, task: Task, run: int, now: float) -> None:
         """Take in that a start was not sent; that says nothing of the worker."""
         if task.run == run and task.phase is Phase.STARTING:
-            self._not_started(task, now)
+            self._handle_not_started(task, now)
 
     def start_unknown(self, task: Task, run: int) -> None:
         """Take in that a start was not answered."""
         if task.run == run and task.phase is Phase.STARTING and task.worker:
             # A worker may answer all else, and leave each start unanswered.
-            task.avoid.add(task.worker.id)
+            task.avoided_workers.add(task.worker.id)
             self.state.mark_uncertain(task)
 
     def stop_answered(self, task: Task, run: int, now: float) -> None:
@@ -113,7 +113,7 @@
         if task.run == run and task.phase in (Phase.UNCERTAIN, Phase.STOPPING):
             task.stop_acknowledged_at = now
 
-    def _not_started(self, task: Task, now: float) -> None:
+    def _handle_not_started(self, task: Task, now: float) -> None:
         step = task.step
         self.state.end_run(task, now)
         if step.spec.gang:
@@ -122,32 +122,36 @@
                 if member.phase in (Phase.STARTING, Phase.RUNNING):
                     self.state.stop(member, "gang")
 
-    def ended(self, worker: WorkerState, ended: EndedTask, now: float) -> None:
+    def apply_end(self, worker: WorkerState, ended: EndedTask, now: float) -> None:
         """Take in that a worker lists a run as ended."""
-        task = self._expected(ended.task)
+        task = self._find_task(ended.task)
         if task is None or task.phase is Phase.DONE:
             return
-        own = task.worker is worker and task.run == ended.run and task.phase in ACTIVE
-        self.run_logger.ended(worker, ended, own)
+        is_current = (
+            task.worker is worker and task.run == ended.run and task.phase in ACTIVE
+        )
+        self.run_logger.record_end(worker, ended, is_current)
         self.state.mark_started(task.step.job)
         if ended.how == ENDED_DONE:
-            self._done(worker, task, own, now)
+            self._handle_done(worker, task, is_current, now)
             return
         if ended.how == ENDED_FAILED and ended.run not in task.failed_runs:
             task.failed_runs += (ended.run,)
-            task.avoid.add(worker.id)
+            task.avoided_workers.add(worker.id)
             self.health.record_failure(worker, task, now)
         if ended.checkpoint:
             task.checkpoint = ended.checkpoint
         self.state.mark_dirty(task.step.job)
-        if own:
+        if is_current:
             task.runs_since_crash += task.phase is not Phase.STOPPING
             self.state.end_run(task, now)
         if ended.how == ENDED_FAILED:
             self.intake.task_failed(task)
 
-    def _done(self, worker: WorkerState, task: Task, own: bool, now: float) -> None:
-        if own:
+    def _handle_done(
+        self, worker: WorkerState, task: Task, is_current: bool, now: float
+    ) -> None:
+        if is_current:
             seconds = now - task.started_at
             if not task.checkpoint:
                 self.state.estimates.learn(task.step, seconds)
@@ -156,13 +160,13 @@
             self.state.add_command(Stop(task.name, task.worker.id, task.run, None))
         if not task.step.job.state.final:
             self.intake.task_done(task, now)
-        elif own:
+        elif is_current:
             self.state.end_run(task, now)
 
-    def _running(
+    def _handle_running(
         self, worker: WorkerState, row: RunningTask, sent_at: float, now: float
     ) -> None:
-        task = self._expected(row.task)
+        task = self._find_task(row.task)
         if task is None or task.phase is Phase.DONE:
             self._stop_orphan_run(worker, row)
             return
@@ -193,9 +197,9 @@
         self.state.add_orphan_run(worker, row.task)
         self.state.add_command(Stop(row.task, worker.id, row.run, None))
 
-    def _expected(self, name: TaskName) -> Task | None:
+    def _find_task(self, name: TaskName) -> Task | None:
         """Return a task, also of an occurrence that is not open here yet."""
-        task = self.state.find(name)
+        task = self.state.find_task(name)
         if task is not None:
             return task
         job = self.state.jobs.get(name.job)
@@ -206,7 +210,7 @@
             return None
         return step.tasks[name.index]
 
-    def _missing(
+    def _handle_missing(
         self,
         worker: WorkerState,
         listed: set[tuple[object, int]],
--- a/mustardward/components/scheduling/run_logger.py
+++ b/mustardward/components/scheduling/run_logger.py
@@ -36,7 +36,7 @@
     ended_count: int = 0
     _gathered: dict[Key, list[str]] = field(default_factory=lambda: defaultdict(list))
 
-    def started(
+    def record_start(
         self, task: Task, worker: WorkerState, waited: float, expected: float
     ) -> None:
         """Take in a start; how long the task waited, and should run, in seconds."""
@@ -44,12 +44,14 @@
         text = f"{_run_key(task)}:{task.run}@{worker.id}+{waited:.3f}~{expected:.2f}"
         self._gathered["runs_started", task.step.job.record.id].append(text)
 
-    def ended(self, worker: WorkerState, ended: EndedTask, own: bool) -> None:
+    def record_end(
+        self, worker: WorkerState, ended: EndedTask, is_current: bool
+    ) -> None:
         """Take in an end; a run that was not the task's newest is marked as stray."""
-        self.ended_count += own
+        self.ended_count += is_current
         name = ended.task
         text = f"{name.occurrence}.{name.step}.{name.index}:{ended.run}@{worker.id}"
-        text += f"={ended.how}" + ("" if own else "/stray")
+        text += f"={ended.how}" + ("" if is_current else "/stray")
         self._gathered["runs_ended", name.job].append(text)
 
     def flush(self) -> None:
--- a/mustardward/components/scheduling/scheduler.py
+++ b/mustardward/components/scheduling/scheduler.py
@@ -18,7 +18,7 @@
     STUCK_FACTOR,
     STUCK_SECONDS,
 )
-from .crashes import Crashes, suspects_of
+from .crashes import CrashTracker, suspects_of
 from .evacuation import Evacuation
 from .health import WorkerHealth
 from .incarnations import make_worker
@@ -69,7 +69,7 @@
         self.health = WorkerHealth(self.state)
         self.reports = Reports(self.state, self.intake, self.health)
         self.pacing = Pacing(self.state)
-        self._crashes = Crashes(self.state)
+        self._crash_tracker = CrashTracker(self.state)
         self._evacuation = Evacuation(self.state)
         self._planner = Planner(self.state, self._zone_chooser, ORDERS.get(order))
         self.wait_logger = WaitLogger(self.state, self._planner.wait_tracker)
@@ -140,7 +140,7 @@
             log_worker_lost(old, LossCause.RESTARTED, now)
             suspects = suspects_of(old, now)
             self.state.replace_worker(old, new, now)
-            self._crashes.record_loss(old, LossCause.RESTARTED, suspects, now)
+            self._crash_tracker.record_loss(old, LossCause.RESTARTED, suspects, now)
 
     def mark_worker_missing(self, worker_id: str, now: float) -> None:
         """Take in that a worker's entry is gone; what runs there may go on."""
@@ -157,7 +157,7 @@
             log_worker_lost(worker, cause, now)
             suspects = suspects_of(worker, now)
             self.state.drop_worker(worker, now)
-            self._crashes.record_loss(worker, cause, suspects, now)
+            self._crash_tracker.record_loss(worker, cause, suspects, now)
 
     def apply_worker_report(
         self, worker_id: str, answer: HoldAnswer, sent_at: float, now: float
@@ -200,7 +200,7 @@
         if now >= self._next_check_at:
             self._next_check_at = now + CHECK_INTERVAL_SECONDS
             self._stop_stuck(now)
-            self._crashes.evaluate(now)
+            self._crash_tracker.evaluate(now)
             self.pacing.run(now)
         self._planner.run(now, max_starts)
         self._forget_ended()
@@ -250,7 +250,7 @@
         for worker in self.state.workers.values():
             for task in list(worker.tasks.values()):
                 if self._is_stuck(task):
-                    task.avoid.add(worker.id)
+                    task.avoided_workers.add(worker.id)
                     self.health.record_failure(worker, task, now)
                     self.state.stop(task, "stuck")
 
--- a/mustardward/components/scheduling/scheduler_state.py
+++ b/mustardward/components/scheduling/scheduler_state.py
@@ -51,7 +51,7 @@
     quotas: Quotas = field(default_factory=Quotas)
     suspects: dict[str, Job] = field(default_factory=dict)
     _commands: list[Command] = field(default_factory=list)
-    _counter: int = 0
+    _run_counter: int = 0
 
     def take_commands(self) -> list[Command]:
         """Return the commands given since the last call."""
@@ -65,10 +65,10 @@
 
     def next_run_number(self) -> int:
         """Return a number above all that this or an older owner gave."""
-        self._counter += 1
-        return (self.epoch << RUN_BITS) + self._counter
+        self._run_counter += 1
+        return (self.epoch << RUN_BITS) + self._run_counter
 
-    def find(self, name: TaskName) -> Task | None:
+    def find_task(self, name: TaskName) -> Task | None:
         """Return the task of a name, or None if its job is over or not known."""
         job = self.jobs.get(name.job)
         if job is None:
--- a/mustardward/components/scheduling/wait_inputs.py
+++ b/mustardward/components/scheduling/wait_inputs.py
@@ -49,7 +49,7 @@
     job = wait.step.job
     return {
         "dirty": job.record.id in wait.state.dirty,
-        "sent_seconds": _since(wait.sent_at, wait.now),
+        "sent_seconds": _seconds_since(wait.sent_at, wait.now),
         "suspicion": job.suspicion,
     }
 
@@ -62,10 +62,10 @@
         for name, condition in _UNUSABLE_CONDITIONS.items()
     }
     named = ",".join(f"{name}:{count}" for name, count in counts.items() if count)
-    heard = [w.reported_at for w in wait.with_room if w.reported_at]
+    reported = [w.reported_at for w in wait.with_room if w.reported_at]
     return {
         "unusable": named or None,
-        "heard_seconds": _since(min(heard, default=None), wait.now),
+        "heard_seconds": _seconds_since(min(reported, default=None), wait.now),
     }
 
 
@@ -82,15 +82,15 @@
     return {
         "held_seconds_left": state.takeover_hold_until - wait.now,
         "taken_over_seconds": wait.now - state.taken_over_at,
-        "open_zones": _named(where),
-        "unaccounted": _named(zones - state.accounted_zones),
+        "open_zones": _join_names(where),
+        "unaccounted": _join_names(zones - state.accounted_zones),
     }
 
 
 @INPUTS.register(Reason.AWAITS_EVALUATION)
-def _judgement(wait: WaitContext) -> Inputs:
+def _evaluation(wait: WaitContext) -> Inputs:
     job = wait.step.job
-    dates = [
+    due_times = [
         t.evaluation_due_at
         for s in job.steps.values()
         for t in s.tasks
@@ -98,8 +98,8 @@
     ]
     return {
         "suspicion": job.suspicion,
-        "unjudged": len(dates),
-        "overdue_seconds": _since(min(dates, default=None), wait.now),
+        "unjudged": len(due_times),
+        "overdue_seconds": _seconds_since(min(due_times, default=None), wait.now),
     }
 
 
@@ -114,8 +114,8 @@
     return {
         "suspects": sum(needs_isolation(task) for task in step.waiting),
         "suspicion": step.job.suspicion,
-        "trial_workers": _named(isolation_workers(step.job)),
-        "empty_workers": _named(free),
+        "trial_workers": _join_names(isolation_workers(step.job)),
+        "empty_workers": _join_names(free),
     }
 
 
@@ -129,12 +129,12 @@
         "kept": len(reserved),
         "kept_for_suspects": len(for_suspects),
         "kept_for_lasting": len(reserved) - len(for_suspects),
-        "kept_for": _named(f"{w}:{s.job.record.id}" for w, s in reserved.items()),
+        "kept_for": _join_names(f"{w}:{s.job.record.id}" for w, s in reserved.items()),
     }
 
 
 @INPUTS.register(Reason.FITS_NOWHERE)
-def _nowhere(wait: WaitContext) -> Inputs:
+def _oversized(wait: WaitContext) -> Inputs:
     candidates = wait.decision.candidates if wait.decision is not None else None
     other = (
         candidates.find_oversized_step(wait.step) if candidates is not None else None
@@ -146,7 +146,7 @@
     return {
         "found_by": other.job.record.id,
         "found_reason": decision.reason.value if decision is not None else None,
-        "found_zones": _named(other.job.stored_zones),
+        "found_zones": _join_names(other.job.stored_zones),
         "found_cpu": room.cpu,
         "found_mb": room.mem_mb,
         "found_gpu": room.gpu,
@@ -163,7 +163,7 @@
         else None
     )
     return {
-        "asked_seconds": _since(asked, wait.now),
+        "asked_seconds": _seconds_since(asked, wait.now),
         "tickets": len(step.tickets),
     }
 
@@ -174,17 +174,17 @@
     quotas = wait.state.quotas
     quota = quotas.quota_of(organisation)
     used = quotas.used(organisation)
-    unseen = quotas.unseen(organisation)
+    unconfirmed = quotas.unconfirmed(organisation)
     return {
         "organisation": organisation,
         "used_cpu": used.cpu,
-        "unseen_cpu": unseen.cpu,
+        "unseen_cpu": unconfirmed.cpu,
         "quota_cpu": quota.cpu,
         "used_mb": used.mem_mb,
-        "unseen_mb": unseen.mem_mb,
+        "unseen_mb": unconfirmed.mem_mb,
         "quota_mb": quota.mem_mb,
         "used_gpu": used.gpu,
-        "unseen_gpu": unseen.gpu,
+        "unseen_gpu": unconfirmed.gpu,
         "quota_gpu": quota.gpu,
     }
 
@@ -218,9 +218,9 @@
     job = wait.step.job
     return {
         **_zones(wait),
-        "sent_zones": _named(job.pending_zones),
+        "sent_zones": _join_names(job.pending_zones),
         "dirty": job.record.id in wait.state.dirty,
-        "sent_seconds": _since(wait.sent_at, wait.now),
+        "sent_seconds": _seconds_since(wait.sent_at, wait.now),
     }
 
 
@@ -232,8 +232,10 @@
     promised = wait.decision.promised if wait.decision is not None else None
     return {
         **_zones(wait),
-        "free": _named(f"{zone}:{cpu}" for zone, cpu in free.items()),
-        "promised": _named(f"{zone}:{cpu}" for zone, cpu in (promised or {}).items()),
+        "free": _join_names(f"{zone}:{cpu}" for zone, cpu in free.items()),
+        "promised": _join_names(
+            f"{zone}:{cpu}" for zone, cpu in (promised or {}).items()
+        ),
     }
 
 
@@ -241,13 +243,13 @@
 def _rules(wait: WaitContext) -> Inputs:
     step = wait.step
     label = step.spec.required_label
-    most = step.spec.max_per_server
+    limit = step.spec.max_per_server
     able = wait.able
     return {
         "required_label": label or None,
         "without_label": sum(label not in w.labels for w in able) if label else 0,
-        "max_per_server": most,
-        "at_most": sum(step.on_worker[w.id] >= most for w in able) if most else 0,
+        "max_per_server": limit,
+        "at_most": sum(step.on_worker[w.id] >= limit for w in able) if limit else 0,
         "advice": step.job.policy.advice,
         "tickets": len(step.tickets),
         "tickets_seconds_left": step.tickets_valid_until - wait.now
@@ -258,10 +260,13 @@
 
 def _zones(wait: WaitContext) -> Inputs:
     job = wait.step.job
-    return {"zones": _named(job.zones), "open_zones": _named(job.stored_zones)}
+    return {
+        "zones": _join_names(job.zones),
+        "open_zones": _join_names(job.stored_zones),
+    }
 
 
-def _named(names: Iterable[str] | None) -> str | None:
+def _join_names(names: Iterable[str] | None) -> str | None:
     """Return names in order, and how many more there are; None for no names."""
     names = sorted(names or ())
     if not names:
@@ -270,7 +275,7 @@
     return ",".join([*names[:MAX_NAMES], *more])
 
 
-def _since(at: float | None, now: float) -> float | None:
+def _seconds_since(at: float | None, now: float) -> float | None:
     return now - at if at is not None else None
 
 
--- a/mustardward/components/scheduling/wait_logger.py
+++ b/mustardward/components/scheduling/wait_logger.py
@@ -147,7 +147,7 @@
             return decision.reason
         if id(step) not in self.state.ready:
             return Reason.NOT_READY
-        return Reason.NOT_NOTED
+        return Reason.NOT_RECORDED
 
     def _free_rooms_by_pool(self) -> dict[str, list[Room]]:
         """Return the largest rooms of each pool's workers that are listed."""
@@ -155,7 +155,7 @@
         for worker in self.state.workers.values():
             if worker.missing_since is None:
                 pools.setdefault(worker.service, []).append(worker)
-        return {service: _largest(workers) for service, workers in pools.items()}
+        return {service: _largest_rooms(workers) for service, workers in pools.items()}
 
     def _overdue_orders(self, now: float) -> dict[StepRun, _Order]:
         """Return each step's task whose order has not ended for too long."""
@@ -241,7 +241,7 @@
     return now - min((task.ready_since for task in tasks), default=now)
 
 
-def _largest(workers: Iterable[WorkerState]) -> list[Room]:
+def _largest_rooms(workers: Iterable[WorkerState]) -> list[Room]:
     """Return the free rooms that lie within no other one."""
     free = {(w.free_cpu, w.free_mem, w.free_gpu) for w in workers}
     largest: list[Room] = []
--- a/mustardward/components/scheduling/wait_tracker.py
+++ b/mustardward/components/scheduling/wait_tracker.py
@@ -35,7 +35,7 @@
     NOT_READY = "not-among-the-ready-steps"
     OFF_QUEUE = "task-off-its-queue"
     UNFINISHED_ORDER = "order-unfinished"
-    NOT_NOTED = "not-noted"
+    NOT_RECORDED = "not-noted"
 
 
 @dataclass(slots=True, eq=False)
--- a/mustardward/components/scheduling/zone_chooser.py
+++ b/mustardward/components/scheduling/zone_chooser.py
@@ -57,8 +57,8 @@
         capacity = self._capacity(job)
         if not capacity or "" in capacity:
             return
-        near = self._near_data(job) & set(capacity)
-        job.zones = frozenset(near or (self._least_assigned(job, capacity),))
+        near_data = self._zones_near_data(job) & set(capacity)
+        job.zones = frozenset(near_data or (self._least_assigned(job, capacity),))
         self.add_work(job)
 
     def add_work(self, job: Job) -> None:
@@ -128,7 +128,7 @@
             ),
         )
 
-    def _near_data(self, job: Job) -> set[str]:
+    def _zones_near_data(self, job: Job) -> set[str]:
         racks = {step.data_rack for step in job.record.steps if step.data_rack}
         if not racks:
             return set()
--- a/tests/components/dispatch/test_gone_workers.py
+++ b/tests/components/dispatch/test_gone_workers.py
@@ -117,7 +117,7 @@
             self.workers[name].gone = gone
 
     def task(self) -> Task:
-        found = self.scheduler.state.find(TaskName(JOB, 0, 0, 0))
+        found = self.scheduler.state.find_task(TaskName(JOB, 0, 0, 0))
         assert found is not None
         return found
 
--- a/tests/components/dispatch/test_reborn.py
+++ b/tests/components/dispatch/test_reborn.py
@@ -161,7 +161,7 @@
         self.scheduler.mark_stored([JOB])
 
     def task(self, index: int = 0) -> Task:
-        found = self.scheduler.state.find(TaskName(JOB, 0, 0, index))
+        found = self.scheduler.state.find_task(TaskName(JOB, 0, 0, index))
         assert found is not None
         return found
 
--- a/tests/components/scheduling/builders.py
+++ b/tests/components/scheduling/builders.py
@@ -154,7 +154,7 @@
         self, index: int, step: int = 0, job: str = JOB, occurrence: int = 0
     ) -> Task:
         """Return a task."""
-        found = self.scheduler.state.find(TaskName(job, occurrence, step, index))
+        found = self.scheduler.state.find_task(TaskName(job, occurrence, step, index))
         assert found is not None
         return found
 
--- a/tests/components/scheduling/liveness_mutants.py
+++ b/tests/components/scheduling/liveness_mutants.py
@@ -11,7 +11,7 @@
 from mustardward.components.dispatch.orders import Orders
 from mustardward.components.dispatch.session import WorkerSession
 from mustardward.components.scheduling import health, planner, reports
-from mustardward.components.scheduling.crashes import Crashes
+from mustardward.components.scheduling.crashes import CrashTracker
 from mustardward.components.scheduling.quotas import Quotas
 from mustardward.components.scheduling.reports import Reports
 from mustardward.components.scheduling.scheduler import Scheduler
@@ -162,7 +162,7 @@
     "suspects-stay-off-their-queue": _replace(
         SchedulerState, "return_to_queue", _nothing
     ),
-    "nobody-is-judged": _replace(Crashes, "_is_due", lambda *_: False),
+    "nobody-is-judged": _replace(CrashTracker, "_is_due", lambda *_: False),
     "suspects-wait-for-ever": _replace(planner, "can_isolate", lambda *_: False),
     "suspects-are-not-cleared": _replace(SchedulerState, "clear_suspicion", _nothing),
     "an-entry-that-is-back-is-not-read": _stay_absent,
--- a/tests/components/scheduling/test_quota_walks.py
+++ b/tests/components/scheduling/test_quota_walks.py
@@ -392,7 +392,7 @@
 
 def _forget_unseen(patch: pytest.MonkeyPatch) -> None:
     """Let what an owner before may have started count for nothing."""
-    patch.setattr(Planner, "_unseen", lambda planner, now: iter(()))
+    patch.setattr(Planner, "_unconfirmed_runs", lambda planner, now: iter(()))
 
 
 def _forget_strays(patch: pytest.MonkeyPatch) -> None:
--- a/tests/components/scheduling/test_ranked_workers.py
+++ b/tests/components/scheduling/test_ranked_workers.py
@@ -38,7 +38,9 @@
     """Return the first of the workers that suit a task best."""
     step = task.step
     able = [w for w in workers if fits(w, step.room) and may_run(w, step)]
-    return min(able, key=lambda w: placement_score(w, step, task.avoid), default=None)
+    return min(
+        able, key=lambda w: placement_score(w, step, task.avoided_workers), default=None
+    )
 
 
 @given(st.lists(ROOMS, max_size=8), STEPS, st.lists(st.integers(0, 9), max_size=6))
@@ -55,11 +57,11 @@
     run = state.jobs[JOB].steps[(0, 0)]
     for index, worker_number in enumerate(avoiding):
         if index < len(run.tasks):
-            run.tasks[index].avoid.add(f"w{worker_number}")
+            run.tasks[index].avoided_workers.add(f"w{worker_number}")
     workers = list(state.workers.values())
     run.job.home_rack = choose_home_rack(workers)
     for task in list(run.waiting):
-        ranked_workers = RankedWorkers(workers, run, task.avoid)
+        ranked_workers = RankedWorkers(workers, run, task.avoided_workers)
         expected = by_looking_at_each(workers, task)
         assert ranked_workers.best() is expected
         if expected is None:
@@ -68,5 +70,5 @@
         state.assign(task, expected, state.next_run_number(), bench.now)
         ranked_workers.update_best()
         following = next(iter(run.waiting), None)
-        if following is not None and following.avoid == task.avoid:
+        if following is not None and following.avoided_workers == task.avoided_workers:
             assert ranked_workers.best() is by_looking_at_each(workers, following)
--- a/tests/components/scheduling/test_wait_tracker.py
+++ b/tests/components/scheduling/test_wait_tracker.py
@@ -350,7 +350,7 @@
     }
 
 
-@SCENES.register(Reason.NOT_NOTED)
+@SCENES.register(Reason.NOT_RECORDED)
 def not_noted() -> tuple[SchedulerBench, dict[str, str]]:
     """Put a step among the ready ones behind the planner's back."""
     bench = SchedulerBench()
--- a/tests/components/scheduling/test_zone_chooser.py
+++ b/tests/components/scheduling/test_zone_chooser.py
@@ -197,16 +197,16 @@
 def test_a_job_that_is_over_is_promised_no_room_any_more() -> None:
     """Else work would go to the data centre with the fewest jobs since the begin."""
     bench = a_bench()
-    zones = bench.scheduler.intake.zones
+    zone_chooser = bench.scheduler.intake.zone_chooser
     for number in range(5):
         bench.add(a_job(a_step(count=2), job=f"{number:016x}"), stored=False)
     store(bench)
-    assert sum(zones._assigned_work.values()) > 0
+    assert sum(zone_chooser._assigned_work.values()) > 0
     for start in bench.plan_starts():
         bench.end(start.task, ENDED_DONE)
     store(bench)
-    assert round(sum(zones._assigned_work.values()), 6) == 0
-    assert zones._work_by_job == {}
+    assert round(sum(zone_chooser._assigned_work.values()), 6) == 0
+    assert zone_chooser._work_by_job == {}
 
 
 def test_a_step_that_takes_no_processor_finds_a_full_worker_elsewhere() -> None:
