--- a/tests/components/explain/test_log_lines.py
+++ b/tests/components/explain/test_log_lines.py
@@ -13,7 +13,7 @@
 from mustardward.components.scheduling.wait_tracker import Reason
 
 from ..scheduling.builders import JOB
-from ..scheduling.test_wait_tracker import OTHER, SCENES, starts_of, wait_on
+from ..scheduling.test_wait_tracker import OTHER, SCENARIOS, starts_of, wait_on
 
 
 def written(caplog: pytest.LogCaptureFixture, at: float = 1000.0) -> list[str]:
@@ -28,7 +28,7 @@
     """Return the lines of a bench whose job waits for a reason."""
     caplog.set_level("INFO", "absl")
     caplog.clear()
-    bench, _ = SCENES[reason]()
+    bench, _ = SCENARIOS[reason]()
     bench.scheduler.wait_logger.log_due(bench.now)
     return written(caplog)
 
@@ -129,7 +129,7 @@
 
 def test_runs_of_a_job_are_in_its_story(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level("INFO", "absl")
-    bench, _ = SCENES[Reason.STARTS_USED_UP]()
+    bench, _ = SCENARIOS[Reason.STARTS_USED_UP]()
     for start in starts_of(bench):
         bench.accept(start)
     wait_on(bench, 0.5)
--- a/tests/components/scheduling/liveness_calls.py
+++ b/tests/components/scheduling/liveness_calls.py
@@ -25,7 +25,7 @@
 TICKET_SECONDS = (2.0, 60.0)
 """For how long tickets are valid."""
 
-FATES = ("lost", "executed", "late", "refused", "slow")
+OUTCOMES = ("lost", "executed", "late", "refused", "slow")
 
 
 class ModelClient:
@@ -39,22 +39,22 @@
     async def async_start(self, order: StartOrder) -> StartAnswer:
         world = self._world
 
-        def carry_out(worker: ModelWorker) -> str:
+        def execute(worker: ModelWorker) -> str:
             return world.begin(worker, order, self._token, world.now)
 
-        reason = await self._async_call(carry_out, refusable=True)
+        reason = await self._async_call(execute, refusable=True)
         worker = world.workers[self._id]
         return StartAnswer(worker.clock_ms(world.now), reason)
 
     async def async_stop(self, task: TaskName, run: int) -> None:
         world = self._world
 
-        def carry_out(worker: ModelWorker) -> str:
+        def execute(worker: ModelWorker) -> str:
             worker.see_token(self._token)
             worker.stop(task, run, world.now)
             return ""
 
-        await self._async_call(carry_out, refusable=False)
+        await self._async_call(execute, refusable=False)
 
     async def async_pace(self, task: TaskName, run: int, percent: int) -> None:
         await anyio.sleep(CALL_SECONDS)
@@ -69,13 +69,13 @@
             worker.renew(deadline_ms, world.now)
         worker.ended = [end for end in worker.ended if end.number > seen_upto]
         await worker.async_wait(wait_ms / 1000)
-        lost = world.troubled and world.chance.random() < 0.02
+        lost = world.faults_enabled and world.rng.random() < 0.02
         if lost or worker.silent or world.workers.get(self._id) is not worker:
             await anyio.sleep(START_TIMEOUT_SECONDS)
             raise CallUnknownError("lost")
         answer = worker.answer(seen_upto, world.now)
         # What it says may be over, or known by others, once it is read.
-        await anyio.sleep(world.chance.uniform(0, ANSWER_SECONDS))
+        await anyio.sleep(world.rng.uniform(0, ANSWER_SECONDS))
         return answer
 
     async def _async_reach(self) -> ModelWorker:
@@ -87,32 +87,32 @@
         return worker
 
     async def _async_call(
-        self, carry_out: Callable[[ModelWorker], str], refusable: bool
+        self, execute: Callable[[ModelWorker], str], refusable: bool
     ) -> str:
         world = self._world
-        fate = "answered"
-        if world.troubled and world.chance.random() < 0.15:
-            fate = world.chance.choice(FATES)
-        if fate == "late":
-            world.late_call(lambda: self._carry_out_late(carry_out))
-        if fate == "slow":
-            await anyio.sleep(world.chance.uniform(0.2, 0.34))
+        outcome = "answered"
+        if world.faults_enabled and world.rng.random() < 0.15:
+            outcome = world.rng.choice(OUTCOMES)
+        if outcome == "late":
+            world.delay_call(lambda: self._execute_late(execute))
+        if outcome == "slow":
+            await anyio.sleep(world.rng.uniform(0.2, 0.34))
         worker = await self._async_reach()
-        if fate == "refused" and refusable:
+        if outcome == "refused" and refusable:
             raise CallRefusedError("status=503")
-        if fate in ("lost", "late"):
+        if outcome in ("lost", "late"):
             await anyio.sleep(START_TIMEOUT_SECONDS)
             raise CallUnknownError("no answer")
-        reason = carry_out(worker)
-        if fate == "executed":
+        reason = execute(worker)
+        if outcome == "executed":
             await anyio.sleep(START_TIMEOUT_SECONDS)
             raise CallUnknownError("no answer")
         return reason
 
-    def _carry_out_late(self, carry_out: Callable[[ModelWorker], str]) -> None:
+    def _execute_late(self, execute: Callable[[ModelWorker], str]) -> None:
         worker = self._world.workers.get(self._id)
         if worker is not None:
-            carry_out(worker)
+            execute(worker)
 
 
 class ModelAdvice:
@@ -130,14 +130,14 @@
         timeout_seconds: float,
     ) -> StepAdvice:
         world = self._world
-        draw = world.chance.random() if world.troubled else 0.5
+        draw = world.rng.random() if world.faults_enabled else 0.5
         await anyio.sleep(DECIDE_SECONDS)
         if draw < 0.1:
             raise CallRefusedError("status=429")
         if draw > 0.9:
             await anyio.sleep(timeout_seconds)
             raise CallRefusedError("no answer")
-        seconds = world.chance.choice(TICKET_SECONDS)
+        seconds = world.rng.choice(TICKET_SECONDS)
         key = (job, occurrence, step)
         tickets = {}
         for name in workers:
--- a/tests/components/scheduling/liveness_estate.py
+++ b/tests/components/scheduling/liveness_estate.py
@@ -40,43 +40,43 @@
     ]
 
 
-class Estate:
+class WorkerPoolModel:
     """Let workers begin, end and write of themselves."""
 
     def __init__(self, world: World) -> None:
         self.world = world
         world.quotas.update(QUOTAS)
-        self._chance = world.chance
+        self._rng = world.rng
         self._directory = Directory()
         self._slots = _slots()
-        self._at: dict[int, str] = {}
+        self._workers_by_slot: dict[int, str] = {}
         self._incarnations = 1000
-        self._tells_births = self._chance.random() < 0.8
+        self._writes_birth_times = self._rng.random() < 0.8
         self._jobs = 0
         self._owner: Owner | None = None
         self._pending: list[tuple[float, Callable[[], None]]] = []
 
-    def _later(self, seconds: float, call: Callable[[], None]) -> None:
+    def _schedule(self, seconds: float, call: Callable[[], None]) -> None:
         """Do something later, unless all is calm then."""
         self._pending.append((self.world.now + seconds, call))
 
-    def _do_pending(self) -> None:
+    def _run_pending(self) -> None:
         now = self.world.now
         due = [call for at, call in self._pending if at <= now]
         self._pending = [(at, call) for at, call in self._pending if at > now]
         for call in due:
             call()
 
-    def _boot(self, number: int) -> None:
+    def _start_worker(self, number: int) -> None:
         """Let a new incarnation with a new id begin at a slot."""
-        self._begin(number, f"w{number}.{self._incarnations + 1}")
+        self._start_incarnation(number, f"w{number}.{self._incarnations + 1}")
 
-    def _begin(self, number: int, worker_id: str) -> None:
+    def _start_incarnation(self, number: int, worker_id: str) -> None:
         slot = self._slots[number]
         self._incarnations += 1
         worker = ModelWorker(
             worker_id,
-            self._incarnations if self._tells_births else 0,
+            self._incarnations if self._writes_birth_times else 0,
             slot.service,
             slot.zone,
             ("kind", slot.rack),
@@ -85,20 +85,20 @@
             self.world.now,
         )
         self.world.workers[worker_id] = worker
-        self._at[number] = worker_id
+        self._workers_by_slot[number] = worker_id
 
-    def _boot_told(self, number: int) -> None:
-        if number not in self._at:
-            self._boot(number)
-            self._tell(self._at[number])
+    def _start_listed_worker(self, number: int) -> None:
+        if number not in self._workers_by_slot:
+            self._start_worker(number)
+            self._write_entry(self._workers_by_slot[number])
 
-    def _die(self, worker: ModelWorker) -> None:
+    def _end_worker(self, worker: ModelWorker) -> None:
         del self.world.workers[worker.id]
-        del self._at[self._number_of(worker)]
+        del self._workers_by_slot[self._number_of(worker)]
         worker_id = worker.id
-        self._later(ENTRY_LAPSE_SECONDS, lambda: self._untell(worker_id))
+        self._schedule(ENTRY_LAPSE_SECONDS, lambda: self._remove_entry(worker_id))
 
-    def _tell(self, worker_id: str) -> None:
+    def _write_entry(self, worker_id: str) -> None:
         """Write a worker's entry."""
         worker = self.world.workers.get(worker_id)
         if worker is None:
@@ -107,60 +107,64 @@
         if self._directory.entries.get(worker_id) != entry:
             self._directory.entries[worker_id] = entry
             if self._owner is not None:
-                self._owner.see(worker_id, entry)
+                self._owner.update_worker(worker_id, entry)
 
-    def _untell(self, worker_id: str) -> None:
+    def _remove_entry(self, worker_id: str) -> None:
         """Let a worker's entry lapse."""
         if self._directory.entries.pop(worker_id, None) is not None:
             if self._owner is not None:
-                self._owner.miss(worker_id)
+                self._owner.mark_worker_missing(worker_id)
 
     def _set_leaving(self, worker: ModelWorker, leaving: bool) -> None:
         worker.leaving = leaving
         if self._owner is not None:
             self._owner.set_leaving(worker.id, leaving)
 
-    def _pick(self) -> ModelWorker:
-        return self._chance.choice(list(self.world.workers.values()))
+    def _choose_worker(self) -> ModelWorker:
+        return self._rng.choice(list(self.world.workers.values()))
 
     def _number_of(self, worker: ModelWorker) -> int:
-        return next(n for n, worker_id in self._at.items() if worker_id == worker.id)
+        return next(
+            n
+            for n, worker_id in self._workers_by_slot.items()
+            if worker_id == worker.id
+        )
 
-    def _hand_in(self, job: LedgerJob) -> None:
+    def _submit_job(self, job: LedgerJob) -> None:
         self._jobs += 1
         self.world.jobs[job.record.id] = job
         if self._owner is not None:
             now = self.world.now
             self._owner.scheduler.add_job(job, now, now)
-            self._owner.kick()
+            self._owner.wake()
 
-    def _mend(self) -> None:
+    def _stop_faults(self) -> None:
         """Let everything be calm from now on."""
-        self.world.troubled = False
+        self.world.faults_enabled = False
         self._pending.clear()
         self.world.late = [(-math.inf, call) for _, call in self.world.late]
         if self._owner is not None:
             self._owner.list_is_read = True
             self._owner.authorised = True
-        self._mend_workers()
-        self._mend_entries()
+        self._repair_workers()
+        self._repair_entries()
 
-    def _mend_workers(self) -> None:
+    def _repair_workers(self) -> None:
         for worker in list(self.world.workers.values()):
             worker.silent = False
             if worker.draining:
-                self._die(worker)
+                self._end_worker(worker)
             else:
                 slot = self._slots[self._number_of(worker)]
                 worker.capacity = slot.capacity
                 self._set_leaving(worker, False)
         for number in range(len(self._slots)):
-            if number not in self._at:
-                self._boot(number)
+            if number not in self._workers_by_slot:
+                self._start_worker(number)
 
-    def _mend_entries(self) -> None:
+    def _repair_entries(self) -> None:
         for worker_id in list(self._directory.entries):
             if worker_id not in self.world.workers:
-                self._untell(worker_id)
+                self._remove_entry(worker_id)
         for worker_id in self.world.workers:
-            self._tell(worker_id)
+            self._write_entry(worker_id)
--- a/tests/components/scheduling/liveness_jobs.py
+++ b/tests/components/scheduling/liveness_jobs.py
@@ -39,12 +39,12 @@
     "timed",
     "hopeless",
 )
-LASTING = ("lasting", "serving", "fills", "lasting-advice")
+LONG_RUNNING = ("lasting", "serving", "fills", "lasting-advice")
 
 
-def draw_job(chance: random.Random, number: int, now: float, kind: str) -> LedgerJob:
+def draw_job(rng: random.Random, number: int, now: float, kind: str) -> LedgerJob:
     """Return a job of a kind."""
-    queue = chance.choice(("plain", "urgent", "other"))
+    queue = rng.choice(("plain", "urgent", "other"))
     if "advice" in kind:
         queue = "advice"
     changes: dict[str, object] = {
@@ -52,46 +52,46 @@
         "service": POLICIES[queue].service,
         "accepted_at": now,
     }
-    if kind not in LASTING:
-        changes["organisation"] = chance.choice(("", "", "", *QUOTAS))
+    if kind not in LONG_RUNNING:
+        changes["organisation"] = rng.choice(("", "", "", *QUOTAS))
     if kind == "timed":
         changes.update(times=2, start_at_ms=1000 * now + 500, interval_ms=1000)
-    steps = _steps(chance, kind)
+    steps = _steps(rng, kind)
     return a_job(*steps, job=f"{number:016x}", **changes)
 
 
-def _steps(chance: random.Random, kind: str) -> list[SubmittedStep]:
-    count = chance.randint(1, 4)
-    estimate = 1000 * chance.uniform(0.2, LONGEST_SECONDS)
+def _steps(rng: random.Random, kind: str) -> list[SubmittedStep]:
+    count = rng.randint(1, 4)
+    estimate = 1000 * rng.uniform(0.2, LONGEST_SECONDS)
     base: dict[str, object] = {
         "count": count,
-        "cpu": chance.choice((500, 1000, 2000)),
-        "mem_mb": chance.choice((100, 500, 1000)),
+        "cpu": rng.choice((500, 1000, 2000)),
+        "mem_mb": rng.choice((100, 500, 1000)),
         "estimate_ms": estimate,
     }
     rules: dict[str, dict[str, object]] = {
-        "wide": {"count": chance.randint(5, 8)},
+        "wide": {"count": rng.randint(5, 8)},
         "crowd": {"count": 8, "cpu": 250, "mem_mb": 50},
-        "large": {"count": chance.randint(2, 6), "cpu": 3500, "mem_mb": 2000},
-        "label": {"required_label": chance.choice(RACKS)},
-        "spread": {"max_per_server": chance.randint(1, 2)},
+        "large": {"count": rng.randint(2, 6), "cpu": 3500, "mem_mb": 2000},
+        "label": {"required_label": rng.choice(RACKS)},
+        "spread": {"max_per_server": rng.randint(1, 2)},
         "gang": {
             "gang": True,
-            "cpu": chance.choice((1000, 4000)),
-            "count": chance.randint(2, 4),
-            "same_rack": chance.random() < 0.5,
-            "max_per_server": chance.choice((0, 0, 1)),
+            "cpu": rng.choice((1000, 4000)),
+            "count": rng.randint(2, 4),
+            "same_rack": rng.random() < 0.5,
+            "max_per_server": rng.choice((0, 0, 1)),
         },
         "speculative": {"speculative": True},
-        "near-data": {"data_rack": chance.choice(RACKS)},
+        "near-data": {"data_rack": rng.choice(RACKS)},
         "saves": {"saves_progress": True},
-        "hopeless": chance.choice(
+        "hopeless": rng.choice(
             ({"cpu": 9000}, {"mem_mb": 9000}, {"required_label": "none"}, {"gpu": 3})
         ),
-        "lasting": _lasting(chance),
-        "serving": {**_lasting(chance), "target_ms": 50},
-        "fills": {**_lasting(chance), "fills": True},
-        "lasting-advice": _lasting(chance),
+        "lasting": _long_running(rng),
+        "serving": {**_long_running(rng), "target_ms": 50},
+        "fills": {**_long_running(rng), "fills": True},
+        "lasting-advice": _long_running(rng),
     }
     step = a_step(**{**base, **rules.get(kind, {})})
     if kind == "chain":
@@ -103,23 +103,23 @@
     return [step]
 
 
-def _lasting(chance: random.Random) -> dict[str, object]:
-    most = chance.randint(1, 2)
+def _long_running(rng: random.Random) -> dict[str, object]:
+    limit = rng.randint(1, 2)
     return {
         "long_running": True,
-        "count": chance.randint(1, 3),
+        "count": rng.randint(1, 3),
         "cpu": 500,
         "mem_mb": 300,
-        "max_per_server": most,
-        "may_miss": chance.randint(0, 2),
+        "max_per_server": limit,
+        "may_miss": rng.randint(0, 2),
         "estimate_ms": 1000,
     }
 
 
-def hopeless_lasting(chance: random.Random, number: int, now: float) -> LedgerJob:
+def unplaceable_long_running(rng: random.Random, number: int, now: float) -> LedgerJob:
     """Return a job with more lasting tasks than its limit leaves workers for."""
     step = a_step(
-        **{**_lasting(chance), "count": chance.randint(5, 7), "max_per_server": 1}
+        **{**_long_running(rng), "count": rng.randint(5, 7), "max_per_server": 1}
     )
     return a_job(
         step,
@@ -131,7 +131,7 @@
 
 
 PROBES = ("each", "each", "whole", "quota")
-AFTERWARDS = ("whole", "quota")
+FOLLOWING_PROBES = ("whole", "quota")
 
 
 def probes(
--- a/tests/components/scheduling/liveness_loop.py
+++ b/tests/components/scheduling/liveness_loop.py
@@ -22,7 +22,7 @@
         return []
 
 
-class DrivenLoop(asyncio.SelectorEventLoop):
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
     """Jump ahead to what falls due next, instead of waiting for it."""
 
     def __init__(self) -> None:
--- a/tests/components/scheduling/liveness_owner.py
+++ b/tests/components/scheduling/liveness_owner.py
@@ -87,7 +87,7 @@
         self.authorised = True
         self._fenced = False
 
-    def kick(self) -> None:
+    def wake(self) -> None:
         """Plan and store soon."""
         self._wake.set()
         self._dirty.set()
@@ -118,12 +118,12 @@
             tasks,
             self.epoch,
             self._note_fenced,
-            self.kick,
+            self.wake,
             lambda: self.authorised,
             advice,
         )
         self.dispatcher.world = world
-        self._listen()
+        self._track_done_tasks()
         hold(self.scheduler.state, before, world.now)
         for job in sorted(world.jobs.values(), key=lambda j: j.record.accepted_at):
             self.scheduler.add_job(job, world.now, world.now)
@@ -133,17 +133,17 @@
             self.scheduler.state,
             self.dispatcher,
             timers,
-            self.kick,
+            self.wake,
             fleet,
         )
         directory: Any = self.directory
         for worker_id, entry in self.directory.entries.items():
-            self.see(worker_id, entry)
+            self.update_worker(worker_id, entry)
         tasks.start_soon(takeover.async_run, directory)
 
-    def _listen(self) -> None:
+    def _track_done_tasks(self) -> None:
         """Note which tasks the owner reads as done."""
-        take: Callable[..., None] = self.scheduler.apply_worker_report
+        apply: Callable[..., None] = self.scheduler.apply_worker_report
 
         def apply_worker_report(
             worker_id: str, answer: HoldAnswer, sent_at: float, now: float
@@ -152,7 +152,7 @@
                 for end in answer.ended:
                     if end.how == "done":
                         self._note_done(end.task)
-            take(worker_id, answer, sent_at, now)
+            apply(worker_id, answer, sent_at, now)
 
         scheduler: Any = self.scheduler
         scheduler.apply_worker_report = apply_worker_report
@@ -175,13 +175,13 @@
             return None
         return {worker.id: worker.zone for worker in self.world.workers.values()}
 
-    def see(self, worker_id: str, entry: WorkerEntry) -> None:
+    def update_worker(self, worker_id: str, entry: WorkerEntry) -> None:
         """Read a worker's entry."""
         if self.dispatcher is not None:
             self.dispatcher.update_worker(worker_id, entry)
             self._wake.set()
 
-    def miss(self, worker_id: str) -> None:
+    def mark_worker_missing(self, worker_id: str) -> None:
         """Read that a worker's entry is gone."""
         self.scheduler.mark_worker_missing(worker_id, self.world.now)
 
@@ -190,7 +190,7 @@
         self.scheduler.set_leaving(worker_id, leaving, self.world.now)
         self._wake.set()
 
-    def lose(self, worker_id: str) -> None:
+    def remove_worker(self, worker_id: str) -> None:
         """Order a worker's maintenance."""
         if self.dispatcher is not None:
             self.dispatcher.remove_worker(worker_id, LossCause.ORDERED)
@@ -229,9 +229,9 @@
                 session.acknowledge(number)
 
     def _store_seconds(self) -> float:
-        chance = self.world.chance
-        if self.world.troubled and chance.random() < 0.08:
-            return chance.uniform(0.1, 1.0)
+        rng = self.world.rng
+        if self.world.faults_enabled and rng.random() < 0.08:
+            return rng.uniform(0.1, 1.0)
         return STORE_SECONDS
 
     def _write(self, records: list[tuple[str, Progress]]) -> None:
@@ -244,7 +244,7 @@
             for worker_id, entry in self.directory.entries.items():
                 session = self.dispatcher.sessions.get(worker_id)
                 if session is None or session.gone:
-                    self.see(worker_id, entry)
+                    self.update_worker(worker_id, entry)
             await anyio.sleep(REOPEN_SECONDS)
 
     async def _async_list(self) -> None:
--- a/tests/components/scheduling/liveness_rule.py
+++ b/tests/components/scheduling/liveness_rule.py
@@ -17,17 +17,17 @@
 
 
 @dataclass
-class Owed:
+class RunnableTasks:
     """Hold which tasks could run now, and don't.
 
     :param done: tasks whose end ``done`` was taken note of.
-    :param twice: whether room has to be there twice over, in a pool that is used by
-        less than half, as the users' rule has it; else room for one is enough.
+    :param double_room: whether room has to be there twice over, in a pool that is used
+        by less than half, as the users' rule has it; else room for one is enough.
     """
 
     world: World
     done: set[TaskName]
-    twice: bool
+    double_room: bool
     _running: set[TaskName] = field(default_factory=set)
     _runs: Counter[str] = field(default_factory=Counter)
 
@@ -74,15 +74,17 @@
     ) -> bool:
         service = POLICIES[job.record.queue].service
         pool = [w for w in self.world.workers.values() if w.service == service]
-        if self.twice and not _is_half_free(pool):
+        if self.double_room and not _is_half_free(pool):
             return False
         count = len(waiting) if step.gang else 1
         if not self._within_quota(job.record.organisation, step, count):
             return False
         able = [w for w in pool if self._may_run(w, job, step, waiting[0])]
         if any(self.world.crashes.get(name, 0) >= SUSPECT_CRASHES for name in waiting):
-            able = [w for w in able if self.twice or _is_alone(w, job.record.id)]
-        return self._places(able, step, waiting[0], 2 if self.twice else 1) >= count
+            able = [w for w in able if self.double_room or _is_alone(w, job.record.id)]
+        return (
+            self._places(able, step, waiting[0], 2 if self.double_room else 1) >= count
+        )
 
     def _may_run(
         self,
@@ -107,10 +109,10 @@
         places = 0
         for worker in able:
             here = sum(step_key(run) == step_key(name) for run in worker.runs)
-            most = (step.max_per_server or step.count) - here
+            limit = (step.max_per_server or step.count) - here
             free = worker.free()
-            while most > 0 and fits(free, room, times):
-                most -= 1
+            while limit > 0 and fits(free, room, times):
+                limit -= 1
                 places += 1
                 free = Room(
                     free.cpu - times * room.cpu,
--- a/tests/components/scheduling/liveness_walk.py
+++ b/tests/components/scheduling/liveness_walk.py
@@ -22,20 +22,20 @@
 from mustardward.platform.workers import TaskName, encode_task
 
 from .liveness_jobs import (
-    AFTERWARDS,
+    FOLLOWING_PROBES,
     LONGEST_SECONDS,
     POOL_A,
     POOL_B,
     PROBES,
     probes,
 )
-from .liveness_loop import DrivenLoop
-from .liveness_rule import Owed
-from .liveness_troubles import Troubles
+from .liveness_loop import VirtualTimeLoop
+from .liveness_rule import RunnableTasks
+from .liveness_troubles import FaultInjector
 from .liveness_world import World
 
 TICK_SECONDS: Final = 0.05
-LOOK_SECONDS: Final = 0.25
+CHECK_SECONDS: Final = 0.25
 QUIET_SECONDS: Final = 1.0
 
 BOUND_SECONDS: Final = (
@@ -53,7 +53,7 @@
 for an empty worker, a suspect that is cleared, and a run that stands still."""
 
 
-class LivenessWalk(Troubles):
+class LivenessWalk(FaultInjector):
     """Drive one walk, and say what could run in its calm and did not.
 
     :param scarce: whether lasting steps are drawn that no worker may be left for.
@@ -66,38 +66,38 @@
 
     def walk(self) -> str:
         """Walk; return what broke a rule, or nothing."""
-        with asyncio.Runner(loop_factory=DrivenLoop) as runner:
+        with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
             return runner.run(self._async_walk())
 
     async def _async_walk(self) -> str:
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._async_tick)
             for number in range(len(self._slots)):
-                self._boot(number)
+                self._start_worker(number)
             self._take_over(tasks)
-            await self._async_trouble(tasks)
-            self._mend()
-            found = await self._async_calm()
+            await self._async_inject_faults(tasks)
+            self._stop_faults()
+            found = await self._async_check_recovery()
             tasks.cancel_scope.cancel()
         return found
 
     async def _async_tick(self) -> None:
         while True:
-            self._do_pending()
+            self._run_pending()
             self.world.advance()
             for worker in self.world.crash_victims():
                 self._crash(worker)
             await anyio.sleep(TICK_SECONDS)
 
-    async def _async_calm(self) -> str:
+    async def _async_check_recovery(self) -> str:
         """Hand in what any hold would keep from running; return what does not run."""
-        first = self._chance.choice(PROBES)
-        for kind in (first, *(other for other in AFTERWARDS if other != first)):
+        first = self._rng.choice(PROBES)
+        for kind in (first, *(other for other in FOLLOWING_PROBES if other != first)):
             for service in (POOL_A, POOL_B):
                 workers = sum(slot.service == service for slot in self._slots)
                 for job in self._probes(kind, service, workers):
-                    self._hand_in(job)
-            found = await self._async_settle()
+                    self._submit_job(job)
+            found = await self._async_wait_until_settled()
             if found:
                 return found
         return ""
@@ -106,22 +106,24 @@
         quotas = self.world.quotas
         return probes(kind, service, workers, quotas, self._jobs, self.world.now)
 
-    async def _async_settle(self) -> str:
+    async def _async_wait_until_settled(self) -> str:
         """Wait until nothing is owed; return what stayed owed for too long."""
         until = self.world.now + 3 * BOUND_SECONDS
         quiet_since = self.world.now
         while self.world.now - quiet_since < QUIET_SECONDS:
-            await anyio.sleep(LOOK_SECONDS)
+            await anyio.sleep(CHECK_SECONDS)
             now = self.world.now
-            owed = {
-                (twice, name)
-                for twice in (True, False)
-                for name in Owed(self.world, self._directory.done, twice).tasks()
+            runnable = {
+                (double_room, name)
+                for double_room in (True, False)
+                for name in RunnableTasks(
+                    self.world, self._directory.done, double_room
+                ).tasks()
             }
-            self._since = {key: self._since.get(key, now) for key in owed}
-            if owed or self._is_busy():
+            self._since = {key: self._since.get(key, now) for key in runnable}
+            if runnable or self._is_busy():
                 quiet_since = now
-            for key, since in sorted(self._since.items(), key=_twice_first):
+            for key, since in sorted(self._since.items(), key=_double_room_first):
                 self.longest = max(self.longest, now - since)
                 if now - since > BOUND_SECONDS or now > until:
                     return self._describe(key)
@@ -134,8 +136,8 @@
         return any(not run.step.long_running for _, run in self.world.all_runs())
 
     def _describe(self, key: tuple[bool, TaskName]) -> str:
-        twice, name = key
-        rule = "room is there twice over" if twice else "room is there"
+        double_room, name = key
+        rule = "room is there twice over" if double_room else "room is there"
         owner = self._owner
         assert owner is not None
         state = owner.scheduler.state
@@ -168,9 +170,9 @@
         return "\n".join(lines)
 
 
-def _twice_first(item: tuple[tuple[bool, TaskName], float]) -> tuple[bool, str]:
-    twice, name = item[0]
-    return not twice, encode_task(name)
+def _double_room_first(item: tuple[tuple[bool, TaskName], float]) -> tuple[bool, str]:
+    double_room, name = item[0]
+    return not double_room, encode_task(name)
 
 
 def _job_lines(job: Job) -> list[str]:
--- a/tests/components/scheduling/liveness_world.py
+++ b/tests/components/scheduling/liveness_world.py
@@ -39,7 +39,7 @@
     """Hold one run on a worker.
 
     :param how: how it ends by itself; ``still`` for one that stands still.
-    :param together_at: when all members of its gang were there; else when it began.
+    :param gathered_at: when all members of its gang were there; else when it began.
     """
 
     name: TaskName
@@ -48,7 +48,7 @@
     seconds: float
     how: str
     began_at: float
-    together_at: float | None
+    gathered_at: float | None
     stopped_at: float = math.inf
 
     @property
@@ -58,9 +58,9 @@
 
     def percent(self, now: float) -> float:
         """Return how far it is."""
-        if self.together_at is None:
+        if self.gathered_at is None:
             return 0.0
-        share = (now - self.together_at) / max(self.seconds, 0.01)
+        share = (now - self.gathered_at) / max(self.seconds, 0.01)
         if self.how == "still":
             share = min(share, 0.3)
         return min(100.0 if self.step.long_running else 99.0, 100 * share)
@@ -186,17 +186,17 @@
 class World:
     """Hold all workers, and what is under way to them.
 
-    :param troubled: whether calls are lost, and runs fail or stand still.
+    :param faults_enabled: whether calls are lost, and runs fail or stand still.
     :param jobs: what was handed in.
     """
 
     def __init__(self, seed: int) -> None:
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.seed = seed
-        self.troubled = True
+        self.faults_enabled = True
         self.workers: dict[str, ModelWorker] = {}
         self.jobs: dict[str, LedgerJob] = {}
-        self.deadly: set[TaskName] = set()
+        self.crashing_tasks: set[TaskName] = set()
         self.crashes: dict[TaskName, int] = {}
         self.tickets: dict[tuple[StepKey, str, float], float] = {}
         self.late: list[tuple[float, Callable[[], None]]] = []
@@ -227,13 +227,13 @@
 
     def crash_victims(self) -> list[ModelWorker]:
         """Return the workers that a deadly task ends now."""
-        if not self.troubled:
+        if not self.faults_enabled:
             return []
         return [
             worker
             for worker in self.workers.values()
             if any(
-                run.name in self.deadly and self.now - run.began_at > 0.2
+                run.name in self.crashing_tasks and self.now - run.began_at > 0.2
                 for run in worker.runs.values()
             )
         ]
@@ -241,12 +241,12 @@
     def _gather_gangs(self, now: float) -> None:
         gangs: dict[tuple[StepKey, int], list[Run]] = {}
         for _, run in self.all_runs():
-            if run.together_at is None:
+            if run.gathered_at is None:
                 gangs.setdefault((step_key(run.name), run.run), []).append(run)
         for members in gangs.values():
             if len(members) == members[0].step.count:
                 for member in members:
-                    member.together_at = now
+                    member.gathered_at = now
 
     def _advance_worker(self, worker: ModelWorker, now: float) -> None:
         for name, run in list(worker.runs.items()):
@@ -264,20 +264,20 @@
             return "lapsed"
         if now >= run.stopped_at:
             return "stopped"
-        if run.together_at is None:
+        if run.gathered_at is None:
             over = now - run.began_at > GANG_TIMEOUT_SECONDS
             return "alone" if over else ""
-        if run.how == "still" or now - run.together_at < run.seconds:
+        if run.how == "still" or now - run.gathered_at < run.seconds:
             return ""
         if run.step.long_running:
-            return "failed" if self.troubled and run.how == "failed" else ""
+            return "failed" if self.faults_enabled and run.how == "failed" else ""
         return run.how
 
     def _end_gang(self, run: Run, how: str) -> None:
         other = "done" if how == "done" else "broken"
         for worker, member in list(self.all_runs()):
             same = step_key(member.name) == step_key(run.name)
-            if same and member.run == run.run and member.together_at is not None:
+            if same and member.run == run.run and member.gathered_at is not None:
                 worker.end(member.name, other)
 
     def begin(
@@ -308,12 +308,12 @@
         self, name: TaskName, run: int, step: SubmittedStep, now: float
     ) -> Run:
         how = "done"
-        if self.troubled:
-            draw = self.chance.random()
+        if self.faults_enabled:
+            draw = self.rng.random()
             failing = name.job in self.failing
             how = "failed" if draw < (0.8 if failing else 0.06) else how
             how = "still" if draw > 0.97 else how
-        seconds = step.estimate_ms / 1000 * self.chance.uniform(0.5, 1.6)
+        seconds = step.estimate_ms / 1000 * self.rng.uniform(0.5, 1.6)
         if step.long_running:
             seconds = STARTUP_SECONDS
         together = None if step.gang else now
@@ -332,16 +332,16 @@
         draw = random.Random(f"{self.seed} {key} {worker.id} {worker.began_at}")
         return draw.random() < 0.6
 
-    def late_call(self, call: Callable[[], None]) -> None:
+    def delay_call(self, call: Callable[[], None]) -> None:
         """Let an order be carried out seconds later, or never."""
 
-        def carry_out() -> None:
+        def execute() -> None:
             try:
                 call()
             except FencedError:
                 return
 
-        self.late.append((self.now + self.chance.uniform(0.4, 3.0), carry_out))
+        self.late.append((self.now + self.rng.uniform(0.4, 3.0), execute))
 
 
 def step_key(name: TaskName) -> StepKey:
--- a/tests/components/scheduling/test_crash_walks.py
+++ b/tests/components/scheduling/test_crash_walks.py
@@ -36,7 +36,7 @@
 WALKS = 120
 STEPS = 140
 TASK_SECONDS = 0.8
-KEPT_SEEDS = (2246,)
+REGRESSION_SEEDS = (2246,)
 """Walks beyond the first ones that broke a rule."""
 
 MOST_CRASHES_FOR_CAUSE = 2
@@ -69,7 +69,7 @@
     """
 
     def __init__(self, seed: int, unlucky: bool) -> None:
-        self._chance = random.Random(seed)
+        self._rng = random.Random(seed)
         self._unlucky = unlucky
         self.now = 1000.0
         self._epoch = 0
@@ -78,39 +78,39 @@
         self._jobs: dict[str, LedgerJob] = {}
         self._stored: dict[str, Progress] = {}
         self._workers: dict[str, _Worker] = {}
-        self._guilty: set[TaskName] = set()
+        self._crashing: set[TaskName] = set()
         self.crashed_under: Counter[TaskName] = Counter()
         self._after_three: Counter[TaskName] = Counter()
         self._hidden: Counter[TaskName] = Counter()
         self._submitted = 0
-        self._own()
+        self._start_owner()
         for number in range(4):
-            self._boot(f"w{number}")
-        for number in range(self._chance.randint(1, 3)):
-            self._add_job(guilty=True, lasting=self._chance.random() < 0.3)
-            self._add_job(guilty=False, lasting=number == 0)
+            self._start_worker(f"w{number}")
+        for number in range(self._rng.randint(1, 3)):
+            self._add_job(crashing=True, long_running=self._rng.random() < 0.3)
+            self._add_job(crashing=False, long_running=number == 0)
 
     def walk(self) -> None:
         """Take steps, then let everything settle, checking all the while."""
         events: list[tuple[Callable[[], None], int]] = [
             (self._tick, 60),
             (self._drain, 3),
-            (self._silence, 2),
+            (self._cut_off, 2),
             (self._restart, 3),
             (self._change_owner, 1),
-            (self._add_sound, 4),
+            (self._add_healthy_job, 4),
         ]
         if self._unlucky:
             events.append((self._crash_one, 2))
         choices = [event for event, weight in events for _ in range(weight)]
         for _ in range(STEPS):
-            self._chance.choice(choices)()
+            self._rng.choice(choices)()
         until = self.now + SETTLE_SECONDS
         while self.now < until:
             self._tick()
         self._check_settled()
 
-    def _own(self) -> None:
+    def _start_owner(self) -> None:
         """Let a new owner begin, by what is stored and what workers tell."""
         self._epoch += 1
         self._scheduler = Scheduler(self._epoch, lambda queue: self._policy)
@@ -118,9 +118,9 @@
             job.progress = self._stored.get(job_id)
             self._scheduler.add_job(job, self.now, self.now)
         for worker in self._workers.values():
-            self._see(worker)
+            self._update_worker(worker)
 
-    def _see(self, worker: _Worker) -> None:
+    def _update_worker(self, worker: _Worker) -> None:
         entry = self._entry(worker)
         self._scheduler.update_worker(worker.id, entry, self.now)
         self._hold(worker)
@@ -129,27 +129,27 @@
         state = "draining" if worker.draining else "ready"
         return an_entry(born=worker.born, state=state)
 
-    def _boot(self, name: str) -> None:
+    def _start_worker(self, name: str) -> None:
         self._born += 1
         worker = _Worker(name, self._born)
         self._workers[name] = worker
-        self._see(worker)
+        self._update_worker(worker)
 
-    def _add_sound(self) -> None:
-        self._add_job(guilty=False, lasting=False)
+    def _add_healthy_job(self) -> None:
+        self._add_job(crashing=False, long_running=False)
 
-    def _add_job(self, guilty: bool, lasting: bool) -> None:
+    def _add_job(self, crashing: bool, long_running: bool) -> None:
         self._submitted += 1
         name = f"{self._submitted:016x}"
         step = a_step(
-            count=self._chance.randint(1, 3),
+            count=self._rng.randint(1, 3),
             estimate_ms=1000 * TASK_SECONDS,
-            long_running=lasting,
+            long_running=long_running,
         )
         job = a_job(step, job=name, accepted_at=self.now)
         self._jobs[name] = job
-        if guilty:
-            self._guilty.add(TaskName(name, 0, 0, 0))
+        if crashing:
+            self._crashing.add(TaskName(name, 0, 0, 0))
         self._scheduler.add_job(job, self.now, self.now)
 
     def _tick(self) -> None:
@@ -163,7 +163,7 @@
                 self._start(command)
             elif isinstance(command, Stop):
                 self._stop(command)
-        if self._chance.random() < 0.9:
+        if self._rng.random() < 0.9:
             self._store()
 
     def _store(self) -> None:
@@ -185,11 +185,11 @@
             reports.start_refused(start.task, start.run, self.now)
             return
         worker.runs[name] = (start.run, self.now)
-        if name in self._guilty and self.crashed_under[name] >= 3:
+        if name in self._crashing and self.crashed_under[name] >= 3:
             self._after_three[name] += 1
             if self._after_three[name] > MOST_STARTS_AFTER_THREE + self._hidden[name]:
                 raise BrokenRuleError(f"{name} started once more")
-        if self._chance.random() < 0.3:
+        if self._rng.random() < 0.3:
             reports.start_unknown(start.task, start.run)
         else:
             reports.start_answered(start.task, start.run, "", self.now)
@@ -210,8 +210,8 @@
     def _hold(self, worker: _Worker) -> None:
         for name, (run, began_at) in list(worker.runs.items()):
             job = self._jobs.get(name.job)
-            lasting = job is not None and job.record.steps[0].long_running
-            if not lasting and self.now - began_at >= TASK_SECONDS:
+            long_running = job is not None and job.record.steps[0].long_running
+            if not long_running and self.now - began_at >= TASK_SECONDS:
                 del worker.runs[name]
                 worker.ends += 1
                 worker.ended.append(EndedTask(worker.ends, name, run, "done", ""))
@@ -224,11 +224,11 @@
         self._scheduler.apply_worker_report(worker.id, answer, self.now, self.now)
 
     def _crash_by_tasks(self, worker: _Worker) -> None:
-        if any(name in self._guilty for name in worker.runs):
+        if any(name in self._crashing for name in worker.runs):
             self._crash(worker)
 
     def _crash_one(self) -> None:
-        worker = self._chance.choice(list(self._workers.values()))
+        worker = self._rng.choice(list(self._workers.values()))
         self._crash(worker)
 
     def _crash(self, worker: _Worker) -> None:
@@ -238,7 +238,7 @@
             if worker.draining:
                 # Not told from the end that was announced.
                 self._hidden[name] += 1
-        again = self._chance.random() < 0.5
+        again = self._rng.random() < 0.5
         if again:
             self._born += 1
             new = _Worker(worker.id, self._born)
@@ -252,24 +252,24 @@
     def _end(self, worker: _Worker, cause: LossCause) -> None:
         del self._workers[worker.id]
         self._scheduler.remove_worker(worker.id, cause, self.now)
-        self._boot(f"w{self._born}")
+        self._start_worker(f"w{self._born}")
 
     def _drain(self) -> None:
         """Let a worker announce its end, and end while something runs there."""
-        worker = self._chance.choice(list(self._workers.values()))
+        worker = self._rng.choice(list(self._workers.values()))
         worker.draining = True
         entry = self._entry(worker)
         self._scheduler.update_worker(worker.id, entry, self.now)
         self._end(worker, LossCause.UNLISTED)
 
-    def _silence(self) -> None:
+    def _cut_off(self) -> None:
         """Let a worker's leases run out behind a cut."""
-        worker = self._chance.choice(list(self._workers.values()))
+        worker = self._rng.choice(list(self._workers.values()))
         self._end(worker, LossCause.LEASES_EXPIRED)
 
     def _restart(self) -> None:
         """Let the fleet maintain a worker."""
-        worker = self._chance.choice(list(self._workers.values()))
+        worker = self._rng.choice(list(self._workers.values()))
         self._end(worker, LossCause.ORDERED)
 
     def _change_owner(self) -> None:
@@ -279,7 +279,7 @@
                 for task in step.tasks:
                     if task.crashes and task.crashes != self._known_crashes(task.name):
                         self._hidden[task.name] += 1
-        self._own()
+        self._start_owner()
 
     def _known_crashes(self, name: TaskName) -> tuple[str, ...]:
         progress = self._stored.get(name.job)
@@ -295,12 +295,12 @@
         )
         if most < MOST_CRASHES_FOR_CAUSE:
             raise BrokenRuleError(f"{job_id} given up after {most} crashes")
-        guilty = any(name.job == job_id for name in self._guilty)
-        if not guilty and not self._unlucky:
+        crashing = any(name.job == job_id for name in self._crashing)
+        if not crashing and not self._unlucky:
             raise BrokenRuleError(f"{job_id} given up, and it is sound")
 
     def _check_settled(self) -> None:
-        for name in self._guilty:
+        for name in self._crashing:
             if name.job in self._jobs:
                 raise BrokenRuleError(f"{name} was not given up")
         for job_id, job in self._jobs.items():
@@ -324,7 +324,7 @@
     walks(0, WALKS)
 
 
-@pytest.mark.parametrize("seed", KEPT_SEEDS)
+@pytest.mark.parametrize("seed", REGRESSION_SEEDS)
 def test_an_order_that_broke_a_rule_once_keeps_it(seed: int) -> None:
     walks(seed, seed + 1)
 
@@ -346,7 +346,7 @@
     return False
 
 
-def _no_rebirth_is_a_crash(worker: WorkerState, cause: LossCause) -> bool:
+def _no_restart_is_a_crash(worker: WorkerState, cause: LossCause) -> bool:
     return cause is LossCause.UNLISTED and not worker.draining
 
 
@@ -355,7 +355,7 @@
     "everything-is-a-crash": (crashes, "is_crash", _everything_is_a_crash),
     "a-drain-is-a-crash": (crashes, "is_crash", _drains_are_crashes),
     "nothing-is-a-crash": (crashes, "is_crash", _nothing_is_a_crash),
-    "a-rebirth-is-no-crash": (crashes, "is_crash", _no_rebirth_is_a_crash),
+    "a-rebirth-is-no-crash": (crashes, "is_crash", _no_restart_is_a_crash),
     "counted-by-id": (
         WorkerState,
         "incarnation",
--- a/tests/components/scheduling/test_crashes.py
+++ b/tests/components/scheduling/test_crashes.py
@@ -229,11 +229,11 @@
     starts = bench.plan_starts()
     bench.add(a_job(a_step(count=4), job="00000000000000cc"))
     starts += bench.plan_starts()
-    apart = {s.worker for s in starts if s.task.step.job.record.id == JOB}
+    isolated = {s.worker for s in starts if s.task.step.job.record.id == JOB}
     others = {s.worker for s in starts if s.task.step.job.record.id != JOB}
     assert len(starts) == 9
-    assert len(apart) == 1
-    assert not apart & others
+    assert len(isolated) == 1
+    assert not isolated & others
 
 
 def test_a_suspected_job_waits_for_an_empty_worker_and_asks_for_one() -> None:
--- a/tests/components/scheduling/test_evacuation.py
+++ b/tests/components/scheduling/test_evacuation.py
@@ -7,7 +7,7 @@
 from .builders import SchedulerBench, a_job, a_step
 
 
-def lasting_on_three_workers() -> tuple[SchedulerBench, list[Task]]:
+def long_running_on_three_workers() -> tuple[SchedulerBench, list[Task]]:
     """Return three lasting tasks of one step at work, one a worker; one may miss."""
     bench = SchedulerBench()
     for name in ("w1", "w2", "w3"):
@@ -22,7 +22,7 @@
 
 
 def test_one_task_of_a_step_is_stopped_at_a_time() -> None:
-    bench, tasks = lasting_on_three_workers()
+    bench, tasks = long_running_on_three_workers()
     bench.scheduler.set_leaving("w1", True, bench.now)
     bench.scheduler.set_leaving("w2", True, bench.now)
     assert len(bench.plan_stops()) == 1
@@ -30,7 +30,7 @@
 
 
 def test_the_next_task_is_stopped_once_the_first_is_at_work_again() -> None:
-    bench, tasks = lasting_on_three_workers()
+    bench, tasks = long_running_on_three_workers()
     bench.scheduler.set_leaving("w1", True, bench.now)
     bench.scheduler.set_leaving("w2", True, bench.now)
     (stop,) = bench.plan_stops()
@@ -51,7 +51,7 @@
     for five seconds more; meanwhile another worker of the step was emptied.
     Cause: a task's last report said that it was at work, however old the report was.
     """
-    bench, tasks = lasting_on_three_workers()
+    bench, tasks = long_running_on_three_workers()
     bench.scheduler.state.workers["w1"].stale = True
     bench.scheduler.set_leaving("w2", True, bench.now)
     assert bench.plan_stops() == []
@@ -83,7 +83,7 @@
     Symptom: on an entry with half a core, tasks of one step were stopped beside others
     that had been gone for seconds.
     """
-    bench, tasks = lasting_on_three_workers()
+    bench, tasks = long_running_on_three_workers()
     bench.now += 3.0
     bench.scheduler.set_leaving("w2", True, bench.now)
     assert bench.plan_stops() == []
--- a/tests/components/scheduling/test_hold_walks.py
+++ b/tests/components/scheduling/test_hold_walks.py
@@ -31,17 +31,17 @@
 STEPS = 120
 TICK_SECONDS = 0.1
 RUN_SECONDS = 0.6
-CALM_SECONDS = 40.0
+RECOVERY_SECONDS = 40.0
 ZONES = ("z1", "z2", "z3")
 WORKERS_IN_ZONE = 2
-MOST_LASTING = 4
+MAX_LONG_RUNNING = 4
 TEAM = "team"
 QUOTAS = {TEAM: Room(cpu=16_000)}
 """Room for the widest gang beside all that lasts."""
 
 
 @dataclass(slots=True)
-class _Place:
+class _WorkerModel:
     """Hold what really runs on a worker, and the ends that it still lists."""
 
     zone: str
@@ -61,14 +61,14 @@
     """Play one walk."""
 
     def __init__(self, seed: int) -> None:
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.bench = SchedulerBench(quotas=QUOTAS)
-        self.places: dict[str, _Place] = {}
+        self.workers: dict[str, _WorkerModel] = {}
         self.accepted: dict[str, LedgerJob] = {}
         self.log: dict[str, Progress] = {}
-        self.under_way: dict[str, Progress] = {}
+        self.appending: dict[str, Progress] = {}
         self.upto: dict[str, int] = {}
-        self.lasting = 0
+        self.long_running_jobs = 0
         self.joined = 0
         for zone in ZONES:
             for _ in range(WORKERS_IN_ZONE):
@@ -78,22 +78,22 @@
         """Let a worker join the pool."""
         self.joined += 1
         name = f"w{self.joined}"
-        self.places[name] = _Place(zone)
-        self.see(name)
+        self.workers[name] = _WorkerModel(zone)
+        self.update_worker(name)
 
-    def see(self, name: str) -> None:
+    def update_worker(self, name: str) -> None:
         """Let the owner read a worker's entry."""
-        zone = self.places[name].zone
+        zone = self.workers[name].zone
         entry = an_entry(zone=zone, labels=["a", f"r-{zone}"])
         self.bench.scheduler.update_worker(name, entry, self.bench.now)
 
     def step(self) -> None:
         """Let one thing happen, and a moment pass."""
-        kinds = [self.accept] * 3 + [self.take, self.note] * 3
-        kinds += [self.silence, self.leave, self.fail, self.cancel] + [self.crash] * 3
-        kinds += [self.take_over] * (self.chance.random() < 0.3)
-        self.chance.choice(kinds)()
-        self.tick(calm=False)
+        kinds = [self.accept] * 3 + [self.begin_append, self.finish_append] * 3
+        kinds += [self.cut_off, self.leave, self.fail, self.cancel] + [self.crash] * 3
+        kinds += [self.take_over] * (self.rng.random() < 0.3)
+        self.rng.choice(kinds)()
+        self.tick(faultless=False)
 
     def accept(self) -> None:
         """Take a job in."""
@@ -102,17 +102,17 @@
             *self.draw_steps(),
             job=job_id,
             accepted_at=self.bench.now,
-            organisation=self.chance.choice(["", TEAM]),
+            organisation=self.rng.choice(["", TEAM]),
         )
         self.accepted[job_id] = job
         self.bench.scheduler.add_job(job, self.bench.now, self.bench.now)
 
     def draw_steps(self) -> list[SubmittedStep]:
         """Return the steps of a job."""
-        draw = self.chance
+        draw = self.rng
         kind = draw.randrange(6)
-        if kind == 0 and self.lasting < MOST_LASTING:
-            self.lasting += 1
+        if kind == 0 and self.long_running_jobs < MAX_LONG_RUNNING:
+            self.long_running_jobs += 1
             return [a_step(count=2, cpu=500, long_running=True)]
         if kind == 1:
             return [a_step(count=draw.randint(2, 3), cpu=3000, gang=True)]
@@ -126,65 +126,65 @@
         first = a_step(count=draw.randint(1, 6), estimate_ms=600, **rules)
         return [first] if draw.random() < 0.7 else [first, a_step(after=[0])]
 
-    def take(self) -> None:
+    def begin_append(self) -> None:
         """Begin an append."""
-        if not self.under_way:
+        if not self.appending:
             scheduler = self.bench.scheduler
             now = self.bench.now
-            self.under_way = dict(scheduler.take_dirty(now, now))
-            self.upto = {name: place.count for name, place in self.places.items()}
+            self.appending = dict(scheduler.take_dirty(now, now))
+            self.upto = {name: model.count for name, model in self.workers.items()}
 
-    def note(self) -> None:
+    def finish_append(self) -> None:
         """End an append."""
-        self.log.update(self.under_way)
-        self.bench.scheduler.mark_stored(self.under_way)
-        self.under_way = {}
+        self.log.update(self.appending)
+        self.bench.scheduler.mark_stored(self.appending)
+        self.appending = {}
         for name, number in self.upto.items():
-            if name in self.places:
-                place = self.places[name]
-                place.ends = [end for end in place.ends if end.number > number]
+            if name in self.workers:
+                model = self.workers[name]
+                model.ends = [end for end in model.ends if end.number > number]
         self.upto = {}
 
-    def silence(self) -> None:
+    def cut_off(self) -> None:
         """Let a worker fall silent, or answer again."""
-        name = self.chance.choice(list(self.places))
-        place = self.places[name]
-        place.silent = not place.silent
-        self.bench.scheduler.state.workers[name].stale = place.silent
+        name = self.rng.choice(list(self.workers))
+        model = self.workers[name]
+        model.silent = not model.silent
+        self.bench.scheduler.state.workers[name].stale = model.silent
 
     def leave(self) -> None:
         """Let the fleet take a worker, or take that back."""
-        name = self.chance.choice(list(self.places))
+        name = self.rng.choice(list(self.workers))
         leaving = self.bench.scheduler.state.workers[name].leaving
         self.bench.scheduler.set_leaving(name, not leaving, self.bench.now)
 
     def crash(self) -> None:
         """End a worker; another one joins in its place."""
-        name = self.chance.choice(list(self.places))
-        place = self.places.pop(name)
-        cause = self.chance.choice([LossCause.UNLISTED, LossCause.ORDERED])
+        name = self.rng.choice(list(self.workers))
+        model = self.workers.pop(name)
+        cause = self.rng.choice([LossCause.UNLISTED, LossCause.ORDERED])
         self.bench.scheduler.remove_worker(name, cause, self.bench.now)
-        self.join(place.zone)
+        self.join(model.zone)
 
     def fail(self) -> None:
         """Let a run fail."""
-        places = [place for place in self.places.values() if place.runs]
-        if places:
-            place = self.chance.choice(places)
-            place.end(self.chance.choice(list(place.runs)), "failed")
+        workers = [model for model in self.workers.values() if model.runs]
+        if workers:
+            model = self.rng.choice(workers)
+            model.end(self.rng.choice(list(model.runs)), "failed")
 
     def cancel(self) -> None:
         """Cancel a job."""
-        if self.accepted and self.chance.random() < 0.3:
-            job_id = self.chance.choice(list(self.accepted))
+        if self.accepted and self.rng.random() < 0.3:
+            job_id = self.rng.choice(list(self.accepted))
             self.accepted[job_id].cancelled_at = self.bench.now
             self.bench.scheduler.cancel_job(job_id)
 
     def take_over(self) -> None:
         """Let another owner follow, which reads the log."""
-        if self.chance.random() < 0.5:
-            self.log.update(self.under_way)
-        self.under_way = {}
+        if self.rng.random() < 0.5:
+            self.log.update(self.appending)
+        self.appending = {}
         self.upto = {}
         before = self.bench
         self.bench = SchedulerBench(
@@ -196,29 +196,29 @@
         for job_id, job in self.accepted.items():
             job.progress = self.log.get(job_id)
             self.bench.scheduler.add_job(job, before.now, before.now)
-        for name in self.places:
-            self.see(name)
+        for name in self.workers:
+            self.update_worker(name)
 
-    def tick(self, calm: bool) -> None:
+    def tick(self, faultless: bool) -> None:
         """Plan, carry orders out, and let workers report."""
         bench = self.bench
         for command in bench.plan():
             if isinstance(command, Start):
-                self.start(command, calm)
+                self.start(command, faultless)
             elif isinstance(command, Stop):
                 self.stop(command)
         bench.now += TICK_SECONDS
-        for name, place in list(self.places.items()):
-            self.report(name, place)
+        for name, model in list(self.workers.items()):
+            self.report(name, model)
 
-    def start(self, command: Start, calm: bool) -> None:
+    def start(self, command: Start, faultless: bool) -> None:
         """Carry a start out, answered or not, or lose it."""
         reports = self.bench.scheduler.reports
         reports.start_sent(command.task, command.run)
-        luck = 1.0 if calm else self.chance.random()
+        luck = 1.0 if faultless else self.rng.random()
         if luck > 0.1:
-            place = self.places[command.worker]
-            place.runs[command.task.name] = (command.run, self.bench.now)
+            model = self.workers[command.worker]
+            model.runs[command.task.name] = (command.run, self.bench.now)
         if luck > 0.2:
             reports.start_answered(command.task, command.run, "", self.bench.now)
         else:
@@ -226,47 +226,47 @@
 
     def stop(self, command: Stop) -> None:
         """Carry a stop out."""
-        place = self.places.get(command.worker)
-        if place is None:
+        model = self.workers.get(command.worker)
+        if model is None:
             return
-        if place.runs.get(command.name, (0, 0.0))[0] == command.run:
-            place.end(command.name, "stopped")
+        if model.runs.get(command.name, (0, 0.0))[0] == command.run:
+            model.end(command.name, "stopped")
         if command.task is not None:
             reports = self.bench.scheduler.reports
             reports.stop_answered(command.task, command.run, self.bench.now)
 
-    def report(self, name: str, place: _Place) -> None:
+    def report(self, name: str, model: _WorkerModel) -> None:
         """Let a worker's runs go on, and let it tell of them."""
         now = self.bench.now
-        for task, (_, began) in list(place.runs.items()):
+        for task, (_, began) in list(model.runs.items()):
             steps = self.accepted[task.job].record.steps
             if not steps[task.step].long_running and now - began >= RUN_SECONDS:
-                place.end(task, "done")
-        if place.silent:
+                model.end(task, "done")
+        if model.silent:
             return
         rows = [
             RunningTask(task, run, "", 100.0, 0.0)
-            for task, (run, _) in place.runs.items()
+            for task, (run, _) in model.runs.items()
         ]
         self.bench.clock_ms = 1000 * now
-        self.bench.hold(name, rows, list(place.ends))
+        self.bench.hold(name, rows, list(model.ends))
 
-    def calm_down(self) -> None:
+    def recover(self) -> None:
         """Let all workers answer and stay, and the log take all, for a while."""
-        for name, place in self.places.items():
-            place.silent = False
+        for name, model in self.workers.items():
+            model.silent = False
             self.bench.scheduler.set_leaving(name, False, self.bench.now)
-        for _ in range(round(CALM_SECONDS / TICK_SECONDS)):
-            self.take()
-            self.note()
-            self.tick(calm=True)
+        for _ in range(round(RECOVERY_SECONDS / TICK_SECONDS)):
+            self.begin_append()
+            self.finish_append()
+            self.tick(faultless=True)
 
-    def taken(self, organisation: str) -> int:
+    def used_cpu(self, organisation: str) -> int:
         """Return what an organisation's runs really take, in thousandths of a core."""
         records = [
             (self.accepted[task.job].record, task.step)
-            for place in self.places.values()
-            for task in place.runs
+            for model in self.workers.values()
+            for task in model.runs
         ]
         return sum(
             record.steps[step].cpu
@@ -298,32 +298,32 @@
     walk = _Walk(seed)
     for _ in range(STEPS):
         walk.step()
-    walk.calm_down()
+    walk.recover()
     assert walk.waiting() == []
-    assert walk.bench.scheduler.state.quotas.used(TEAM).cpu == walk.taken(TEAM)
+    assert walk.bench.scheduler.state.quotas.used(TEAM).cpu == walk.used_cpu(TEAM)
 
 
-def a_crowd(chance: random.Random) -> SchedulerBench:
+def crowded_bench(rng: random.Random) -> SchedulerBench:
     """Return a pool of uneven workers, and jobs of which not all have room."""
     bench = SchedulerBench()
-    for number in range(chance.randint(1, 7)):
-        zone = chance.choice(ZONES)
-        room = Room(cpu=chance.randint(1, 9) * 1000, mem_mb=chance.randint(1, 9) * 1000)
+    for number in range(rng.randint(1, 7)):
+        zone = rng.choice(ZONES)
+        room = Room(cpu=rng.randint(1, 9) * 1000, mem_mb=rng.randint(1, 9) * 1000)
         labels = ["a", f"r-{zone}"]
         bench.worker(f"w{number}", zone=zone, labels=labels, capacity=room)
-    for number in range(chance.randint(1, 25)):
+    for number in range(rng.randint(1, 25)):
         rules: dict[str, object] = {
-            "count": chance.randint(1, 5),
-            "cpu": chance.randint(1, 6) * 1000,
-            "mem_mb": chance.randint(1, 6) * 1000,
+            "count": rng.randint(1, 5),
+            "cpu": rng.randint(1, 6) * 1000,
+            "mem_mb": rng.randint(1, 6) * 1000,
         }
-        kind = chance.randrange(6)
+        kind = rng.randrange(6)
         if kind == 0:
             rules["max_per_server"] = 1
         elif kind == 1:
-            rules["required_label"] = f"r-{chance.choice(ZONES)}"
+            rules["required_label"] = f"r-{rng.choice(ZONES)}"
         elif kind == 2:
-            rules["data_rack"] = f"r-{chance.choice(ZONES)}"
+            rules["data_rack"] = f"r-{rng.choice(ZONES)}"
         elif kind == 3:
             rules["fills"] = True
         bench.add(a_job(a_step(**rules), job=f"{number:016x}"), stored=False)
@@ -342,9 +342,9 @@
 
     All of the log is told after each plan, so that every data centre may be used.
     """
-    chance = random.Random(1)
+    rng = random.Random(1)
     for _ in range(POOLS):
-        bench = a_crowd(chance)
+        bench = crowded_bench(rng)
         state = bench.scheduler.state
         for _ in range(ROUNDS):
             bench.store()
--- a/tests/components/scheduling/test_holds.py
+++ b/tests/components/scheduling/test_holds.py
@@ -21,11 +21,11 @@
 OTHER = "00000000000000bb"
 THIRD = "00000000000000cc"
 TICK_SECONDS = 0.1
-CALM_SECONDS = 10.0
+RECOVERY_SECONDS = 10.0
 
 
 @dataclass(slots=True)
-class Play:
+class Simulation:
     """Drive a bench in time: workers work, report and end, and the log takes all.
 
     :param seconds: how long each job's tasks run; those not named last.
@@ -50,21 +50,21 @@
         bench.now += TICK_SECONDS
         bench.clock_ms += 1000 * TICK_SECONDS
         for worker in bench.scheduler.state.workers.values():
-            running = [t for t in worker.tasks.values() if not self._is_over(t)]
-            over = [t for t in worker.tasks.values() if self._is_over(t)]
+            running = [t for t in worker.tasks.values() if not self._has_ended(t)]
+            over = [t for t in worker.tasks.values() if self._has_ended(t)]
             bench.hold(
                 worker.id,
                 [a_row(t, self._percent(t)) for t in running],
-                [EndedTask(1, t.name, t.run, self._how(t), "") for t in over],
+                [EndedTask(1, t.name, t.run, self._outcome(t), "") for t in over],
             )
 
-    def _is_over(self, task: Task) -> bool:
+    def _has_ended(self, task: Task) -> bool:
         if task.phase is Phase.STOPPING:
             return True
         lasts = self.seconds.get(task.name.job, 1e9)
         return self.bench.now - task.started_at >= lasts
 
-    def _how(self, task: Task) -> str:
+    def _outcome(self, task: Task) -> str:
         return "stopped" if task.phase is Phase.STOPPING else ENDED_DONE
 
     def _percent(self, task: Task) -> float:
@@ -74,7 +74,7 @@
 
 
 def run_beside_short_tasks(
-    play: Play, job: LedgerJob, seconds: float = 20.0, every: int = 3
+    simulation: Simulation, job: LedgerJob, seconds: float = 20.0, every: int = 3
 ) -> set[str]:
     """Hand a job in while one short task more comes each few tenths of a second.
 
@@ -82,13 +82,13 @@
     """
     for number in range(round(seconds / TICK_SECONDS)):
         if number == 20:
-            play.bench.add(job)
+            simulation.bench.add(job)
         if number % every == 0:
             name = f"f{number:015x}"
-            play.seconds[name] = 1.0
-            play.bench.add(a_job(a_step(count=1), job=name))
-        play.tick()
-    return {start.task.name.job for start in play.started}
+            simulation.seconds[name] = 1.0
+            simulation.bench.add(a_job(a_step(count=1), job=name))
+        simulation.tick()
+    return {start.task.name.job for start in simulation.started}
 
 
 def suspected(crashes: int = 2, job: str = JOB, **changes: object) -> LedgerJob:
@@ -104,10 +104,10 @@
     """Guards against a pool that stands still for an organisation's quota."""
     bench = SchedulerBench(quotas={"team": Room(cpu=1000)})
     bench.worker("w1")
-    lasting = a_step(count=3, long_running=True)
-    bench.add(a_job(lasting, job=OTHER, organisation="team"))
+    long_running = a_step(count=3, long_running=True)
+    bench.add(a_job(long_running, job=OTHER, organisation="team"))
     bench.add(a_job())
-    assert Play(bench).run(CALM_SECONDS) == [OTHER, JOB, JOB]
+    assert Simulation(bench).run(RECOVERY_SECONDS) == [OTHER, JOB, JOB]
 
 
 def test_a_lasting_task_that_waits_for_advice_keeps_no_worker() -> None:
@@ -118,7 +118,7 @@
     job = bench.scheduler.state.jobs[OTHER]
     job.policy = QueuePolicy(service=POOL, advice=True)
     bench.add(a_job())
-    assert Play(bench).run(CALM_SECONDS) == [JOB, JOB]
+    assert Simulation(bench).run(RECOVERY_SECONDS) == [JOB, JOB]
 
 
 def test_a_lasting_task_whose_data_is_elsewhere_runs_where_room_is() -> None:
@@ -127,7 +127,7 @@
     bench.worker("w1", labels=["a", "r1"])
     bench.add(a_job(a_step(count=1, long_running=True, data_rack="r2"), job=OTHER))
     bench.add(a_job())
-    assert Play(bench).run(CALM_SECONDS) == [OTHER, JOB, JOB]
+    assert Simulation(bench).run(RECOVERY_SECONDS) == [OTHER, JOB, JOB]
 
 
 def test_a_lasting_gang_that_finds_no_room_keeps_no_worker() -> None:
@@ -136,7 +136,7 @@
     bench.worker("w1")
     bench.add(a_job(a_step(count=9, gang=True, long_running=True), job=OTHER))
     bench.add(a_job())
-    assert Play(bench).run(CALM_SECONDS) == [JOB, JOB]
+    assert Simulation(bench).run(RECOVERY_SECONDS) == [JOB, JOB]
 
 
 def a_timed_job(*marks: StepMark) -> LedgerJob:
@@ -159,7 +159,7 @@
     bench.worker("w1")
     bench.worker("w2")
     bench.add(suspected(crashes, **kind))
-    assert set(Play(bench).run(1.0)) == {JOB}
+    assert set(Simulation(bench).run(1.0)) == {JOB}
 
 
 @pytest.mark.parametrize("kind", KINDS)
@@ -170,7 +170,7 @@
     bench = SchedulerBench(epoch=2)
     bench.worker("w1")
     bench.add(suspected(MAX_CRASHES, **kind))
-    assert Play(bench).run(1.0) == []
+    assert Simulation(bench).run(1.0) == []
     assert bench.stored[JOB].state is JobState.FAILED
 
 
@@ -188,7 +188,7 @@
     bench.worker("w1")
     bench.add(a_job(a_step(count=1, long_running=True, **HOPELESS[reason]), job=OTHER))
     bench.add(a_job())
-    assert Play(bench).run(CALM_SECONDS) == [JOB, JOB]
+    assert Simulation(bench).run(RECOVERY_SECONDS) == [JOB, JOB]
 
 
 def test_a_lasting_task_that_advice_keeps_off_a_worker_does_not_keep_it() -> None:
@@ -196,15 +196,15 @@
     bench = SchedulerBench()
     bench.worker("w1", capacity=Room(cpu=1000, mem_mb=8000))
     bench.worker("w2")
-    lasting = a_step(count=2, long_running=True)
-    bench.add(a_job(lasting, job=OTHER))
+    long_running = a_step(count=2, long_running=True)
+    bench.add(a_job(long_running, job=OTHER))
     job = bench.scheduler.state.jobs[OTHER]
     job.policy = QueuePolicy(service=POOL, advice=True)
     step = job.steps[(0, 0)]
     bench.scheduler.set_tickets(step, {"w1": "t"}, bench.now + 100.0)
     assert [start.worker for start in bench.plan_starts()] == ["w1"]
     bench.add(a_job())
-    assert Play(bench).run(CALM_SECONDS) == [JOB, JOB]
+    assert Simulation(bench).run(RECOVERY_SECONDS) == [JOB, JOB]
 
 
 def test_a_lasting_task_that_lacks_memory_keeps_a_worker_that_can_have_it() -> None:
@@ -214,18 +214,18 @@
     """
     bench = SchedulerBench()
     bench.worker("w1")
-    lasting = a_step(count=1, cpu=100, mem_mb=7000, long_running=True)
-    bench.add(a_job(lasting))
-    play = Play(bench)
-    play.run(1.0)
+    long_running = a_step(count=1, cpu=100, mem_mb=7000, long_running=True)
+    bench.add(a_job(long_running))
+    simulation = Simulation(bench)
+    simulation.run(1.0)
     bench.worker("w2", capacity=Room(cpu=4000, mem_mb=8000))
     for number in range(200):
         name = f"f{number:015x}"
-        play.seconds[name] = 1.0
+        simulation.seconds[name] = 1.0
         bench.add(a_job(a_step(count=1, mem_mb=2000), job=name))
         if number == 20:
-            bench.add(a_job(lasting, job=OTHER))
-        play.tick()
+            bench.add(a_job(long_running, job=OTHER))
+        simulation.tick()
     assert bench.task(0, job=OTHER).phase is Phase.RUNNING
 
 
@@ -235,12 +235,12 @@
     for name in ("w1", "w2", "w3"):
         bench.worker(name)
     for number in range(3):
-        lasting = a_step(count=6, cpu=500, long_running=True, max_per_server=1)
-        bench.add(a_job(lasting, job=f"{number:016x}"))
-    play = Play(bench)
-    play.run(1.0)
+        long_running = a_step(count=6, cpu=500, long_running=True, max_per_server=1)
+        bench.add(a_job(long_running, job=f"{number:016x}"))
+    simulation = Simulation(bench)
+    simulation.run(1.0)
     bench.add(a_job())
-    assert play.run(CALM_SECONDS) == [JOB, JOB]
+    assert simulation.run(RECOVERY_SECONDS) == [JOB, JOB]
 
 
 def test_lasting_steps_that_wait_share_the_worker_that_is_kept() -> None:
@@ -249,76 +249,76 @@
     bench.worker("w1")
     bench.worker("w2")
     bench.add(a_job(a_step(count=2, cpu=7500, estimate_ms=60_000), job=THIRD))
-    play = Play(bench)
-    play.run(1.0)
+    simulation = Simulation(bench)
+    simulation.run(1.0)
     for number in range(2):
-        lasting = a_step(count=1, cpu=1000, long_running=True)
-        bench.add(a_job(lasting, job=f"{number:016x}"))
+        long_running = a_step(count=1, cpu=1000, long_running=True)
+        bench.add(a_job(long_running, job=f"{number:016x}"))
     bench.add(a_job(a_step(count=1, cpu=500)))
-    assert play.run(CALM_SECONDS) == [JOB]
+    assert simulation.run(RECOVERY_SECONDS) == [JOB]
 
 
 def test_a_suspected_task_that_fits_no_worker_keeps_none() -> None:
     """Guards against a pool that waits as long as its longest task runs."""
     bench = SchedulerBench()
     bench.worker("w1")
-    play = Play(bench)
+    simulation = Simulation(bench)
     bench.add(a_job(a_step(count=1, estimate_ms=60_000), job=OTHER))
-    play.run(1.0)
+    simulation.run(1.0)
     bench.add(suspected(required_label="nowhere"))
     bench.add(a_job(job=THIRD))
-    assert play.run(CALM_SECONDS) == [THIRD, THIRD]
+    assert simulation.run(RECOVERY_SECONDS) == [THIRD, THIRD]
 
 
 def test_a_suspected_task_does_not_hold_a_pool_for_a_long_task() -> None:
     """Guards against ordinary work that waits as long as another's task runs."""
     bench = SchedulerBench()
     bench.worker("w1")
-    play = Play(bench)
+    simulation = Simulation(bench)
     bench.add(a_job(a_step(count=1, estimate_ms=60_000), job=OTHER))
-    play.run(1.0)
+    simulation.run(1.0)
     bench.add(suspected())
     bench.add(a_job(job=THIRD))
-    assert play.run(CALM_SECONDS)[-2:] == [THIRD, THIRD]
+    assert simulation.run(RECOVERY_SECONDS)[-2:] == [THIRD, THIRD]
 
 
 def test_a_suspected_task_does_not_hold_a_pool_for_a_run_over_its_estimate() -> None:
     """Guards against ordinary work that waits as long as nobody foresaw."""
     bench = SchedulerBench()
     bench.worker("w1")
-    play = Play(bench)
+    simulation = Simulation(bench)
     bench.add(a_job(a_step(count=1, estimate_ms=1000), job=OTHER))
-    play.run(0.5)
+    simulation.run(0.5)
     bench.add(suspected())
     bench.add(a_job(job=THIRD))
-    assert play.run(CALM_SECONDS) == [THIRD, THIRD]
+    assert simulation.run(RECOVERY_SECONDS) == [THIRD, THIRD]
 
 
 def test_a_suspected_gang_that_fits_no_pool_keeps_no_worker() -> None:
     """Guards against a worker that is emptied for a gang it is too small for."""
     bench = SchedulerBench()
     bench.worker("w1")
-    play = Play(bench)
+    simulation = Simulation(bench)
     bench.add(a_job(a_step(count=1, estimate_ms=2000), job=OTHER))
-    play.run(0.5)
+    simulation.run(0.5)
     bench.add(suspected(count=9, gang=True))
     bench.add(a_job(job=THIRD))
-    assert play.run(0.5) == [THIRD, THIRD]
+    assert simulation.run(0.5) == [THIRD, THIRD]
 
 
 def test_a_suspected_task_that_waits_for_its_quota_keeps_no_worker() -> None:
     """Guards against a worker that is emptied for a task that may not start."""
     bench = SchedulerBench(quotas={"team": Room(cpu=1000)})
     bench.worker("w1")
-    play = Play(bench)
+    simulation = Simulation(bench)
     running = a_step(count=1, estimate_ms=2000)
     bench.add(a_job(running, job=OTHER, organisation="team"))
-    play.run(0.5)
+    simulation.run(0.5)
     job = suspected()
     job.record = msgspec.structs.replace(job.record, organisation="team")
     bench.add(job)
     bench.add(a_job(job=THIRD))
-    assert play.run(0.5) == [THIRD, THIRD]
+    assert simulation.run(0.5) == [THIRD, THIRD]
 
 
 def test_a_suspected_gang_starts_within_its_quota() -> None:
@@ -327,28 +327,28 @@
     bench.worker("w1")
     bench.worker("w2")
     bench.add(a_job(a_step(count=1), job=OTHER, organisation="team"))
-    play = Play(bench, {OTHER: 2.0})
-    play.run(0.5)
+    simulation = Simulation(bench, {OTHER: 2.0})
+    simulation.run(0.5)
     job = suspected(count=2, gang=True)
     job.record = msgspec.structs.replace(job.record, organisation="team")
     bench.add(job)
-    assert play.run(1.0) == []
+    assert simulation.run(1.0) == []
 
 
 def test_a_suspected_task_that_is_late_gets_a_worker_beside_work_in_time() -> None:
     """Guards against a wait for as long as work that ranks before it goes on coming."""
     bench = SchedulerBench()
     bench.worker("w1")
-    play = Play(bench)
+    simulation = Simulation(bench)
     for number in range(200):
         if number == 20:
             bench.add(suspected(job=OTHER))
         if number % 3 == 0:
             name = f"f{number:015x}"
-            play.seconds[name] = 1.0
+            simulation.seconds[name] = 1.0
             bench.add(a_job(a_step(count=1), job=name, accepted_at=bench.now))
-        play.tick()
-    assert OTHER in {start.task.name.job for start in play.started}
+        simulation.tick()
+    assert OTHER in {start.task.name.job for start in simulation.started}
 
 
 def test_a_suspected_lasting_task_that_fails_early_does_not_hold_its_worker() -> None:
@@ -358,15 +358,15 @@
     """
     bench = SchedulerBench()
     bench.worker("w1")
-    play = Play(bench)
+    simulation = Simulation(bench)
     bench.add(suspected(job=OTHER, long_running=True))
     bench.add(a_job())
     for _ in range(20):
-        play.run(3.0)
+        simulation.run(3.0)
         task = bench.task(0, job=OTHER)
         if task.worker is not None:
             bench.end(task, "failed")
-    assert JOB in {start.task.name.job for start in play.started}
+    assert JOB in {start.task.name.job for start in simulation.started}
 
 
 def test_a_suspected_task_starts_only_once_its_own_crash_is_in_the_log() -> None:
@@ -390,10 +390,10 @@
     """Guards against an occurrence that is passed over since a later one began."""
     bench = SchedulerBench(epoch=2)
     bench.worker("w1")
-    play = Play(bench, {JOB: 1.0})
+    simulation = Simulation(bench, {JOB: 1.0})
     bench.add(a_timed_job(StepMark(1, 0, pack([0]))))
-    play.run(CALM_SECONDS)
-    runs = {(s.task.name.occurrence, s.task.index) for s in play.started}
+    simulation.run(RECOVERY_SECONDS)
+    runs = {(s.task.name.occurrence, s.task.index) for s in simulation.started}
     assert runs == {(0, 0), (0, 1), (1, 1), (2, 0), (2, 1)}
 
 
@@ -404,9 +404,11 @@
     bench.add(a_timed_job())
     name = TaskName(JOB, 0, 0, 0)
     bench.hold("w1", ended=[EndedTask(1, name, 5, ENDED_DONE, "")])
-    play = Play(bench, {JOB: 1.0})
-    play.run(CALM_SECONDS)
-    assert (0, 0) not in {(s.task.name.occurrence, s.task.index) for s in play.started}
+    simulation = Simulation(bench, {JOB: 1.0})
+    simulation.run(RECOVERY_SECONDS)
+    assert (0, 0) not in {
+        (s.task.name.occurrence, s.task.index) for s in simulation.started
+    }
 
 
 def test_a_failed_run_of_an_occurrence_that_is_not_open_yet_counts() -> None:
@@ -426,7 +428,7 @@
     bench.worker("w1", capacity=Room(cpu=900, mem_mb=8000))
     bench.worker("w2")
     job = suspected(job=OTHER, cpu=4000)
-    assert OTHER in run_beside_short_tasks(Play(bench), job)
+    assert OTHER in run_beside_short_tasks(Simulation(bench), job)
 
 
 def test_a_suspected_gang_gets_the_workers_that_it_needs() -> None:
@@ -435,17 +437,17 @@
     bench.worker("w1")
     bench.worker("w2")
     job = suspected(job=OTHER, count=2, cpu=5000, gang=True)
-    assert OTHER in run_beside_short_tasks(Play(bench), job)
+    assert OTHER in run_beside_short_tasks(Simulation(bench), job)
 
 
 def test_a_suspected_task_gets_room_where_each_worker_has_a_lasting_task() -> None:
     """Guards against a wait for as long as short tasks go on coming."""
     bench = SchedulerBench()
     bench.worker("w1")
-    play = Play(bench)
+    simulation = Simulation(bench)
     bench.add(a_job(a_step(count=1, long_running=True), job=THIRD))
-    play.run(6.0)
-    assert OTHER in run_beside_short_tasks(play, suspected(job=OTHER))
+    simulation.run(6.0)
+    assert OTHER in run_beside_short_tasks(simulation, suspected(job=OTHER))
 
 
 def test_what_is_left_of_an_occurrence_runs_beside_what_the_next_owner_found() -> None:
@@ -454,7 +456,7 @@
     bench.worker("w1")
     bench.add(a_timed_job(StepMark(1, 0, pack([0])), StepMark(2, 0, pack([0]))))
     bench.hold("w1", [RunningTask(TaskName(JOB, 0, 0, 0), 5, "", 10.0, 0.0)])
-    Play(bench, {JOB: 1.0}).run(1.0)
+    Simulation(bench, {JOB: 1.0}).run(1.0)
     assert bench.task(1, occurrence=0).phase is not Phase.WAITING
 
 
@@ -476,7 +478,7 @@
     bench.add(job)
     rows = [RunningTask(TaskName(JOB, 0, 0, n), 5 + n, "", 50.0, 0.0) for n in (0, 1)]
     bench.hold("w1", rows)
-    Play(bench).run(5.0)
+    Simulation(bench).run(5.0)
     assert bench.stored.get(JOB, job.progress).state is JobState.RUNNING
 
 
--- a/tests/components/scheduling/test_liveness.py
+++ b/tests/components/scheduling/test_liveness.py
@@ -22,7 +22,7 @@
 
 from .builders import JOB, POOL, SchedulerBench, a_job, a_step
 from .liveness_jobs import POLICIES, POOL_A
-from .liveness_loop import DrivenLoop
+from .liveness_loop import VirtualTimeLoop
 from .liveness_owner import Directory, Owner
 from .liveness_world import ModelWorker, Run, World
 
@@ -30,7 +30,7 @@
 WAIT_SECONDS = 10.0
 LEASE_SECONDS = 4.0
 
-LASTING = {"long_running": True, "max_per_server": 1, "cpu": 1000, "mem_mb": 1000}
+LONG_RUNNING = {"long_running": True, "max_per_server": 1, "cpu": 1000, "mem_mb": 1000}
 LARGE = {"count": 6, "cpu": 7000, "mem_mb": 28_000}
 MOST_OF_A_WORKER = {"count": 1, "cpu": 6000}
 
@@ -48,7 +48,7 @@
     for name in ("w1", "w2", "w3"):
         bench.worker(name, capacity=Room(cpu=64_000, mem_mb=256_000))
     for number in range(3):
-        bench.add(a_job(a_step(count=6, **LASTING), job=f"{number:016x}"))
+        bench.add(a_job(a_step(count=6, **LONG_RUNNING), job=f"{number:016x}"))
     bench.add(a_job(a_step(**LARGE)))
     _plan_for(bench, WAIT_SECONDS)
 
@@ -65,7 +65,7 @@
 
     async def async_own() -> set[TaskName]:
         world = World(0)
-        world.troubled = False
+        world.faults_enabled = False
         world.jobs[job.record.id] = job
         now = world.now
         for number in range(workers):
@@ -89,7 +89,7 @@
         assert not first.runs
         return directory.done
 
-    with asyncio.Runner(loop_factory=DrivenLoop) as runner:
+    with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         return runner.run(async_own())
 
 
--- a/tests/components/scheduling/test_pacing.py
+++ b/tests/components/scheduling/test_pacing.py
@@ -11,7 +11,7 @@
 OTHER = "00000000000000bb"
 
 
-def side_by_side() -> tuple[SchedulerBench, Task, Task]:
+def serving_and_filling() -> tuple[SchedulerBench, Task, Task]:
     """Return a serving and a filling task at work on one worker."""
     bench = SchedulerBench()
     bench.worker("w1", capacity=Room(cpu=8000, mem_mb=8000))
@@ -22,7 +22,7 @@
     return bench, bench.task(0), bench.task(0, job=OTHER)
 
 
-def show(bench: SchedulerBench, serving: Task, filling: Task, tail_ms: float) -> None:
+def report(bench: SchedulerBench, serving: Task, filling: Task, tail_ms: float) -> None:
     """Let the worker report the serving task's tail."""
     serving.figure = tail_ms
     bench.hold("w1", running=[a_row(serving, 100.0), a_row(filling, 100.0)])
@@ -35,30 +35,30 @@
 
 def test_what_fills_is_held_back_until_the_serving_task_is_well() -> None:
     """Load: work that fills disturbs a serving task beyond its target, for seconds."""
-    bench, serving, filling = side_by_side()
+    bench, serving, filling = serving_and_filling()
     ordered: list[int] = []
     for _ in range(5):
         bench.now += 0.7
-        show(bench, serving, filling, 150.0)
+        report(bench, serving, filling, 150.0)
         ordered.extend(paces(bench))
     assert ordered == [50, 25, 0]
 
 
 def test_it_is_raised_slowly_once_there_is_room_again() -> None:
-    bench, serving, filling = side_by_side()
+    bench, serving, filling = serving_and_filling()
     bench.now += 0.7
-    show(bench, serving, filling, 150.0)
+    report(bench, serving, filling, 150.0)
     assert paces(bench) == [50]
     ordered: list[int] = []
     for _ in range(6):
         bench.now += 1.0
-        show(bench, serving, filling, 30.0)
+        report(bench, serving, filling, 30.0)
         ordered.extend(paces(bench))
     assert ordered == [75, 100]
 
 
 def test_a_serving_task_within_its_target_holds_nothing_back() -> None:
-    bench, serving, filling = side_by_side()
+    bench, serving, filling = serving_and_filling()
     bench.now += 0.7
-    show(bench, serving, filling, 60.0)
+    report(bench, serving, filling, 60.0)
     assert paces(bench) == []
--- a/tests/components/scheduling/test_quota_walks.py
+++ b/tests/components/scheduling/test_quota_walks.py
@@ -85,7 +85,7 @@
         self.random = random.Random(seed)
         self.now = 1000.0
         self.epoch = 1
-        self.truth = {name: _Worker() for name in WORKERS}
+        self.worker_models = {name: _Worker() for name in WORKERS}
         self.quotas = dict.fromkeys(ORGANISATIONS, 3)
         self.jobs: dict[str, LedgerJob] = {}
         self.moment = 0
@@ -93,7 +93,7 @@
         self.started_at: dict[TaskName, int] = {}
         self.scheduler = self._owner()
         for name in WORKERS:
-            self._see(name)
+            self._update_worker(name)
             self._hold(name)
 
     def _owner(self) -> Scheduler:
@@ -103,8 +103,8 @@
             quota_of=lambda name: Room(cpu=1000 * self.quotas.get(name, 0)),
         )
 
-    def _see(self, name: str) -> None:
-        entry = an_entry(born=self.truth[name].born)
+    def _update_worker(self, name: str) -> None:
+        entry = an_entry(born=self.worker_models[name].born)
         state = self.scheduler.state
         known = state.workers.get(name)
         if known is not None and known.born != entry.born:
@@ -122,32 +122,32 @@
         self.scheduler.mark_stored([name])
         job.progress = Progress(JobState.RUNNING)
 
-    def plan(self, fates: list[str]) -> None:
+    def plan(self, outcomes: list[str]) -> None:
         """Plan, and let each order be answered, lost, or carried out later."""
         for number, command in enumerate(self.scheduler.plan(self.now, self.now)):
             if isinstance(command, Start):
-                self._send_start(command, fates[number % len(fates)])
+                self._send_start(command, outcomes[number % len(outcomes)])
             elif isinstance(command, Stop):
                 self._send_stop(command)
-        for worker in self.truth.values():
+        for worker in self.worker_models.values():
             worker.fresh = worker.fresh and worker.silent
 
-    def _send_start(self, start: Start, fate: str) -> None:
-        worker = self.truth[start.worker]
+    def _send_start(self, start: Start, outcome: str) -> None:
+        worker = self.worker_models[start.worker]
         quota = self.quotas[start.task.step.job.organisation]
         order = _Order(start.task.name, start.run, self.epoch, quota)
         reports = self.scheduler.reports
-        if worker.silent or fate == "lost":
+        if worker.silent or outcome == "lost":
             reports.start_unknown(start.task, start.run)
-        elif fate == "late":
+        elif outcome == "late":
             worker.late.append(order)
             reports.start_unknown(start.task, start.run)
         else:
-            reason = self._carry_out(worker, order)
+            reason = self._execute(worker, order)
             reports.start_answered(start.task, start.run, reason, self.now)
 
     def _send_stop(self, stop: Stop) -> None:
-        worker = self.truth[stop.worker]
+        worker = self.worker_models[stop.worker]
         if worker.silent:
             worker.unsent.append(stop)
         if worker.silent or worker.token > self.epoch:
@@ -159,7 +159,7 @@
         if stop.task is not None:
             self.scheduler.reports.stop_answered(stop.task, stop.run, self.now)
 
-    def _carry_out(self, worker: _Worker, order: _Order) -> str:
+    def _execute(self, worker: _Worker, order: _Order) -> str:
         if order.token < worker.token:
             return "fence"
         worker.token = order.token
@@ -174,12 +174,12 @@
         assert name not in self.known_done, "started after it was known as done"
         self.moment += 1
         self.started_at[name] = self.moment
-        twice = sum(name in worker.running for worker in self.truth.values())
+        twice = sum(name in worker.running for worker in self.worker_models.values())
         assert twice <= 1, "runs twice"
         organisation = self.jobs[name.job].record.organisation
         running = sum(
             self.jobs[task.job].record.organisation == organisation
-            for worker in self.truth.values()
+            for worker in self.worker_models.values()
             for task in worker.running
         )
         # One task more is allowed: of an organisation whose quota is less than a task.
@@ -196,7 +196,7 @@
 
     def finish(self, name: str) -> None:
         """Let a task end."""
-        worker = self.truth[name]
+        worker = self.worker_models[name]
         if worker.running:
             task = self.random.choice(sorted(worker.running, key=encode_task))
             self._end(worker, task, "done")
@@ -206,7 +206,7 @@
         self._hold(name)
 
     def _hold(self, name: str) -> None:
-        worker = self.truth[name]
+        worker = self.worker_models[name]
         known = self.scheduler.state.workers.get(name)
         if worker.silent or known is None or known.born != worker.born:
             return
@@ -219,15 +219,15 @@
         answer = HoldAnswer(0.0, rows, list(worker.ended), worker.born)
         self.scheduler.apply_worker_report(name, answer, self.now, self.now)
 
-    def carry_out_late(self, name: str, number: int) -> None:
+    def execute_late(self, name: str, number: int) -> None:
         """Carry out an order that was left unanswered."""
-        worker = self.truth[name]
+        worker = self.worker_models[name]
         if number < len(worker.late) and not worker.fresh:
-            self._carry_out(worker, worker.late.pop(number))
+            self._execute(worker, worker.late.pop(number))
 
-    def cut_or_mend(self, name: str) -> None:
+    def toggle_cut(self, name: str) -> None:
         """Let a worker fall silent, or speak again."""
-        worker = self.truth[name]
+        worker = self.worker_models[name]
         worker.silent = not worker.silent
         known = self.scheduler.state.workers.get(name)
         if known is not None:
@@ -237,16 +237,16 @@
                 for stop in unsent:
                     self._send_stop(stop)
         elif not worker.silent:
-            self._see(name)
+            self._update_worker(name)
 
     def lapse(self) -> None:
         """Let the leases of all silent workers run out."""
-        if not any(worker.silent for worker in self.truth.values()):
+        if not any(worker.silent for worker in self.worker_models.values()):
             return
         for name in WORKERS:
             self._hold(name)
         self.now += 2 * LEASE
-        for name, worker in self.truth.items():
+        for name, worker in self.worker_models.items():
             if worker.silent:
                 worker.running.clear()
                 worker.late.clear()
@@ -264,15 +264,15 @@
         What an owner before told it is not: nothing keeps such an order from the moment
         between a worker's start and its first answer to the owner after.
         """
-        old = self.truth[name]
-        self.truth[name] = _Worker(
+        old = self.worker_models[name]
+        self.worker_models[name] = _Worker(
             old.born + 1,
             late=[order for order in old.late if order.token == self.epoch],
             silent=old.silent,
             unsent=old.unsent,
             fresh=True,
         )
-        self._see(name)
+        self._update_worker(name)
 
     def configure(self, organisation: str, quota: int) -> None:
         """Raise or lower a quota."""
@@ -281,7 +281,7 @@
     def take_over(self) -> None:
         """Let another owner take over, that has heard of no worker."""
         self.epoch += 1
-        for worker in self.truth.values():
+        for worker in self.worker_models.values():
             worker.unsent.clear()
         for job_id, progress in self.scheduler.take_dirty(self.now, self.now):
             self.jobs[job_id].progress = progress
@@ -290,7 +290,7 @@
         state.takeover_hold_until = ALWAYS
         state.taken_over_at = self.now
         for name in WORKERS:
-            self._see(name)
+            self._update_worker(name)
         for job in self.jobs.values():
             self.scheduler.add_job(job, self.now, self.now)
 
@@ -300,13 +300,13 @@
         self.restart(name)
         self._hold(name)
         self.plan(["answered"])
-        for _ in range(len(self.truth[name].late)):
-            self.carry_out_late(name, 0)
+        for _ in range(len(self.worker_models[name].late)):
+            self.execute_late(name, 0)
 
     def take_over_behind_a_cut(self, name: str, organisation: str) -> None:
         """Let another owner take over that does not reach one worker."""
         self.plan(["answered"])
-        self.truth[name].silent = True
+        self.worker_models[name].silent = True
         self.take_over()
         for other in WORKERS:
             self._hold(other)
@@ -318,7 +318,7 @@
         state = self.scheduler.state
         for name in WORKERS:
             if name not in state.workers:
-                self._see(name)
+                self._update_worker(name)
             self._hold(name)
         if all(worker.confirmed for worker in state.workers.values()):
             state.takeover_hold_until = 0.0
@@ -341,7 +341,7 @@
             assert state.quotas.used(organisation).cpu == counted
 
 
-FATES = ("answered", "answered", "lost", "late")
+OUTCOMES = ("answered", "answered", "lost", "late")
 
 
 def _walk(seed: int, steps: int = 40) -> None:
@@ -349,12 +349,12 @@
     draw = walk.random
     events: list[Callable[[], None]] = [
         lambda: walk.submit(draw.choice(ORGANISATIONS), draw.randint(1, 4)),
-        lambda: walk.plan([draw.choice(FATES) for _ in range(12)]),
+        lambda: walk.plan([draw.choice(OUTCOMES) for _ in range(12)]),
         lambda: walk.plan(["answered"]),
         lambda: walk.finish(draw.choice(WORKERS)),
         lambda: walk.hold(draw.choice(WORKERS)),
-        lambda: walk.carry_out_late(draw.choice(WORKERS), draw.randint(0, 3)),
-        lambda: walk.cut_or_mend(draw.choice(WORKERS)),
+        lambda: walk.execute_late(draw.choice(WORKERS), draw.randint(0, 3)),
+        lambda: walk.toggle_cut(draw.choice(WORKERS)),
         lambda: walk.lapse(),
         lambda: walk.restart(draw.choice(WORKERS)),
         lambda: walk.configure(draw.choice(ORGANISATIONS), draw.randint(1, 6)),
@@ -390,17 +390,17 @@
     patch.setattr(SchedulerState, "mark_uncertain", forget)
 
 
-def _forget_unseen(patch: pytest.MonkeyPatch) -> None:
+def _ignore_unconfirmed(patch: pytest.MonkeyPatch) -> None:
     """Let what an owner before may have started count for nothing."""
     patch.setattr(Planner, "_unconfirmed_runs", lambda planner, now: iter(()))
 
 
-def _forget_strays(patch: pytest.MonkeyPatch) -> None:
+def _ignore_orphans(patch: pytest.MonkeyPatch) -> None:
     """Let runs that are no task's any more count for nothing."""
     patch.setattr(SchedulerState, "add_orphan_run", lambda state, worker, name: None)
 
 
-def _trust_rebirths(patch: pytest.MonkeyPatch) -> None:
+def _trust_restarts(patch: pytest.MonkeyPatch) -> None:
     """Let unanswered orders end with the incarnation that they were meant for."""
 
     def replace(state: SchedulerState, old: object, new: object, now: float) -> None:
@@ -415,7 +415,7 @@
     patch.setattr(Quotas, "allows", lambda quotas, name, room, count=1: True)
 
 
-def _start_unheld(patch: pytest.MonkeyPatch) -> None:
+def _ignore_takeover_hold(patch: pytest.MonkeyPatch) -> None:
     """Let jobs of an owner before start at once."""
     patch.setattr(
         SchedulerState, "is_held_after_takeover", lambda state, job, now: False
@@ -426,10 +426,10 @@
     "mutate",
     [
         _count_only_running,
-        _forget_unseen,
-        _trust_rebirths,
+        _ignore_unconfirmed,
+        _trust_restarts,
         _allow_all,
-        _start_unheld,
+        _ignore_takeover_hold,
     ],
 )
 def test_each_protection_is_missed_when_it_is_taken_out(
--- a/tests/components/scheduling/test_room_walks.py
+++ b/tests/components/scheduling/test_room_walks.py
@@ -18,9 +18,9 @@
 from mustardward.platform.workers import EndedTask, HoldAnswer, RunningTask, TaskName
 
 from .builders import a_job, a_step, an_entry
-from .test_quota_walks import FATES, ORGANISATIONS, WORKERS, QuotaWalk, _Order
+from .test_quota_walks import ORGANISATIONS, OUTCOMES, WORKERS, QuotaWalk, _Order
 
-MOST_JOBS = 30
+MAX_JOBS = 30
 UNKNOWN = TaskName("ffffffffffffffff", 0, 0, 0)
 
 
@@ -30,11 +30,11 @@
     def __init__(self, seed: int) -> None:
         """Begin with workers of one size."""
         self.rooms = dict.fromkeys(WORKERS, Room(8000, 8000))
-        self.strays_seen = 0
+        self.orphans_seen = 0
         super().__init__(seed)
 
-    def _see(self, name: str) -> None:
-        born = self.truth[name].born
+    def _update_worker(self, name: str) -> None:
+        born = self.worker_models[name].born
         entry = an_entry(born=born, capacity=self.rooms[name])
         known = self.scheduler.state.workers.get(name)
         if known is not None and known.born != born:
@@ -45,7 +45,7 @@
         """Check nothing: strays are made on purpose."""
 
     def _hold(self, name: str) -> None:
-        worker = self.truth[name]
+        worker = self.worker_models[name]
         known = self.scheduler.state.workers.get(name)
         if worker.silent or known is None or known.born != worker.born:
             return
@@ -53,11 +53,11 @@
         rows = [RunningTask(t, r, "", 50.0, 0.0) for t, r in worker.running.items()]
         answer = HoldAnswer(0.0, rows, list(worker.ended), worker.born)
         self.scheduler.apply_worker_report(name, answer, self.now, self.now)
-        self.strays_seen += len(known.orphan_steps)
+        self.orphans_seen += len(known.orphan_steps)
 
     def fail(self, name: str) -> None:
         """Let a run fail."""
-        worker = self.truth[name]
+        worker = self.worker_models[name]
         for task in list(worker.running)[:1]:
             self._end(worker, task, "failed")
 
@@ -65,19 +65,19 @@
         """Let a worker shrink or grow, whatever runs there."""
         cores = self.random.choice([1000, 2000, 4000, 8000, 16000])
         self.rooms[name] = Room(cores, self.random.choice([500, 8000]))
-        self._see(name)
+        self._update_worker(name)
 
-    def stray(self, name: str) -> None:
+    def orphan(self, name: str) -> None:
         """Let a worker run something beside what is known."""
         names = [UNKNOWN] + [
             TaskName(job, 0, 0, index) for job in self.jobs for index in range(3)
         ]
         run = self.random.choice([1, 5, 1 << 20, (1 << 20) + 1])
-        self.truth[name].running.setdefault(self.random.choice(names), run)
+        self.worker_models[name].running.setdefault(self.random.choice(names), run)
 
     def repeat_end(self, name: str) -> None:
         """Let a worker list an end of a run that is not there."""
-        worker = self.truth[name]
+        worker = self.worker_models[name]
         jobs = self.scheduler.state.jobs.values()
         tasks = [t for job in jobs for s in job.steps.values() for t in s.tasks]
         if tasks:
@@ -100,7 +100,7 @@
 
     def submit(self, organisation: str, count: int) -> None:
         """Accept a job, while there are few."""
-        if len(self.jobs) >= MOST_JOBS:
+        if len(self.jobs) >= MAX_JOBS:
             return
         name = f"{len(self.jobs):016x}"
         job = a_job(a_step(count=count), job=name, organisation=organisation)
@@ -138,21 +138,21 @@
     draw = walk.random
     events: list[Callable[[], None]] = [
         lambda: walk.submit(draw.choice(ORGANISATIONS), draw.randint(1, 4)),
-        lambda: walk.plan([draw.choice(FATES) for _ in range(12)]),
+        lambda: walk.plan([draw.choice(OUTCOMES) for _ in range(12)]),
         lambda: walk.plan(["answered"]),
         lambda: walk.finish(draw.choice(WORKERS)),
         lambda: walk.fail(draw.choice(WORKERS)),
         lambda: walk.hold(draw.choice(WORKERS)),
         lambda: walk.hold(draw.choice(WORKERS)),
-        lambda: walk.carry_out_late(draw.choice(WORKERS), draw.randint(0, 3)),
-        lambda: walk.cut_or_mend(draw.choice(WORKERS)),
+        lambda: walk.execute_late(draw.choice(WORKERS), draw.randint(0, 3)),
+        lambda: walk.toggle_cut(draw.choice(WORKERS)),
         lambda: walk.lapse(),
         lambda: walk.restart(draw.choice(WORKERS)),
         lambda: walk.configure(draw.choice(ORGANISATIONS), draw.randint(1, 6)),
         lambda: walk.take_over(),
         lambda: walk.release(),
         lambda: walk.resize(draw.choice(WORKERS)),
-        lambda: walk.stray(draw.choice(WORKERS)),
+        lambda: walk.orphan(draw.choice(WORKERS)),
         lambda: walk.repeat_end(draw.choice(WORKERS)),
         lambda: walk.cancel(),
         lambda: walk.store(),
@@ -166,11 +166,11 @@
 
 @pytest.mark.parametrize("first", range(0, 400, 100))
 def test_no_order_of_events_loses_room_or_gives_it_back_twice(first: int) -> None:
-    seen = sum(walk_once(seed).strays_seen for seed in range(first, first + 100))
+    seen = sum(walk_once(seed).orphans_seen for seed in range(first, first + 100))
     assert seen > 100
 
 
-def _keep_strays_of_the_lost(patch: pytest.MonkeyPatch) -> None:
+def _keep_orphans_of_lost_workers(patch: pytest.MonkeyPatch) -> None:
     """Give nothing back for the strays of a worker."""
     patch.setattr(
         SchedulerState,
@@ -179,7 +179,7 @@
     )
 
 
-def _give_doubted_room_back_twice(patch: pytest.MonkeyPatch) -> None:
+def _release_uncertain_room_twice(patch: pytest.MonkeyPatch) -> None:
     """Give the room of a start without an answer back twice."""
     mark_uncertain = SchedulerState.mark_uncertain
 
@@ -192,7 +192,7 @@
 
 
 @pytest.mark.parametrize(
-    "mutate", [_keep_strays_of_the_lost, _give_doubted_room_back_twice]
+    "mutate", [_keep_orphans_of_lost_workers, _release_uncertain_room_twice]
 )
 def test_a_book_that_is_wrong_is_found(
     mutate: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
--- a/tests/components/scheduling/test_rooms.py
+++ b/tests/components/scheduling/test_rooms.py
@@ -21,7 +21,7 @@
     return bench
 
 
-def see(bench: SchedulerBench, room: Room, born: int = BORN) -> None:
+def update_worker(bench: SchedulerBench, room: Room, born: int = BORN) -> None:
     """Let the worker's entry tell of a room."""
     entry = an_entry(capacity=room, born=born)
     bench.scheduler.update_worker("w1", entry, bench.now)
@@ -30,7 +30,7 @@
 def test_a_worker_whose_room_has_shrunk_is_not_filled_beyond_it() -> None:
     """Guards against starts that bring a worker over the room that it has left."""
     bench = a_bench()
-    see(bench, HALF)
+    update_worker(bench, HALF)
     bench.add(a_job(a_step(count=8)))
     assert len(bench.plan_starts()) == 4
     assert measure(bench.scheduler.state, bench.now)[POOL].capacity == HALF.cpu
@@ -41,7 +41,7 @@
     bench = a_bench()
     bench.add(a_job(a_step(count=8)))
     assert len(bench.plan_starts()) == 8
-    see(bench, HALF)
+    update_worker(bench, HALF)
     for index in range(4):
         bench.end(bench.task(index), "done")
     bench.add(a_job(a_step(count=1), job="00000000000000bb"))
@@ -52,8 +52,8 @@
 
 def test_a_room_that_grows_again_is_used() -> None:
     bench = a_bench()
-    see(bench, HALF)
-    see(bench, Room(cpu=8000, mem_mb=8000))
+    update_worker(bench, HALF)
+    update_worker(bench, Room(cpu=8000, mem_mb=8000))
     bench.add(a_job(a_step(count=8)))
     assert len(bench.plan_starts()) == 8
 
@@ -61,7 +61,7 @@
 def test_the_room_of_an_incarnation_that_is_over_says_nothing() -> None:
     """Guards against an entry that is read late and was written by another life."""
     bench = a_bench()
-    see(bench, HALF, born=BORN - 1000)
+    update_worker(bench, HALF, born=BORN - 1000)
     bench.add(a_job(a_step(count=8)))
     assert len(bench.plan_starts()) == 8
 
--- a/tests/components/scheduling/test_takeover.py
+++ b/tests/components/scheduling/test_takeover.py
@@ -21,7 +21,7 @@
     return bench
 
 
-def a_job_taken_in() -> LedgerJob:
+def stored_job() -> LedgerJob:
     """Return a job that an earlier owner may have started."""
     job = a_job()
     job.progress = Progress(JobState.RUNNING)
@@ -31,7 +31,7 @@
 def test_jobs_of_an_earlier_owner_wait_for_silent_workers() -> None:
     bench = a_successor()
     bench.worker("w1")
-    bench.add(a_job_taken_in())
+    bench.add(stored_job())
     assert bench.plan_starts() == []
     bench.scheduler.state.takeover_hold_until = 0.0
     assert len(bench.plan_starts()) == 2
--- a/tests/components/scheduling/test_wait_logger.py
+++ b/tests/components/scheduling/test_wait_logger.py
@@ -17,7 +17,7 @@
 from mustardward.platform.models import ENDED_DONE, Room
 
 from .builders import JOB, SchedulerBench, a_job, a_step
-from .test_wait_tracker import starts_of, tell, wait_on
+from .test_wait_tracker import logged_waits, starts_of, wait_on
 
 JOBS = 100
 
@@ -37,7 +37,7 @@
     return REGISTRY.get_sample_value("mustardward_oldest_task_wait_seconds")
 
 
-def looks_with(reason: Reason) -> float:
+def wait_count(reason: Reason) -> float:
     name = "mustardward_task_waits_total"
     return REGISTRY.get_sample_value(name, {"reason": reason.value}) or 0.0
 
@@ -47,9 +47,9 @@
 ) -> None:
     """Guards against a log that is full of waits when a pool is held up."""
     bench = a_bench_that_waits()
-    lines = tell(bench, caplog)
+    lines = logged_waits(bench, caplog)
     assert [int(line["job"], 16) for line in lines] == list(range(MAX_LINES))
-    (untold,) = tell(bench, caplog, "task_waits_untold")
+    (untold,) = logged_waits(bench, caplog, "task_waits_untold")
     assert untold["count"] == str(JOBS - 2 * MAX_LINES)
 
 
@@ -63,8 +63,8 @@
     for number in range(9):
         bench.add(a_job(job=f"{number:016x}"))
     wait_on(bench)
-    assert len(tell(bench, caplog)) == 2
-    (untold,) = tell(bench, caplog, "task_waits_untold")
+    assert len(logged_waits(bench, caplog)) == 2
+    (untold,) = logged_waits(bench, caplog, "task_waits_untold")
     assert untold["count"] == "5"
 
 
@@ -72,54 +72,54 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     bench = a_bench_that_waits()
-    told: Counter[str] = Counter()
+    logged: Counter[str] = Counter()
     for _ in range(int(WAIT_LOG_INTERVAL_SECONDS)):
-        told.update(line["job"] for line in tell(bench, caplog))
+        logged.update(line["job"] for line in logged_waits(bench, caplog))
         wait_on(bench, 1.0)
-    assert len(told) == JOBS
-    assert set(told.values()) == {1}
-    assert tell(bench, caplog, "task_waits_untold") == []
+    assert len(logged) == JOBS
+    assert set(logged.values()) == {1}
+    assert logged_waits(bench, caplog, "task_waits_untold") == []
 
 
 def test_a_step_is_told_again_while_it_waits_on(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     bench = a_bench_that_waits(jobs=1)
-    told = []
+    logged = []
     for _ in range(10):
-        told += tell(bench, caplog)
+        logged += logged_waits(bench, caplog)
         wait_on(bench, 1.0)
-    assert len(told) == 2
+    assert len(logged) == 2
 
 
 def test_what_waits_is_counted_by_its_reason_in_each_look(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """Also what no line told of, and under the reason that its line told."""
-    before = looks_with(Reason.NO_USABLE_WORKER)
+    before = wait_count(Reason.NO_USABLE_WORKER)
     bench = a_bench_that_waits()
-    tell(bench, caplog)
-    assert looks_with(Reason.NO_USABLE_WORKER) - before == JOBS
-    before = looks_with(Reason.RULES)
+    logged_waits(bench, caplog)
+    assert wait_count(Reason.NO_USABLE_WORKER) - before == JOBS
+    before = wait_count(Reason.RULES)
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(required_label="ssd")))
     wait_on(bench)
-    tell(bench, caplog)
+    logged_waits(bench, caplog)
     wait_on(bench, 1.0)
-    tell(bench, caplog)
-    assert looks_with(Reason.RULES) - before == 2
+    logged_waits(bench, caplog)
+    assert wait_count(Reason.RULES) - before == 2
 
 
 def test_the_gauge_has_the_oldest_wait_until_it_is_over(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     bench = a_bench_that_waits(jobs=2)
-    tell(bench, caplog)
+    logged_waits(bench, caplog)
     assert oldest_seconds() == pytest.approx(4.002)
     bench.scheduler.state.workers["w1"].stale = False
     starts = bench.plan_starts()
-    tell(bench, caplog)
+    logged_waits(bench, caplog)
     assert len(starts) == 4
     assert oldest_seconds() == 0.0
 
@@ -132,7 +132,7 @@
     bench.add(a_job())
     starts_of(bench)
     wait_on(bench, 2 * WAIT_LOG_AFTER_SECONDS)
-    tell(bench, caplog)
+    logged_waits(bench, caplog)
     assert oldest_seconds() == 2 * WAIT_LOG_AFTER_SECONDS
 
 
@@ -141,7 +141,7 @@
 ) -> None:
     """Guards against memory that grows with each job."""
     bench = a_bench_that_waits(jobs=9)
-    tell(bench, caplog)
+    logged_waits(bench, caplog)
     wait_logger = bench.scheduler.wait_logger
     assert wait_logger._logged and wait_logger.wait_tracker._decisions
     bench.scheduler.state.workers["w1"].stale = False
@@ -152,7 +152,7 @@
     bench.plan()
     assert not bench.scheduler.state.jobs
     wait_on(bench, WAIT_LOG_INTERVAL_SECONDS)
-    tell(bench, caplog)
+    logged_waits(bench, caplog)
     assert not wait_logger._logged
     assert not wait_logger._record_sent_at
     assert not wait_logger._phase_since
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize(
-    ("free", "told"),
+    ("free", "logged"),
     [
         ([(8000, 50, 0), (500, 8000, 0)], 0),
         ([(8000, 50, 0), (1000, 100, 0)], 1),
@@ -168,7 +168,7 @@
     ],
 )
 def test_room_is_what_one_worker_has(
-    free: list[tuple[int, int, int]], told: int, caplog: pytest.LogCaptureFixture
+    free: list[tuple[int, int, int]], logged: int, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Cores of one worker and memory of another are no room for a task."""
     bench = SchedulerBench()
@@ -177,4 +177,4 @@
         worker.stale = True
     bench.add(a_job())
     wait_on(bench)
-    assert [line["job"] for line in tell(bench, caplog)] == [JOB] * told
+    assert [line["job"] for line in logged_waits(bench, caplog)] == [JOB] * logged
--- a/tests/components/scheduling/test_wait_tracker.py
+++ b/tests/components/scheduling/test_wait_tracker.py
@@ -22,8 +22,8 @@
 
 OTHER: Final = "00000000000000bb"
 FULL: Final = Room(cpu=8000, mem_mb=8000)
-Scene = Callable[[], tuple[SchedulerBench, dict[str, str]]]
-SCENES: Final[Registry[Reason, Scene]] = Registry("scenes")
+Scenario = Callable[[], tuple[SchedulerBench, dict[str, str]]]
+SCENARIOS: Final[Registry[Reason, Scenario]] = Registry("scenes")
 
 
 def wait_on(
@@ -35,7 +35,7 @@
         bench.scheduler.plan(bench.now, bench.now, max_starts)
 
 
-def tell(
+def logged_waits(
     bench: SchedulerBench, caplog: pytest.LogCaptureFixture, event: str = "task_waiting"
 ) -> list[dict[str, str]]:
     """Return the pairs of the lines that a look writes."""
@@ -46,7 +46,7 @@
     return [pairs for pairs in lines if pairs["event"] == event]
 
 
-def lasting(job: str, count: int = 2, cpu: int = 1000) -> LedgerJob:
+def long_running_job(job: str, count: int = 2, cpu: int = 1000) -> LedgerJob:
     """Return a job whose tasks last, one a worker at most."""
     step = a_step(count=count, cpu=cpu, long_running=True, max_per_server=1)
     return a_job(step, job=job)
@@ -72,7 +72,7 @@
     return [command for command in bench.plan() if isinstance(command, Start)]
 
 
-@SCENES.register(Reason.NOT_STORED)
+@SCENARIOS.register(Reason.NOT_STORED)
 def not_stored() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1")
@@ -83,7 +83,7 @@
     return bench, {"dirty": "false", "sent_seconds": "4", "reason_seconds": "4.5"}
 
 
-@SCENES.register(Reason.NO_USABLE_WORKER)
+@SCENARIOS.register(Reason.NO_USABLE_WORKER)
 def no_usable_worker() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1").stale = True
@@ -100,7 +100,7 @@
     }
 
 
-@SCENES.register(Reason.STARTS_USED_UP)
+@SCENARIOS.register(Reason.STARTS_USED_UP)
 def starts_used_up() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1")
@@ -109,7 +109,7 @@
     return bench, {"most_starts": "0", "allowed": "1"}
 
 
-@SCENES.register(Reason.HELD_AFTER_TAKEOVER)
+@SCENARIOS.register(Reason.HELD_AFTER_TAKEOVER)
 def held_after_takeover() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench(epoch=2)
     state = bench.scheduler.state
@@ -129,7 +129,7 @@
     }
 
 
-@SCENES.register(Reason.AWAITS_EVALUATION)
+@SCENARIOS.register(Reason.AWAITS_EVALUATION)
 def awaits_evaluation() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1")
@@ -139,7 +139,7 @@
     return bench, {"suspicion": "3", "unjudged": "1", "overdue_seconds": "-56"}
 
 
-@SCENES.register(Reason.SUSPECTS_WAIT)
+@SCENARIOS.register(Reason.SUSPECTS_WAIT)
 def suspects_wait() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1")
@@ -150,14 +150,14 @@
     return bench, {"suspects": "1", "suspicion": "2", "empty_workers": "-"}
 
 
-@SCENES.register(Reason.RESERVED_FOR_OTHERS)
-def kept_for_others() -> tuple[SchedulerBench, dict[str, str]]:
+@SCENARIOS.register(Reason.RESERVED_FOR_OTHERS)
+def reserved_for_others() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1")
     bench.worker("w2")
     fill_in_part(bench, count=2)
     for number in (1, 2):
-        bench.add(lasting(f"{number:016x}", count=1, cpu=6000))
+        bench.add(long_running_job(f"{number:016x}", count=1, cpu=6000))
     bench.plan_starts()
     bench.add(a_job())
     wait_on(bench)
@@ -169,7 +169,7 @@
     }
 
 
-@SCENES.register(Reason.FITS_NOWHERE)
+@SCENARIOS.register(Reason.FITS_NOWHERE)
 def fits_nowhere() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1").leaving = True
@@ -185,7 +185,7 @@
     }
 
 
-@SCENES.register(Reason.ADVICE_UNANSWERED)
+@SCENARIOS.register(Reason.ADVICE_UNANSWERED)
 def advice_unanswered() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench(policy=QueuePolicy(service=POOL, advice=True))
     bench.worker("w1")
@@ -194,7 +194,7 @@
     return bench, {"asked_seconds": "1.5", "tickets": "0"}
 
 
-@SCENES.register(Reason.QUOTA)
+@SCENARIOS.register(Reason.QUOTA)
 def quota() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench(quotas={"dairy": Room(cpu=1500)})
     bench.worker("w1")
@@ -211,7 +211,7 @@
     }
 
 
-@SCENES.register(Reason.GANG_INCOMPLETE)
+@SCENARIOS.register(Reason.GANG_INCOMPLETE)
 def gang_incomplete() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1")
@@ -231,7 +231,7 @@
     }
 
 
-@SCENES.register(Reason.GANG_HAS_NO_ROOM)
+@SCENARIOS.register(Reason.GANG_HAS_NO_ROOM)
 def gang_has_no_room() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1")
@@ -241,7 +241,7 @@
     return bench, {"members": "3", "allowed": "2", "same_rack": "false"}
 
 
-@SCENES.register(Reason.NO_ROOM)
+@SCENARIOS.register(Reason.NO_ROOM)
 def no_room() -> tuple[SchedulerBench, dict[str, str]]:
     """Let a job lose its next data centres between two records of it."""
     bench = SchedulerBench()
@@ -254,7 +254,7 @@
     return bench, {"zones": "-", "open_zones": "z1", "allowed": "1", "kept": "0"}
 
 
-@SCENES.register(Reason.ZONE_BEING_STORED)
+@SCENARIOS.register(Reason.ZONE_BEING_STORED)
 def zone_being_stored() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1", zone="z1")
@@ -274,7 +274,7 @@
     }
 
 
-@SCENES.register(Reason.ROOM_PROMISED)
+@SCENARIOS.register(Reason.ROOM_PROMISED)
 def room_promised() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1", zone="z1")
@@ -292,7 +292,7 @@
     }
 
 
-@SCENES.register(Reason.RULES)
+@SCENARIOS.register(Reason.RULES)
 def rules() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1")
@@ -302,7 +302,7 @@
     return bench, {"required_label": "ssd", "without_label": "2", "able": "2"}
 
 
-@SCENES.register(Reason.NOT_PLANNED)
+@SCENARIOS.register(Reason.NOT_PLANNED)
 def not_planned() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1").stale = True
@@ -312,7 +312,7 @@
     return bench, {"plan_seconds": "4"}
 
 
-@SCENES.register(Reason.NOT_READY)
+@SCENARIOS.register(Reason.NOT_READY)
 def not_ready() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1")
@@ -322,7 +322,7 @@
     return bench, {"ready": "2", "allowed": "1"}
 
 
-@SCENES.register(Reason.OFF_QUEUE)
+@SCENARIOS.register(Reason.OFF_QUEUE)
 def off_queue() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1")
@@ -332,7 +332,7 @@
     return bench, {"ready": "0", "off_queue": "2"}
 
 
-@SCENES.register(Reason.UNFINISHED_ORDER)
+@SCENARIOS.register(Reason.UNFINISHED_ORDER)
 def unfinished_order() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1")
@@ -350,8 +350,8 @@
     }
 
 
-@SCENES.register(Reason.NOT_RECORDED)
-def not_noted() -> tuple[SchedulerBench, dict[str, str]]:
+@SCENARIOS.register(Reason.NOT_RECORDED)
+def not_recorded() -> tuple[SchedulerBench, dict[str, str]]:
     """Put a step among the ready ones behind the planner's back."""
     bench = SchedulerBench()
     bench.worker("w1")
@@ -364,7 +364,7 @@
 
 
 def test_each_reason_has_a_scene() -> None:
-    assert set(SCENES) == set(Reason)
+    assert set(SCENARIOS) == set(Reason)
 
 
 @pytest.mark.parametrize("reason", list(Reason), ids=lambda reason: reason.value)
@@ -372,8 +372,8 @@
     reason: Reason, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Guards against a job that waits without a line that says why."""
-    bench, inputs = SCENES[reason]()
-    (line,) = [pairs for pairs in tell(bench, caplog) if pairs["job"] == JOB]
+    bench, inputs = SCENARIOS[reason]()
+    (line,) = [pairs for pairs in logged_waits(bench, caplog) if pairs["job"] == JOB]
     assert line["reason"] == reason.value
     assert line["step"] == "0.0"
     assert {name: line.get(name) for name in inputs} == inputs
@@ -401,7 +401,7 @@
     bench.worker("w2", capacity=Room(cpu=500, mem_mb=8000))
     bench.add(a_job())
     wait_on(bench)
-    (line,) = tell(bench, caplog)
+    (line,) = logged_waits(bench, caplog)
     assert line["reason"] == Reason.NO_USABLE_WORKER.value
     assert line["unusable"] == f"{name}:1"
 
@@ -413,12 +413,12 @@
     bench = SchedulerBench()
     bench.worker("w1")
     fill_in_part(bench)
-    bench.add(lasting(OTHER, count=1, cpu=6000))
+    bench.add(long_running_job(OTHER, count=1, cpu=6000))
     bench.plan_starts()
     bench.worker("w2", capacity=Room(cpu=500, mem_mb=8000))
     bench.add(a_job())
     wait_on(bench)
-    (line,) = [pairs for pairs in tell(bench, caplog) if pairs["job"] == JOB]
+    (line,) = [pairs for pairs in logged_waits(bench, caplog) if pairs["job"] == JOB]
     assert line["reason"] == Reason.RESERVED_FOR_OTHERS.value
     assert line["kept_for"] == f"w1:{OTHER}"
 
@@ -434,19 +434,19 @@
     job = bench.task(0).step.job
     job.zones = job.stored_zones = frozenset({"z1"})
     wait_on(bench)
-    (line,) = tell(bench, caplog)
+    (line,) = logged_waits(bench, caplog)
     assert line["reason"] == Reason.NO_ROOM.value
     assert (line["open_zones"], line["kept"]) == ("z1", "0")
 
 
-@pytest.mark.parametrize("at_trial", [True, False])
+@pytest.mark.parametrize("isolating", [True, False])
 def test_a_worker_kept_for_suspects_is_told_with_their_job(
-    at_trial: bool, caplog: pytest.LogCaptureFixture
+    isolating: bool, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Whether the suspects run there or wait until it is empty."""
     bench = SchedulerBench()
     bench.worker("w1")
-    if not at_trial:
+    if not isolating:
         third = "00000000000000cc"
         bench.add(a_job(a_step(count=1, estimate_ms=2400), job=third))
         bench.plan_starts()
@@ -454,7 +454,7 @@
     bench.plan_starts()
     bench.add(a_job(job=OTHER))
     wait_on(bench)
-    (line,) = [pairs for pairs in tell(bench, caplog) if pairs["job"] == OTHER]
+    (line,) = [pairs for pairs in logged_waits(bench, caplog) if pairs["job"] == OTHER]
     assert line["reason"] == Reason.RESERVED_FOR_OTHERS.value
     assert line["kept_for"] == f"w1:{JOB}"
     assert line["kept_for_suspects"] == "1"
@@ -479,7 +479,7 @@
     bench.add(a_job(a_step(**step)))
     bench.plan_starts()
     wait_on(bench)
-    (line,) = tell(bench, caplog)
+    (line,) = logged_waits(bench, caplog)
     assert line["reason"] == Reason.RULES.value
     assert {name: line[name] for name in inputs} == inputs
 
@@ -499,7 +499,7 @@
     assert start.worker == "w2"
     bench.add(suspected(**step))
     wait_on(bench)
-    (line,) = [pairs for pairs in tell(bench, caplog) if pairs["job"] == JOB]
+    (line,) = [pairs for pairs in logged_waits(bench, caplog) if pairs["job"] == JOB]
     assert line["reason"] == Reason.SUSPECTS_WAIT.value
     assert line["suspicion"] == "2"
 
@@ -510,7 +510,7 @@
     bench.worker("w2")
     bench.add(a_job(a_step(count=16)))
     wait_on(bench, max_starts=1)
-    (line,) = tell(bench, caplog)
+    (line,) = logged_waits(bench, caplog)
     assert line["reason"] == Reason.STARTS_USED_UP.value
     assert (line["ready"], line["most_starts"]) == ("8", "1")
 
@@ -526,7 +526,7 @@
     step = bench.task(0).step
     bench.scheduler.set_tickets(step, {"w1": "t"}, bench.now + 9.0)
     wait_on(bench)
-    (line,) = tell(bench, caplog)
+    (line,) = logged_waits(bench, caplog)
     assert line["reason"] == Reason.RULES.value
     assert (line["advice"], line["tickets"]) == ("true", "1")
     assert line["tickets_seconds_left"] == "5"
@@ -550,11 +550,11 @@
     else:
         bench.accept(first)
         bench.scheduler.state.stop(first.task, "test")
-    assert tell(bench, caplog) == []
+    assert logged_waits(bench, caplog) == []
     if acknowledged:
         bench.scheduler.reports.stop_answered(first.task, first.run, bench.now)
     wait_on(bench)
-    (line,) = tell(bench, caplog)
+    (line,) = logged_waits(bench, caplog)
     assert line["reason"] == Reason.UNFINISHED_ORDER.value
     assert line["order_phase"] == phase.value
     assert (line["running"], line[phase.value]) == ("2", "1")
@@ -572,9 +572,9 @@
     bench.add(a_job(a_step(count=1)))
     bench.plan_starts()
     bench.scheduler.cancel_job(JOB)
-    tell(bench, caplog)
+    logged_waits(bench, caplog)
     wait_on(bench)
-    (line,) = tell(bench, caplog)
+    (line,) = logged_waits(bench, caplog)
     assert line["reason"] == Reason.UNFINISHED_ORDER.value
 
 
@@ -588,7 +588,7 @@
     for start in starts_of(bench)[1:]:
         bench.accept(start)
     wait_on(bench)
-    (line,) = tell(bench, caplog)
+    (line,) = logged_waits(bench, caplog)
     assert line["reason"] == Reason.UNFINISHED_ORDER.value
     assert (line["ready"], line["starting"], line["running"]) == ("1", "1", "7")
 
@@ -601,7 +601,7 @@
     wait_on(bench, 2.0)
     worker.stale = False
     wait_on(bench, 2.0, max_starts=0)
-    (line,) = tell(bench, caplog)
+    (line,) = logged_waits(bench, caplog)
     assert line["reason"] == Reason.STARTS_USED_UP.value
     assert (line["seconds"], line["reason_seconds"]) == ("4", "1.5")
 
@@ -618,7 +618,7 @@
     bench.hold("w1", running=[a_row(start.task, 1.0) for start in starts])
     wait_on(bench, 10.0)
     assert len(starts) == 8
-    assert tell(bench, caplog) == []
+    assert logged_waits(bench, caplog) == []
 
 
 def test_a_short_wait_is_not_told(caplog: pytest.LogCaptureFixture) -> None:
@@ -626,9 +626,9 @@
     bench.worker("w1").stale = True
     bench.add(a_job())
     wait_on(bench, WAIT_LOG_AFTER_SECONDS)
-    assert tell(bench, caplog) == []
+    assert logged_waits(bench, caplog) == []
     wait_on(bench, 0.5)
-    assert len(tell(bench, caplog)) == 1
+    assert len(logged_waits(bench, caplog)) == 1
 
 
 def test_room_on_a_worker_whose_entry_is_gone_is_none(
@@ -640,4 +640,4 @@
     bench.scheduler.state.workers["w1"].stale = True
     bench.add(a_job())
     wait_on(bench)
-    assert tell(bench, caplog) == []
+    assert logged_waits(bench, caplog) == []
--- a/tests/components/scheduling/test_zone_chooser.py
+++ b/tests/components/scheduling/test_zone_chooser.py
@@ -38,7 +38,7 @@
     return {bench.scheduler.state.workers[start.worker].zone for start in starts}
 
 
-def taken_in(*zones: str, job: str = JOB) -> LedgerJob:
+def stored_job(*zones: str, job: str = JOB) -> LedgerJob:
     """Return a job that an owner before may have started in these data centres."""
     found = a_job(job=job)
     found.progress = Progress(JobState.RUNNING, zones=list(zones))
@@ -121,7 +121,7 @@
     bench.worker("z1-0", zone="z1")
     bench.worker("z2-0", zone="z2")
     for number, zones in enumerate((["z1"], ["z3"], ["z1", "z3"], [])):
-        bench.add(taken_in(*zones, job=f"{number:016x}"))
+        bench.add(stored_job(*zones, job=f"{number:016x}"))
     assert bench.plan_starts() == []
     state.accounted_zones = frozenset({"z1", "z2"})
     starts = bench.plan_starts()
@@ -169,19 +169,19 @@
     chance = random.Random(seed)
     bench = a_bench(workers=chance.randint(1, 2))
     log: dict[str, set[str]] = {}
-    under_way: dict[str, Progress] = {}
+    appending: dict[str, Progress] = {}
     for number in range(40):
         move = chance.randrange(5)
         if move == 0:
             step = a_step(count=chance.randint(1, 9), cpu=chance.choice([1000, 3000]))
             bench.add(a_job(step, job=f"{number:016x}"), stored=False)
-        elif move == 1 and not under_way:
-            under_way = dict(bench.scheduler.take_dirty(bench.now, bench.now))
+        elif move == 1 and not appending:
+            appending = dict(bench.scheduler.take_dirty(bench.now, bench.now))
         elif move == 2:
-            for job, record in under_way.items():
+            for job, record in appending.items():
                 log[job] = set(record.zones)
-            bench.scheduler.mark_stored(under_way)
-            under_way = {}
+            bench.scheduler.mark_stored(appending)
+            appending = {}
         elif move == 3:
             for worker in _busy(list(bench.scheduler.state.workers.values()))[:1]:
                 bench.end(next(iter(worker.tasks.values())), ENDED_DONE)
