--- a/tests/components/dispatch/test_hold_walks.py
+++ b/tests/components/dispatch/test_hold_walks.py
@@ -177,18 +177,18 @@
         entry = an_entry(born=worker.born, capacity=worker.room)
         if self.entries.get(name) != entry:
             self.entries[name] = entry
-            self.dispatcher.see_worker(name, entry)
+            self.dispatcher.update_worker(name, entry)
             self._set_clients()
 
     def miss(self, name: str) -> None:
         """Let a worker's entry lapse."""
         if self.entries.pop(name, None) is not None:
-            self.scheduler.miss_worker(name, self.timers.monotonic())
+            self.scheduler.mark_worker_missing(name, self.timers.monotonic())
 
     def bar(self, name: str) -> None:
         """Let an entry be read that names no worker."""
         self.entries.pop(name, None)
-        self.scheduler.bar_worker(name)
+        self.scheduler.mark_worker_absent(name)
 
     def submit(self) -> None:
         """Take a job in."""
@@ -237,7 +237,7 @@
         session = self.dispatcher.sessions.get(name)
         if session is not None and not session.gone:
             self.workers[name].restart()
-            self.dispatcher.lose_worker(name, LossCause.UNLISTED)
+            self.dispatcher.remove_worker(name, LossCause.UNLISTED)
 
     def resize(self, name: str) -> None:
         """Let a worker change its size."""
@@ -261,14 +261,14 @@
             for name, entry in self.entries.items():
                 session = self.dispatcher.sessions.get(name)
                 if session is None or session.gone:
-                    self.dispatcher.see_worker(name, entry)
+                    self.dispatcher.update_worker(name, entry)
             self._set_clients()
             if self.authorised:
                 room = self.dispatcher.orders.start_room()
                 commands = self.scheduler.plan(now, 0.0, room)
                 self.dispatcher.orders.execute(commands)
             stored = [name for name, _ in self.scheduler.take_dirty(now, 0.0)]
-            self.scheduler.note_stored(stored)
+            self.scheduler.mark_stored(stored)
             for session in self.dispatcher.sessions.values():
                 session.acknowledge(session.listed_upto)
             await anyio.wait_all_tasks_blocked()
@@ -278,7 +278,7 @@
 
 
 async def async_walk(
-    seed: int, events_made: int = 40, strays: bool = True
+    seed: int, events_made: int = 40, orphan_steps: bool = True
 ) -> list[str]:
     """Walk into trouble and out of it; return what is still held."""
     async with anyio.create_task_group() as tasks:
@@ -301,7 +301,7 @@
             lambda: walk.resize(draw.choice(NAMES)),
             lambda: setattr(walk, "authorised", draw.random() < 0.7),
         ]
-        if not strays:
+        if not orphan_steps:
             events.remove(walk.stray)
         for _ in range(events_made):
             draw.choice(events)()
@@ -317,11 +317,11 @@
 
 def held_of(walk: HoldWalk, job: str) -> list[str]:
     """Return what does not run of a job, and why its workers are not used."""
-    steps = walk.scheduler.board.jobs[job].steps
+    steps = walk.scheduler.state.jobs[job].steps
     tasks = steps[(0, 0)].tasks
     held = [f"{t.index}:{t.phase.value}" for t in tasks if t.phase is not Phase.RUNNING]
     if held:
-        held += [describe(w) for w in walk.scheduler.board.workers.values()]
+        held += [describe(w) for w in walk.scheduler.state.workers.values()]
     return held
 
 
@@ -329,7 +329,7 @@
     """Return what a worker's books say."""
     flags = ("confirmed", "stale", "absent", "draining", "leaving", "unknown_runs")
     on = [flag for flag in flags if getattr(worker, flag)]
-    return f"{worker.id} {on} free={worker.free_cpu} strays={len(worker.strays)}"
+    return f"{worker.id} {on} free={worker.free_cpu} orphans={len(worker.orphan_steps)}"
 
 
 @pytest.mark.parametrize("first", [0, 5, 10])
--- a/tests/components/dispatch/test_holds.py
+++ b/tests/components/dispatch/test_holds.py
@@ -59,8 +59,8 @@
     assert not bench.worker.process.runs
     bench.add(WHOLE)
     await bench.async_pass(12.0)
-    worker = bench.scheduler.board.workers[WORKER]
-    assert (worker.unknown_runs, worker.strays) == (False, [])
+    worker = bench.scheduler.state.workers[WORKER]
+    assert (worker.unknown_runs, worker.orphan_steps) == (False, [])
     assert (worker.free_cpu, bench.task().phase) == (0, Phase.RUNNING)
 
 
@@ -111,7 +111,7 @@
         bench.see()
         bench.add(a_step(count=1, long_running=True))
         await bench.async_pass(12.0)
-        worker = bench.scheduler.board.workers[WORKER]
+        worker = bench.scheduler.state.workers[WORKER]
         tasks.cancel_scope.cancel()
     assert (worker.absent, worker.service) == (False, POOL)
     assert bench.task().phase is Phase.RUNNING
@@ -124,14 +124,16 @@
         bench.see()
         await bench.async_pass(0.3)
         directory = WorkerDirectory(
-            bench.dispatcher.see_worker,
-            lambda name: bench.scheduler.miss_worker(name, bench.timers.monotonic()),
-            bench.scheduler.bar_worker,
+            bench.dispatcher.update_worker,
+            lambda name: bench.scheduler.mark_worker_missing(
+                name, bench.timers.monotonic()
+            ),
+            bench.scheduler.mark_worker_absent,
         )
         good = {**GOOD, "service": POOL, "born": BORN}
         for entry in (good, {**good, "state": "?"}, good):
             directory.apply(KeyedRecord(1, WORKER, msgspec.json.encode(entry)))
-            worker = bench.scheduler.board.workers[WORKER]
+            worker = bench.scheduler.state.workers[WORKER]
             assert worker.absent == (entry["state"] == "?")
         directory.apply(KeyedRecord(1, WORKER, b""))
         await bench.async_pass(4.0)
@@ -192,10 +194,10 @@
             await bench.async_pass(0.5)
             bench.see()
             await bench.async_pass(0.5)
-        worker = bench.scheduler.board.workers[WORKER]
+        worker = bench.scheduler.state.workers[WORKER]
         assert (worker.absent, worker.service) == (False, POOL)
         bench.see(service="no-such-service")
-        bench.scheduler.bar_worker(WORKER)
+        bench.scheduler.mark_worker_absent(WORKER)
         await bench.async_pass(4.0)
         assert (worker.absent, worker.service) == (True, POOL)
         tasks.cancel_scope.cancel()
@@ -211,7 +213,7 @@
         await bench.async_pass(0.3)
         assert bench.task().phase is Phase.RUNNING
         bench.see(service="no-such-service")
-        worker = bench.scheduler.board.workers[WORKER]
+        worker = bench.scheduler.state.workers[WORKER]
         for _ in range(120):
             await bench.async_pass(0.1)
             bench.worker.process.advance(bench.worker._clock())
--- a/tests/components/scheduling/liveness_owner.py
+++ b/tests/components/scheduling/liveness_owner.py
@@ -20,7 +20,7 @@
 from mustardward.platform.workers import HoldAnswer, TaskName
 
 from .liveness_calls import ModelAdvice, ModelClient
-from .liveness_loop import LoopTimers
+from .liveness_virtual_time import LoopTimers
 from .liveness_world import World
 
 PLAN_SECONDS = 0.1
@@ -87,7 +87,7 @@
         self.authorised = True
         self._fenced = False
 
-    def kick(self) -> None:
+    def wake(self) -> None:
         """Plan and store soon."""
         self._wake.set()
         self._dirty.set()
@@ -118,44 +118,44 @@
             tasks,
             self.epoch,
             self._note_fenced,
-            self.kick,
+            self.wake,
             lambda: self.authorised,
             advice,
         )
         self.dispatcher.world = world
-        self._listen()
-        hold(self.scheduler.board, before, world.now)
+        self._track_done_tasks()
+        hold(self.scheduler.state, before, world.now)
         for job in sorted(world.jobs.values(), key=lambda j: j.record.accepted_at):
             self.scheduler.add_job(job, world.now, world.now)
         fleet: Any = self
         takeover = Takeover(
             self.epoch,
-            self.scheduler.board,
+            self.scheduler.state,
             self.dispatcher,
             timers,
-            self.kick,
+            self.wake,
             fleet,
         )
         directory: Any = self.directory
         for worker_id, entry in self.directory.entries.items():
-            self.see(worker_id, entry)
+            self.update_worker(worker_id, entry)
         tasks.start_soon(takeover.async_run, directory)
 
-    def _listen(self) -> None:
+    def _track_done_tasks(self) -> None:
         """Note which tasks the owner reads as done."""
-        take: Callable[..., None] = self.scheduler.hold_worker
+        apply: Callable[..., None] = self.scheduler.apply_worker_report
 
-        def hold_worker(
+        def apply_worker_report(
             worker_id: str, answer: HoldAnswer, sent_at: float, now: float
         ) -> None:
-            if worker_id in self.scheduler.board.workers:
+            if worker_id in self.scheduler.state.workers:
                 for end in answer.ended:
                     if end.how == "done":
                         self._note_done(end.task)
-            take(worker_id, answer, sent_at, now)
+            apply(worker_id, answer, sent_at, now)
 
         scheduler: Any = self.scheduler
-        scheduler.hold_worker = hold_worker
+        scheduler.apply_worker_report = apply_worker_report
 
     def _note_done(self, name: TaskName) -> None:
         job = self.world.jobs.get(name.job)
@@ -175,25 +175,25 @@
             return None
         return {worker.id: worker.zone for worker in self.world.workers.values()}
 
-    def see(self, worker_id: str, entry: WorkerEntry) -> None:
+    def update_worker(self, worker_id: str, entry: WorkerEntry) -> None:
         """Read a worker's entry."""
         if self.dispatcher is not None:
-            self.dispatcher.see_worker(worker_id, entry)
+            self.dispatcher.update_worker(worker_id, entry)
             self._wake.set()
 
-    def miss(self, worker_id: str) -> None:
+    def mark_worker_missing(self, worker_id: str) -> None:
         """Read that a worker's entry is gone."""
-        self.scheduler.miss_worker(worker_id, self.world.now)
+        self.scheduler.mark_worker_missing(worker_id, self.world.now)
 
     def set_leaving(self, worker_id: str, leaving: bool) -> None:
         """Decide to take a worker, or to leave it."""
         self.scheduler.set_leaving(worker_id, leaving, self.world.now)
         self._wake.set()
 
-    def lose(self, worker_id: str) -> None:
+    def remove_worker(self, worker_id: str) -> None:
         """Order a worker's maintenance."""
         if self.dispatcher is not None:
-            self.dispatcher.lose_worker(worker_id, LossCause.ORDERED)
+            self.dispatcher.remove_worker(worker_id, LossCause.ORDERED)
 
     async def _async_plan(self) -> None:
         while self.dispatcher is not None:
@@ -204,7 +204,7 @@
             orders = self.dispatcher.orders
             if self.authorised:
                 orders.execute(self.scheduler.plan(now, now, orders.start_room()))
-            if self.scheduler.board.dirty:
+            if self.scheduler.state.dirty:
                 self._dirty.set()
             await anyio.sleep(PLAN_GAP_SECONDS)
 
@@ -223,15 +223,15 @@
             await anyio.sleep(self._store_seconds())
             self._write(records)
             await anyio.sleep(self._store_seconds())
-            self.scheduler.note_stored([job_id for job_id, _ in records])
+            self.scheduler.mark_stored([job_id for job_id, _ in records])
             self._wake.set()
             for session, number in upto:
                 session.acknowledge(number)
 
     def _store_seconds(self) -> float:
-        chance = self.world.chance
-        if self.world.troubled and chance.random() < 0.08:
-            return chance.uniform(0.1, 1.0)
+        rng = self.world.rng
+        if self.world.faults_enabled and rng.random() < 0.08:
+            return rng.uniform(0.1, 1.0)
         return STORE_SECONDS
 
     def _write(self, records: list[tuple[str, Progress]]) -> None:
@@ -244,7 +244,7 @@
             for worker_id, entry in self.directory.entries.items():
                 session = self.dispatcher.sessions.get(worker_id)
                 if session is None or session.gone:
-                    self.see(worker_id, entry)
+                    self.update_worker(worker_id, entry)
             await anyio.sleep(REOPEN_SECONDS)
 
     async def _async_list(self) -> None:
@@ -257,5 +257,5 @@
                 if listed is None or session.gone or worker_id in listed:
                     continue
                 if since is not None and read_at > since:
-                    self.dispatcher.lose_worker(worker_id, LossCause.UNLISTED)
+                    self.dispatcher.remove_worker(worker_id, LossCause.UNLISTED)
             await anyio.sleep(LIST_SECONDS)
--- a/tests/components/scheduling/test_evacuation.py
+++ b/tests/components/scheduling/test_evacuation.py
@@ -7,7 +7,7 @@
 from .builders import SchedulerBench, a_job, a_step
 
 
-def lasting_on_three_workers() -> tuple[SchedulerBench, list[Task]]:
+def long_running_on_three_workers() -> tuple[SchedulerBench, list[Task]]:
     """Return three lasting tasks of one step at work, one a worker; one may miss."""
     bench = SchedulerBench()
     for name in ("w1", "w2", "w3"):
@@ -17,20 +17,20 @@
     tasks = [start.task for start in starts]
     assert sorted(start.worker for start in starts) == ["w1", "w2", "w3"]
     for task in tasks:
-        bench.show_at_work(task)
+        bench.report_serving(task)
     return bench, tasks
 
 
 def test_one_task_of_a_step_is_stopped_at_a_time() -> None:
-    bench, tasks = lasting_on_three_workers()
+    bench, tasks = long_running_on_three_workers()
     bench.scheduler.set_leaving("w1", True, bench.now)
     bench.scheduler.set_leaving("w2", True, bench.now)
     assert len(bench.plan_stops()) == 1
     assert bench.plan_stops() == []
 
 
-def test_the_next_task_is_stopped_once_the_first_is_at_work_again() -> None:
-    bench, tasks = lasting_on_three_workers()
+def test_next_task_is_stopped_once_the_first_serves_again() -> None:
+    bench, tasks = long_running_on_three_workers()
     bench.scheduler.set_leaving("w1", True, bench.now)
     bench.scheduler.set_leaving("w2", True, bench.now)
     (stop,) = bench.plan_stops()
@@ -39,11 +39,11 @@
     (start,) = bench.plan_starts()
     assert start.worker == "w3"
     assert bench.plan_stops() == []
-    bench.show_at_work(start.task)
+    bench.report_serving(start.task)
     assert len(bench.plan_stops()) == 1
 
 
-def test_a_silent_worker_counts_its_tasks_as_away() -> None:
+def test_tasks_of_a_silent_worker_count_as_missing() -> None:
     """No task is stopped beside those of a worker that fell silent.
 
     Symptom: maintenance ended a second task of a step that may miss one.
@@ -51,13 +51,13 @@
     for five seconds more; meanwhile another worker of the step was emptied.
     Cause: a task's last report said that it was at work, however old the report was.
     """
-    bench, tasks = lasting_on_three_workers()
-    bench.scheduler.board.workers["w1"].stale = True
+    bench, tasks = long_running_on_three_workers()
+    bench.scheduler.state.workers["w1"].stale = True
     bench.scheduler.set_leaving("w2", True, bench.now)
     assert bench.plan_stops() == []
 
 
-def test_a_task_on_a_leaving_worker_that_is_silent_counts_as_at_work() -> None:
+def test_task_on_a_silent_leaving_worker_counts_as_serving() -> None:
     """A leaving worker's silence does not let its tasks be stopped together.
 
     Symptom: a second task of a step that may miss one was stopped on a worker that
@@ -70,10 +70,10 @@
     bench.worker("w1")
     bench.add(a_job(a_step(count=2, long_running=True, may_miss=1)))
     for start in bench.plan_starts():
-        bench.show_at_work(start.task)
+        bench.report_serving(start.task)
     bench.scheduler.set_leaving("w1", True, bench.now)
     assert len(bench.plan_stops()) == 1
-    bench.scheduler.board.workers["w1"].stale = True
+    bench.scheduler.state.workers["w1"].stale = True
     assert bench.plan_stops() == []
 
 
@@ -83,16 +83,16 @@
     Symptom: on an entry with half a core, tasks of one step were stopped beside others
     that had been gone for seconds.
     """
-    bench, tasks = lasting_on_three_workers()
+    bench, tasks = long_running_on_three_workers()
     bench.now += 3.0
     bench.scheduler.set_leaving("w2", True, bench.now)
     assert bench.plan_stops() == []
     for task in tasks:
-        bench.show_at_work(task)
+        bench.report_serving(task)
     assert len(bench.plan_stops()) == 1
 
 
-def test_two_tasks_that_may_have_come_to_work_are_not_stopped_together() -> None:
+def test_two_tasks_that_may_have_started_serving_are_not_stopped_together() -> None:
     """Two tasks at work were ended at once, since neither was at its last report."""
     bench = SchedulerBench()
     bench.worker("w1")
@@ -101,6 +101,6 @@
     bench.worker("w2")
     bench.scheduler.set_leaving("w1", True, bench.now)
     assert bench.plan_stops() == []
-    bench.show_at_work(bench.task(0))
-    bench.show_at_work(bench.task(1))
+    bench.report_serving(bench.task(0))
+    bench.report_serving(bench.task(1))
     assert len(bench.plan_stops()) == 1
--- a/tests/components/scheduling/test_planning.py
+++ b/tests/components/scheduling/test_planning.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 from mustardward.components.ledger.models import JobState
-from mustardward.components.scheduling.commands import AskAdvice, Start, Stop
+from mustardward.components.scheduling.commands import RequestAdvice, Start, Stop
 from mustardward.components.scheduling.const import MISSING_GRACE_SECONDS
 from mustardward.components.scheduling.models import Phase, QueuePolicy
 from mustardward.platform.models import Room
@@ -71,7 +71,7 @@
     assert worker.free_cpu == 1000
 
 
-def test_labels_and_most_a_worker_are_kept() -> None:
+def test_required_label_and_limit_per_worker_are_respected() -> None:
     bench = SchedulerBench()
     bench.worker("w1", labels=["a", "r1"])
     bench.worker("w2", labels=["b", "r1"])
@@ -132,7 +132,7 @@
     assert [stop.task for stop in stops] == [first.task]
 
 
-def test_one_member_done_speaks_for_its_gang() -> None:
+def test_one_member_that_is_done_ends_its_gang_as_done() -> None:
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=2, gang=True)))
@@ -155,7 +155,7 @@
     assert [s.task.step.occurrence for s in bench.plan_starts()] == [1]
 
 
-def test_lasting_tasks_spread_and_come_first() -> None:
+def test_long_running_tasks_spread_and_come_first() -> None:
     bench = SchedulerBench()
     for name in ("w1", "w2"):
         bench.worker(name, capacity=Room(cpu=1000, mem_mb=8000))
@@ -171,7 +171,7 @@
     return dict(Counter(start.worker for start in bench.plan_starts()))
 
 
-def test_lasting_tasks_share_workers_up_to_what_may_be_missing() -> None:
+def test_long_running_tasks_share_workers_up_to_what_may_be_missing() -> None:
     """Workers without a lasting task can be lent while others' demand has its turn.
 
     Symptom: a pool that asked for four times its mean got nothing from pools that stood
@@ -196,17 +196,17 @@
     """
     bench = SchedulerBench()
     bench.worker("w1")
-    bench.scheduler.miss_worker("w1", bench.now)
+    bench.scheduler.mark_worker_missing("w1", bench.now)
     bench.now += MISSING_GRACE_SECONDS + 0.1
     bench.add(a_job(a_step(count=1, long_running=True, max_per_server=1)))
     assert bench.plan_starts() == []
-    bench.scheduler.see_worker("w1", an_entry(), bench.now)
+    bench.scheduler.update_worker("w1", an_entry(), bench.now)
     assert len(bench.plan_starts()) == 1
     bench.now += 1.0
     assert bench.plan_stops() == []
 
 
-def test_lasting_tasks_with_a_target_spread() -> None:
+def test_long_running_tasks_with_a_target_spread() -> None:
     bench = SchedulerBench()
     for number in range(3):
         bench.worker(f"w{number}")
@@ -215,16 +215,16 @@
     assert len(starts_by_worker(bench)) == 3
 
 
-def test_lasting_tasks_go_where_maintenance_is_done() -> None:
+def test_long_running_tasks_go_where_maintenance_is_done() -> None:
     bench = SchedulerBench()
     for number in range(4):
         bench.worker(f"w{number}")
-    bench.scheduler.set_due({"w0", "w1", "w2"})
+    bench.scheduler.set_maintenance_due({"w0", "w1", "w2"})
     bench.add(a_job(a_step(count=4, long_running=True, may_miss=2)))
     assert starts_by_worker(bench)["w3"] == 2
 
 
-def test_a_lasting_task_starts_again_however_it_ended() -> None:
+def test_a_long_running_task_starts_again_however_it_ended() -> None:
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=1, long_running=True)))
@@ -234,7 +234,7 @@
     assert len(bench.plan_starts()) == 1
 
 
-def test_a_lasting_task_gets_the_next_room_however_much_else_waits() -> None:
+def test_a_long_running_task_gets_the_next_room_however_much_else_waits() -> None:
     """A lasting task is not starved by shorter ones that fit each small hole.
 
     Load: a pool full of short tasks, and one lasting task that needs half a worker.
@@ -282,7 +282,7 @@
 def test_the_most_urgent_goes_first_while_all_can_be_in_time() -> None:
     """Load: one large job and five small ones, and instances on their way."""
     bench = SchedulerBench()
-    bench.scheduler.board.coming[POOL] = 40_000
+    bench.scheduler.state.incoming_cpu[POOL] = 40_000
     assert set(starts_in_shortage(bench, 10)) == {OTHER}
 
 
@@ -310,17 +310,17 @@
         (start,) = bench.plan_starts()
         task = start.task
         if start.worker != "w1":
-            bench.scheduler.board.workers["w1"].failed_jobs.add(name)
+            bench.scheduler.state.workers["w1"].failed_jobs.add(name)
             bench.end(task, "done")
             continue
         bench.end(task, "failed")
         bench.plan_starts()
     bench.add(a_job(a_step(count=1), job=OTHER))
-    board = bench.scheduler.board
-    worker = board.workers["w1"]
+    state = bench.scheduler.state
+    worker = state.workers["w1"]
     worker.failed_jobs.update({"x", "y"})
     task = bench.task(0, job=OTHER)
-    bench.scheduler.health.note_failed(worker, task, bench.now)
+    bench.scheduler.health.record_failure(worker, task, bench.now)
     assert worker.quarantined_until > bench.now
     assert all(s.worker != "w1" for s in bench.plan_starts())
 
@@ -331,7 +331,7 @@
     bench.add(a_job(a_step(count=1)))
     for worker in workers:
         worker.failed_jobs.update({"x", "y", "z"})
-        bench.scheduler.health.note_failed(worker, bench.task(0), bench.now)
+        bench.scheduler.health.record_failure(worker, bench.task(0), bench.now)
     held = [w for w in workers if w.quarantined_until > bench.now]
     assert len(held) == 1
 
@@ -342,16 +342,16 @@
     bench.worker("w2")
     bench.add(a_job(a_step(count=1)))
     (ask,) = bench.plan()
-    assert isinstance(ask, AskAdvice)
+    assert isinstance(ask, RequestAdvice)
     assert set(ask.workers) == {"w1", "w2"}
-    bench.scheduler.give_tickets(ask.step, {"w2": "t"}, bench.now + 3.0)
+    bench.scheduler.set_tickets(ask.step, {"w2": "t"}, bench.now + 3.0)
     (start,) = [c for c in bench.plan() if isinstance(c, Start)]
     assert start.worker == "w2"
     bench.scheduler.reports.start_answered(
         start.task, start.run, REFUSED_TICKET, bench.now
     )
     assert start.task.phase is Phase.WAITING
-    assert isinstance(bench.plan()[0], AskAdvice)
+    assert isinstance(bench.plan()[0], RequestAdvice)
 
 
 def test_a_worker_whose_entry_cant_be_read_gets_nothing_and_keeps_its_room() -> None:
@@ -365,11 +365,11 @@
     worker = bench.worker("w-1")
     bench.add(a_job(a_step(count=1), a_step(count=1)))
     assert len(bench.plan_starts()) == 2
-    bench.scheduler.bar_worker("w-1")
+    bench.scheduler.mark_worker_absent("w-1")
     bench.add(a_job(job="00000000000000bb"))
     assert bench.plan_starts() == []
     assert len(worker.tasks) == 2 and worker.free_cpu == 6000
-    bench.scheduler.see_worker("w-1", an_entry(), bench.now)
+    bench.scheduler.update_worker("w-1", an_entry(), bench.now)
     assert {start.worker for start in bench.plan_starts()} == {"w-1"}
 
 
@@ -377,7 +377,7 @@
     """An incarnation never changes its pool, so another writer has written that."""
     bench = SchedulerBench()
     bench.worker("w-1")
-    bench.scheduler.see_worker("w-1", an_entry(service="elsewhere"), bench.now)
+    bench.scheduler.update_worker("w-1", an_entry(service="elsewhere"), bench.now)
     bench.add(a_job())
     assert bench.plan_starts() == []
 
@@ -422,7 +422,7 @@
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=9, gang=True)))
-    first = bench.scheduler.board.next_run()
+    first = bench.scheduler.state.next_run_number()
     for _ in range(5):
         assert bench.plan_starts() == []
-    assert bench.scheduler.board.next_run() == first + 1
+    assert bench.scheduler.state.next_run_number() == first + 1
--- a/tests/components/scheduling/test_run_lines.py
+++ b/tests/components/scheduling/test_run_logger.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from mustardward.components.scheduling.run_lines import MOST_IN_LINE
+from mustardward.components.scheduling.run_logger import MAX_RUNS_PER_LINE
 from mustardward.helpers.bounded_output import LINES_A_SECOND
 
 from .builders import SchedulerBench, a_job, a_step
@@ -19,7 +19,7 @@
     return [r.getMessage() for r in caplog.records if f"event={event} " in r.message]
 
 
-def test_all_runs_of_a_turn_are_told_within_what_a_second_may_hold(
+def test_all_runs_of_a_burst_are_logged_within_the_limit_of_a_second(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """Follow each task of each job by the log, also in a peak.
@@ -48,15 +48,15 @@
     assert len(ended) == 60
 
 
-def test_a_line_tells_of_so_many_runs_at_most(
+def test_line_names_a_limited_number_of_runs(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level("INFO", "absl")
     bench = SchedulerBench()
     for number in range(20):
         bench.worker(f"w{number}")
-    bench.add(a_job(a_step(count=MOST_IN_LINE + 1)))
+    bench.add(a_job(a_step(count=MAX_RUNS_PER_LINE + 1)))
     bench.plan_starts()
     bench.plan()
     lines = lines_of(caplog, "runs_started")
-    assert [len(RUN.findall(line)) for line in lines] == [MOST_IN_LINE, 1]
+    assert [len(RUN.findall(line)) for line in lines] == [MAX_RUNS_PER_LINE, 1]
--- a/tests/components/scheduling/test_takeover.py
+++ b/tests/components/scheduling/test_takeover.py
@@ -16,12 +16,12 @@
 def a_successor() -> SchedulerBench:
     """Return a scheduler that took over and has not heard of all workers."""
     bench = SchedulerBench(epoch=2)
-    bench.scheduler.board.taken_over_at = bench.now
-    bench.scheduler.board.held_until = bench.now + 9.0
+    bench.scheduler.state.taken_over_at = bench.now
+    bench.scheduler.state.takeover_hold_until = bench.now + 9.0
     return bench
 
 
-def a_job_taken_in() -> LedgerJob:
+def stored_job() -> LedgerJob:
     """Return a job that an earlier owner may have started."""
     job = a_job()
     job.progress = Progress(JobState.RUNNING)
@@ -31,13 +31,13 @@
 def test_jobs_of_an_earlier_owner_wait_for_silent_workers() -> None:
     bench = a_successor()
     bench.worker("w1")
-    bench.add(a_job_taken_in())
+    bench.add(stored_job())
     assert bench.plan_starts() == []
-    bench.scheduler.board.held_until = 0.0
+    bench.scheduler.state.takeover_hold_until = 0.0
     assert len(bench.plan_starts()) == 2
 
 
-def test_a_job_that_no_owner_has_taken_in_starts_at_once() -> None:
+def test_job_that_no_owner_has_stored_starts_at_once() -> None:
     """What was accepted while nobody owned the shard can run nowhere.
 
     Symptom: 48 jobs were never done in time though half of their pool stood idle.
@@ -51,7 +51,7 @@
     assert len(bench.plan_starts()) == 2
 
 
-def test_nothing_of_a_job_starts_before_its_taking_in_is_stored() -> None:
+def test_no_task_of_a_job_starts_before_its_acceptance_is_stored() -> None:
     """Else a next owner would start it too, for nothing told that it may run."""
     bench = SchedulerBench()
     bench.worker("w1")
@@ -60,7 +60,7 @@
     ((job_id, progress),) = bench.scheduler.take_dirty(bench.now, bench.now)
     assert progress == Progress(JobState.QUEUED)
     assert bench.plan_starts() == []
-    bench.scheduler.note_stored([job_id])
+    bench.scheduler.mark_stored([job_id])
     assert len(bench.plan_starts()) == 2
 
 
@@ -81,9 +81,9 @@
 
 def test_what_runs_is_adopted_and_not_started_again() -> None:
     bench = a_successor()
-    bench.scheduler.board.held_until = 0.0
+    bench.scheduler.state.takeover_hold_until = 0.0
     bench.add(a_job(a_step(count=2)))
-    bench.scheduler.see_worker("w1", an_entry(), bench.now)
+    bench.scheduler.update_worker("w1", an_entry(), bench.now)
     running = RunningTask(TaskName(JOB, 0, 0, 0), 1048577, "abc", 40.0, 0.0)
     bench.hold("w1", running=[running])
     starts = bench.plan_starts()
@@ -96,17 +96,17 @@
 
 def test_ends_that_were_stored_are_not_counted_twice() -> None:
     bench = a_successor()
-    bench.scheduler.board.held_until = 0.0
+    bench.scheduler.state.takeover_hold_until = 0.0
     job = a_job(a_step(count=1))
     job.progress = Progress(JobState.RUNNING, tasks=[TaskMark(0, 0, 0, (7,))])
     bench.add(job)
-    bench.scheduler.see_worker("w1", an_entry(), bench.now)
+    bench.scheduler.update_worker("w1", an_entry(), bench.now)
     bench.hold("w1", ended=[EndedTask(1, TaskName(JOB, 0, 0, 0), 7, "failed", "")])
     assert bench.task(0).failed_runs == (7,)
     assert len(bench.plan_starts()) == 1
 
 
-def test_failed_runs_count_in_whichever_order_they_are_told() -> None:
+def test_failed_runs_count_in_whichever_order_they_are_reported() -> None:
     """A failed run that is told late counts, though a later run failed before.
 
     Symptom: a task was started a fourth time after three runs had failed.
@@ -129,7 +129,7 @@
 
 def test_what_runs_of_a_job_that_is_over_is_stopped() -> None:
     bench = a_successor()
-    bench.scheduler.see_worker("w1", an_entry(), bench.now)
+    bench.scheduler.update_worker("w1", an_entry(), bench.now)
     name = TaskName(OTHER, 0, 0, 0)
     bench.hold("w1", running=[RunningTask(name, 5, "", 10.0, 0.0)])
     stops = [c for c in bench.plan() if isinstance(c, Stop)]
