--- a/bench/capacity/measures.py
+++ b/bench/capacity/measures.py
@@ -14,8 +14,8 @@
 from mustardward.components.entry.models import Ran, RequestFacts, RequestFinished
 from mustardward.components.explain.models import DecisionMade
 from mustardward.components.explain.store import StoryStore
-from mustardward.components.limits.gate import PoolGate
-from mustardward.components.limits.latency import Estimate
+from mustardward.components.limits.gate import PoolAdmission
+from mustardward.components.limits.latency import LatencyEstimate
 from mustardward.components.limits.models import PoolCapacity, Ticket
 from mustardward.components.maintenance.selection import SelectionFacts, select_claims
 from mustardward.components.membership.messages import (
@@ -190,13 +190,13 @@
 
 def admit_microseconds(organisations: int) -> float:
     """Return the time to admit and release one request among many organisations."""
-    gate = PoolGate(PoolCapacity(400, ENTRIES_EACH, 0.1), 512)
+    gate = PoolAdmission(PoolCapacity(400, ENTRIES_EACH, 0.1), 512)
     count = 2_000
 
     def work() -> None:
         for number in range(count):
             ticket = _ticket(f"organisation-{number % organisations}")
-            gate.offer(ticket, 1.0)
+            gate.submit(ticket, 1.0)
             gate.release(ticket, 0.01, True, 1.0)
 
     return best_seconds(work, 3) / count * _MICRO
@@ -322,7 +322,7 @@
 
 
 def _ticket(organisation: str) -> Ticket:
-    return Ticket(organisation, Urgency.NORMAL, Quota(), 1.0, 31.0, Estimate())
+    return Ticket(organisation, Urgency.NORMAL, Quota(), 1.0, 31.0, LatencyEstimate())
 
 
 def _finished(organisation: str) -> RequestFinished:
--- a/bench/policy_entries.py
+++ b/bench/policy_entries.py
@@ -27,10 +27,10 @@
 )
 from mustardward.components.entry.protocols import Choice
 from mustardward.components.limits.capacity import CapacityView
-from mustardward.components.limits.gate import PoolGate
-from mustardward.components.limits.latency import Estimates
+from mustardward.components.limits.gate import PoolAdmission
+from mustardward.components.limits.latency import LatencyEstimates
 from mustardward.components.limits.models import Ticket, TicketState
-from mustardward.components.limits.spread import RetrySpread
+from mustardward.components.limits.spread import RetryAfterPacer
 from mustardward.components.retries.services import RetryPolicyService
 from mustardward.components.routing.models import (
     InstanceQuarantined,
@@ -89,23 +89,23 @@
             timers=fleet.clock,  # type: ignore[arg-type]
             data_centre=DATA_CENTRE,
             publish=self._publish,
-            count_long=self._count_long,
+            count_job_slots=self._count_long,
             random=random,
         )
         if long_work is not None:
-            long_work.listeners.append(self.router.on_long_work)
+            long_work.listeners.append(self.router.on_job_slots_changed)
         fleet.log.listen(self.router.on_record)
         self._capacity = CapacityView(
             log=fleet.log,  # type: ignore[arg-type]
             membership=membership,  # type: ignore[arg-type]
             slots=self.router.slots,
-            lent_slots=self.router.lent_slots,
+            job_slots=self.router.job_slots,
             data_centre=DATA_CENTRE,
         )
-        self.gate = PoolGate(self._capacity.of(POOL, 0.0), 512)
+        self.gate = PoolAdmission(self._capacity.get(POOL, 0.0), 512)
         self.retries = RetryPolicyService(random)
-        self._estimates = Estimates()
-        self._spread = RetrySpread(random)
+        self._estimates = LatencyEstimates()
+        self._spread = RetryAfterPacer(random)
         self._open: dict[Ticket, tuple[Request, RequestFacts]] = {}
         self._sent: dict[Ticket, tuple[Choice, float]] = {}
         self._clock.every(SWEEP_SECONDS, self._sweep)
@@ -129,17 +129,17 @@
             request.parameters.quota,
             request.arrived,
             request.deadline,
-            self._estimates.of(request.organisation, "service"),
+            self._estimates.get(request.organisation, "service"),
         )
         self._open[ticket] = (request, facts)
-        self._decided(self.gate.offer(ticket, self._clock.now))
+        self._decided(self.gate.submit(ticket, self._clock.now))
 
     def _sweep(self) -> None:
         now = self._clock.now
-        self._decided(self.gate.resize(self._capacity.of(POOL, now), now))
+        self._decided(self.gate.resize(self._capacity.get(POOL, now), now))
         self._decided(self.gate.sweep(now))
-        if self._long_work is not None and self.gate.slots_wanted:
-            self._long_work.wanted(self._name, self.gate.slots_wanted)
+        if self._long_work is not None and self.gate.slots_to_reclaim:
+            self._long_work.wanted(self._name, self.gate.slots_to_reclaim)
 
     def _count_long(self, instance_id: str) -> int:
         if self._long_work is None:
@@ -157,8 +157,10 @@
                 self._attempt(ticket, frozenset())
             elif ticket.state is TicketState.REFUSED:
                 cause = ticket.cause.value if ticket.cause else ""
-                rate = self.gate.rate_for(ticket)
-                request.retry_after = self._spread.next_seconds(rate, self._clock.now)
+                rate = self.gate.expected_rate(ticket)
+                request.retry_after = self._spread.next_delay_seconds(
+                    rate, self._clock.now
+                )
                 self._end(ticket, 503, what_ran(request), cause)
 
     def _attempt(self, ticket: Ticket, exclude: frozenset[str]) -> None:
@@ -247,7 +249,7 @@
     def _publish(self, event: object) -> None:
         self.events.append(event)
         if isinstance(event, WorkerBusy):
-            self.gate.note_busy(self._clock.now)
+            self.gate.record_busy(self._clock.now)
         if isinstance(event, InstanceQuarantined):
             self._clock.after(FOLD_SECONDS, self._fold, event.instance_id, False)
         if isinstance(event, InstanceReleased):
--- a/mustardward/components/entry/protocols.py
+++ b/mustardward/components/entry/protocols.py
@@ -66,7 +66,8 @@
         """Choose an entry of another data centre, if that helps before the deadline.
 
         Asked after the limiter or :meth:`choose` refused with a code of
-        ``routing.models.REMOTE_HELPS``; ``exclude`` names entries that were tried.
+        ``routing.models.FORWARDABLE_REFUSAL_CODES``; ``exclude`` names the entries
+        already tried.
         """
         ...
 
@@ -74,8 +75,8 @@
         """Return the slots for requests of a pool's workers in this data centre."""
         ...
 
-    def lent_slots(self, pool: str) -> int:
-        """Return the slots of a pool's workers here that long work holds."""
+    def job_slots(self, pool: str) -> int:
+        """Return the slots that jobs hold on a pool's workers here."""
         ...
 
 
--- a/mustardward/components/entry/serving.py
+++ b/mustardward/components/entry/serving.py
@@ -12,7 +12,7 @@
 
 from ...exceptions import BodyTooLargeError, CallerGoneError, TruncatedAnswerError
 from ...helpers.timer import TimerService
-from ..routing.models import REMOTE_HELPS
+from ..routing.models import FORWARDABLE_REFUSAL_CODES
 from .answer import StoredBody, WatchedBody
 from .attempts import Attempts, HeldAnswer
 from .const import STORED_ANSWER_BYTES
@@ -207,7 +207,10 @@
         A keyed request stays: its intent stands in this data centre's log, and no
         other may dispatch it.
         """
-        helps = refusal.code in REMOTE_HELPS and not self._facts.idempotency_key
+        helps = (
+            refusal.code in FORWARDABLE_REFUSAL_CODES
+            and not self._facts.idempotency_key
+        )
         if not helps or not self._attempts.may_send_again or not self._safe_to_send:
             return self._refuse(refusal)
         choice = self._parts.router.choose_remote(self._facts)
--- a/mustardward/components/jobs/setup.py
+++ b/mustardward/components/jobs/setup.py
@@ -18,7 +18,7 @@
     WORK_LOG,
     WORKER_SERVICE,
 )
-from ..limits.models import SlotsWanted
+from ..limits.models import SlotReclaimRequested
 from ..membership.models import InstanceLeaving
 from ..retries.intents_home import home_name
 from ..routing.models import WorkerBusy
@@ -109,7 +109,7 @@
         core.get(WORK_LOG).listen(scheduler.on_record),
         timers.subscribe("jobs.tick", TICK_SECONDS, scheduler.async_tick),
         timers.subscribe_pause(scheduler.keeper.on_pause),
-        core.events.listen(SlotsWanted, wishes.on_wanted),
+        core.events.listen(SlotReclaimRequested, wishes.on_wanted),
         core.events.listen(WorkerBusy, wishes.on_busy),
         core.events.listen(RequestFinished, wishes.on_finished),
         core.events.listen(InstanceLeaving, on_leaving),
--- a/mustardward/components/jobs/wishes.py
+++ b/mustardward/components/jobs/wishes.py
@@ -9,7 +9,7 @@
 from ...helpers.timer import TimerService
 from ...state.models.templates import Urgency
 from ..entry.models import RequestFinished
-from ..limits.models import SlotsWanted
+from ..limits.models import SlotReclaimRequested
 from ..routing.models import WorkerBusy
 from .pool_view import PoolIndex
 from .slots import SETTLE_SECONDS, SlotReturns
@@ -55,7 +55,7 @@
     _wishes: dict[str, dict[str, _Wish]] = field(default_factory=dict)
     _serving: set[str] = field(default_factory=set)
 
-    def on_wanted(self, event: SlotsWanted) -> None:
+    def on_wanted(self, event: SlotReclaimRequested) -> None:
         """Follow urgent requests that wait to be admitted."""
         for number in range(event.slots):
             wish = self._wish(event.pool, f"waiting-{number}", True)
--- a/mustardward/components/limits/__init__.py
+++ b/mustardward/components/limits/__init__.py
@@ -17,7 +17,7 @@
         log=core.get(FLEET_LOG),
         membership=core.get(MEMBERSHIP),
         slots=core.get(ROUTER).slots,
-        lent_slots=core.get(ROUTER).lent_slots,
+        job_slots=core.get(ROUTER).job_slots,
         data_centre=core.settings.entry.data_centre,
     )
     limiter = LimiterService(
@@ -30,7 +30,7 @@
     unsubscribes = (
         core.timers.subscribe("limits_sweep", SWEEP_SECONDS, limiter.async_sweep),
         core.timers.subscribe("limits_prune", PRUNE_SECONDS, limiter.async_prune),
-        core.events.listen(WorkerBusy, lambda event: limiter.note_busy(event.pool)),
+        core.events.listen(WorkerBusy, lambda event: limiter.record_busy(event.pool)),
     )
 
     async def async_unload() -> None:
--- a/mustardward/components/limits/adaptive.py
+++ b/mustardward/components/limits/adaptive.py
@@ -53,7 +53,7 @@
         self.saturated = self.saturated or saturated
         self._end_window(now)
 
-    def note_busy(self, now: float) -> None:
+    def record_busy(self, now: float) -> None:
         """Take a worker's busy refusal into account."""
         self.busy += 1
         self._end_window(now)
--- a/mustardward/components/limits/capacity.py
+++ b/mustardward/components/limits/capacity.py
@@ -15,7 +15,7 @@
     """Tell capacities, each at most ``CAPACITY_SECONDS`` old.
 
     :param slots: returns the slots for requests of a pool in this data centre.
-    :param lent_slots: returns those that long work holds.
+    :param job_slots: returns those that jobs hold.
     """
 
     def __init__(
@@ -24,19 +24,19 @@
         log: FleetLog,
         membership: Membership,
         slots: Callable[[str], int],
-        lent_slots: Callable[[str], int],
+        job_slots: Callable[[str], int],
         data_centre: str,
     ) -> None:
         self._log = log
         self._membership = membership
         self._slots = slots
-        self._lent_slots = lent_slots
+        self._job_slots = job_slots
         self._data_centre = data_centre
         self._read: dict[str, tuple[float, PoolCapacity]] = {}
         self._reserves: dict[str, float] = {}
         self._reserves_of: tuple[FleetState, int] | None = None
 
-    def of(self, pool: str, now: float) -> PoolCapacity:
+    def get(self, pool: str, now: float) -> PoolCapacity:
         """Return a pool's capacity."""
         known = self._read.get(pool)
         if known is not None and now - known[0] < CAPACITY_SECONDS:
@@ -45,7 +45,7 @@
             slots=self._slots(pool),
             entries=max(1, len(self._membership.live(self._data_centre))),
             reserve=self._reserve(pool),
-            lent=self._lent_slots(pool),
+            lent=self._job_slots(pool),
         )
         self._read[pool] = (now, capacity)
         return capacity
--- a/mustardward/components/limits/gate.py
+++ b/mustardward/components/limits/gate.py
@@ -18,14 +18,14 @@
     WAIT_SHARE,
 )
 from .fairness import OrganisationQueue
-from .models import GateFigures, PoolCapacity, RefusalCause, Ticket, TicketState
+from .models import AdmissionStats, PoolCapacity, RefusalCause, Ticket, TicketState
 from .places import Places
 from .selection import Selection
 from .shares import OrganisationTable
 from .waiting import WaitingWatch
 
 
-class PoolGate:
+class PoolAdmission:
     """Hold one pool's places as this entry may use them.
 
     :param capacity: the pool's capacity in this data centre.
@@ -54,7 +54,7 @@
         return self._in_flight
 
     @property
-    def slots_wanted(self) -> int:
+    def slots_to_reclaim(self) -> int:
         """Return the slots that would end the wait of urgent requests soon.
 
         Asking for one slot for each would stop far more long work than short requests
@@ -62,13 +62,13 @@
         """
         return math.ceil(self._urgent_seconds / URGENT_DRAIN_SECONDS)
 
-    def figures(self) -> GateFigures:
+    def figures(self) -> AdmissionStats:
         """Return what reports show."""
         held = {queue.name: queue.in_flight for queue in self._table.queues()}
         limit = self._places.limit.limit
-        return GateFigures(limit, self._in_flight, self._waiting, held)
+        return AdmissionStats(limit, self._in_flight, self._waiting, held)
 
-    def rate_for(self, ticket: Ticket) -> float:
+    def expected_rate(self, ticket: Ticket) -> float:
         """Return the requests a second that its organisation may count on."""
         queue = self._table.find(ticket.organisation)
         places = self._places.total
@@ -84,7 +84,7 @@
         self._selection.unpark_all()
         return self._pump(now)
 
-    def offer(self, ticket: Ticket, now: float) -> list[Ticket]:
+    def submit(self, ticket: Ticket, now: float) -> list[Ticket]:
         """Admit a request, let it wait, or refuse it before any work is done."""
         cause = self._border_cause(ticket, now)
         if cause is not None:
@@ -123,7 +123,7 @@
         estimate.in_flight -= 1
         ratio = estimate.add(latency) if succeeded else estimate.ratio(latency)
         self._places.limit.add(ratio, saturated, now)
-        self._table.note_release(queue, max(0.0, now - ticket.started))
+        self._table.record_release(queue, max(0.0, now - ticket.started))
         self._table.weigh(queue)
         self._selection.unpark(queue)
         return self._pump(now)
@@ -136,9 +136,9 @@
         self._drop(queue, ticket, RefusalCause.DEADLINE)
         return self._pump(now)
 
-    def note_busy(self, now: float) -> None:
+    def record_busy(self, now: float) -> None:
         """Take into account that a worker had no slot for us."""
-        self._places.limit.note_busy(now)
+        self._places.limit.record_busy(now)
 
     def sweep(self, now: float) -> list[Ticket]:
         """Refuse what waited past its deadline, and renew what is protected."""
--- a/mustardward/components/limits/latency.py
+++ b/mustardward/components/limits/latency.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True)
-class Estimate:
+class LatencyEstimate:
     """Hold what is known of one service's latency, in seconds.
 
     ``recent`` follows within some ten answers, ``usual`` within some hundred.
@@ -42,18 +42,18 @@
         return latency / self.usual if self.usual > 0.0 else 1.0
 
 
-class Estimates:
+class LatencyEstimates:
     """Hold the estimates of the services used most recently."""
 
     def __init__(self) -> None:
-        self._by_service: OrderedDict[tuple[str, str], Estimate] = OrderedDict()
+        self._by_service: OrderedDict[tuple[str, str], LatencyEstimate] = OrderedDict()
 
-    def of(self, organisation: str, service: str) -> Estimate:
+    def get(self, organisation: str, service: str) -> LatencyEstimate:
         """Return the estimate of an organisation's service."""
         key = (organisation, service)
         estimate = self._by_service.get(key)
         if estimate is None:
-            estimate = self._by_service[key] = Estimate()
+            estimate = self._by_service[key] = LatencyEstimate()
             if len(self._by_service) > MAXIMUM_ESTIMATES:
                 self._by_service.popitem(last=False)
         self._by_service.move_to_end(key)
--- a/mustardward/components/limits/models.py
+++ b/mustardward/components/limits/models.py
@@ -6,7 +6,7 @@
 from enum import StrEnum
 
 from ...state.models.templates import Quota, Urgency
-from .latency import Estimate
+from .latency import LatencyEstimate
 
 
 class TicketState(StrEnum):
@@ -41,7 +41,7 @@
     quota: Quota
     arrived: float
     deadline: float
-    estimate: Estimate
+    estimate: LatencyEstimate
     cost: float = 0.0
     state: TicketState = TicketState.WAITING
     cause: RefusalCause | None = None
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SlotsWanted:
+class SlotReclaimRequested:
     """Announce that urgent work waits in a pool for slots that long work holds."""
 
     pool: str
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GateFigures:
+class AdmissionStats:
     """Hold one pool's figures for reports."""
 
     limit: float
--- a/mustardward/components/limits/protection.py
+++ b/mustardward/components/limits/protection.py
@@ -47,7 +47,7 @@
         wait = estimate.recent / max(1, places)
         return wait <= PROTECTION_WAIT_SHARE * self._least_latency
 
-    def note_release(self, queue: OrganisationQueue, held_seconds: float) -> None:
+    def record_release(self, queue: OrganisationQueue, held_seconds: float) -> None:
         """Learn how long an organisation holds a place."""
         if not queue.latency:
             queue.latency = held_seconds
--- a/mustardward/components/limits/services.py
+++ b/mustardward/components/limits/services.py
@@ -13,10 +13,16 @@
 from ..entry.models import Ran, RequestFacts, RequestRefusal
 from ..entry.protocols import Permit
 from .capacity import CapacityView
-from .gate import PoolGate
-from .latency import Estimates
-from .models import GateFigures, RefusalCause, SlotsWanted, Ticket, TicketState
-from .spread import RetrySpread
+from .gate import PoolAdmission
+from .latency import LatencyEstimates
+from .models import (
+    AdmissionStats,
+    RefusalCause,
+    SlotReclaimRequested,
+    Ticket,
+    TicketState,
+)
+from .spread import RetryAfterPacer
 
 _LOGGER = get_logger(__name__)
 
@@ -45,7 +51,7 @@
     """Serve as the process's limiter.
 
     :param capacity: tells each pool's capacity as the folded state has it now.
-    :param publish: takes :class:`SlotsWanted`.
+    :param publish: takes :class:`SlotReclaimRequested`.
     :param queue_length: most requests that wait for one pool.
     """
 
@@ -63,9 +69,9 @@
         self._publish = publish
         self._queue_length = queue_length
         self._random = random or Random()
-        self._gates: dict[str, PoolGate] = {}
-        self._spreads: dict[tuple[str, str], RetrySpread] = {}
-        self._estimates = Estimates()
+        self._gates: dict[str, PoolAdmission] = {}
+        self._spreads: dict[tuple[str, str], RetryAfterPacer] = {}
+        self._estimates = LatencyEstimates()
         self._events: dict[Ticket, anyio.Event] = {}
 
     @property
@@ -78,7 +84,7 @@
         now = self._timers.monotonic()
         gate = self._gate(facts.pool, now)
         ticket = self._ticket(facts)
-        self._wake(gate.offer(ticket, now))
+        self._wake(gate.submit(ticket, now))
         if ticket.state is TicketState.WAITING:
             await self._async_wait(facts.pool, gate, ticket)
         if ticket.state is TicketState.ADMITTED:
@@ -95,13 +101,13 @@
         latency = min(latency, now - ticket.started)
         self._wake(self._gates[pool].release(ticket, latency, succeeded, now))
 
-    def note_busy(self, pool: str) -> None:
+    def record_busy(self, pool: str) -> None:
         """Take into account that a worker had no slot for us."""
         gate = self._gates.get(pool)
         if gate is not None:
-            gate.note_busy(self._timers.monotonic())
+            gate.record_busy(self._timers.monotonic())
 
-    def figures(self) -> dict[str, GateFigures]:
+    def figures(self) -> dict[str, AdmissionStats]:
         """Return each pool's figures for reports."""
         return {pool: gate.figures() for pool, gate in self._gates.items()}
 
@@ -109,17 +115,17 @@
         """Follow capacity and refuse what waited past its deadline."""
         now = self._timers.monotonic()
         for pool, gate in self._gates.items():
-            self._wake(gate.resize(self._capacity.of(pool, now), now))
+            self._wake(gate.resize(self._capacity.get(pool, now), now))
             self._wake(gate.sweep(now))
-            if gate.slots_wanted:
-                self._publish(SlotsWanted(pool, gate.slots_wanted))
+            if gate.slots_to_reclaim:
+                self._publish(SlotReclaimRequested(pool, gate.slots_to_reclaim))
 
     async def async_prune(self) -> None:
         """Forget organisations that are idle."""
         for gate in self._gates.values():
             gate.prune()
 
-    async def _async_wait(self, pool: str, gate: PoolGate, ticket: Ticket) -> None:
+    async def _async_wait(self, pool: str, gate: PoolAdmission, ticket: Ticket) -> None:
         event = self._events[ticket] = anyio.Event()
         try:
             await event.wait()
@@ -133,11 +139,11 @@
         finally:
             self._events.pop(ticket, None)
 
-    def _gate(self, pool: str, now: float) -> PoolGate:
+    def _gate(self, pool: str, now: float) -> PoolAdmission:
         gate = self._gates.get(pool)
-        capacity = self._capacity.of(pool, now)
+        capacity = self._capacity.get(pool, now)
         if gate is None:
-            gate = self._gates[pool] = PoolGate(capacity, self._queue_length)
+            gate = self._gates[pool] = PoolAdmission(capacity, self._queue_length)
         self._wake(gate.resize(capacity, now))
         return gate
 
@@ -148,7 +154,7 @@
             quota=facts.parameters.quota,
             arrived=facts.arrived,
             deadline=facts.deadline,
-            estimate=self._estimates.of(facts.organisation, facts.service),
+            estimate=self._estimates.get(facts.organisation, facts.service),
         )
 
     def _wake(self, decided: list[Ticket]) -> None:
@@ -158,12 +164,12 @@
                 event.set()
 
     def _refusal(
-        self, facts: RequestFacts, gate: PoolGate, ticket: Ticket
+        self, facts: RequestFacts, gate: PoolAdmission, ticket: Ticket
     ) -> RequestRefusal:
         cause = ticket.cause or RefusalCause.OVERLOADED
         retry_after = None
         if cause is not RefusalCause.DEADLINE:
-            retry_after = self._retry_after(facts, gate.rate_for(ticket))
+            retry_after = self._retry_after(facts, gate.expected_rate(ticket))
         return RequestRefusal(
             code=cause.value,
             status=_STATUS.get(cause, _UNAVAILABLE),
@@ -176,5 +182,5 @@
         key = (facts.pool, facts.organisation)
         spread = self._spreads.get(key)
         if spread is None:
-            spread = self._spreads[key] = RetrySpread(self._random)
-        return spread.next_seconds(rate, self._timers.monotonic())
+            spread = self._spreads[key] = RetryAfterPacer(self._random)
+        return spread.next_delay_seconds(rate, self._timers.monotonic())
--- a/mustardward/components/limits/shares.py
+++ b/mustardward/components/limits/shares.py
@@ -63,9 +63,9 @@
         queue.backlog_weight = backlog
         self._protection.count(queue)
 
-    def note_release(self, queue: OrganisationQueue, held_seconds: float) -> None:
+    def record_release(self, queue: OrganisationQueue, held_seconds: float) -> None:
         """Learn how long places are held."""
-        self._protection.note_release(queue, held_seconds)
+        self._protection.record_release(queue, held_seconds)
 
     def sample(self, places: int, now: float) -> None:
         """Renew what is protected for each organisation."""
--- a/mustardward/components/limits/spread.py
+++ b/mustardward/components/limits/spread.py
@@ -7,7 +7,7 @@
 from .const import RETRY_BASE_SECONDS, RETRY_MAXIMUM_SECONDS, RETRY_RATE_SHARE
 
 
-class RetrySpread:
+class RetryAfterPacer:
     """Hand out times to come back, no faster than capacity can take them.
 
     Callers that are refused together and told the same time come back together, and
@@ -18,7 +18,7 @@
         self._random = random
         self._cursor = 0.0
 
-    def next_seconds(self, rate: float, now: float) -> float:
+    def next_delay_seconds(self, rate: float, now: float) -> float:
         """Return seconds until a caller should come back.
 
         :param rate: requests a second that the refused organisation may count on.
--- a/mustardward/components/routing/changes.py
+++ b/mustardward/components/routing/changes.py
@@ -49,7 +49,7 @@
         }
         self._readers.update(dict.fromkeys(_BY_INSTANCE, _of_instance))
 
-    def of(self, body: Any) -> tuple[str, ...]:
+    def changed_by(self, body: Any) -> tuple[str, ...]:
         """Return the instances that an accepted record changed."""
         reader = self._readers.get(type(body))
         return reader(body) if reader is not None else ()
--- a/mustardward/components/routing/index.py
+++ b/mustardward/components/routing/index.py
@@ -101,13 +101,15 @@
 
     :param state: the state to read.
     :param allot: returns how many of a worker's slots for requests are ours first.
-    :param count_long: returns the slots of a worker that long work holds.
+    :param count_job_slots: returns the slots that jobs hold on a worker.
     """
 
-    def __init__(self, state: FleetState, allot: Allot, count_long: CountLong) -> None:
+    def __init__(
+        self, state: FleetState, allot: Allot, count_job_slots: CountLong
+    ) -> None:
         self._state = state
         self._allot = allot
-        self._count_long = count_long
+        self._count_job_slots = count_job_slots
         self._loads: dict[str, WorkerLoad] = {}
         self._groups: dict[GroupKey, WorkerGroup] = {}
         self._data_centres: dict[str, set[str]] = {}
@@ -164,7 +166,7 @@
             load = self._move(load, instance, key)
         load.instance = instance
         load.slots = min(instance.slots, instance.connections)
-        load.long_tasks = self._count_long(instance_id)
+        load.long_tasks = self._count_job_slots(instance_id)
         load.allotment = self._allot(instance, load.request_slots)
         self._set_usable(load, self._may_get_work(instance_id))
         self.place(load)
--- a/mustardward/components/routing/long_work.py
+++ b/mustardward/components/routing/long_work.py
@@ -13,7 +13,7 @@
 _HOLDS_SLOT: Final = frozenset({"running", "cancelling"})
 
 
-class LongWorkCount:
+class JobSlotCounter:
     """Follow the data centre's work log.
 
     :param find_state: returns the folded state, which a snapshot may replace.
@@ -29,7 +29,7 @@
         self._worker_of: dict[str, str] = {}
         self._counts: dict[str, int] = {}
 
-    def of(self, instance_id: str) -> int:
+    def count(self, instance_id: str) -> int:
         """Return the tasks that run on a worker as far as the log tells."""
         return self._counts.get(instance_id, 0)
 
--- a/mustardward/components/routing/models.py
+++ b/mustardward/components/routing/models.py
@@ -8,7 +8,7 @@
 from ...state.models.templates import Urgency
 from ..membership.models import Member
 
-REMOTE_HELPS: Final = frozenset(
+FORWARDABLE_REFUSAL_CODES: Final = frozenset(
     {"no-worker", "no-capacity", "overloaded", "deadline-unreachable"}
 )
 """Codes of refusals after which another data centre may still serve a request.
--- a/mustardward/components/routing/services.py
+++ b/mustardward/components/routing/services.py
@@ -50,7 +50,7 @@
 
     :param data_centre: this process's own data centre.
     :param publish: takes the events of ``models``.
-    :param count_long: returns the slots of a worker that long work holds.
+    :param count_job_slots: returns the slots that jobs hold on a worker.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         timers: TimerService,
         data_centre: str,
         publish: Callable[[object], None],
-        count_long: Callable[[str], int] = lambda instance_id: 0,
+        count_job_slots: Callable[[str], int] = lambda instance_id: 0,
         random: Random | None = None,
     ) -> None:
         self._log = log
@@ -74,8 +74,8 @@
         self._changes = ChangedInstances(log.state)
         self._entries = self._live_entries()
         self._entries_read = timers.monotonic()
-        self._count_long = count_long
-        self._index = FleetIndex(log.state, self._allot, count_long)
+        self._count_job_slots = count_job_slots
+        self._index = FleetIndex(log.state, self._allot, count_job_slots)
         self._adopt_absences()
 
     @property
@@ -84,7 +84,9 @@
         # A snapshot replaces the state as a whole, and no record tells of it.
         if self._index.state is not self._log.state:
             previous = self._index
-            self._index = FleetIndex(self._log.state, self._allot, self._count_long)
+            self._index = FleetIndex(
+                self._log.state, self._allot, self._count_job_slots
+            )
             self._index.adopt(previous)
             self._changes = ChangedInstances(self._log.state)
             self._adopt_absences()
@@ -103,12 +105,12 @@
         # nobody would ask long work to give way.
         return max(1, group.slots)
 
-    def lent_slots(self, pool: str) -> int:
+    def job_slots(self, pool: str) -> int:
         """Return the slots of a pool's workers here that long work holds."""
         group = self.group(pool)
         return 0 if group is None else group.lent
 
-    def on_long_work(self, instance_id: str) -> None:
+    def on_job_slots_changed(self, instance_id: str) -> None:
         """Follow a change of the slots that long work holds on a worker."""
         self.index.refresh(instance_id)
 
@@ -121,7 +123,7 @@
         """Follow one folded record."""
         if not isinstance(outcome.result, Success):
             return
-        for instance_id in self._changes.of(outcome.body):
+        for instance_id in self._changes.changed_by(outcome.body):
             self.index.refresh(instance_id)
         if isinstance(outcome.body, ReportAbsences):
             for change in outcome.body.changes:
--- a/mustardward/components/routing/setup.py
+++ b/mustardward/components/routing/setup.py
@@ -5,7 +5,7 @@
 from ...core import Core, Unload
 from ..keys import FLEET_LOG, MEMBERSHIP, POWER_SERVICE, ROUTER, WORK_LOG
 from .const import REPORT_SECONDS
-from .long_work import LongWorkCount
+from .long_work import JobSlotCounter
 from .models import InstanceQuarantined, InstanceReleased
 from .reporter import QuarantineReporter
 from .services import RouterService
@@ -18,19 +18,19 @@
     work = core.find(WORK_LOG)
     router: RouterService
 
-    def on_long_work(instance_id: str) -> None:
-        router.on_long_work(instance_id)
+    def on_job_slots_changed(instance_id: str) -> None:
+        router.on_job_slots_changed(instance_id)
 
     long_work = None
     if work is not None:
-        long_work = LongWorkCount(lambda: work.state, on_long_work)
+        long_work = JobSlotCounter(lambda: work.state, on_job_slots_changed)
     router = RouterService(
         log=log,
         membership=core.get(MEMBERSHIP),
         timers=core.timers,
         data_centre=entry.data_centre,
         publish=core.events.publish,
-        count_long=long_work.of if long_work else _none,
+        count_job_slots=long_work.count if long_work else _none,
     )
     reporter = QuarantineReporter(
         log=log,
--- a/tests/components/jobs/test_wishes.py
+++ b/tests/components/jobs/test_wishes.py
@@ -13,7 +13,7 @@
 from mustardward.components.entry.models import Ran, RequestFinished
 from mustardward.components.jobs.slots import SlotReturns
 from mustardward.components.jobs.wishes import MAXIMUM_WISHES, SlotWishes
-from mustardward.components.limits.models import SlotsWanted
+from mustardward.components.limits.models import SlotReclaimRequested
 from mustardward.components.routing.models import WorkerBusy
 from mustardward.state.models.templates import Urgency
 from tests.fakes.jobs_world import POOL, JobsWorld
@@ -107,5 +107,5 @@
         )
         world.wishes.on_finished(refused)
         assert await world.held() == 7
-        world.wishes.on_wanted(SlotsWanted(POOL, 2))
+        world.wishes.on_wanted(SlotReclaimRequested(POOL, 2))
         assert await world.held() == 5
--- a/tests/components/limits/test_gate.py
+++ b/tests/components/limits/test_gate.py
@@ -4,8 +4,8 @@
 
 from collections import Counter
 
-from mustardward.components.limits.gate import PoolGate
-from mustardward.components.limits.latency import Estimates
+from mustardward.components.limits.gate import PoolAdmission
+from mustardward.components.limits.latency import LatencyEstimates
 from mustardward.components.limits.models import (
     PoolCapacity,
     RefusalCause,
@@ -21,12 +21,12 @@
     def __init__(
         self, slots: int = 10, reserve: float = 0.1, entries: int = 1, queue: int = 512
     ) -> None:
-        self.gate = PoolGate(PoolCapacity(slots, entries, reserve), queue)
-        self.estimates = Estimates()
+        self.gate = PoolAdmission(PoolCapacity(slots, entries, reserve), queue)
+        self.estimates = LatencyEstimates()
         self.now = 0.0
         self.running: list[Ticket] = []
 
-    def offer(
+    def submit(
         self,
         organisation: str = "large",
         urgency: Urgency = Urgency.NORMAL,
@@ -39,9 +39,9 @@
             quota or Quota(),
             self.now,
             self.now + deadline,
-            self.estimates.of(organisation, "service"),
+            self.estimates.get(organisation, "service"),
         )
-        self._take(self.gate.offer(ticket, self.now))
+        self._take(self.gate.submit(ticket, self.now))
         return ticket
 
     def finish(self, ticket: Ticket, latency: float = 0.1) -> None:
@@ -63,9 +63,9 @@
 def test_keeps_the_reserve_for_urgent_work() -> None:
     gate = Gate(slots=10, reserve=0.2)
     for _ in range(20):
-        gate.offer()
+        gate.submit()
     assert len(gate.running) == 8
-    urgent = gate.offer(urgency=Urgency.URGENT)
+    urgent = gate.submit(urgency=Urgency.URGENT)
     assert urgent.state is TicketState.ADMITTED
 
 
@@ -76,8 +76,8 @@
     Cause: one queue for all.
     """
     gate = Gate(slots=10)
-    flood = [gate.offer("large") for _ in range(300)]
-    small = gate.offer("small")
+    flood = [gate.submit("large") for _ in range(300)]
+    small = gate.submit("small")
     assert small.state is TicketState.ADMITTED
     assert flood[-1].cause is RefusalCause.QUEUE_FULL
 
@@ -85,8 +85,8 @@
 def test_urgent_flood_of_one_organisation_leaves_a_place_for_another() -> None:
     gate = Gate(slots=10)
     for _ in range(40):
-        gate.offer("large", Urgency.URGENT)
-    first = gate.offer("small")
+        gate.submit("large", Urgency.URGENT)
+    first = gate.submit("small")
     for ticket in list(gate.running):
         gate.finish(ticket)
     assert first.state in (TicketState.ADMITTED, TicketState.ENDED)
@@ -97,9 +97,9 @@
     started: Counter[str] = Counter()
     for _ in range(200):
         for _ in range(10):
-            gate.offer("large", quota=Quota(weight=1.0, concurrency=100))
+            gate.submit("large", quota=Quota(weight=1.0, concurrency=100))
         for _ in range(2):
-            gate.offer("small", quota=Quota(weight=3.0, concurrency=100))
+            gate.submit("small", quota=Quota(weight=3.0, concurrency=100))
         gate.now += 0.05
         for ticket in gate.running[:4]:
             started[ticket.organisation] += 1
@@ -109,8 +109,8 @@
 
 def test_full_queue_drops_from_the_longest() -> None:
     gate = Gate(slots=1, reserve=0.0, queue=10)
-    flood = [gate.offer("large", quota=Quota(queue=100)) for _ in range(11)]
-    small = gate.offer("small")
+    flood = [gate.submit("large", quota=Quota(queue=100)) for _ in range(11)]
+    small = gate.submit("small")
     assert flood[-1].cause is RefusalCause.QUEUE_FULL
     assert small.state is TicketState.WAITING
 
@@ -123,7 +123,7 @@
     Cause: finding out at the end of the wait.
     """
     gate = Gate(slots=2, reserve=0.0)
-    tickets = [gate.offer(deadline=1.0) for _ in range(50)]
+    tickets = [gate.submit(deadline=1.0) for _ in range(50)]
     waiting = [item for item in tickets if item.state is TicketState.WAITING]
     refused = [item for item in tickets if item.state is TicketState.REFUSED]
     assert 5 <= len(waiting) <= 12
@@ -132,12 +132,12 @@
 
 def test_nothing_is_started_past_its_deadline() -> None:
     gate = Gate(slots=1, reserve=0.0)
-    first = gate.offer(deadline=5.0)
-    second = gate.offer(deadline=1.0)
+    first = gate.submit(deadline=5.0)
+    second = gate.submit(deadline=1.0)
     gate.now += 2.0
     gate.finish(first)
     assert second.cause is RefusalCause.DEADLINE
-    assert gate.offer(deadline=0.0).cause is RefusalCause.DEADLINE
+    assert gate.submit(deadline=0.0).cause is RefusalCause.DEADLINE
 
 
 def test_nothing_is_started_that_can_not_end_in_time() -> None:
@@ -149,11 +149,11 @@
     """
     gate = Gate(slots=2, reserve=0.0)
     for _ in range(20):
-        learnt = gate.offer()
+        learnt = gate.submit()
         gate.now += 1.0
         gate.finish(learnt, 1.0)
-    running = [gate.offer(), gate.offer()]
-    hurried = gate.offer(deadline=1.2)
+    running = [gate.submit(), gate.submit()]
+    hurried = gate.submit(deadline=1.2)
     gate.now += 0.8
     gate.finish(running[0], 0.8)
     assert hurried.cause is RefusalCause.DEADLINE
@@ -161,8 +161,8 @@
 
 def test_sweep_refuses_what_waited_past_its_deadline() -> None:
     gate = Gate(slots=1, reserve=0.0)
-    gate.offer()
-    waiting = gate.offer(deadline=1.0)
+    gate.submit()
+    waiting = gate.submit(deadline=1.0)
     gate.pass_time(1.1)
     assert waiting.cause is RefusalCause.DEADLINE
 
@@ -175,15 +175,15 @@
     Cause: refusing by an estimate that only served requests correct.
     """
     gate = Gate(slots=2, reserve=0.0)
-    slow = gate.offer(deadline=100.0)
+    slow = gate.submit(deadline=100.0)
     gate.now += 60.0
     gate.finish(slow, 60.0)
     for _ in range(40):
-        ticket = gate.offer(deadline=10.0)
+        ticket = gate.submit(deadline=10.0)
         assert ticket.state is TicketState.ADMITTED
         gate.now += 0.1
         gate.finish(ticket, 0.1)
-    assert gate.estimates.of("large", "service").recent < 1.5
+    assert gate.estimates.get("large", "service").recent < 1.5
 
 
 def test_long_work_gives_way_and_ages() -> None:
@@ -194,19 +194,19 @@
     """
     gate = Gate(slots=4, reserve=0.25)
     for _ in range(10):
-        gate.offer("batch", Urgency.LONG, deadline=300.0)
+        gate.submit("batch", Urgency.LONG, deadline=300.0)
     assert len(gate.running) == 3
-    assert gate.offer("shop").state is TicketState.ADMITTED
+    assert gate.submit("shop").state is TicketState.ADMITTED
     for _ in range(3):
-        gate.offer("shop")
+        gate.submit("shop")
     for ticket in gate.running[:3]:
         gate.finish(ticket, 1.0)
     assert gate.held() == {"shop": 3}
     gate = Gate(slots=1, reserve=0.0)
-    gate.offer("shop")
-    long = gate.offer("batch", Urgency.LONG, deadline=300.0)
+    gate.submit("shop")
+    long = gate.submit("batch", Urgency.LONG, deadline=300.0)
     for _ in range(400):
-        gate.offer("shop")
+        gate.submit("shop")
         gate.pass_time(0.1)
         gate.finish(gate.running[0])
         if long.state is not TicketState.WAITING:
@@ -218,24 +218,24 @@
     quota = Quota(concurrency=8)
     gate = Gate(slots=80, reserve=0.0, entries=4)
     for _ in range(20):
-        gate.offer("large", quota=quota)
+        gate.submit("large", quota=quota)
     assert gate.held() == {"large": 8}
     gate = Gate(slots=8, reserve=0.0, entries=4)
     for _ in range(5):
-        gate.offer("small", quota=Quota(concurrency=100))
+        gate.submit("small", quota=Quota(concurrency=100))
     assert gate.held() == {"small": 2}
-    gate.offer("large", quota=quota)
+    gate.submit("large", quota=quota)
     for _ in range(12):
         gate.finish(gate.running[0])
-        gate.offer("small", quota=Quota(concurrency=100))
-        gate.offer("large", quota=quota)
+        gate.submit("small", quota=Quota(concurrency=100))
+        gate.submit("large", quota=quota)
     assert gate.held()["large"] <= 2
 
 
 def test_parameters_take_effect_without_loss() -> None:
     gate = Gate(slots=4, reserve=0.0)
     for _ in range(10):
-        gate.offer()
+        gate.submit()
     gate._take(gate.gate.resize(PoolCapacity(8, 1, 0.0), gate.now))
     assert len(gate.running) == 8
     gate._take(gate.gate.resize(PoolCapacity(2, 1, 0.0), gate.now))
@@ -247,9 +247,9 @@
 
 def test_withdrawn_request_frees_its_place() -> None:
     gate = Gate(slots=1, reserve=0.0)
-    first = gate.offer()
-    second = gate.offer()
-    third = gate.offer()
+    first = gate.submit()
+    second = gate.submit()
+    third = gate.submit()
     gate.gate.withdraw(second, gate.now)
     gate.finish(first)
     assert third.state is TicketState.ADMITTED
@@ -267,30 +267,30 @@
     """
     gate = Gate(slots=10, reserve=0.0)
     for _ in range(200):
-        quick = gate.offer("small")
+        quick = gate.submit("small")
         gate.pass_time(0.07)
         gate.finish(quick, 0.07)
         gate.pass_time(0.06)
     for _ in range(20):
-        gate.offer("large", deadline=300.0)
+        gate.submit("large", deadline=300.0)
     gate.pass_time(0.05)
     assert gate.held()["large"] == 7
-    last = gate.offer("small")
+    last = gate.submit("small")
     assert last.state is TicketState.ADMITTED
     gate.finish(last)
     gate.pass_time(120.0)
-    gate.offer("large", deadline=300.0)
+    gate.submit("large", deadline=300.0)
     assert gate.held()["large"] == 10
 
 
 def test_quick_requests_need_not_leave_places_idle() -> None:
     gate = Gate(slots=10, reserve=0.0)
     for name in ("small", "large") * 200:
-        quick = gate.offer(name)
+        quick = gate.submit(name)
         gate.pass_time(0.05)
         gate.finish(quick, 0.05)
     for _ in range(20):
-        gate.offer("large")
+        gate.submit("large")
     assert gate.held() == {"large": 10}
 
 
@@ -302,12 +302,12 @@
     """
     gate = Gate(slots=8, reserve=0.0)
     for _ in range(100):
-        gate.offer("large", quota=Quota(queue=1000))
+        gate.submit("large", quota=Quota(queue=1000))
     order: list[str] = []
     for step in range(100):
         if step % 20 == 0:
             for _ in range(6):
-                gate.offer("small")
+                gate.submit("small")
         gate.pass_time(0.0125)
         done = gate.running[0]
         order.append(done.organisation)
@@ -323,11 +323,11 @@
     Cause: an order that knows organisations by name.
     """
     gate = Gate(slots=1, reserve=0.0)
-    running = gate.offer("large")
-    gate.offer("small", deadline=1.0)
+    running = gate.submit("large")
+    gate.submit("small", deadline=1.0)
     gate.pass_time(2.0)
     gate.gate.prune()
-    again = gate.offer("small")
+    again = gate.submit("small")
     gate.finish(running)
     assert again.state is TicketState.ADMITTED
 
@@ -335,7 +335,7 @@
 def test_raised_quota_lets_waiting_requests_in() -> None:
     gate = Gate(slots=8, reserve=0.0)
     for _ in range(3):
-        gate.offer("small", quota=Quota(concurrency=1))
+        gate.submit("small", quota=Quota(concurrency=1))
     assert gate.held() == {"small": 1}
-    gate.offer("small", quota=Quota(concurrency=4))
+    gate.submit("small", quota=Quota(concurrency=4))
     assert gate.held() == {"small": 4}
--- a/tests/components/limits/test_limiter.py
+++ b/tests/components/limits/test_limiter.py
@@ -12,9 +12,9 @@
 
 from mustardward.components.limits.adaptive import AdaptiveLimit
 from mustardward.components.limits.capacity import CapacityView
-from mustardward.components.limits.models import SlotsWanted
+from mustardward.components.limits.models import SlotReclaimRequested
 from mustardward.components.limits.services import LimiterService
-from mustardward.components.limits.spread import RetrySpread
+from mustardward.components.limits.spread import RetryAfterPacer
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.state.models.templates import (
     Organisation,
@@ -40,7 +40,7 @@
             log=self.log,
             membership=FakeMembership(),
             slots=lambda pool: self.slots,
-            lent_slots=lambda pool: 0,
+            job_slots=lambda pool: 0,
             data_centre="dc-1",
         )
         self.limiter = LimiterService(
@@ -108,7 +108,7 @@
         tasks.start_soon(bench.limiter.async_admit, urgent)
         await anyio.wait_all_tasks_blocked()
         await bench.timers.async_advance(0.1)
-        assert SlotsWanted("pool-1", 1) in bench.events
+        assert SlotReclaimRequested("pool-1", 1) in bench.events
         bench.slots = 2
         await bench.timers.async_advance(0.2)
     assert bench.limiter.figures()["pool-1"].in_flight == 2
@@ -149,13 +149,13 @@
     Sequence: a thousand callers are refused in one moment and told the same time.
     Cause: a constant ``Retry-After``.
     """
-    spread = RetrySpread(Random(1))
-    waits = [spread.next_seconds(rate=100.0, now=50.0) for _ in range(1000)]
+    spread = RetryAfterPacer(Random(1))
+    waits = [spread.next_delay_seconds(rate=100.0, now=50.0) for _ in range(1000)]
     by_second = Counter(int(wait) for wait in waits)
     assert min(waits) >= 1.0
     assert max(waits) <= 30.0
     assert max(by_second.values()) <= 60
-    many = [spread.next_seconds(rate=1.0, now=100.0) for _ in range(3000)]
+    many = [spread.next_delay_seconds(rate=1.0, now=100.0) for _ in range(3000)]
     assert max(Counter(int(wait) for wait in many).values()) <= 200
 
 
@@ -186,10 +186,10 @@
         now += 0.02
         limit.add(1.0, True, now)
         if step % 20 == 0:
-            limit.note_busy(now)
+            limit.record_busy(now)
     assert limit.limit == 10.0
     for _ in range(400):
         now += 0.02
-        limit.note_busy(now)
+        limit.record_busy(now)
         limit.add(1.0, True, now)
     assert limit.limit == 5.0
--- a/tests/components/routing/test_long_work.py
+++ b/tests/components/routing/test_long_work.py
@@ -8,7 +8,7 @@
 from returns.result import Failure, Success
 
 from mustardward.components.routing.allotment import allotted_slots
-from mustardward.components.routing.long_work import LongWorkCount
+from mustardward.components.routing.long_work import JobSlotCounter
 from mustardward.components.routing.models import (
     InstanceQuarantined,
     InstanceReleased,
@@ -48,19 +48,19 @@
     """
     states = [WorkState()]
     changed: list[str] = []
-    count = LongWorkCount(lambda: states[-1], changed.append)
+    count = JobSlotCounter(lambda: states[-1], changed.append)
     count.start()
     body = LeaseJob("job", 0, "entry-1", "worker-1")
     accepted = RecordOutcome(0, build_record(body), body, Success(Acceptance((), 1)))
     states[0].jobs["job"] = job("running", "worker-1")
     count.on_record(accepted)
-    assert (count.of("worker-1"), changed) == (1, ["worker-1"])
+    assert (count.count("worker-1"), changed) == (1, ["worker-1"])
     states.append(WorkState(jobs={"job": job("running", "worker-2")}))
     count.on_record(accepted)
-    assert (count.of("worker-1"), count.of("worker-2")) == (0, 1)
+    assert (count.count("worker-1"), count.count("worker-2")) == (0, 1)
     states[1].jobs["job"] = job("done", "worker-2")
     count.on_record(accepted)
-    assert count.of("worker-2") == 0
+    assert count.count("worker-2") == 0
 
 
 class ProposingLog(FakeFleetLog):
