--- a/mustardward/components/limits/__init__.py
+++ b/mustardward/components/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Admit, queue and refuse requests by organisation."""
+"""Set up admission control: per-organisation limits, queues and refusals."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 async def async_setup(core: Core) -> Unload:
-    """Set the component up and return what undoes it."""
+    """Set up the limiter and return the function that unloads it."""
     from ..keys import FLEET_LOG, LIMITER, MEMBERSHIP, ROUTER
     from ..routing.models import WorkerBusy
     from .capacity import CapacityView
--- a/mustardward/components/limits/adaptive.py
+++ b/mustardward/components/limits/adaptive.py
@@ -1,18 +1,18 @@
-"""Adapt one pool's concurrency limit to what its workers say; pure."""
+"""Adapt the concurrency limit of one pool to latency and busy refusals."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 from .const import (
-    BACKOFF,
-    BORROWING,
-    BUSY_FEW,
-    BUSY_MUCH,
-    BUSY_SOME,
+    BORROWING_FACTOR,
+    BUSY_SHARE_HIGH,
+    BUSY_SHARE_LOW,
+    BUSY_SHARE_MODERATE,
+    DECREASE_FACTOR,
     LATENCY_TOLERANCE,
     MINIMUM_SHARE,
-    RECOVERY,
+    RECOVERY_FACTOR,
     WINDOW_SAMPLES,
     WINDOW_SECONDS,
 )
@@ -20,75 +20,75 @@
 
 @dataclass(slots=True)
 class AdaptiveLimit:
-    """Hold the number of requests that this entry keeps in a pool at once.
+    """Limit the number of requests that this entry has in flight in a pool.
 
-    ``share`` is this entry's fair share of the slots and ``slots`` all of them. The
-    limit begins at the share, borrows what other entries leave while no worker says
-    that it is busy, and shrinks when latency rises.
+    ``fair_share`` is this entry's share of ``slots``, the slots of the pool. The limit
+    starts at the fair share, grows beyond it into slots that other entries leave unused
+    while no worker refuses as busy, and shrinks when latency rises.
     """
 
-    share: float = 1.0
+    fair_share: float = 1.0
     slots: int = 1
     limit: float = 1.0
     window_start: float = 0.0
     samples: int = 0
-    busy: int = 0
+    busy_refusals: int = 0
     ratio_sum: float = 0.0
     saturated: bool = False
 
-    def resize(self, share: float, slots: int) -> None:
-        """Follow a change of workers or entries, keeping what was learnt."""
-        share = max(1.0, share)
-        if share == self.share and slots == self.slots:
+    def resize(self, fair_share: float, slots: int) -> None:
+        """Apply a change of workers or entries, scaling the current limit."""
+        fair_share = max(1.0, fair_share)
+        if fair_share == self.fair_share and slots == self.slots:
             return
-        self.limit *= share / self.share
-        self.share = share
+        self.limit *= fair_share / self.fair_share
+        self.fair_share = fair_share
         self.slots = max(1, slots)
         self._clamp()
 
-    def add(self, ratio: float, saturated: bool, now: float) -> None:
-        """Take an answer into account, by the ratio of its latency to the usual."""
+    def record(self, ratio: float, saturated: bool, now: float) -> None:
+        """Record a response by the ratio of its latency to the baseline."""
         self.samples += 1
         self.ratio_sum += ratio
         self.saturated = self.saturated or saturated
         self._end_window(now)
 
     def record_busy(self, now: float) -> None:
-        """Take a worker's busy refusal into account."""
-        self.busy += 1
+        """Record a busy refusal by a worker."""
+        self.busy_refusals += 1
         self._end_window(now)
 
     def _end_window(self, now: float) -> None:
-        seen = self.samples + self.busy
-        if now - self.window_start < WINDOW_SECONDS or seen < WINDOW_SAMPLES:
+        total = self.samples + self.busy_refusals
+        if now - self.window_start < WINDOW_SECONDS or total < WINDOW_SAMPLES:
             return
         ratio = self.ratio_sum / self.samples if self.samples else 1.0
-        self._change(ratio, self.busy / seen)
+        self._adjust(ratio, self.busy_refusals / total)
         self.window_start = now
         self.samples = 0
-        self.busy = 0
+        self.busy_refusals = 0
         self.ratio_sum = 0.0
         self.saturated = False
 
-    def _change(self, ratio: float, busy_share: float) -> None:
-        # Entries that can't see each other meet at some full worker now and then even
-        # if the pool has room. Only many such refusals speak against the fair share;
-        # giving way at each would leave a good part of the pool idle.
-        if ratio > LATENCY_TOLERANCE or busy_share > BUSY_MUCH:
-            self.limit *= BACKOFF
-        elif self.limit < self.share:
-            self._recover(busy_share)
-        elif busy_share > BUSY_FEW:
-            self.limit = max(self.share, self.limit * BACKOFF)
+    def _adjust(self, ratio: float, busy_share: float) -> None:
+        # Entries do not see each other's requests, so they occasionally meet at a full
+        # worker even if the pool has room. Only frequent busy refusals count against
+        # the fair share; shrinking at each would leave a good part of the pool idle.
+        if ratio > LATENCY_TOLERANCE or busy_share > BUSY_SHARE_HIGH:
+            self.limit *= DECREASE_FACTOR
+        elif self.limit < self.fair_share:
+            self._grow_to_fair_share(busy_share)
+        elif busy_share > BUSY_SHARE_LOW:
+            self.limit = max(self.fair_share, self.limit * DECREASE_FACTOR)
         elif self.saturated and not busy_share:
-            self.limit *= BORROWING
+            self.limit *= BORROWING_FACTOR
         self._clamp()
 
-    def _recover(self, busy_share: float) -> None:
-        if self.saturated and busy_share <= BUSY_SOME:
-            wanted = max(self.limit + 1.0, self.limit * RECOVERY)
-            self.limit = min(self.share, wanted)
+    def _grow_to_fair_share(self, busy_share: float) -> None:
+        if self.saturated and busy_share <= BUSY_SHARE_MODERATE:
+            target = max(self.limit + 1.0, self.limit * RECOVERY_FACTOR)
+            self.limit = min(self.fair_share, target)
 
     def _clamp(self) -> None:
-        least = max(1.0, self.share * MINIMUM_SHARE)
+        least = max(1.0, self.fair_share * MINIMUM_SHARE)
         self.limit = min(max(self.limit, least), float(self.slots))
--- a/mustardward/components/limits/const.py
+++ b/mustardward/components/limits/const.py
@@ -1,110 +1,114 @@
-"""Hold the constants of admission."""
+"""Define the constants of admission control."""
 
 from __future__ import annotations
 
 from typing import Final
 
 SWEEP_SECONDS: Final = 0.05
-"""Interval at which waiting requests are checked for their deadlines."""
+"""Interval between checks of waiting requests for expired deadlines."""
 
-CAPACITY_SECONDS: Final = 0.1
-"""Longest age of the view of workers, entries and parameters."""
+CAPACITY_MAXIMUM_AGE_SECONDS: Final = 0.1
+"""Age at which a cached pool capacity is read again."""
 
 WINDOW_SECONDS: Final = 0.25
-"""Shortest time between two changes of a limit."""
+"""Minimum time between two adjustments of a limit."""
 
 WINDOW_SAMPLES: Final = 5
-"""Fewest answers between two changes of a limit."""
+"""Minimum number of responses and busy refusals between two adjustments."""
 
 LATENCY_TOLERANCE: Final = 2.0
-"""Ratio of recent to usual latency at which a limit shrinks."""
+"""Ratio of recent to baseline latency above which a limit shrinks."""
 
-BACKOFF: Final = 0.9
-"""Factor by which a limit shrinks."""
+DECREASE_FACTOR: Final = 0.9
+"""Factor applied to a limit when it shrinks."""
 
-RECOVERY: Final = 1.1
-"""Factor by which a limit below the fair share grows, by one place at least."""
+RECOVERY_FACTOR: Final = 1.1
+"""Factor by which a limit below the fair share grows, by at least one permit."""
 
-BORROWING: Final = 1.03
-"""Factor by which a limit grows past the fair share."""
+BORROWING_FACTOR: Final = 1.03
+"""Factor applied to a limit that grows beyond the fair share."""
 
-BUSY_MUCH: Final = 0.3
-"""Share of busy refusals above which a limit shrinks even below the fair share."""
+BUSY_SHARE_HIGH: Final = 0.3
+"""Share of busy refusals above which a limit may fall below the fair share."""
 
-BUSY_SOME: Final = 0.1
+BUSY_SHARE_MODERATE: Final = 0.1
 """Share of busy refusals up to which a limit grows back to the fair share."""
 
-BUSY_FEW: Final = 0.02
-"""Share of busy refusals above which what was borrowed is given back."""
+BUSY_SHARE_LOW: Final = 0.02
+"""Share of busy refusals above which a limit shrinks back to the fair share."""
 
 MINIMUM_SHARE: Final = 0.5
-"""Share of the fair share below which no limit shrinks."""
+"""Lower bound of a limit, as a fraction of the fair share."""
 
-USUAL_SMOOTHING: Final = 0.005
-"""Weight of one answer in the usual latency."""
+BASELINE_SMOOTHING: Final = 0.005
+"""Smoothing factor of the baseline latency."""
 
 RECENT_SMOOTHING: Final = 0.1
-"""Weight of one answer in the expected latency."""
+"""Smoothing factor of the recent latency."""
 
-FIRST_LATENCY_SECONDS: Final = 0.1
-"""Latency expected of a service that has not answered yet."""
+INITIAL_LATENCY_SECONDS: Final = 0.1
+"""Assumed latency of a service before its first response."""
 
 MAXIMUM_ESTIMATES: Final = 4096
-"""Services whose latency is remembered."""
+"""Maximum number of services whose latency is tracked."""
 
-WAIT_SHARE: Final = 0.5
-"""Share of the time left that a request may be expected to spend in a queue."""
+MAXIMUM_WAIT_SHARE: Final = 0.5
+"""Share of its remaining time that a request may be expected to wait."""
 
-SERVICE_SHARE: Final = 0.5
-"""Share of the expected latency that has to be left when a request is started."""
+MINIMUM_SERVICE_SHARE: Final = 0.5
+"""Share of the expected latency that must be left when a request starts."""
 
-CREDIT_SECONDS: Final = 2.0
-"""Time for which an organisation that used less than its share may go first."""
+IDLE_CREDIT_SECONDS: Final = 2.0
+"""Seconds of unused share for which an organisation may go first."""
 
 DEMAND_RISE_SECONDS: Final = 2.0
+"""Time constant of rising demand."""
 DEMAND_FALL_SECONDS: Final = 10.0
-"""Times in which the demand that places are kept for follows up and down."""
+"""Time constant of falling demand."""
 
-SAMPLE_SECONDS: Final = 0.2
-"""Interval at which demand is looked at; it costs a step for each organisation."""
+DEMAND_SAMPLE_SECONDS: Final = 0.2
+"""Interval between samples of demand; each sample visits all organisations."""
 
-LEAST_DEMAND: Final = 0.05
-"""Demand below which nothing is kept."""
+MINIMUM_DEMAND: Final = 0.05
+"""Demand below which no permits are protected."""
 
-HELD_SMOOTHING: Final = 0.1
-"""Weight of one request in the time that an organisation holds places."""
+HOLD_SMOOTHING: Final = 0.1
+"""Smoothing factor of the time that an organisation holds a permit."""
 
 PROTECTION_WAIT_SHARE: Final = 0.2
-"""Wait for a place, in latencies of the quickest organisation, that may be caused."""
+"""Longest wait for a permit that an unprotected request may cause.
+
+As a share of the shortest time that any organisation with demand holds a permit.
+"""
 
 PROTECTION_DEVIATIONS: Final = 1.5
-"""Deviations above the mean demand that places are kept for."""
+"""Standard deviations above the mean demand that are protected."""
 
 URGENT_DRAIN_SECONDS: Final = 0.5
-"""Time in which slots taken back from long work should end urgent work's wait."""
+"""Target time in which reclaimed job slots clear the urgent backlog."""
 
 URGENT_OVERDUE_SECONDS: Final = 1.0
-"""Wait after which urgent work is sent although no slot is known to be free."""
+"""Wait after which an urgent request is sent without a known free slot."""
 
-URGENT_TRIALS: Final = 2
-"""Urgent requests that may be sent so at once beyond the known slots."""
+URGENT_OVERCOMMIT: Final = 2
+"""Maximum number of such requests in flight beyond the known slots."""
 
 LONG_AGING_SECONDS: Final = 30.0
-"""Wait after which long work competes like normal work."""
+"""Wait after which a long request is promoted to normal urgency."""
 
-LIGHT_SHARE: Final = 0.5
-"""Share of its fair share up to which an organisation may use the reserve."""
+BELOW_SHARE_FACTOR: Final = 0.5
+"""Fraction of its fair share up to which an organisation may use the reserve."""
 
-RESERVE_PARTS: Final = 2.0
-"""How many times its equal part of the pool's reserve one entry may use."""
+RESERVE_OVERCOMMIT: Final = 2.0
+"""Factor by which an entry may exceed its equal part of the pool's reserve."""
 
-RESERVE_SCAN: Final = 16
-"""Organisations looked at for one place in the reserve."""
+SELECTION_SCAN: Final = 16
+"""Maximum number of organisations examined for one permit."""
 
 RETRY_BASE_SECONDS: Final = 1.0
 RETRY_MAXIMUM_SECONDS: Final = 30.0
 RETRY_RATE_SHARE: Final = 0.5
-"""Share of the pool's rate at which refused callers are asked back."""
+"""Share of the expected rate at which refused callers are invited to retry."""
 
 PRUNE_SECONDS: Final = 60.0
-"""Interval at which idle organisations are forgotten."""
+"""Interval between removals of idle organisations."""
--- a/mustardward/components/limits/latency.py
+++ b/mustardward/components/limits/latency.py
@@ -1,4 +1,4 @@
-"""Learn how long services take; pure."""
+"""Estimate the latency of services."""
 
 from __future__ import annotations
 
@@ -6,44 +6,46 @@
 from dataclasses import dataclass
 
 from .const import (
-    FIRST_LATENCY_SECONDS,
+    BASELINE_SMOOTHING,
+    INITIAL_LATENCY_SECONDS,
     MAXIMUM_ESTIMATES,
     RECENT_SMOOTHING,
-    USUAL_SMOOTHING,
 )
 
 
 @dataclass(slots=True)
 class LatencyEstimate:
-    """Hold what is known of one service's latency, in seconds.
+    """Estimate the latency of one service, in seconds.
 
-    ``recent`` follows within some ten answers, ``usual`` within some hundred.
-    ``in_flight`` counts the requests that will tell more.
+    ``recent`` adapts within about ten responses, ``baseline`` within a few hundred.
+    ``in_flight`` counts the requests that have yet to add a sample.
     """
 
-    recent: float = FIRST_LATENCY_SECONDS
-    usual: float = 0.0
+    recent: float = INITIAL_LATENCY_SECONDS
+    baseline: float = 0.0
     samples: int = 0
     in_flight: int = 0
 
-    def add(self, latency: float) -> float:
-        """Take an answer into account; return its ratio to the usual latency."""
+    def record(self, latency: float) -> float:
+        """Record a latency and return its ratio to the baseline."""
         self.samples += 1
         if self.samples == 1:
-            self.recent = self.usual = latency
+            self.recent = self.baseline = latency
             return 1.0
         self.recent += max(RECENT_SMOOTHING, 1 / self.samples) * (latency - self.recent)
-        ratio = latency / max(self.usual, 1e-6)
-        self.usual += max(USUAL_SMOOTHING, 1 / self.samples) * (latency - self.usual)
+        ratio = latency / max(self.baseline, 1e-6)
+        self.baseline += max(BASELINE_SMOOTHING, 1 / self.samples) * (
+            latency - self.baseline
+        )
         return ratio
 
     def ratio(self, latency: float) -> float:
-        """Return the ratio of a latency to the usual one."""
-        return latency / self.usual if self.usual > 0.0 else 1.0
+        """Return the ratio of a latency to the baseline."""
+        return latency / self.baseline if self.baseline > 0.0 else 1.0
 
 
 class LatencyEstimates:
-    """Hold the estimates of the services used most recently."""
+    """Hold the estimates of the most recently used services."""
 
     def __init__(self) -> None:
         self._by_service: OrderedDict[tuple[str, str], LatencyEstimate] = OrderedDict()
--- a/mustardward/components/limits/models.py
+++ b/mustardward/components/limits/models.py
@@ -1,4 +1,4 @@
-"""Model requests that wait for a place."""
+"""Define the data classes of admission control."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class TicketState(StrEnum):
-    """Say where a request stands with the limits."""
+    """State of a request in admission control."""
 
     WAITING = "waiting"
     ADMITTED = "admitted"
@@ -19,7 +19,7 @@
 
 
 class RefusalCause(StrEnum):
-    """Say why a request got no place; the value is the problem's code."""
+    """Reason for a refusal; the value is the code of the problem response."""
 
     DEADLINE = "deadline-exceeded"
     NO_WORKER = "no-worker"
@@ -31,9 +31,10 @@
 
 @dataclass(slots=True, eq=False)
 class Ticket:
-    """Hold one request's wish for a place.
+    """Track one request through admission.
 
-    ``cost`` is the latency expected of it, in seconds.
+    ``cost`` is its expected latency in seconds when it was queued. ``is_long`` stays
+    true for a long request that was promoted to normal urgency.
     """
 
     organisation: str
@@ -51,21 +52,22 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolCapacity:
-    """Hold a pool's capacity in this data centre.
+    """Capacity of a pool in this data centre.
 
-    ``reserve`` is the share of places kept for urgent work and light organisations,
-    ``lent`` the slots that long work holds and gives back to urgent work.
+    ``reserve`` is the share of permits reserved for urgent requests and organisations
+    below their fair share, ``job_slots`` the slots held by jobs, which can be reclaimed
+    for urgent requests.
     """
 
     slots: int
     entries: int
     reserve: float
-    lent: int = 0
+    job_slots: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class SlotReclaimRequested:
-    """Announce that urgent work waits in a pool for slots that long work holds."""
+    """Event: urgent requests wait in a pool whose slots are held by jobs."""
 
     pool: str
     slots: int
@@ -73,9 +75,9 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionStats:
-    """Hold one pool's figures for reports."""
+    """Current statistics of one pool's admission."""
 
     limit: float
     in_flight: int
     waiting: int
-    by_organisation: dict[str, int] = field(default_factory=dict)
+    in_flight_by_organisation: dict[str, int] = field(default_factory=dict)
--- a/mustardward/components/limits/selection.py
+++ b/mustardward/components/limits/selection.py
@@ -1,12 +1,12 @@
-"""Select whose request goes next; pure."""
+"""Select the next request to admit."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
 from ...state.models.templates import Urgency
-from .const import RESERVE_SCAN
-from .fairness import FairOrder, OrganisationQueue
+from .const import SELECTION_SCAN
+from .fairness import OrganisationQueue, VirtualTimeQueue
 from .models import Ticket
 from .shares import OrganisationTable
 
@@ -14,87 +14,88 @@
 _Eligible = Callable[[OrganisationQueue, Ticket], bool]
 
 
-class Selection:
-    """Order waiting organisations and select among them.
+class RequestSelector:
+    """Select among the organisations with waiting requests.
 
-    Open places go to the organisation furthest behind, its urgent requests first, and
-    to long work only if nothing else waits. Places of the reserve go to urgent
-    requests, and half of them to organisations far below their share.
+    General permits go to the organisation with the lowest virtual time, its urgent
+    requests first; long requests get one only if nothing else waits. Reserved permits
+    go to urgent requests, and half of them also to organisations far below their fair
+    share.
     """
 
     def __init__(self, table: OrganisationTable) -> None:
         self._table = table
-        self._prompt = FairOrder()
-        self._urgent = FairOrder()
-        self._long = FairOrder()
-        self._parked: dict[str, OrganisationQueue] = {}
-
-    def file(self, queue: OrganisationQueue) -> None:
-        """Let an organisation take part with what it has waiting."""
-        if queue.name in self._parked:
+        self._foreground = VirtualTimeQueue()
+        self._urgent = VirtualTimeQueue()
+        self._long = VirtualTimeQueue()
+        self._blocked: dict[str, OrganisationQueue] = {}
+
+    def enqueue(self, queue: OrganisationQueue) -> None:
+        """Make an organisation selectable for the requests that it has waiting."""
+        if queue.name in self._blocked:
             return
         if queue.waiting[Urgency.URGENT]:
             self._urgent.push(queue)
         if queue.waiting[Urgency.URGENT] or queue.waiting[Urgency.NORMAL]:
-            self._prompt.push(queue)
+            self._foreground.push(queue)
         if queue.waiting[Urgency.LONG]:
             self._long.push(queue)
 
-    def unpark(self, queue: OrganisationQueue) -> None:
-        """Let an organisation take part again after its quota had stopped it."""
-        if self._parked.pop(queue.name, None) is not None:
-            self.file(queue)
+    def unblock(self, queue: OrganisationQueue) -> None:
+        """Make an organisation selectable again after it was blocked at its quota."""
+        if self._blocked.pop(queue.name, None) is not None:
+            self.enqueue(queue)
 
-    def unpark_all(self) -> None:
-        """Let all organisations take part again."""
-        for queue in list(self._parked.values()):
-            self.unpark(queue)
+    def unblock_all(self) -> None:
+        """Make all organisations blocked at their quota selectable again."""
+        for queue in list(self._blocked.values()):
+            self.unblock(queue)
 
-    def next_open(self, free: int, places: int) -> Ticket | None:
-        """Return the request for one of ``free`` places that anyone may use."""
+    def next_general(self, free: int, permits: int) -> Ticket | None:
+        """Return the request for one of ``free`` general permits."""
 
         def leaves_protected(queue: OrganisationQueue, head: Ticket) -> bool:
-            return self._table.leaves_protected(queue, head, free, places)
+            return self._table.leaves_protected(queue, head, free, permits)
 
-        ticket = self._take(self._prompt, _prompt_head, leaves_protected)
-        return ticket or self._take(self._long, _long_head, leaves_protected)
+        ticket = self._select(self._foreground, _foreground_head, leaves_protected)
+        return ticket or self._select(self._long, _long_head, leaves_protected)
 
-    def next_urgent(self, places: int, free: int) -> Ticket | None:
-        """Return the urgent request for one of ``free`` places of the reserve."""
+    def next_urgent(self, permits: int, free: int) -> Ticket | None:
+        """Return the urgent request for one of ``free`` reserved permits."""
 
-        def may_be_urgent(queue: OrganisationQueue, head: Ticket) -> bool:
-            share = self._table.fair_share(queue, places)
+        def may_use_reserve(queue: OrganisationQueue, head: Ticket) -> bool:
+            share = self._table.fair_share(queue, permits)
             if queue.urgent_in_flight >= max(1.0, share):
                 return False
-            return self._table.leaves_protected(queue, head, free, places)
+            return self._table.leaves_protected(queue, head, free, permits)
 
-        return self._take(self._urgent, _urgent_head, may_be_urgent)
+        return self._select(self._urgent, _urgent_head, may_use_reserve)
 
-    def next_light(self, places: int) -> Ticket | None:
-        """Return the request of a light organisation for a place of the reserve."""
+    def next_below_share(self, permits: int) -> Ticket | None:
+        """Return the request of an organisation below its share to admit."""
 
-        def is_light(queue: OrganisationQueue, head: Ticket) -> bool:
-            return not head.is_long and self._table.is_light(queue, places)
+        def is_below_share(queue: OrganisationQueue, head: Ticket) -> bool:
+            return not head.is_long and self._table.is_below_share(queue, permits)
 
-        return self._take(self._prompt, _prompt_head, is_light)
+        return self._select(self._foreground, _foreground_head, is_below_share)
 
-    def _take(
-        self, order: FairOrder, head: _Head, eligible: _Eligible
+    def _select(
+        self, order: VirtualTimeQueue, head: _Head, eligible: _Eligible
     ) -> Ticket | None:
-        passed: list[OrganisationQueue] = []
+        examined: list[OrganisationQueue] = []
         found: Ticket | None = None
-        while len(passed) < RESERVE_SCAN and (queue := order.pop()) is not None:
+        while len(examined) < SELECTION_SCAN and (queue := order.pop()) is not None:
             ticket = head(queue)
             if ticket is None:
                 continue
             if self._table.is_at_quota(queue):
-                self._parked[queue.name] = queue
+                self._blocked[queue.name] = queue
                 continue
-            passed.append(queue)
+            examined.append(queue)
             if eligible(queue, ticket):
                 found = ticket
                 break
-        for queue in passed:
+        for queue in examined:
             order.push(queue)
         return found
 
@@ -107,5 +108,5 @@
     return queue.head(Urgency.LONG)
 
 
-def _prompt_head(queue: OrganisationQueue) -> Ticket | None:
+def _foreground_head(queue: OrganisationQueue) -> Ticket | None:
     return queue.head(Urgency.URGENT) or queue.head(Urgency.NORMAL)
--- a/mustardward/components/limits/services.py
+++ b/mustardward/components/limits/services.py
@@ -1,4 +1,4 @@
-"""Admit requests: the waiting around the pure gates."""
+"""Provide the limiter service, which waits for admission decisions."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class TicketPermit:
-    """Hold an admitted request's place."""
+    """Permit of an admitted request."""
 
     def __init__(self, service: LimiterService, pool: str, ticket: Ticket) -> None:
         self._service = service
@@ -43,16 +43,16 @@
         self._ticket = ticket
 
     def release(self, latency_seconds: float, succeeded: bool) -> None:
-        """Give the place back; a second call does nothing."""
+        """Release the permit; a second call does nothing."""
         self._service.release(self._pool, self._ticket, latency_seconds, succeeded)
 
 
 class LimiterService:
-    """Serve as the process's limiter.
+    """Limit the requests of this process.
 
-    :param capacity: tells each pool's capacity as the folded state has it now.
+    :param capacity: provides each pool's capacity according to the folded state.
     :param publish: takes :class:`SlotReclaimRequested`.
-    :param queue_length: most requests that wait for one pool.
+    :param queue_length: maximum number of waiting requests for each pool.
     """
 
     def __init__(
@@ -69,83 +69,88 @@
         self._publish = publish
         self._queue_length = queue_length
         self._random = random or Random()
-        self._gates: dict[str, PoolAdmission] = {}
-        self._spreads: dict[tuple[str, str], RetryAfterPacer] = {}
+        self._admissions: dict[str, PoolAdmission] = {}
+        self._pacers: dict[tuple[str, str], RetryAfterPacer] = {}
         self._estimates = LatencyEstimates()
         self._events: dict[Ticket, anyio.Event] = {}
 
     @property
     def in_flight(self) -> int:
-        """Return the requests in flight, which peers are told."""
-        return sum(gate.in_flight for gate in self._gates.values())
+        """Return the number of requests in flight, which is shared with peers."""
+        return sum(admission.in_flight for admission in self._admissions.values())
 
     async def async_admit(self, facts: RequestFacts) -> Result[Permit, RequestRefusal]:
-        """Wait in the organisation's queue for a place, or say why there is none."""
+        """Wait in the organisation's queue for a permit, or return the refusal."""
         now = self._timers.monotonic()
-        gate = self._gate(facts.pool, now)
+        admission = self._admission(facts.pool, now)
         ticket = self._ticket(facts)
-        self._wake(gate.submit(ticket, now))
+        self._wake(admission.submit(ticket, now))
         if ticket.state is TicketState.WAITING:
-            await self._async_wait(facts.pool, gate, ticket)
+            await self._async_wait(facts.pool, admission, ticket)
         if ticket.state is TicketState.ADMITTED:
             return Success(TicketPermit(self, facts.pool, ticket))
-        return Failure(self._refusal(facts, gate, ticket))
+        return Failure(self._refusal(facts, admission, ticket))
 
     def release(
         self, pool: str, ticket: Ticket, latency: float, succeeded: bool
     ) -> None:
-        """Give a place back and wake who is next."""
+        """Release a permit and wake the requests admitted next."""
         now = self._timers.monotonic()
-        # What callers feel includes the wait for the place. Taken for the service's
-        # own latency it would shrink the limit, which makes the wait longer still.
+        # The caller's latency includes the wait for the permit. Counted as latency of
+        # the service, it would shrink the limit, which makes the wait even longer.
         latency = min(latency, now - ticket.started)
-        self._wake(self._gates[pool].release(ticket, latency, succeeded, now))
+        self._wake(self._admissions[pool].release(ticket, latency, succeeded, now))
 
     def record_busy(self, pool: str) -> None:
-        """Take into account that a worker had no slot for us."""
-        gate = self._gates.get(pool)
-        if gate is not None:
-            gate.record_busy(self._timers.monotonic())
+        """Record that a worker of a pool refused an attempt as busy."""
+        admission = self._admissions.get(pool)
+        if admission is not None:
+            admission.record_busy(self._timers.monotonic())
 
-    def figures(self) -> dict[str, AdmissionStats]:
-        """Return each pool's figures for reports."""
-        return {pool: gate.figures() for pool, gate in self._gates.items()}
+    def stats(self) -> dict[str, AdmissionStats]:
+        """Return the current statistics of each pool."""
+        return {pool: admission.stats() for pool, admission in self._admissions.items()}
 
     async def async_sweep(self) -> None:
-        """Follow capacity and refuse what waited past its deadline."""
+        """Update capacities and refuse waiting requests past their deadline."""
         now = self._timers.monotonic()
-        for pool, gate in self._gates.items():
-            self._wake(gate.resize(self._capacity.get(pool, now), now))
-            self._wake(gate.sweep(now))
-            if gate.slots_to_reclaim:
-                self._publish(SlotReclaimRequested(pool, gate.slots_to_reclaim))
+        for pool, admission in self._admissions.items():
+            self._wake(admission.resize(self._capacity.get(pool, now), now))
+            self._wake(admission.sweep(now))
+            if admission.slots_to_reclaim:
+                self._publish(SlotReclaimRequested(pool, admission.slots_to_reclaim))
 
     async def async_prune(self) -> None:
-        """Forget organisations that are idle."""
-        for gate in self._gates.values():
-            gate.prune()
+        """Remove idle organisations."""
+        for admission in self._admissions.values():
+            admission.prune()
 
-    async def _async_wait(self, pool: str, gate: PoolAdmission, ticket: Ticket) -> None:
+    async def _async_wait(
+        self, pool: str, admission: PoolAdmission, ticket: Ticket
+    ) -> None:
         event = self._events[ticket] = anyio.Event()
         try:
             await event.wait()
         except anyio.get_cancelled_exc_class():
-            # The caller gave up. A place given at the same moment would be held for
-            # ever, which shows as a limit that shrinks by one each time.
+            # The caller gave up. A permit granted at the same moment must be released,
+            # or it would be held for ever and the limit would effectively shrink by one
+            # each time.
             now = self._timers.monotonic()
-            self._wake(gate.withdraw(ticket, now))
-            self._wake(gate.release(ticket, 0.0, False, now))
+            self._wake(admission.cancel(ticket, now))
+            self._wake(admission.release(ticket, 0.0, False, now))
             raise
         finally:
             self._events.pop(ticket, None)
 
-    def _gate(self, pool: str, now: float) -> PoolAdmission:
-        gate = self._gates.get(pool)
+    def _admission(self, pool: str, now: float) -> PoolAdmission:
+        admission = self._admissions.get(pool)
         capacity = self._capacity.get(pool, now)
-        if gate is None:
-            gate = self._gates[pool] = PoolAdmission(capacity, self._queue_length)
-        self._wake(gate.resize(capacity, now))
-        return gate
+        if admission is None:
+            admission = self._admissions[pool] = PoolAdmission(
+                capacity, self._queue_length
+            )
+        self._wake(admission.resize(capacity, now))
+        return admission
 
     def _ticket(self, facts: RequestFacts) -> Ticket:
         return Ticket(
@@ -164,12 +169,12 @@
                 event.set()
 
     def _refusal(
-        self, facts: RequestFacts, gate: PoolAdmission, ticket: Ticket
+        self, facts: RequestFacts, admission: PoolAdmission, ticket: Ticket
     ) -> RequestRefusal:
         cause = ticket.cause or RefusalCause.OVERLOADED
         retry_after = None
         if cause is not RefusalCause.DEADLINE:
-            retry_after = self._retry_after(facts, gate.expected_rate(ticket))
+            retry_after = self._retry_after(facts, admission.expected_rate(ticket))
         return RequestRefusal(
             code=cause.value,
             status=_STATUS.get(cause, _UNAVAILABLE),
@@ -180,7 +185,7 @@
 
     def _retry_after(self, facts: RequestFacts, rate: float) -> float:
         key = (facts.pool, facts.organisation)
-        spread = self._spreads.get(key)
-        if spread is None:
-            spread = self._spreads[key] = RetryAfterPacer(self._random)
-        return spread.next_delay_seconds(rate, self._timers.monotonic())
+        pacer = self._pacers.get(key)
+        if pacer is None:
+            pacer = self._pacers[key] = RetryAfterPacer(self._random)
+        return pacer.next_delay_seconds(rate, self._timers.monotonic())
--- a/mustardward/components/limits/shares.py
+++ b/mustardward/components/limits/shares.py
@@ -1,27 +1,27 @@
-"""Work out what each organisation is due of one pool's places; pure."""
+"""Compute the fair share of one pool's permits for each organisation."""
 
 from __future__ import annotations
 
 import math
 
-from .const import LIGHT_SHARE
+from .const import BELOW_SHARE_FACTOR
 from .fairness import OrganisationQueue
 from .models import Ticket
-from .protection import Protection
+from .protection import DemandProtection
 
 
 class OrganisationTable:
-    """Hold the organisations of one pool and the sums of their weights."""
+    """Hold the organisation queues of one pool and the sums of their weights."""
 
     def __init__(self, entries: int = 1) -> None:
         self._queues: dict[str, OrganisationQueue] = {}
-        self._protection = Protection()
+        self._protection = DemandProtection()
         self._active_weight = 0.0
         self._backlog_weight = 0.0
         self._entries = max(1, entries)
 
     def __getitem__(self, name: str) -> OrganisationQueue:
-        """Return an organisation's queue."""
+        """Return the queue of an organisation."""
         return self._queues[name]
 
     def queues(self) -> list[OrganisationQueue]:
@@ -29,72 +29,75 @@
         return list(self._queues.values())
 
     def find(self, name: str) -> OrganisationQueue | None:
-        """Return an organisation's queue, if it has one."""
+        """Return the queue of an organisation, or ``None``."""
         return self._queues.get(name)
 
-    def open(self, ticket: Ticket, virtual_time: float) -> OrganisationQueue:
-        """Return the queue of a request's organisation with the quota now in force."""
+    def get_or_create(self, ticket: Ticket, virtual_time: float) -> OrganisationQueue:
+        """Return the queue of a ticket's organisation with its current quota."""
         name = ticket.organisation
         queue = self._queues.get(name)
         if queue is None:
-            queue = OrganisationQueue(name, ticket.quota, finish=virtual_time)
+            queue = OrganisationQueue(name, ticket.quota, finish_tag=virtual_time)
             self._queues[name] = queue
         queue.quota = ticket.quota
         return queue
 
     def set_entries(self, entries: int) -> None:
-        """Follow the number of entries that share the data centre."""
+        """Set the number of entries that share the data centre."""
         self._entries = max(1, entries)
 
     def prune(self, virtual_time: float) -> None:
-        """Forget organisations that are idle and owe nothing."""
+        """Remove organisations that are idle and have no outstanding virtual time."""
         for name, queue in list(self._queues.items()):
-            if queue.is_idle and queue.finish <= virtual_time:
-                self._protection.forget(queue)
+            if queue.is_idle and queue.finish_tag <= virtual_time:
+                self._protection.release_protection(queue)
                 del self._queues[name]
 
-    def weigh(self, queue: OrganisationQueue) -> None:
-        """Bring the sums in line with one organisation."""
+    def update_weights(self, queue: OrganisationQueue) -> None:
+        """Update the weight sums after a change of one organisation."""
         active = 0.0 if queue.is_idle else queue.weight
         backlog = queue.weight if queue.total_waiting else 0.0
         self._active_weight += active - queue.active_weight
         self._backlog_weight += backlog - queue.backlog_weight
         queue.active_weight = active
         queue.backlog_weight = backlog
-        self._protection.count(queue)
+        self._protection.update_unused(queue)
 
-    def record_release(self, queue: OrganisationQueue, held_seconds: float) -> None:
-        """Learn how long places are held."""
-        self._protection.record_release(queue, held_seconds)
+    def record_release(self, queue: OrganisationQueue, hold_seconds: float) -> None:
+        """Record how long a released permit was held."""
+        self._protection.record_release(queue, hold_seconds)
 
-    def sample(self, places: int, now: float) -> None:
-        """Renew what is protected for each organisation."""
-        self._protection.sample(self.queues(), places, now)
+    def sample(self, permits: int, now: float) -> None:
+        """Update the demand and the protected permits of each organisation."""
+        self._protection.sample(self.queues(), permits, now)
 
     def leaves_protected(
-        self, queue: OrganisationQueue, ticket: Ticket, free: int, places: int
+        self, queue: OrganisationQueue, ticket: Ticket, free: int, permits: int
     ) -> bool:
-        """Tell whether one more request leaves the others what is kept for them."""
-        return self._protection.allows(queue, ticket, free, places)
+        """Return whether a request leaves the protected permits of others free."""
+        return self._protection.allows(queue, ticket, free, permits)
 
-    def backlog_share(self, queue: OrganisationQueue, places: int) -> float:
-        """Return the places an organisation gets while others wait too."""
+    def backlog_share(self, queue: OrganisationQueue, permits: int) -> float:
+        """Return its share of permits among organisations with waiting requests."""
         total = max(self._backlog_weight, queue.weight)
-        return min(places * queue.weight / total, float(self.quota(queue)))
+        return min(permits * queue.weight / total, float(self.quota(queue)))
 
-    def fair_share(self, queue: OrganisationQueue, places: int) -> float:
-        """Return the places an organisation is due among all active ones."""
-        return places * queue.weight / max(self._active_weight, queue.weight)
+    def fair_share(self, queue: OrganisationQueue, permits: int) -> float:
+        """Return an organisation's share of permits among all active organisations."""
+        return permits * queue.weight / max(self._active_weight, queue.weight)
 
-    def is_light(self, queue: OrganisationQueue, places: int) -> bool:
-        """Tell whether one more request keeps it far below what it is due."""
-        return queue.in_flight + 1 <= LIGHT_SHARE * self.fair_share(queue, places)
+    def is_below_share(self, queue: OrganisationQueue, permits: int) -> bool:
+        """Return whether it stays far below its fair share with one more request."""
+        return queue.in_flight + 1 <= BELOW_SHARE_FACTOR * self.fair_share(
+            queue, permits
+        )
 
     def quota(self, queue: OrganisationQueue) -> int:
-        """Return the places an organisation's quota gives it at this entry.
+        """Return an organisation's concurrency quota at this entry.
 
-        The quota holds for the data centre, and the balancer spreads requests evenly
-        only on average; so an entry lends all of it while nobody else waits.
+        The quota applies to the data centre, and the load balancer distributes requests
+        evenly only on average. While no other organisation waits, an entry therefore
+        allows the whole quota; otherwise, it allows its part.
         """
         others = self._backlog_weight - queue.backlog_weight
         if others <= 0.0:
@@ -102,11 +105,11 @@
         return self._per_entry(queue.quota.concurrency)
 
     def is_at_quota(self, queue: OrganisationQueue) -> bool:
-        """Tell whether an organisation's quota is used up at this entry."""
+        """Return whether an organisation's quota is exhausted at this entry."""
         return queue.in_flight >= self.quota(queue)
 
     def is_queue_full(self, queue: OrganisationQueue) -> bool:
-        """Tell whether an organisation may have no more requests waiting."""
+        """Return whether an organisation has reached its limit of waiting requests."""
         return queue.total_waiting >= self._per_entry(queue.quota.queue)
 
     def _per_entry(self, number: int) -> int:
--- a/mustardward/components/limits/spread.py
+++ b/mustardward/components/limits/spread.py
@@ -1,4 +1,4 @@
-"""Spread the times at which refused callers come back; pure but for the dice."""
+"""Pace the ``Retry-After`` delays of refused callers."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class RetryAfterPacer:
-    """Hand out times to come back, no faster than capacity can take them.
+    """Assign retry delays at a rate that capacity can serve.
 
-    Callers that are refused together and told the same time come back together, and
-    are refused together again: the load swings between nothing and far too much.
+    Callers that are refused together and get the same delay return together and are
+    refused again, so the load oscillates between idle and overload.
     """
 
     def __init__(self, random: Random) -> None:
@@ -19,9 +19,9 @@
         self._cursor = 0.0
 
     def next_delay_seconds(self, rate: float, now: float) -> float:
-        """Return seconds until a caller should come back.
+        """Return the number of seconds after which a refused caller may retry.
 
-        :param rate: requests a second that the refused organisation may count on.
+        :param rate: requests per second that the organisation can expect to be served.
         """
         earliest = now + RETRY_BASE_SECONDS
         step = 1.0 / max(1e-3, RETRY_RATE_SHARE * rate)
@@ -29,8 +29,9 @@
         wait = self._cursor - now + self._random.random() * RETRY_BASE_SECONDS
         if wait <= RETRY_MAXIMUM_SECONDS:
             return wait
-        # More callers than can be served within the longest wait: they get uniform
-        # places in it, since places past its end would all become the same one.
+        # More callers are refused than can be served within the longest delay. They get
+        # uniformly random delays, because delays beyond the maximum would all be cut to
+        # the same value.
         self._cursor = now + RETRY_MAXIMUM_SECONDS
-        spread = RETRY_MAXIMUM_SECONDS - RETRY_BASE_SECONDS
-        return RETRY_BASE_SECONDS + self._random.random() * spread
+        window = RETRY_MAXIMUM_SECONDS - RETRY_BASE_SECONDS
+        return RETRY_BASE_SECONDS + self._random.random() * window
--- a/tests/components/limits/test_gate.py
+++ b/tests/components/limits/test_gate.py
@@ -1,4 +1,4 @@
-"""Test who gets a pool's places, who waits and who is refused."""
+"""Test which requests a pool admits, queues and refuses."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from mustardward.state.models.templates import Quota, Urgency
 
 
-class Gate:
-    """Hold a gate, its tickets and the time."""
+class AdmissionHarness:
+    """Provide a pool admission with its tickets and a manual clock."""
 
     def __init__(
         self, slots: int = 10, reserve: float = 0.1, entries: int = 1, queue: int = 512
     ) -> None:
-        self.gate = PoolAdmission(PoolCapacity(slots, entries, reserve), queue)
+        self.admission = PoolAdmission(PoolCapacity(slots, entries, reserve), queue)
         self.estimates = LatencyEstimates()
         self.now = 0.0
         self.running: list[Ticket] = []
@@ -41,301 +41,301 @@
             self.now + deadline,
             self.estimates.get(organisation, "service"),
         )
-        self._take(self.gate.submit(ticket, self.now))
+        self._add_admitted(self.admission.submit(ticket, self.now))
         return ticket
 
     def finish(self, ticket: Ticket, latency: float = 0.1) -> None:
         self.running.remove(ticket)
-        self._take(self.gate.release(ticket, latency, True, self.now))
+        self._add_admitted(self.admission.release(ticket, latency, True, self.now))
 
-    def pass_time(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         self.now += seconds
-        self._take(self.gate.sweep(self.now))
+        self._add_admitted(self.admission.sweep(self.now))
 
-    def held(self) -> Counter[str]:
+    def running_by_organisation(self) -> Counter[str]:
         return Counter(ticket.organisation for ticket in self.running)
 
-    def _take(self, decided: list[Ticket]) -> None:
+    def _add_admitted(self, decided: list[Ticket]) -> None:
         admitted = [item for item in decided if item.state is TicketState.ADMITTED]
         self.running.extend(admitted)
 
 
-def test_keeps_the_reserve_for_urgent_work() -> None:
-    gate = Gate(slots=10, reserve=0.2)
+def test_reserve_is_kept_for_urgent_requests() -> None:
+    admission = AdmissionHarness(slots=10, reserve=0.2)
     for _ in range(20):
-        gate.submit()
-    assert len(gate.running) == 8
-    urgent = gate.submit(urgency=Urgency.URGENT)
+        admission.submit()
+    assert len(admission.running) == 8
+    urgent = admission.submit(urgency=Urgency.URGENT)
     assert urgent.state is TicketState.ADMITTED
 
 
-def test_light_organisation_gets_a_place_under_a_neighbours_flood() -> None:
-    """Symptom: a small organisation's answers are late whenever a large one is busy.
+def test_organisation_below_its_share_is_admitted_during_a_flood() -> None:
+    """Guard against late responses for a small organisation during a flood.
 
-    Sequence: the large one sends far more than its share and fills slots and queue.
-    Cause: one queue for all.
+    With one queue for all, a large organisation that sends far more than its share
+    fills the slots and the queue.
     """
-    gate = Gate(slots=10)
-    flood = [gate.submit("large") for _ in range(300)]
-    small = gate.submit("small")
+    admission = AdmissionHarness(slots=10)
+    flood = [admission.submit("large") for _ in range(300)]
+    small = admission.submit("small")
     assert small.state is TicketState.ADMITTED
     assert flood[-1].cause is RefusalCause.QUEUE_FULL
 
 
-def test_urgent_flood_of_one_organisation_leaves_a_place_for_another() -> None:
-    gate = Gate(slots=10)
+def test_urgent_flood_leaves_a_permit_for_another_organisation() -> None:
+    admission = AdmissionHarness(slots=10)
     for _ in range(40):
-        gate.submit("large", Urgency.URGENT)
-    first = gate.submit("small")
-    for ticket in list(gate.running):
-        gate.finish(ticket)
+        admission.submit("large", Urgency.URGENT)
+    first = admission.submit("small")
+    for ticket in list(admission.running):
+        admission.finish(ticket)
     assert first.state in (TicketState.ADMITTED, TicketState.ENDED)
 
 
 def test_shares_follow_weights_not_demand() -> None:
-    gate = Gate(slots=12, reserve=0.0)
+    admission = AdmissionHarness(slots=12, reserve=0.0)
     started: Counter[str] = Counter()
     for _ in range(200):
         for _ in range(10):
-            gate.submit("large", quota=Quota(weight=1.0, concurrency=100))
+            admission.submit("large", quota=Quota(weight=1.0, concurrency=100))
         for _ in range(2):
-            gate.submit("small", quota=Quota(weight=3.0, concurrency=100))
-        gate.now += 0.05
-        for ticket in gate.running[:4]:
+            admission.submit("small", quota=Quota(weight=3.0, concurrency=100))
+        admission.now += 0.05
+        for ticket in admission.running[:4]:
             started[ticket.organisation] += 1
-            gate.finish(ticket)
+            admission.finish(ticket)
     assert started["small"] / started["large"] > 0.9
 
 
-def test_full_queue_drops_from_the_longest() -> None:
-    gate = Gate(slots=1, reserve=0.0, queue=10)
-    flood = [gate.submit("large", quota=Quota(queue=100)) for _ in range(11)]
-    small = gate.submit("small")
+def test_full_queue_evicts_from_the_longest_organisation_queue() -> None:
+    admission = AdmissionHarness(slots=1, reserve=0.0, queue=10)
+    flood = [admission.submit("large", quota=Quota(queue=100)) for _ in range(11)]
+    small = admission.submit("small")
     assert flood[-1].cause is RefusalCause.QUEUE_FULL
     assert small.state is TicketState.WAITING
 
 
-def test_sheds_at_once_what_would_miss_its_deadline() -> None:
-    """Symptom: under overload every caller waits its whole deadline for an error.
+def test_refuses_immediately_what_would_miss_its_deadline() -> None:
+    """Guard against callers that wait until their deadline only for an error.
 
-    Sequence: the queue is longer than what can be served before the newcomers'
-    deadlines; they wait in it, are started too late and are then thrown away.
-    Cause: finding out at the end of the wait.
+    With a queue longer than can be served before the deadlines, requests that are not
+    refused on arrival start too late or never.
     """
-    gate = Gate(slots=2, reserve=0.0)
-    tickets = [gate.submit(deadline=1.0) for _ in range(50)]
+    admission = AdmissionHarness(slots=2, reserve=0.0)
+    tickets = [admission.submit(deadline=1.0) for _ in range(50)]
     waiting = [item for item in tickets if item.state is TicketState.WAITING]
     refused = [item for item in tickets if item.state is TicketState.REFUSED]
     assert 5 <= len(waiting) <= 12
     assert {item.cause for item in refused} == {RefusalCause.WOULD_MISS_DEADLINE}
 
 
-def test_nothing_is_started_past_its_deadline() -> None:
-    gate = Gate(slots=1, reserve=0.0)
-    first = gate.submit(deadline=5.0)
-    second = gate.submit(deadline=1.0)
-    gate.now += 2.0
-    gate.finish(first)
+def test_starts_no_request_past_its_deadline() -> None:
+    admission = AdmissionHarness(slots=1, reserve=0.0)
+    first = admission.submit(deadline=5.0)
+    second = admission.submit(deadline=1.0)
+    admission.now += 2.0
+    admission.finish(first)
     assert second.cause is RefusalCause.DEADLINE
-    assert gate.submit(deadline=0.0).cause is RefusalCause.DEADLINE
+    assert admission.submit(deadline=0.0).cause is RefusalCause.DEADLINE
 
 
-def test_nothing_is_started_that_can_not_end_in_time() -> None:
-    """Symptom: workers are busy, and all their answers come too late.
+def test_starts_no_request_that_cannot_finish_in_time() -> None:
+    """Guard against busy workers whose responses are all too late.
 
-    Sequence: a request reaches the front of its queue with less time left than its
-    service takes.
-    Cause: looking at the deadline only once it has passed.
+    A request can reach the front of its queue with less time left than its service
+    takes, so checking for a passed deadline is not enough.
     """
-    gate = Gate(slots=2, reserve=0.0)
+    admission = AdmissionHarness(slots=2, reserve=0.0)
     for _ in range(20):
-        learnt = gate.submit()
-        gate.now += 1.0
-        gate.finish(learnt, 1.0)
-    running = [gate.submit(), gate.submit()]
-    hurried = gate.submit(deadline=1.2)
-    gate.now += 0.8
-    gate.finish(running[0], 0.8)
-    assert hurried.cause is RefusalCause.DEADLINE
-
-
-def test_sweep_refuses_what_waited_past_its_deadline() -> None:
-    gate = Gate(slots=1, reserve=0.0)
-    gate.submit()
-    waiting = gate.submit(deadline=1.0)
-    gate.pass_time(1.1)
+        sample = admission.submit()
+        admission.now += 1.0
+        admission.finish(sample, 1.0)
+    running = [admission.submit(), admission.submit()]
+    tight_deadline = admission.submit(deadline=1.2)
+    admission.now += 0.8
+    admission.finish(running[0], 0.8)
+    assert tight_deadline.cause is RefusalCause.DEADLINE
+
+
+def test_sweep_refuses_waiting_requests_past_their_deadline() -> None:
+    admission = AdmissionHarness(slots=1, reserve=0.0)
+    admission.submit()
+    waiting = admission.submit(deadline=1.0)
+    admission.advance(1.1)
     assert waiting.cause is RefusalCause.DEADLINE
 
 
-def test_wrong_estimate_does_not_lock_a_service_out() -> None:
-    """Symptom: a service is refused for ever although its pool is idle.
+def test_outdated_latency_estimate_is_corrected() -> None:
+    """Guard against a service that is refused for ever by an outdated estimate.
 
-    Sequence: for a while its answers take a minute; every later request has a deadline
-    of ten seconds, is refused for that, and so no newer latency is ever learnt.
-    Cause: refusing by an estimate that only served requests correct.
+    After one response that took a minute, requests with a deadline of ten seconds are
+    expected to miss it. If all were refused, no newer latency would be recorded.
     """
-    gate = Gate(slots=2, reserve=0.0)
-    slow = gate.submit(deadline=100.0)
-    gate.now += 60.0
-    gate.finish(slow, 60.0)
+    admission = AdmissionHarness(slots=2, reserve=0.0)
+    slow = admission.submit(deadline=100.0)
+    admission.now += 60.0
+    admission.finish(slow, 60.0)
     for _ in range(40):
-        ticket = gate.submit(deadline=10.0)
+        ticket = admission.submit(deadline=10.0)
         assert ticket.state is TicketState.ADMITTED
-        gate.now += 0.1
-        gate.finish(ticket, 0.1)
-    assert gate.estimates.get("large", "service").recent < 1.5
+        admission.now += 0.1
+        admission.finish(ticket, 0.1)
+    assert admission.estimates.get("large", "service").recent < 1.5
 
 
-def test_long_work_gives_way_and_ages() -> None:
-    """Symptom: urgent work waits behind a batch, or a batch never ends.
+def test_long_requests_yield_and_age() -> None:
+    """Guard against urgent work behind a batch, and against a batch that starves.
 
-    Sequence: long work fills all places; or normal work never lets it through.
-    Cause: no class below normal, or one without aging.
+    Long requests must not fill all permits, and with steady normal load they are only
+    admitted because they are promoted after a time.
     """
-    gate = Gate(slots=4, reserve=0.25)
+    admission = AdmissionHarness(slots=4, reserve=0.25)
     for _ in range(10):
-        gate.submit("batch", Urgency.LONG, deadline=300.0)
-    assert len(gate.running) == 3
-    assert gate.submit("shop").state is TicketState.ADMITTED
+        admission.submit("batch", Urgency.LONG, deadline=300.0)
+    assert len(admission.running) == 3
+    assert admission.submit("shop").state is TicketState.ADMITTED
     for _ in range(3):
-        gate.submit("shop")
-    for ticket in gate.running[:3]:
-        gate.finish(ticket, 1.0)
-    assert gate.held() == {"shop": 3}
-    gate = Gate(slots=1, reserve=0.0)
-    gate.submit("shop")
-    long = gate.submit("batch", Urgency.LONG, deadline=300.0)
+        admission.submit("shop")
+    for ticket in admission.running[:3]:
+        admission.finish(ticket, 1.0)
+    assert admission.running_by_organisation() == {"shop": 3}
+    admission = AdmissionHarness(slots=1, reserve=0.0)
+    admission.submit("shop")
+    long = admission.submit("batch", Urgency.LONG, deadline=300.0)
     for _ in range(400):
-        gate.submit("shop")
-        gate.pass_time(0.1)
-        gate.finish(gate.running[0])
+        admission.submit("shop")
+        admission.advance(0.1)
+        admission.finish(admission.running[0])
         if long.state is not TicketState.WAITING:
             break
-    assert 30.0 <= gate.now < 31.0
+    assert 30.0 <= admission.now < 31.0
 
 
-def test_quota_is_shared_among_entries_and_lent_when_nobody_waits() -> None:
+def test_quota_is_divided_among_entries_only_while_others_wait() -> None:
     quota = Quota(concurrency=8)
-    gate = Gate(slots=80, reserve=0.0, entries=4)
+    admission = AdmissionHarness(slots=80, reserve=0.0, entries=4)
     for _ in range(20):
-        gate.submit("large", quota=quota)
-    assert gate.held() == {"large": 8}
-    gate = Gate(slots=8, reserve=0.0, entries=4)
+        admission.submit("large", quota=quota)
+    assert admission.running_by_organisation() == {"large": 8}
+    admission = AdmissionHarness(slots=8, reserve=0.0, entries=4)
     for _ in range(5):
-        gate.submit("small", quota=Quota(concurrency=100))
-    assert gate.held() == {"small": 2}
-    gate.submit("large", quota=quota)
+        admission.submit("small", quota=Quota(concurrency=100))
+    assert admission.running_by_organisation() == {"small": 2}
+    admission.submit("large", quota=quota)
     for _ in range(12):
-        gate.finish(gate.running[0])
-        gate.submit("small", quota=Quota(concurrency=100))
-        gate.submit("large", quota=quota)
-    assert gate.held()["large"] <= 2
+        admission.finish(admission.running[0])
+        admission.submit("small", quota=Quota(concurrency=100))
+        admission.submit("large", quota=quota)
+    assert admission.running_by_organisation()["large"] <= 2
 
 
-def test_parameters_take_effect_without_loss() -> None:
-    gate = Gate(slots=4, reserve=0.0)
+def test_capacity_change_loses_no_requests() -> None:
+    admission = AdmissionHarness(slots=4, reserve=0.0)
     for _ in range(10):
-        gate.submit()
-    gate._take(gate.gate.resize(PoolCapacity(8, 1, 0.0), gate.now))
-    assert len(gate.running) == 8
-    gate._take(gate.gate.resize(PoolCapacity(2, 1, 0.0), gate.now))
-    assert gate.gate.figures().in_flight == 8
-    while gate.running:
-        gate.finish(gate.running[0])
-    assert gate.gate.figures().waiting == 0
-
-
-def test_withdrawn_request_frees_its_place() -> None:
-    gate = Gate(slots=1, reserve=0.0)
-    first = gate.submit()
-    second = gate.submit()
-    third = gate.submit()
-    gate.gate.withdraw(second, gate.now)
-    gate.finish(first)
+        admission.submit()
+    admission._add_admitted(
+        admission.admission.resize(PoolCapacity(8, 1, 0.0), admission.now)
+    )
+    assert len(admission.running) == 8
+    admission._add_admitted(
+        admission.admission.resize(PoolCapacity(2, 1, 0.0), admission.now)
+    )
+    assert admission.admission.stats().in_flight == 8
+    while admission.running:
+        admission.finish(admission.running[0])
+    assert admission.admission.stats().waiting == 0
+
+
+def test_cancelled_request_leaves_the_queue() -> None:
+    admission = AdmissionHarness(slots=1, reserve=0.0)
+    first = admission.submit()
+    second = admission.submit()
+    third = admission.submit()
+    admission.admission.cancel(second, admission.now)
+    admission.finish(first)
     assert third.state is TicketState.ADMITTED
-    gate.finish(third)
-    gate.gate.prune()
-    assert gate.gate.figures().by_organisation in ({}, {"large": 0})
+    admission.finish(third)
+    admission.admission.prune()
+    assert admission.admission.stats().in_flight_by_organisation in ({}, {"large": 0})
 
 
-def test_usual_demand_is_kept_free_from_requests_that_hold_places_long() -> None:
-    """Symptom: a small organisation within its share waits seconds for a place.
+def test_recent_demand_is_protected_from_requests_that_hold_permits_long() -> None:
+    """Guard against waits of seconds for an organisation within its share.
 
-    Sequence: a neighbour's requests take five seconds each and fill all places while
-    the small one pauses; the next place falls free much later.
-    Cause: giving whoever waits every place that is free at the moment.
+    If requests of five seconds fill all permits while a small organisation pauses, its
+    next request waits until one of them ends.
     """
-    gate = Gate(slots=10, reserve=0.0)
+    admission = AdmissionHarness(slots=10, reserve=0.0)
     for _ in range(200):
-        quick = gate.submit("small")
-        gate.pass_time(0.07)
-        gate.finish(quick, 0.07)
-        gate.pass_time(0.06)
+        short = admission.submit("small")
+        admission.advance(0.07)
+        admission.finish(short, 0.07)
+        admission.advance(0.06)
     for _ in range(20):
-        gate.submit("large", deadline=300.0)
-    gate.pass_time(0.05)
-    assert gate.held()["large"] == 7
-    last = gate.submit("small")
+        admission.submit("large", deadline=300.0)
+    admission.advance(0.05)
+    assert admission.running_by_organisation()["large"] == 7
+    last = admission.submit("small")
     assert last.state is TicketState.ADMITTED
-    gate.finish(last)
-    gate.pass_time(120.0)
-    gate.submit("large", deadline=300.0)
-    assert gate.held()["large"] == 10
+    admission.finish(last)
+    admission.advance(120.0)
+    admission.submit("large", deadline=300.0)
+    assert admission.running_by_organisation()["large"] == 10
 
 
-def test_quick_requests_need_not_leave_places_idle() -> None:
-    gate = Gate(slots=10, reserve=0.0)
+def test_short_requests_may_use_protected_permits() -> None:
+    admission = AdmissionHarness(slots=10, reserve=0.0)
     for name in ("small", "large") * 200:
-        quick = gate.submit(name)
-        gate.pass_time(0.05)
-        gate.finish(quick, 0.05)
+        short = admission.submit(name)
+        admission.advance(0.05)
+        admission.finish(short, 0.05)
     for _ in range(20):
-        gate.submit("large")
-    assert gate.held() == {"large": 10}
+        admission.submit("large")
+    assert admission.running_by_organisation() == {"large": 10}
 
 
-def test_unused_share_is_credit_for_a_while() -> None:
-    """Symptom: an organisation at four fifths of its share queues as if above it.
+def test_unused_share_gives_temporary_credit() -> None:
+    """Guard against queueing of an organisation that uses less than its share.
 
-    Sequence: its requests come in bursts; each burst drains no faster than the flood.
-    Cause: forgetting at each pause what it left to the others.
+    Its requests come in bursts. If the share left unused between bursts did not count,
+    a burst would drain no faster than a flood.
     """
-    gate = Gate(slots=8, reserve=0.0)
+    admission = AdmissionHarness(slots=8, reserve=0.0)
     for _ in range(100):
-        gate.submit("large", quota=Quota(queue=1000))
+        admission.submit("large", quota=Quota(queue=1000))
     order: list[str] = []
     for step in range(100):
         if step % 20 == 0:
             for _ in range(6):
-                gate.submit("small")
-        gate.pass_time(0.0125)
-        done = gate.running[0]
+                admission.submit("small")
+        admission.advance(0.0125)
+        done = admission.running[0]
         order.append(done.organisation)
-        gate.finish(done, 0.1)
+        admission.finish(done, 0.1)
     assert order[88:94] == ["small"] * 6
 
 
-def test_organisation_forgotten_while_idle_is_served_again() -> None:
-    """Symptom: an organisation that comes back after minutes is never admitted.
+def test_pruned_organisation_is_served_again() -> None:
+    """Guard against an organisation that is never admitted after a long pause.
 
-    Sequence: its last request was refused while it waited; idle, it is forgotten, but
-    its old place in the order bars the new one.
-    Cause: an order that knows organisations by name.
+    Its last request is refused while waiting and the organisation is pruned, but its
+    old entry stays in the virtual time queue. Identified by name, that entry would
+    block the new one.
     """
-    gate = Gate(slots=1, reserve=0.0)
-    running = gate.submit("large")
-    gate.submit("small", deadline=1.0)
-    gate.pass_time(2.0)
-    gate.gate.prune()
-    again = gate.submit("small")
-    gate.finish(running)
+    admission = AdmissionHarness(slots=1, reserve=0.0)
+    running = admission.submit("large")
+    admission.submit("small", deadline=1.0)
+    admission.advance(2.0)
+    admission.admission.prune()
+    again = admission.submit("small")
+    admission.finish(running)
     assert again.state is TicketState.ADMITTED
 
 
-def test_raised_quota_lets_waiting_requests_in() -> None:
-    gate = Gate(slots=8, reserve=0.0)
+def test_raised_quota_admits_waiting_requests() -> None:
+    admission = AdmissionHarness(slots=8, reserve=0.0)
     for _ in range(3):
-        gate.submit("small", quota=Quota(concurrency=1))
-    assert gate.held() == {"small": 1}
-    gate.submit("small", quota=Quota(concurrency=4))
-    assert gate.held() == {"small": 4}
+        admission.submit("small", quota=Quota(concurrency=1))
+    assert admission.running_by_organisation() == {"small": 1}
+    admission.submit("small", quota=Quota(concurrency=4))
+    assert admission.running_by_organisation() == {"small": 4}
--- a/tests/components/limits/test_limiter.py
+++ b/tests/components/limits/test_limiter.py
@@ -1,4 +1,4 @@
-"""Test the waiting around the gates, and the spread of callers that come back."""
+"""Test the limiter service, the adaptive limit and the pacing of retries."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 pytestmark = pytest.mark.anyio
 
 
-class Bench:
-    """Hold a limiter with its fakes."""
+class LimiterHarness:
+    """Provide a limiter with its fakes."""
 
     def __init__(self, slots: int = 2) -> None:
         self.slots = slots
@@ -53,13 +53,13 @@
         self.timers.subscribe("sweep", 0.05, self.limiter.async_sweep)
 
 
-async def test_waits_for_a_place_and_is_woken() -> None:
-    bench = Bench(slots=1)
-    first = (await bench.limiter.async_admit(build_facts())).unwrap()
+async def test_waiting_request_gets_a_released_permit() -> None:
+    harness = LimiterHarness(slots=1)
+    first = (await harness.limiter.async_admit(build_facts())).unwrap()
     results: list[Any] = []
 
     async def async_wait() -> None:
-        results.append(await bench.limiter.async_admit(build_facts()))
+        results.append(await harness.limiter.async_admit(build_facts()))
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(async_wait)
@@ -68,128 +68,128 @@
         first.release(0.1, True)
         first.release(0.1, True)
     assert isinstance(results[0], Success)
-    assert bench.limiter.figures()["pool-1"].in_flight == 1
+    assert harness.limiter.stats()["pool-1"].in_flight == 1
 
 
-async def test_caller_that_gave_up_holds_no_place() -> None:
-    """Symptom: a limit shrinks by one now and then until nothing is admitted.
+async def test_cancelled_caller_holds_no_permit() -> None:
+    """Guard against a limit that shrinks by one at times until nothing is admitted.
 
-    Sequence: a caller gives up while it waits; its place is given to it later.
-    Cause: a waiting request that outlives its caller.
+    A caller gives up while it waits. If its ticket stayed in the queue, a permit would
+    be granted to it later and never released.
     """
-    bench = Bench(slots=1)
-    first = (await bench.limiter.async_admit(build_facts())).unwrap()
+    harness = LimiterHarness(slots=1)
+    first = (await harness.limiter.async_admit(build_facts())).unwrap()
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(bench.limiter.async_admit, build_facts())
+        tasks.start_soon(harness.limiter.async_admit, build_facts())
         await anyio.wait_all_tasks_blocked()
         tasks.cancel_scope.cancel()
     first.release(0.1, True)
-    assert bench.limiter.figures()["pool-1"].in_flight == 0
-    assert isinstance(await bench.limiter.async_admit(build_facts()), Success)
+    assert harness.limiter.stats()["pool-1"].in_flight == 0
+    assert isinstance(await harness.limiter.async_admit(build_facts()), Success)
 
 
-async def test_refusal_is_true_early_and_says_when_to_come_back() -> None:
-    bench = Bench(slots=0)
-    refused = await bench.limiter.async_admit(build_facts())
+async def test_refusal_states_cause_and_retry_after() -> None:
+    harness = LimiterHarness(slots=0)
+    refused = await harness.limiter.async_admit(build_facts())
     assert isinstance(refused, Failure)
     refusal = refused.failure()
     assert (refusal.code, refusal.status, refusal.ran) == ("no-worker", 503, "no")
     assert refusal.retry_after_seconds is not None
-    late = build_facts(deadline=bench.timers.monotonic())
-    past = (await bench.limiter.async_admit(late)).failure()
-    assert (past.status, past.retry_after_seconds) == (504, None)
+    expired = build_facts(deadline=harness.timers.monotonic())
+    expired_refusal = (await harness.limiter.async_admit(expired)).failure()
+    assert (expired_refusal.status, expired_refusal.retry_after_seconds) == (504, None)
 
 
-async def test_workers_that_come_back_admit_who_waits() -> None:
-    bench = Bench(slots=1)
-    await bench.limiter.async_admit(build_facts())
+async def test_recovered_workers_admit_waiting_requests() -> None:
+    harness = LimiterHarness(slots=1)
+    await harness.limiter.async_admit(build_facts())
     urgent = build_facts(urgency=Urgency.URGENT)
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(bench.limiter.async_admit, urgent)
+        tasks.start_soon(harness.limiter.async_admit, urgent)
         await anyio.wait_all_tasks_blocked()
-        await bench.timers.async_advance(0.1)
-        assert SlotReclaimRequested("pool-1", 1) in bench.events
-        bench.slots = 2
-        await bench.timers.async_advance(0.2)
-    assert bench.limiter.figures()["pool-1"].in_flight == 2
+        await harness.timers.async_advance(0.1)
+        assert SlotReclaimRequested("pool-1", 1) in harness.events
+        harness.slots = 2
+        await harness.timers.async_advance(0.2)
+    assert harness.limiter.stats()["pool-1"].in_flight == 2
 
 
-async def test_reserve_follows_the_template_in_force() -> None:
-    bench = Bench(slots=10)
+async def test_reserve_follows_template_changes() -> None:
+    harness = LimiterHarness(slots=10)
     parameters = Parameters(
         services=(ServiceBinding("quotes", "pool-1"),), urgent_reserve=0.5
     )
-    bench.log.state.organisations["small"] = Organisation(
+    harness.log.state.organisations["small"] = Organisation(
         "small", "template", 1, 1, Overrides(), parameters
     )
-    bench.log.sequence += 1
+    harness.log.sequence += 1
     for _ in range(5):
-        await bench.limiter.async_admit(build_facts())
+        await harness.limiter.async_admit(build_facts())
     admitted: list[Any] = []
 
     async def async_wait() -> None:
-        admitted.append(await bench.limiter.async_admit(build_facts()))
+        admitted.append(await harness.limiter.async_admit(build_facts()))
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(async_wait)
         await anyio.wait_all_tasks_blocked()
         assert not admitted
-        organisation = bench.log.state.organisations["small"]
-        bench.log.state.organisations["small"] = Organisation(
+        organisation = harness.log.state.organisations["small"]
+        harness.log.state.organisations["small"] = Organisation(
             organisation.name, "template", 1, 2, Overrides(), Parameters()
         )
-        bench.log.sequence += 1
-        await bench.timers.async_advance(0.2)
+        harness.log.sequence += 1
+        await harness.timers.async_advance(0.2)
     assert isinstance(admitted[0], Success)
 
 
-def test_refused_callers_come_back_spread() -> None:
-    """Symptom: load swings between nothing and far too much, in step.
+def test_retry_delays_are_spread() -> None:
+    """Guard against load that oscillates between idle and overload.
 
-    Sequence: a thousand callers are refused in one moment and told the same time.
-    Cause: a constant ``Retry-After``.
+    If a thousand callers that are refused at once got the same ``Retry-After``, they
+    would return together.
     """
-    spread = RetryAfterPacer(Random(1))
-    waits = [spread.next_delay_seconds(rate=100.0, now=50.0) for _ in range(1000)]
-    by_second = Counter(int(wait) for wait in waits)
-    assert min(waits) >= 1.0
-    assert max(waits) <= 30.0
+    pacer = RetryAfterPacer(Random(1))
+    delays = [pacer.next_delay_seconds(rate=100.0, now=50.0) for _ in range(1000)]
+    by_second = Counter(int(delay) for delay in delays)
+    assert min(delays) >= 1.0
+    assert max(delays) <= 30.0
     assert max(by_second.values()) <= 60
-    many = [spread.next_delay_seconds(rate=1.0, now=100.0) for _ in range(3000)]
-    assert max(Counter(int(wait) for wait in many).values()) <= 200
+    many = [pacer.next_delay_seconds(rate=1.0, now=100.0) for _ in range(3000)]
+    assert max(Counter(int(delay) for delay in many).values()) <= 200
 
 
-def test_limit_shrinks_on_latency_and_grows_back() -> None:
+def test_limit_shrinks_on_latency_and_recovers() -> None:
     limit = AdaptiveLimit()
     limit.resize(10.0, 40)
     now = 0.0
     for _ in range(200):
         now += 0.02
-        limit.add(4.0, True, now)
+        limit.record(4.0, True, now)
     assert limit.limit == 5.0
     for _ in range(400):
         now += 0.02
-        limit.add(1.0, True, now)
+        limit.record(1.0, True, now)
     assert limit.limit > 10.0
 
 
-def test_limit_borrows_until_a_worker_says_busy() -> None:
+def test_limit_borrows_until_workers_refuse_as_busy() -> None:
     limit = AdaptiveLimit()
     limit.resize(10.0, 40)
     now = 0.0
     for _ in range(400):
         now += 0.02
-        limit.add(1.0, True, now)
+        limit.record(1.0, True, now)
     borrowed = limit.limit
     assert borrowed > 20.0
     for step in range(1000):
         now += 0.02
-        limit.add(1.0, True, now)
+        limit.record(1.0, True, now)
         if step % 20 == 0:
             limit.record_busy(now)
     assert limit.limit == 10.0
     for _ in range(400):
         now += 0.02
         limit.record_busy(now)
-        limit.add(1.0, True, now)
+        limit.record(1.0, True, now)
     assert limit.limit == 5.0
--- a/tests/components/limits/test_overload.py
+++ b/tests/components/limits/test_overload.py
@@ -1,6 +1,6 @@
-"""Test that the system comes back by itself once the trigger of an overload is gone.
+"""Test that the system recovers by itself once the trigger of an overload is gone.
 
-The product's limits, router and retries run in modelled time; see ``bench``.
+Limits, router and retries run in simulated time; see ``bench``.
 """
 
 from __future__ import annotations
@@ -39,41 +39,42 @@
     return callers.requests
 
 
-def good_rate(requests: list[Request], begin: float, end: float) -> float:
+def goodput(requests: list[Request], begin: float, end: float) -> float:
     answered = sum(item.good and begin <= item.answered_at < end for item in requests)
     return answered / (end - begin)
 
 
 def served_share(requests: list[Request], begin: float, end: float) -> float:
-    """Return the good answers in a window over the callers that came in it."""
-    came = sum(not item.repeats and begin <= item.arrived < end for item in requests)
-    return good_rate(requests, begin, end) * (end - begin) / came
+    """Return good responses in a window, relative to the callers that arrived in it."""
+    arrived_count = sum(
+        not item.repeats and begin <= item.arrived < end for item in requests
+    )
+    return goodput(requests, begin, end) * (end - begin) / arrived_count
 
 
-def lose_half(fleet: Fleet, begins: bool) -> None:
+def stop_half_of_workers(fleet: Fleet, active: bool) -> None:
     for name in ("worker-0", "worker-1"):
-        fleet.workers[name].faults.down = begins
+        fleet.workers[name].faults.down = active
 
 
-def slow_down(fleet: Fleet, begins: bool) -> None:
+def slow_all_workers(fleet: Fleet, active: bool) -> None:
     for worker in fleet.workers.values():
-        worker.faults.slowness = 10.0 if begins else 1.0
+        worker.faults.slowness = 10.0 if active else 1.0
 
 
-def nothing(fleet: Fleet, begins: bool) -> None:
+def no_trigger(fleet: Fleet, active: bool) -> None:
     return None
 
 
-@pytest.mark.parametrize("trigger", [lose_half, slow_down])
+@pytest.mark.parametrize("trigger", [stop_half_of_workers, slow_all_workers])
 def test_metastable_overload_ends_with_its_trigger(
     trigger: Callable[[Fleet, bool], None],
 ) -> None:
-    """Symptom: workers are back and busy, yet hardly any caller gets an answer.
+    """Guard against an overload that persists after its trigger is gone.
 
-    Sequence: half of the workers go away (or all are slow) for four seconds; queues
-    fill, each caller sends again at once up to four times; the workers come back and
-    run requests whose callers have given up.
-    Cause: work that is too late is run all the same, so the queue never shrinks.
+    For four seconds, half of the workers are down or all are slow. Queues fill, and
+    each caller retries immediately up to four times. If the recovered workers then ran
+    requests whose callers have given up, the queue would never drain.
     """
     requests = run("product", [steady()], trigger)
     assert served_share(requests, 1.0, START) >= 0.95
@@ -81,18 +82,17 @@
     assert served_share(requests, END + 2.0, LENGTH) >= 0.95
 
 
-def test_shared_queue_shows_what_is_prevented() -> None:
-    requests = run("fifo", [steady()], slow_down)
+def test_shared_fifo_queue_does_not_recover() -> None:
+    requests = run("fifo", [steady()], slow_all_workers)
     assert served_share(requests, 1.0, START) >= 0.95
     assert served_share(requests, END + 2.0, LENGTH) < 0.2
 
 
-def test_flood_that_ends_leaves_nothing_behind() -> None:
-    """Symptom: minutes after a flood ended, its pool still refuses.
+def test_pool_recovers_after_a_flood() -> None:
+    """Guard against a pool that still refuses long after a flood has ended.
 
-    Sequence: one organisation sends five times the capacity for four seconds, and each
-    of its callers sends again at once.
-    Cause: retries keep alive what the flood began.
+    One organisation sends five times the capacity for four seconds, and each of its
+    callers retries immediately, so retries could sustain the overload.
     """
     flood = Traffic(
         "flood",
@@ -103,20 +103,20 @@
         retries=4,
         obedient=False,
     )
-    requests = run("product", [steady(), flood], nothing)
+    requests = run("product", [steady(), flood], no_trigger)
     shop = [item for item in requests if item.organisation == "shop"]
     fair_share = (1.0 - RESERVE) * CAPACITY / 2
-    assert good_rate(shop, START, END) >= 0.9 * fair_share
+    assert goodput(shop, START, END) >= 0.9 * fair_share
     assert served_share(shop, END + 2.0, LENGTH) >= 0.95
 
 
-def test_obedient_callers_come_back_spread() -> None:
-    """Symptom: after an outage the load comes in waves that each overload the pool.
+def test_callers_that_follow_retry_after_return_spread() -> None:
+    """Guard against waves of load after an outage that each overload the pool.
 
-    Sequence: all callers are refused within the same seconds and told when to return.
-    Cause: a ``Retry-After`` that is the same for all.
+    Callers that are refused within the same seconds and get the same ``Retry-After``
+    would return together.
     """
-    requests = run("product", [steady(obedient=True)], slow_down)
+    requests = run("product", [steady(obedient=True)], slow_all_workers)
     arrivals = Counter(int(item.arrived) for item in requests)
     assert max(arrivals[second] for second in range(9, 15)) <= 1.6 * CAPACITY
     assert served_share(requests, END + 3.0, LENGTH) >= 0.95
