--- a/mustardward/components/routing/__init__.py
+++ b/mustardward/components/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Choose workers for requests."""
+"""Route requests to workers and to other data centres."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 async def async_setup(core: Core) -> Unload:
-    """Set the component up and return what undoes it."""
+    """Set up the router and return the function that unloads it."""
     from .setup import async_setup_routing
 
     return await async_setup_routing(core)
--- a/mustardward/components/routing/allotment.py
+++ b/mustardward/components/routing/allotment.py
@@ -1,11 +1,11 @@
-"""Share each worker's slots out among the entries of its data centre.
+"""Divide each worker's slots among the entries of its data centre.
 
-Entries can't see each other's requests. If each chose freely, they would meet at full
-workers while others are idle: at four fifths of a pool's slots in use, a quarter of
-all attempts were refused as busy. So each entry has an allotment of each worker's
-slots by rendezvous hashing, and goes beyond it only when it is used up. It is a
-division of labour only: with different views of who is alive, the worker's own refusal
-still decides.
+Entries do not see each other's requests. If each chose freely, they would collide at
+full workers while others are idle: with 80 % of a pool's slots in use, 25 % of all
+attempts were refused as busy. Rendezvous hashing therefore assigns each entry preferred
+slots on each worker, and an entry uses others only when its own are in use. This only
+reduces collisions: if the entries' membership views differ, the worker still refuses
+when it is full.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 from ...helpers.rendezvous import rendezvous_score
 
 
-def allotted_slots(
+def preferred_slots(
     instance_id: str, slots: int, entry: str, entries: Sequence[str]
 ) -> int:
-    """Return how many of a worker's slots one entry uses before all others."""
+    """Return how many of a worker's slots an entry uses before all others."""
     if entry not in entries:
         return 0
     each, rest = divmod(slots, len(entries))
--- a/mustardward/components/routing/choice.py
+++ b/mustardward/components/routing/choice.py
@@ -1,4 +1,4 @@
-"""Choose one worker of a group by two random candidates; pure but for the dice."""
+"""Choose a worker of a group by the power of two random choices."""
 
 from __future__ import annotations
 
@@ -8,43 +8,49 @@
 from .const import CANDIDATES, RANDOM_PROBES, SCAN_PROBES
 from .health import penalty
 from .index import WorkerLoad
-from .picklist import PickList
+from .picklist import RandomAccessSet
 
 
-def others_in_flight(load: WorkerLoad, now: float) -> float:
-    """Return the slots that others were last known to use, fading with age."""
-    if load.others <= 0.0:
+def estimate_external_in_flight(load: WorkerLoad, now: float) -> float:
+    """Return the estimated slots used by other entries, fading with age."""
+    if load.external_in_flight <= 0.0:
         return 0.0
-    age = max(0.0, now - load.others_at)
-    if age >= load.others_memory:
+    age = max(0.0, now - load.external_observed_at)
+    if age >= load.external_maximum_age:
         return 0.0
-    return load.others * (1.0 - age / load.others_memory)
+    return load.external_in_flight * (1.0 - age / load.external_maximum_age)
 
 
 def score(load: WorkerLoad, now: float) -> float:
-    """Return how loaded a worker is; the lower, the better.
+    """Return the load score of a worker; lower is better.
 
-    A worker that fails everything at once is always idle and would draw all work to
-    itself, which shows as errors at the pool's full rate while its peers are idle.
-    Its failure share therefore weighs like load.
+    A worker that fails every request immediately is always idle and would attract all
+    work, with errors at the pool's full rate while its peers are idle. Its failure
+    share therefore counts as load.
     """
-    busy = load.in_flight + load.long_tasks + others_in_flight(load, now)
-    used = busy / max(1, load.slots)
-    return used if now >= load.penalised_until else used + penalty(load.health, now)
+    slots_in_use = (
+        load.in_flight + load.job_slots + estimate_external_in_flight(load, now)
+    )
+    utilisation = slots_in_use / max(1, load.slots)
+    return (
+        utilisation
+        if now >= load.penalised_until
+        else utilisation + penalty(load.health, now)
+    )
 
 
 def choose_worker(
-    places: PickList[WorkerLoad],
+    workers: RandomAccessSet[WorkerLoad],
     random: Random,
     now: float,
     exclude: frozenset[str],
     may_get_work: Callable[[str], bool],
 ) -> WorkerLoad | None:
-    """Return the better of two random workers that may get work, or nothing."""
+    """Return the better of two random workers that may get work, or ``None``."""
     best: WorkerLoad | None = None
     best_score = 0.0
-    found = 0
-    for load in _probe(places, random):
+    compared = 0
+    for load in _sample_workers(workers, random):
         instance_id = load.instance.instance_id
         if instance_id in exclude or now < load.avoid_until:
             continue
@@ -53,18 +59,20 @@
         load_score = score(load, now)
         if best is None or load_score < best_score:
             best, best_score = load, load_score
-        found += 1
-        if found >= CANDIDATES:
+        compared += 1
+        if compared >= CANDIDATES:
             break
     return best
 
 
-def _probe(places: PickList[WorkerLoad], random: Random) -> Iterator[WorkerLoad]:
-    count = len(places)
+def _sample_workers(
+    workers: RandomAccessSet[WorkerLoad], random: Random
+) -> Iterator[WorkerLoad]:
+    count = len(workers)
     if not count:
         return
     for _ in range(RANDOM_PROBES):
-        yield places[int(random.random() * count)]
+        yield workers[int(random.random() * count)]
     start = int(random.random() * count)
     for step in range(min(count, SCAN_PROBES)):
-        yield places[(start + step) % count]
+        yield workers[(start + step) % count]
--- a/mustardward/components/routing/const.py
+++ b/mustardward/components/routing/const.py
@@ -1,96 +1,100 @@
-"""Hold the constants of worker choice."""
+"""Define the constants of routing."""
 
 from __future__ import annotations
 
 from typing import Final
 
 CANDIDATES: Final = 2
-"""Workers compared for one choice."""
+"""Number of random candidates compared for one choice."""
 
 RANDOM_PROBES: Final = 8
-"""Workers drawn at random before a scan begins."""
+"""Number of workers drawn at random before a linear scan starts."""
 
 SCAN_PROBES: Final = 64
-"""Most workers scanned, so that the cost of a choice does not grow with a pool."""
+"""Maximum number of workers scanned; bounds the cost of a choice in a large pool."""
 
-ENTRIES_SECONDS: Final = 0.25
-"""Longest age of the view of the entries that share the workers."""
+ENTRIES_MAXIMUM_AGE_SECONDS: Final = 0.25
+"""Age at which the list of entries that share the workers is read again."""
 
-AVOID_SECONDS: Final = 1.0
-"""How long a worker that said it is draining, or not ours, is left alone."""
+REFUSED_AVOID_SECONDS: Final = 1.0
+"""Time to avoid a worker that refused for another cause than being busy."""
 
-UNREACHABLE_SECONDS: Final = 0.25
-UNREACHABLE_MAXIMUM_SECONDS: Final = 2.0
-"""How long a worker that could not be reached is left alone, at first and at most.
+UNREACHABLE_AVOID_SECONDS: Final = 0.25
+UNREACHABLE_AVOID_MAXIMUM_SECONDS: Final = 2.0
+"""Initial and maximum time to avoid an unreachable worker.
 
-It is no matter for quarantine: it fails nothing, and comes back from one moment to the
-next."""
+An unreachable worker is not quarantined: no request fails because of it, and it can
+return at any moment.
+"""
 
-BUSY_MEMORY_SECONDS: Final = 0.1
-"""How long a busy refusal counts as knowledge of what other entries do there."""
+BUSY_MAXIMUM_AGE_SECONDS: Final = 0.1
+"""Time for which a busy refusal counts as evidence of other entries' load."""
 
-USAGE_MEMORY_SECONDS: Final = 5.0
-"""Age at which a usage report says nothing any more."""
+USAGE_MAXIMUM_AGE_SECONDS: Final = 5.0
+"""Age from which a usage report is ignored."""
 
 FAILURE_PENALTY: Final = 4.0
-"""Weight of a worker's failure share against the share of its slots in use."""
+"""Weight of a worker's failure share relative to the share of its slots in use."""
 
-PENALTY_SECONDS: Final = 2.0
-"""Time in which the penalty of the last failure fades, so that it is tried again."""
+PENALTY_FADE_SECONDS: Final = 2.0
+"""Time over which the penalty of the last failure fades, to allow a retry."""
 
 FAILURE_SMOOTHING: Final = 0.15
-"""Weight of the newest verdict in a worker's failure share."""
+"""Smoothing factor of a worker's failure share."""
 
-OUTLIER_VERDICTS: Final = 5
-"""Distinct requests needed before a worker is judged."""
+OUTLIER_MINIMUM_SAMPLES: Final = 5
+"""Number of distinct requests required to judge a worker."""
 
 OUTLIER_SHARE: Final = 0.5
-"""Failure share below which no worker is an outlier."""
+"""Minimum failure share of an outlier."""
 
 OUTLIER_MARGIN: Final = 0.4
-"""How far an outlier's failure share is above the mean of its trusted peers."""
+"""Minimum distance of an outlier's failure share from the mean of its peers."""
 
 ABANDONED_RATIO: Final = 4.0
-"""Usual latencies for which a worker must have had an abandoned attempt to blame it."""
+"""Duration from which an abandoned attempt counts as a failure of its worker.
+
+In multiples of the baseline latency.
+"""
 
 LATENCY_SMOOTHING: Final = 0.02
-"""Weight of one answer in a pool's usual latency."""
+"""Smoothing factor of a pool's baseline latency."""
 
-QUARANTINED_SHARE: Final = 1 / 3
-"""Largest share of a data centre's part of a pool that may be in quarantine."""
+QUARANTINE_MAXIMUM_SHARE: Final = 1 / 3
+"""Maximum share of a pool's workers in a data centre in quarantine."""
 
-CAPPED_LOG_SECONDS: Final = 30.0
-"""Shortest time between two log lines that the cap was reached."""
+CAP_LOG_INTERVAL_SECONDS: Final = 30.0
+"""Minimum time between two log lines about the quarantine cap."""
 
 QUARANTINE_SECONDS: Final = 5.0
-"""First term of quarantine; each further one doubles."""
+"""Duration of the first quarantine; each further one doubles."""
 
 QUARANTINE_MAXIMUM_SECONDS: Final = 300.0
-"""Longest term of quarantine."""
+"""Maximum duration of a quarantine."""
 
-TERMS_FORGOTTEN_SECONDS: Final = 600.0
-"""Time after which earlier terms of quarantine do not lengthen a new one."""
+QUARANTINE_RESET_SECONDS: Final = 600.0
+"""Time after which earlier quarantines no longer lengthen a new one."""
 
-PROBE_SECONDS: Final = 0.05
-"""Shortest time between two probes of one worker."""
+PROBE_INTERVAL_SECONDS: Final = 0.05
+"""Minimum time between two probes of one worker."""
 
 PROBATION_SUCCESSES: Final = 3
-"""Answers in a row that end a probation."""
+"""Number of consecutive successes that end a probation."""
 
-BLAME_MEMORY: Final = 1024
-"""Failed requests remembered, to tell a bad request from a bad worker."""
+MAXIMUM_TRACKED_FAILURES: Final = 1024
+"""Number of failed requests remembered to tell bad requests from bad workers."""
 
 QUARANTINE_CAUSE: Final = "quarantined"
-"""Cause of the absence that a quarantine is folded as."""
+"""Cause of the absence record that represents a quarantine."""
 
-REPORT_SECONDS: Final = 0.5
+REPORT_INTERVAL_SECONDS: Final = 0.5
 """Interval at which quarantines are reported to the log."""
 
 REMOTE_MINIMUM_SECONDS: Final = 0.05
-"""Time that must be left before a request is sent to another data centre."""
+"""Minimum time to the deadline for forwarding to another data centre."""
 
 MAXIMUM_HOPS: Final = 1
-"""Entries that may forward one request; more could send it in a circle."""
+"""Maximum number of times a request is forwarded; prevents forwarding loops."""
 
-REFUSAL_BASE_SECONDS: Final = 1.0
-REFUSAL_SPREAD_SECONDS: Final = 3.0
+RETRY_AFTER_BASE_SECONDS: Final = 1.0
+RETRY_AFTER_JITTER_SECONDS: Final = 3.0
--- a/mustardward/components/routing/models.py
+++ b/mustardward/components/routing/models.py
@@ -1,4 +1,4 @@
-"""Model what worker choice says to others."""
+"""Define the data classes and events of routing."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 FORWARDABLE_REFUSAL_CODES: Final = frozenset(
     {"no-worker", "no-capacity", "overloaded", "deadline-unreachable"}
 )
-"""Codes of refusals after which another data centre may still serve a request.
+"""Refusal codes after which another data centre may still serve a request.
 
-A refusal for an organisation's own quota is not among them: its quota elsewhere would
-then be spent on what it sends here.
+A refusal for an organisation's quota is not included: the excess would consume the
+organisation's quota in the other data centre.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class RemoteChoice:
-    """Hold the entry of another data centre chosen to serve a request."""
+    """Entry of another data centre chosen to serve a request."""
 
     member: Member
     attempt_id: str
@@ -28,9 +28,10 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceQuarantined:
-    """Announce that a worker gets no more work, judged against its peers.
+    """Event: a worker was quarantined because it fails far more than its peers.
 
-    ``failure_share`` is over distinct requests; ``peers_share`` is its peers' mean.
+    ``failure_share`` covers distinct requests; ``peers_share`` is the mean of its
+    peers.
     """
 
     instance_id: str
@@ -42,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceReleased:
-    """Announce that a quarantined worker proved itself and gets work again."""
+    """Event: a quarantined worker passed its probation and gets work again."""
 
     instance_id: str
     pool: str
@@ -50,9 +51,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerBusy:
-    """Announce that a worker refused an attempt since its slots were taken.
+    """Event: a worker refused an attempt because all its slots are in use.
 
-    Not a failure: other entries share the worker unseen, and it alone knows.
+    This is not a failure: other entries use the worker too, and only the worker knows
+    its load.
     """
 
     instance_id: str
--- a/mustardward/components/routing/picklist.py
+++ b/mustardward/components/routing/picklist.py
@@ -1,4 +1,4 @@
-"""Provide a set whose members can be drawn at random in constant time."""
+"""Provide a set with random access in constant time."""
 
 from __future__ import annotations
 
@@ -7,32 +7,32 @@
 T = TypeVar("T")
 
 
-class PickList(Generic[T]):
-    """Hold members in no order, each at one place of a list."""
+class RandomAccessSet(Generic[T]):
+    """Hold members in no defined order, accessible by index."""
 
     def __init__(self) -> None:
         self._members: list[T] = []
-        self._places: dict[T, int] = {}
+        self._positions: dict[T, int] = {}
 
     def __len__(self) -> int:
         """Return the number of members."""
         return len(self._members)
 
-    def __getitem__(self, place: int) -> T:
-        """Return the member at a place; places change with each removal."""
-        return self._members[place]
+    def __getitem__(self, index: int) -> T:
+        """Return the member at an index; each removal changes the order."""
+        return self._members[index]
 
-    def keep(self, member: T, wanted: bool) -> None:
-        """Put a member in or take it out."""
-        if wanted:
-            if member not in self._places:
-                self._places[member] = len(self._members)
+    def set_member(self, member: T, present: bool) -> None:
+        """Add or remove a member."""
+        if present:
+            if member not in self._positions:
+                self._positions[member] = len(self._members)
                 self._members.append(member)
             return
-        place = self._places.pop(member, None)
-        if place is None:
+        index = self._positions.pop(member, None)
+        if index is None:
             return
         last = self._members.pop()
-        if place < len(self._members):
-            self._members[place] = last
-            self._places[last] = place
+        if index < len(self._members):
+            self._members[index] = last
+            self._positions[last] = index
--- a/mustardward/components/routing/remote.py
+++ b/mustardward/components/routing/remote.py
@@ -1,4 +1,4 @@
-"""Choose an entry of another data centre; pure but for the dice."""
+"""Choose an entry of another data centre."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
     random: Random,
     exclude: frozenset[str],
 ) -> Member | None:
-    """Return the less loaded of two random entries whose data centre has room.
+    """Return the less loaded of two random entries whose data centre has capacity.
 
-    A request that was forwarded is never forwarded again: with every data centre full
-    it would go round between them until its deadline, and load each on its way.
+    A forwarded request is not forwarded again: with all data centres full, it would
+    circulate until its deadline and add load to each of them.
     """
     if facts.hops >= MAXIMUM_HOPS or facts.deadline - now < REMOTE_MINIMUM_SECONDS:
         return None
@@ -37,8 +37,8 @@
     if not candidates:
         return None
     candidates.sort(key=lambda member: member.name)
-    drawn = random.sample(candidates, min(CANDIDATES, len(candidates)))
-    return min(drawn, key=lambda member: member.in_flight)
+    sampled = random.sample(candidates, min(CANDIDATES, len(candidates)))
+    return min(sampled, key=lambda member: member.in_flight)
 
 
 def _members_with_room(
@@ -48,5 +48,5 @@
     members = membership.live(data_centre)
     if group is None or not members:
         return ()
-    share = group.slots / len(members)
-    return tuple(member for member in members if member.in_flight < share)
+    fair_share = group.slots / len(members)
+    return tuple(member for member in members if member.in_flight < fair_share)
--- a/mustardward/components/routing/reporter.py
+++ b/mustardward/components/routing/reporter.py
@@ -1,4 +1,4 @@
-"""Fold quarantines and releases as absences, so that budgets count them."""
+"""Report quarantines and releases as absences, so that budgets include them."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 class QuarantineReporter:
-    """Propose what this entry's router judged, coalesced.
+    """Report the quarantines and releases of this entry's router in batches.
 
-    A report that could not be appended stays until it can; the quarantine itself holds
-    in this process meanwhile.
+    A report that could not be appended is kept and retried; the quarantine itself is
+    already in force in this process.
 
-    :param find_power: returns the pool service, if there is one.
+    :param find_power: returns the platform's power service, if there is one.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         self._pending: dict[str, bool] = {}
 
     def on_quarantined(self, event: InstanceQuarantined) -> None:
-        """Note that a worker was taken out."""
+        """Log a quarantine and queue its report."""
         _LOGGER.warning(
             "instance_quarantined",
             instance=event.instance_id,
@@ -53,19 +53,19 @@
         self._pending[event.instance_id] = False
 
     def on_released(self, event: InstanceReleased) -> None:
-        """Note that a worker is trusted again."""
+        """Log a release and queue its report."""
         _LOGGER.info("instance_released", instance=event.instance_id, pool=event.pool)
         self._pending[event.instance_id] = True
 
     async def async_step(self) -> None:
-        """Report all that is new in one record."""
+        """Report all pending changes in one record."""
         if not self._pending or not self._log.may_decide:
             return
         pending = dict(self._pending)
         changes = [await self._async_change(*item) for item in pending.items()]
-        wanted = tuple(change for change in changes if change is not None)
-        if wanted:
-            body = ReportAbsences(self._data_centre, wanted)
+        needed = tuple(change for change in changes if change is not None)
+        if needed:
+            body = ReportAbsences(self._data_centre, needed)
             result = await self._log.async_propose(body, actor=self._actor)
             if isinstance(result, Failure):
                 _LOGGER.info("quarantine_report_postponed", code=result.failure().code)
--- a/mustardward/components/routing/setup.py
+++ b/mustardward/components/routing/setup.py
@@ -1,10 +1,10 @@
-"""Put the parts of worker choice together in one process."""
+"""Assemble the routing component."""
 
 from __future__ import annotations
 
 from ...core import Core, Unload
 from ..keys import FLEET_LOG, MEMBERSHIP, POWER_SERVICE, ROUTER, WORK_LOG
-from .const import REPORT_SECONDS
+from .const import REPORT_INTERVAL_SECONDS
 from .long_work import JobSlotCounter
 from .models import InstanceQuarantined, InstanceReleased
 from .reporter import QuarantineReporter
@@ -12,25 +12,25 @@
 
 
 async def async_setup_routing(core: Core) -> Unload:
-    """Publish the router and return what withdraws it."""
+    """Publish the router and return the function that unloads it."""
     log = core.get(FLEET_LOG)
     entry = core.settings.entry
-    work = core.find(WORK_LOG)
+    work_log = core.find(WORK_LOG)
     router: RouterService
 
     def on_job_slots_changed(instance_id: str) -> None:
         router.on_job_slots_changed(instance_id)
 
-    long_work = None
-    if work is not None:
-        long_work = JobSlotCounter(lambda: work.state, on_job_slots_changed)
+    job_slots = None
+    if work_log is not None:
+        job_slots = JobSlotCounter(lambda: work_log.state, on_job_slots_changed)
     router = RouterService(
         log=log,
         membership=core.get(MEMBERSHIP),
         timers=core.timers,
         data_centre=entry.data_centre,
         publish=core.events.publish,
-        count_job_slots=long_work.count if long_work else _none,
+        count_job_slots=job_slots.count if job_slots else _no_job_slots,
     )
     reporter = QuarantineReporter(
         log=log,
@@ -38,24 +38,26 @@
         actor=entry.name,
         find_power=lambda: core.find(POWER_SERVICE),
     )
-    undo = [
+    unsubscribes = [
         log.listen(router.on_record),
         core.events.listen(InstanceQuarantined, reporter.on_quarantined),
         core.events.listen(InstanceReleased, reporter.on_released),
-        core.timers.subscribe("routing.report", REPORT_SECONDS, reporter.async_step),
+        core.timers.subscribe(
+            "routing.report", REPORT_INTERVAL_SECONDS, reporter.async_step
+        ),
     ]
-    if work is not None and long_work is not None:
-        undo.append(work.listen(long_work.on_record))
-        long_work.start()
+    if work_log is not None and job_slots is not None:
+        unsubscribes.append(work_log.listen(job_slots.on_record))
+        job_slots.recount()
     core.put(ROUTER, router)
 
     async def async_unload() -> None:
         core.remove(ROUTER)
-        for unsubscribe in reversed(undo):
+        for unsubscribe in reversed(unsubscribes):
             unsubscribe()
 
     return async_unload
 
 
-def _none(instance_id: str) -> int:
+def _no_job_slots(instance_id: str) -> int:
     return 0
--- a/mustardward/components/routing/standing.py
+++ b/mustardward/components/routing/standing.py
@@ -1,4 +1,4 @@
-"""Put workers in quarantine and let them out by probation."""
+"""Quarantine workers that fail, and release them after a probation."""
 
 from __future__ import annotations
 
@@ -7,21 +7,25 @@
 
 from ...helpers.logging import get_logger
 from ..entry.models import Attempt
-from .const import CAPPED_LOG_SECONDS, PENALTY_SECONDS, PROBE_SECONDS
+from .const import (
+    CAP_LOG_INTERVAL_SECONDS,
+    PENALTY_FADE_SECONDS,
+    PROBE_INTERVAL_SECONDS,
+)
 from .health import (
     PROBATION,
     QUARANTINED,
     TRUSTED,
-    BlameBook,
+    FailureAttribution,
     Health,
-    add_verdict,
+    apply_event,
+    is_conclusive,
     is_failure,
     is_outlier,
-    is_verdict,
-    judge_probe,
-    move_standing,
     quarantine_cap,
-    remove_failure,
+    record_probe,
+    record_sample,
+    undo_failure,
 )
 from .index import FleetIndex, GroupKey, WorkerGroup, WorkerLoad
 from .models import InstanceQuarantined, InstanceReleased
@@ -31,19 +35,19 @@
 Publish = Callable[[object], None]
 
 
-class StandingKeeper:
-    """Judge attempts and keep the standing of workers.
+class QuarantineTracker:
+    """Record attempts and maintain the quarantine state of workers.
 
     :param publish: takes :class:`InstanceQuarantined` and :class:`InstanceReleased`.
     """
 
     def __init__(self, publish: Publish) -> None:
         self._publish = publish
-        self._blame = BlameBook()
-        self._capped_at = float("-inf")
-        self._due: dict[GroupKey, list[tuple[float, str]]] = {}
+        self._attribution = FailureAttribution()
+        self._cap_logged_at = float("-inf")
+        self._probe_times: dict[GroupKey, list[tuple[float, str]]] = {}
 
-    def judge(
+    def record_attempt(
         self,
         index: FleetIndex,
         load: WorkerLoad,
@@ -51,130 +55,141 @@
         attempt: Attempt,
         now: float,
     ) -> None:
-        """Take the outcome of one attempt into account."""
-        if load.health.standing != TRUSTED:
-            if is_verdict(attempt, load.group.usual_seconds):
-                self._judge_probe(index, load, is_failure(attempt), now)
+        """Record the outcome of one attempt and quarantine or release its worker."""
+        if load.health.state != TRUSTED:
+            if is_conclusive(attempt, load.group.baseline_seconds):
+                self._record_probe(index, load, is_failure(attempt), now)
             return
-        if not is_verdict(attempt, load.group.usual_seconds):
+        if not is_conclusive(attempt, load.group.baseline_seconds):
             return
         failed = is_failure(attempt)
         if not failed:
-            load.group.learn(attempt.latency_seconds)
-        if failed and not self._blame_counts(index, load, request_id):
+            load.group.record_latency(attempt.latency_seconds)
+        if failed and not self._failure_counts(index, load, request_id):
             return
-        self._change_share(load, failed, now)
+        self._record_sample(load, failed, now)
         if failed:
-            self._consider(index, load, now)
+            self._quarantine_if_outlier(index, load, now)
 
-    def probation(self, group: WorkerGroup, now: float) -> WorkerLoad | None:
-        """Return a quarantined worker that is due for a probe and idle."""
-        due = self._due.get(group.key)
-        while due and due[0][0] <= now:
-            at, instance_id = heapq.heappop(due)
+    def next_probe(self, group: WorkerGroup, now: float) -> WorkerLoad | None:
+        """Return a quarantined worker that is idle and due for a probe, or ``None``."""
+        probe_times = self._probe_times.get(group.key)
+        while probe_times and probe_times[0][0] <= now:
+            probe_time, instance_id = heapq.heappop(probe_times)
             load = group.members.get(instance_id)
-            if load is None or load.health.standing == TRUSTED or load.health.due > at:
+            if (
+                load is None
+                or load.health.state == TRUSTED
+                or load.health.quarantine_ends_at > probe_time
+            ):
                 continue
-            # Filed again for the next probe; one at the front that can't be probed now
-            # would otherwise keep all behind it in quarantine.
-            heapq.heappush(due, (now + PROBE_SECONDS, instance_id))
+            # The worker stays scheduled for further probes. One that can't be probed
+            # now must not block those behind it in the order.
+            heapq.heappush(probe_times, (now + PROBE_INTERVAL_SECONDS, instance_id))
             if load.in_flight or not load.usable:
                 continue
-            if load.health.standing == QUARANTINED:
-                move_standing(load.health, "term_over", now)
+            if load.health.state == QUARANTINED:
+                apply_event(load.health, "term_over", now)
             return load
         return None
 
-    def adopt_quarantine(self, index: FleetIndex, load: WorkerLoad, now: float) -> None:
-        """Follow a quarantine that another entry had folded."""
-        if load.health.standing == TRUSTED:
-            self._enter(load, now)
-            index.place(load)
+    def apply_quarantine(self, index: FleetIndex, load: WorkerLoad, now: float) -> None:
+        """Apply a quarantine from the log that another entry decided."""
+        if load.health.state == TRUSTED:
+            self._enter_quarantine(load, now)
+            index.update_group(load)
 
     def release(self, index: FleetIndex, load: WorkerLoad, now: float) -> None:
-        """Trust a worker again that was positively seen up."""
-        if load.health.standing != TRUSTED:
-            self._leave(index, load, "seen_up", now)
+        """Release a worker that was confirmed to be up."""
+        if load.health.state != TRUSTED:
+            self._leave_quarantine(index, load, "seen_up", now)
 
-    def _blame_counts(
+    def _failure_counts(
         self, index: FleetIndex, load: WorkerLoad, request_id: str
     ) -> bool:
-        counts, pardoned = self._blame.blame(request_id, load.instance.instance_id)
-        first = index.load(pardoned) if pardoned else None
-        if first is not None and first.health.standing == TRUSTED:
+        counts, cleared = self._attribution.attribute(
+            request_id, load.instance.instance_id
+        )
+        first = index.load(cleared) if cleared else None
+        if first is not None and first.health.state == TRUSTED:
             before = first.health.failure_share
-            remove_failure(first.health)
+            undo_failure(first.health)
             first.group.failure_sum += first.health.failure_share - before
         return counts
 
-    def _change_share(self, load: WorkerLoad, failed: bool, now: float) -> None:
+    def _record_sample(self, load: WorkerLoad, failed: bool, now: float) -> None:
         before = load.health.failure_share
-        add_verdict(load.health, failed, now)
+        record_sample(load.health, failed, now)
         load.group.failure_sum += load.health.failure_share - before
         if failed:
-            load.penalised_until = now + PENALTY_SECONDS
+            load.penalised_until = now + PENALTY_FADE_SECONDS
 
-    def _consider(self, index: FleetIndex, load: WorkerLoad, now: float) -> None:
+    def _quarantine_if_outlier(
+        self, index: FleetIndex, load: WorkerLoad, now: float
+    ) -> None:
         group = load.group
         peers_share = group.peers_share(load)
         if not is_outlier(load.health, peers_share):
             return
-        # A quarantine of many at once is far more often one common cause than many
-        # bad workers; without a cap the whole pool would be gone within seconds.
+        # If many workers fail at once, one common cause is far more likely than many
+        # bad workers. Without a cap, the whole pool would be quarantined within
+        # seconds.
         if len(group.quarantined) >= quarantine_cap(len(group.members)):
-            self._note_capped(load, now)
+            self._log_cap_reached(load, now)
             return
         share = load.health.failure_share
-        self._enter(load, now)
-        index.place(load)
+        self._enter_quarantine(load, now)
+        index.update_group(load)
         self._publish(
             InstanceQuarantined(
                 load.instance.instance_id,
                 load.instance.pool,
                 share,
                 peers_share,
-                load.health.due - now,
+                load.health.quarantine_ends_at - now,
             )
         )
 
-    def _note_capped(self, load: WorkerLoad, now: float) -> None:
-        if now - self._capped_at < CAPPED_LOG_SECONDS:
+    def _log_cap_reached(self, load: WorkerLoad, now: float) -> None:
+        if now - self._cap_logged_at < CAP_LOG_INTERVAL_SECONDS:
             return
-        self._capped_at = now
+        self._cap_logged_at = now
         instance = load.instance
         _LOGGER.warning(
             "quarantine_capped", instance=instance.instance_id, pool=instance.pool
         )
 
-    def _enter(self, load: WorkerLoad, now: float) -> None:
+    def _enter_quarantine(self, load: WorkerLoad, now: float) -> None:
         load.group.failure_sum -= load.health.failure_share
-        move_standing(load.health, "judged_outlier", now)
+        apply_event(load.health, "judged_outlier", now)
         load.group.quarantined.add(load.instance.instance_id)
-        self._schedule(load)
+        self._schedule_probe(load)
 
-    def _leave(
+    def _leave_quarantine(
         self, index: FleetIndex, load: WorkerLoad, event: str, now: float
     ) -> None:
-        move_standing(load.health, event, now)
+        apply_event(load.health, event, now)
         load.group.quarantined.discard(load.instance.instance_id)
-        index.place(load)
+        index.update_group(load)
 
-    def _judge_probe(
+    def _record_probe(
         self, index: FleetIndex, load: WorkerLoad, failed: bool, now: float
     ) -> None:
         health: Health = load.health
-        if health.standing != PROBATION:
+        if health.state != PROBATION:
             return
-        event = judge_probe(health, failed)
+        event = record_probe(health, failed)
         if event == "probe_failed":
-            move_standing(health, event, now)
-            self._schedule(load)
+            apply_event(health, event, now)
+            self._schedule_probe(load)
         elif event == "proved":
-            self._leave(index, load, event, now)
+            self._leave_quarantine(index, load, event, now)
             self._publish(
                 InstanceReleased(load.instance.instance_id, load.instance.pool)
             )
 
-    def _schedule(self, load: WorkerLoad) -> None:
-        due = self._due.setdefault(load.group.key, [])
-        heapq.heappush(due, (load.health.due, load.instance.instance_id))
+    def _schedule_probe(self, load: WorkerLoad) -> None:
+        probe_times = self._probe_times.setdefault(load.group.key, [])
+        heapq.heappush(
+            probe_times, (load.health.quarantine_ends_at, load.instance.instance_id)
+        )
--- a/tests/components/routing/test_long_work.py
+++ b/tests/components/routing/test_long_work.py
@@ -1,4 +1,4 @@
-"""Test what long work and other entries' judgement do to the router's picture."""
+"""Test preferred slots, job slots and quarantine reports."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import pytest
 from returns.result import Failure, Success
 
-from mustardward.components.routing.allotment import allotted_slots
+from mustardward.components.routing.allotment import preferred_slots
 from mustardward.components.routing.long_work import JobSlotCounter
 from mustardward.components.routing.models import (
     InstanceQuarantined,
@@ -31,69 +31,69 @@
     )
 
 
-def test_every_slot_is_allotted_to_one_entry() -> None:
+def test_every_slot_is_preferred_by_one_entry() -> None:
     for number in range(40):
         worker = f"worker-{number}"
-        parts = [allotted_slots(worker, 8, name, NAMES) for name in NAMES]
+        parts = [preferred_slots(worker, 8, name, NAMES) for name in NAMES]
         assert sum(parts) == 8
         assert min(parts) >= 1
-    assert allotted_slots("worker-1", 8, "stranger", NAMES) == 0
+    assert preferred_slots("worker-1", 8, "stranger", NAMES) == 0
 
 
-def test_counts_leases_through_their_life_and_over_snapshots() -> None:
-    """Symptom: requests are refused as busy on workers that look free.
+def test_counts_job_slots_through_state_changes_and_snapshots() -> None:
+    """Guard against requests refused as busy by workers that look free.
 
-    Sequence: long work takes slots; another entry placed it.
-    Cause: counting only what this entry sent.
+    Jobs placed by other entries take slots too, so counting only what this entry sent
+    is not enough.
     """
     states = [WorkState()]
     changed: list[str] = []
-    count = JobSlotCounter(lambda: states[-1], changed.append)
-    count.start()
+    counter = JobSlotCounter(lambda: states[-1], changed.append)
+    counter.recount()
     body = LeaseJob("job", 0, "entry-1", "worker-1")
     accepted = RecordOutcome(0, build_record(body), body, Success(Acceptance((), 1)))
     states[0].jobs["job"] = job("running", "worker-1")
-    count.on_record(accepted)
-    assert (count.count("worker-1"), changed) == (1, ["worker-1"])
+    counter.on_record(accepted)
+    assert (counter.count("worker-1"), changed) == (1, ["worker-1"])
     states.append(WorkState(jobs={"job": job("running", "worker-2")}))
-    count.on_record(accepted)
-    assert (count.count("worker-1"), count.count("worker-2")) == (0, 1)
+    counter.on_record(accepted)
+    assert (counter.count("worker-1"), counter.count("worker-2")) == (0, 1)
     states[1].jobs["job"] = job("done", "worker-2")
-    count.on_record(accepted)
-    assert count.count("worker-2") == 0
+    counter.on_record(accepted)
+    assert counter.count("worker-2") == 0
 
 
-class ProposingLog(FakeFleetLog):
-    """Accept or refuse proposals."""
+class FakeProposalLog(FakeFleetLog):
+    """Accept proposals, or refuse them while unavailable."""
 
     def __init__(self) -> None:
         super().__init__()
         self.may_decide = True
-        self.is_out = False
+        self.is_unavailable = False
         self.proposed: list[Any] = []
 
     async def async_propose(self, body: Any, *, actor: str) -> Any:
-        if self.is_out:
+        if self.is_unavailable:
             return Failure(PlatformUnavailableError("out"))
         self.proposed.append(body)
         return Success(Acceptance((), 1))
 
 
 @pytest.mark.anyio
-async def test_quarantine_is_reported_once_the_log_is_back() -> None:
-    """Symptom: a wave takes more workers than the budget bears.
+async def test_quarantine_is_reported_once_the_log_is_available() -> None:
+    """Guard against a wave that exceeds its budget because of an unreported quarantine.
 
-    Sequence: a worker is put in quarantine while the log is out; nobody tells later.
-    Cause: a report that is dropped when its append fails.
+    A worker is quarantined while the log is unavailable, so the first append fails and
+    must be retried.
     """
-    log = ProposingLog()
+    log = FakeProposalLog()
     reporter = QuarantineReporter(
         log=log, data_centre="dc-1", actor="entry-1", find_power=lambda: None
     )
     reporter.on_quarantined(InstanceQuarantined("worker-1", "pool-1", 0.9, 0.0, 5.0))
-    log.is_out = True
+    log.is_unavailable = True
     await reporter.async_step()
-    log.is_out = False
+    log.is_unavailable = False
     await reporter.async_step()
     await reporter.async_step()
     assert len(log.proposed) == 1
--- a/tests/components/routing/test_router.py
+++ b/tests/components/routing/test_router.py
@@ -1,4 +1,4 @@
-"""Test how workers are chosen and judged."""
+"""Test how the router chooses workers and judges their health."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 from mustardward.components.entry.protocols import Choice
 from mustardward.components.routing.health import (
     Health,
+    apply_event,
+    is_conclusive,
     is_failure,
-    is_verdict,
-    move_standing,
 )
 from mustardward.components.routing.models import (
     InstanceQuarantined,
@@ -49,11 +49,11 @@
     build_state,
 )
 
-NONE: frozenset[str] = frozenset()
+NO_EXCLUSIONS: frozenset[str] = frozenset()
 
 
-class Bench:
-    """Hold a router with its fakes."""
+class RouterHarness:
+    """Provide a router with its fakes."""
 
     def __init__(
         self, state: FleetState, membership: FakeMembership | None = None
@@ -73,11 +73,11 @@
         self.log.listen(self.router.on_record)
 
     def choose(
-        self, facts: RequestFacts | None = None, exclude: frozenset[str] = NONE
+        self, facts: RequestFacts | None = None, exclude: frozenset[str] = NO_EXCLUSIONS
     ) -> Choice:
         return self.router.choose(facts or build_facts(), exclude).unwrap()
 
-    def refusal(self, exclude: frozenset[str] = NONE) -> str:
+    def refusal(self, exclude: frozenset[str] = NO_EXCLUSIONS) -> str:
         return self.router.choose(build_facts(), exclude).failure().code
 
     def run(self, request_id: str, broken: frozenset[str], status: int = 500) -> str:
@@ -92,163 +92,159 @@
     def run_many(self, label: str, count: int, broken: frozenset[str]) -> Counter[str]:
         return Counter(self.run(f"{label}-{n}", broken) for n in range(count))
 
-    def of_type(self, event_type: type) -> list[Any]:
+    def events_of_type(self, event_type: type) -> list[Any]:
         return [event for event in self.events if type(event) is event_type]
 
 
-def quarantine(bench: Bench, broken: frozenset[str]) -> None:
+def quarantine(harness: RouterHarness, broken: frozenset[str]) -> None:
     number = 0
-    while not bench.of_type(InstanceQuarantined):
-        bench.run(f"request-{number}", broken)
+    while not harness.events_of_type(InstanceQuarantined):
+        harness.run(f"request-{number}", broken)
         number += 1
         assert number < 2000
 
 
-def test_spreads_work_and_stops_at_the_slots() -> None:
-    bench = Bench(build_state(4, slots=2))
-    chosen = Counter(bench.choose().instance.instance_id for _ in range(8))
+def test_distributes_work_up_to_the_slots() -> None:
+    harness = RouterHarness(build_state(4, slots=2))
+    chosen = Counter(harness.choose().instance.instance_id for _ in range(8))
     assert set(chosen.values()) == {2}
-    assert bench.refusal() == "no-capacity"
+    assert harness.refusal() == "no-capacity"
 
 
-def test_excluded_and_barred_workers_get_nothing() -> None:
-    bench = Bench(build_state(3))
-    bench.membership.barred.add("dc-1-pool-1-0")
+def test_excluded_and_blocked_workers_get_no_work() -> None:
+    harness = RouterHarness(build_state(3))
+    harness.membership.barred.add("dc-1-pool-1-0")
     exclude = frozenset({"dc-1-pool-1-1"})
-    chosen = {bench.choose(exclude=exclude).instance.instance_id for _ in range(5)}
+    chosen = {harness.choose(exclude=exclude).instance.instance_id for _ in range(5)}
     assert chosen == {"dc-1-pool-1-2"}
 
 
-def test_past_deadline_starts_nothing() -> None:
-    bench = Bench(build_state(1))
-    late = build_facts(deadline=bench.timers.monotonic())
-    assert bench.router.choose(late, NONE).failure().status == 504
+def test_chooses_no_worker_past_the_deadline() -> None:
+    harness = RouterHarness(build_state(1))
+    expired = build_facts(deadline=harness.timers.monotonic())
+    assert harness.router.choose(expired, NO_EXCLUSIONS).failure().status == 504
 
 
-def test_claims_moves_and_absences_take_a_worker_out_and_back() -> None:
-    """Symptom: a draining worker gets new work, and its reboot cuts it off.
+def test_claims_moves_and_absences_make_a_worker_unusable() -> None:
+    """Guard against new work for a draining worker, which its reboot then cuts off.
 
-    Sequence: a claim (or move, or failure) is folded while requests go on.
-    Cause: choosing from a list that does not follow the log.
+    A claim, a move or an absence is folded while requests are routed, so the list of
+    available workers must follow the log.
     """
-    bench = Bench(build_state(1))
+    harness = RouterHarness(build_state(1))
     name = "dc-1-pool-1-0"
-    state = bench.log.state
+    state = harness.log.state
     state.claims[name] = Claim(name, "wave", "entry", 2, "claimed", 1)
-    bench.log.folded(TakeClaim("wave", name, "entry", 1))
-    assert bench.refusal() == "no-worker"
+    harness.log.folded(TakeClaim("wave", name, "entry", 1))
+    assert harness.refusal() == "no-worker"
     del state.claims[name]
-    bench.log.folded(ReleaseClaim(name, 2, "given-back", 1))
-    assert bench.choose().instance.instance_id == name
+    harness.log.folded(ReleaseClaim(name, 2, "given-back", 1))
+    assert harness.choose().instance.instance_id == name
     state.moves[name] = Move("move", name, "pool-1", "pool-2", 1)
-    bench.log.folded(RequestMove("move", name, "pool-2"))
-    assert bench.refusal() == "no-worker"
+    harness.log.folded(RequestMove("move", name, "pool-2"))
+    assert harness.refusal() == "no-worker"
     del state.moves[name]
     state.instances[name].pool = "pool-2"
-    bench.log.folded(TransferInstance("move"))
-    assert bench.refusal() == "no-worker"
-    moved = bench.choose(build_facts(pool="pool-2"))
+    harness.log.folded(TransferInstance("move"))
+    assert harness.refusal() == "no-worker"
+    moved = harness.choose(build_facts(pool="pool-2"))
     assert moved.instance.pool == "pool-2"
     state.absences[name] = Absence(name, "failed", "entry", 1)
     down = AbsenceChange(name, False, 1)
-    bench.log.folded(ReportAbsences("dc-1", (down,)))
-    assert not bench.router.slots("pool-2")
+    harness.log.folded(ReportAbsences("dc-1", (down,)))
+    assert not harness.router.slots("pool-2")
 
 
-def test_state_replaced_by_a_snapshot_keeps_in_flight_counts() -> None:
-    bench = Bench(build_state(1, slots=1))
-    choice = bench.choose()
-    bench.log.state = build_state(1, slots=1)
-    assert bench.refusal() == "no-capacity"
-    bench.router.finish(choice, build_facts(), build_attempt())
-    assert isinstance(bench.router.choose(build_facts(), NONE), Success)
+def test_in_flight_counts_survive_a_snapshot() -> None:
+    harness = RouterHarness(build_state(1, slots=1))
+    choice = harness.choose()
+    harness.log.state = build_state(1, slots=1)
+    assert harness.refusal() == "no-capacity"
+    harness.router.finish(choice, build_facts(), build_attempt())
+    assert isinstance(harness.router.choose(build_facts(), NO_EXCLUSIONS), Success)
 
 
-def test_busy_refusal_is_no_failure_and_steers_away() -> None:
-    bench = Bench(build_state(2))
-    choice = bench.choose()
+def test_busy_refusal_is_no_failure_but_lowers_preference() -> None:
+    harness = RouterHarness(build_state(2))
+    choice = harness.choose()
     busy = build_attempt(AttemptOutcome.REFUSED, cause="busy")
-    bench.router.finish(choice, build_facts(), busy)
-    others = {bench.choose().instance.instance_id for _ in range(4)}
+    harness.router.finish(choice, build_facts(), busy)
+    others = {harness.choose().instance.instance_id for _ in range(4)}
     assert choice.instance.instance_id not in others
-    assert len(bench.of_type(WorkerBusy)) == 1
-    assert not bench.of_type(InstanceQuarantined)
+    assert len(harness.events_of_type(WorkerBusy)) == 1
+    assert not harness.events_of_type(InstanceQuarantined)
 
 
-def test_lagging_usage_counts_and_fades() -> None:
-    bench = Bench(build_state(2))
-    bench.router.on_usage(WorkerUsage("dc-1-pool-1-0", 6, 6, 0.0))
-    chosen = Counter(bench.choose().instance.instance_id for _ in range(4))
+def test_usage_report_counts_as_load() -> None:
+    harness = RouterHarness(build_state(2))
+    harness.router.on_usage(WorkerUsage("dc-1-pool-1-0", 6, 6, 0.0))
+    chosen = Counter(harness.choose().instance.instance_id for _ in range(4))
     assert chosen == {"dc-1-pool-1-1": 4}
 
 
-def test_worker_that_fails_everything_fast_attracts_no_work() -> None:
-    """Symptom: most requests fail while most workers are idle.
+def test_worker_that_fails_immediately_attracts_no_work() -> None:
+    """Guard against a pool where most requests fail while most workers are idle.
 
-    Sequence: one worker fails everything at once, so it never has anything in flight
-    and always looks least loaded.
-    Cause: choosing by load alone.
+    A worker that fails every request immediately has nothing in flight, so it looks
+    least loaded if only load counts.
     """
-    bench = Bench(build_state(8))
+    harness = RouterHarness(build_state(8))
     broken = frozenset({"dc-1-pool-1-3"})
-    chosen = bench.run_many("request", 2000, broken)
+    chosen = harness.run_many("request", 2000, broken)
     assert chosen["dc-1-pool-1-3"] <= 12
-    assert len(bench.of_type(InstanceQuarantined)) == 1
+    assert len(harness.events_of_type(InstanceQuarantined)) == 1
 
 
-def test_quarantine_does_not_eat_the_pool() -> None:
-    """Symptom: no worker is left although each could still serve something.
+def test_quarantine_is_capped_for_each_pool() -> None:
+    """Guard against a pool without workers although each could still serve requests.
 
-    Sequence: half of the workers of a pool fail at once, for one common cause; each
-    is judged worse than its peers and taken out.
-    Cause: quarantine without a cap.
+    Half of the workers fail at once for a common cause, and each is judged worse than
+    its peers.
     """
-    bench = Bench(build_state(6))
+    harness = RouterHarness(build_state(6))
     broken = frozenset({f"dc-1-pool-1-{n}" for n in range(3)})
-    bench.run_many("request", 3000, broken)
-    assert len(bench.of_type(InstanceQuarantined)) == 2
-    assert bench.router.slots("pool-1") == 4 * 8
+    harness.run_many("request", 3000, broken)
+    assert len(harness.events_of_type(InstanceQuarantined)) == 2
+    assert harness.router.slots("pool-1") == 4 * 8
 
 
-def test_bad_requests_do_not_condemn_good_workers() -> None:
-    """Symptom: an organisation's faulty release takes a shared pool out.
+def test_bad_requests_quarantine_no_worker() -> None:
+    """Guard against a shared pool lost to the faulty release of one organisation.
 
-    Sequence: its requests fail on whichever worker runs them, and are tried again on
-    another one each time.
-    Cause: counting attempts in place of distinct requests.
+    Its requests fail on every worker and are retried on another one each time, so
+    attempts must not count instead of distinct requests.
     """
-    bench = Bench(build_state(6))
-    unlucky = "dc-1-pool-1-0"
-    others = frozenset(bench.log.state.instances) - {unlucky}
+    harness = RouterHarness(build_state(6))
+    tried_first = "dc-1-pool-1-0"
+    others = frozenset(harness.log.state.instances) - {tried_first}
     for number in range(100):
         bad = build_facts(f"bad-{number}", "large", deadline=2e6)
-        first = bench.choose(bad, others)
-        second = bench.choose(bad, frozenset({unlucky}))
+        first = harness.choose(bad, others)
+        second = harness.choose(bad, frozenset({tried_first}))
         for choice in (first, second):
-            bench.router.finish(choice, bad, build_attempt(status=500))
-        bench.timers.pause(3.0)
-    assert first.instance.instance_id == unlucky
-    assert not bench.of_type(InstanceQuarantined)
+            harness.router.finish(choice, bad, build_attempt(status=500))
+        harness.timers.pause(3.0)
+    assert first.instance.instance_id == tried_first
+    assert not harness.events_of_type(InstanceQuarantined)
 
 
-def test_abandoned_attempts_of_hurried_callers_condemn_nobody() -> None:
-    """Symptom: workers go into quarantine in an overload, which makes it worse.
+def test_attempts_abandoned_early_quarantine_no_worker() -> None:
+    """Guard against quarantines during an overload, which make it worse.
 
-    Sequence: requests leave the queue with little time left, and their callers give
-    up while healthy workers are at them.
-    Cause: blaming whoever had the request when time was up.
+    Requests leave the queue with little time left, and their callers give up while
+    healthy workers process them.
     """
-    bench = Bench(build_state(6))
-    bench.run_many("request", 100, NONE)
-    others = frozenset(bench.log.state.instances) - {"dc-1-pool-1-0"}
+    harness = RouterHarness(build_state(6))
+    harness.run_many("request", 100, NO_EXCLUSIONS)
+    others = frozenset(harness.log.state.instances) - {"dc-1-pool-1-0"}
     for number in range(50):
         facts = build_facts(f"hurried-{number}", deadline=2e6)
-        choice = bench.choose(facts, others)
-        gone = build_attempt(AttemptOutcome.UNKNOWN, cause="abandoned")
-        bench.timers.pause(3.0)
-        bench.router.finish(choice, facts, gone)
+        choice = harness.choose(facts, others)
+        abandoned = build_attempt(AttemptOutcome.UNKNOWN, cause="abandoned")
+        harness.timers.pause(3.0)
+        harness.router.finish(choice, facts, abandoned)
     assert choice.instance.instance_id == "dc-1-pool-1-0"
-    assert not bench.of_type(InstanceQuarantined)
+    assert not harness.events_of_type(InstanceQuarantined)
 
 
 @pytest.mark.parametrize(
@@ -262,126 +258,124 @@
         (200, "answer-not-whole", False, False),
     ],
 )
-def test_answers_are_judged_by_what_the_worker_did(
-    status: int, cause: str, verdict: bool, failure: bool
+def test_responses_are_classified_by_status_and_cause(
+    status: int, cause: str, conclusive: bool, failure: bool
 ) -> None:
     attempt = build_attempt(status=status, cause=cause)
-    assert is_verdict(attempt, 0.05) is verdict
+    assert is_conclusive(attempt, 0.05) is conclusive
     assert is_failure(attempt) is failure
 
 
-def test_own_shortage_is_no_evidence_against_a_worker() -> None:
-    """Symptom: a healthy worker is suspected of being down.
+def test_local_shortage_is_no_evidence_against_a_worker() -> None:
+    """Guard against a healthy worker that is suspected of being down.
 
-    Sequence: this entry has used up its connections to it, or the request's time.
-    Cause: taking every attempt that was not sent for a failed connection.
+    An attempt can also remain unsent because this entry has used up its connections to
+    the worker, or because the deadline has passed.
     """
-    bench = Bench(build_state(1))
+    harness = RouterHarness(build_state(1))
     for cause in ("connections-used-up", "deadline-exceeded"):
-        own = build_attempt(AttemptOutcome.NOT_SENT, cause=cause)
-        bench.router.finish(bench.choose(), build_facts(), own)
-    assert not bench.membership.reports
+        local = build_attempt(AttemptOutcome.NOT_SENT, cause=cause)
+        harness.router.finish(harness.choose(), build_facts(), local)
+    assert not harness.membership.reports
     failed = build_attempt(AttemptOutcome.NOT_SENT, cause="connect-failed")
-    bench.router.finish(bench.choose(), build_facts(), failed)
-    assert bench.membership.reports == [("dc-1-pool-1-0", False, "connect-failed")]
-    assert bench.refusal() == "no-capacity"
+    harness.router.finish(harness.choose(), build_facts(), failed)
+    assert harness.membership.reports == [("dc-1-pool-1-0", False, "connect-failed")]
+    assert harness.refusal() == "no-capacity"
 
 
-def test_worker_that_finishes_nothing_is_found() -> None:
-    """Symptom: a share of all requests ends at its deadline.
+def test_worker_that_finishes_nothing_is_quarantined() -> None:
+    """Guard against a share of requests that all run into their deadline.
 
-    Sequence: one worker starts everything and finishes nothing.
-    Cause: judging only by answers.
+    One worker accepts every request and finishes none, so there are no responses by
+    which to judge it.
     """
-    bench = Bench(build_state(6))
-    bench.run_many("request", 100, NONE)
+    harness = RouterHarness(build_state(6))
+    harness.run_many("request", 100, NO_EXCLUSIONS)
     for number in range(400):
-        facts = build_facts(f"stuck-{number}", deadline=bench.timers.monotonic() + 30)
-        choice = bench.choose(facts)
+        facts = build_facts(f"stuck-{number}", deadline=harness.timers.monotonic() + 30)
+        choice = harness.choose(facts)
         attempt = build_attempt()
         if choice.instance.instance_id == "dc-1-pool-1-2":
             attempt = Attempt("a", "w", AttemptOutcome.UNKNOWN, 2.0, 0, "abandoned")
-        bench.timers.pause(0.05)
-        bench.router.finish(choice, facts, attempt)
-    (event,) = bench.of_type(InstanceQuarantined)
+        harness.timers.pause(0.05)
+        harness.router.finish(choice, facts, attempt)
+    (event,) = harness.events_of_type(InstanceQuarantined)
     assert event.instance_id == "dc-1-pool-1-2"
 
 
-def test_probation_ends_a_quarantine_once_the_worker_answers() -> None:
-    bench = Bench(build_state(8))
+def test_successful_probation_ends_a_quarantine() -> None:
+    harness = RouterHarness(build_state(8))
     broken = frozenset({"dc-1-pool-1-3"})
-    quarantine(bench, broken)
-    bench.timers.pause(6.0)
-    assert bench.choose(build_facts("probe")).probation
-    bench.router.finish(
-        Choice(bench.log.state.instances["dc-1-pool-1-3"], "attempt", True),
+    quarantine(harness, broken)
+    harness.timers.pause(6.0)
+    assert harness.choose(build_facts("probe")).probation
+    harness.router.finish(
+        Choice(harness.log.state.instances["dc-1-pool-1-3"], "attempt", True),
         build_facts("probe"),
         build_attempt(),
     )
-    bench.run_many("later", 20, NONE)
-    assert bench.of_type(InstanceReleased)
-    assert bench.router.slots("pool-1") == 64
+    harness.run_many("later", 20, NO_EXCLUSIONS)
+    assert harness.events_of_type(InstanceReleased)
+    assert harness.router.slots("pool-1") == 64
 
 
-def test_failed_probe_doubles_the_term() -> None:
-    bench = Bench(build_state(8))
+def test_failed_probe_doubles_the_quarantine() -> None:
+    harness = RouterHarness(build_state(8))
     broken = frozenset({"dc-1-pool-1-3"})
-    quarantine(bench, broken)
-    bench.timers.pause(6.0)
-    probes = bench.run_many("again", 50, broken)
+    quarantine(harness, broken)
+    harness.timers.pause(6.0)
+    probes = harness.run_many("again", 50, broken)
     assert probes["dc-1-pool-1-3"] == 1
-    bench.timers.pause(6.0)
-    probes = bench.run_many("early", 50, broken)
+    harness.timers.pause(6.0)
+    probes = harness.run_many("early", 50, broken)
     assert probes["dc-1-pool-1-3"] == 0
-    bench.timers.pause(5.0)
-    probes = bench.run_many("due", 50, broken)
+    harness.timers.pause(5.0)
+    probes = harness.run_many("due", 50, broken)
     assert probes["dc-1-pool-1-3"] == 1
 
 
-def test_worker_that_fails_its_probes_does_not_hold_back_another() -> None:
-    """Symptom: a recovered worker stays in quarantine for ever.
+def test_failing_probes_do_not_block_other_workers() -> None:
+    """Guard against a recovered worker that stays in quarantine for ever.
 
-    Sequence: two workers are in quarantine; one keeps failing its probes, and its
-    overdue entry stays in front of the other's.
-    Cause: looking only at the front of the order of terms.
+    Of two quarantined workers, one keeps failing its probes. Its overdue entry must not
+    stay ahead of the other's in the schedule.
     """
-    bench = Bench(build_state(8))
+    harness = RouterHarness(build_state(8))
     broken = frozenset({"dc-1-pool-1-3", "dc-1-pool-1-5"})
-    bench.run_many("request", 3000, broken)
-    assert bench.router.slots("pool-1") == 48
-    bench.timers.pause(30.0)
-    bench.run_many("later", 400, frozenset({"dc-1-pool-1-3"}))
-    released = [event.instance_id for event in bench.of_type(InstanceReleased)]
+    harness.run_many("request", 3000, broken)
+    assert harness.router.slots("pool-1") == 48
+    harness.timers.pause(30.0)
+    harness.run_many("later", 400, frozenset({"dc-1-pool-1-3"}))
+    released = [event.instance_id for event in harness.events_of_type(InstanceReleased)]
     assert released == ["dc-1-pool-1-5"]
 
 
-def test_old_terms_of_quarantine_are_forgotten() -> None:
+def test_old_quarantines_do_not_lengthen_new_ones() -> None:
     health = Health()
-    terms = []
+    durations = []
     for now in (0.0, 100.0, 2000.0):
-        move_standing(health, "judged_outlier", now)
-        terms.append(health.due - now)
-        move_standing(health, "seen_up", health.due)
-    assert terms == [5.0, 10.0, 5.0]
+        apply_event(health, "judged_outlier", now)
+        durations.append(health.quarantine_ends_at - now)
+        apply_event(health, "seen_up", health.quarantine_ends_at)
+    assert durations == [5.0, 10.0, 5.0]
 
 
-def test_folded_quarantine_of_another_entry_is_followed() -> None:
-    bench = Bench(build_state(3))
+def test_quarantine_by_another_entry_is_applied() -> None:
+    harness = RouterHarness(build_state(3))
     name = "dc-1-pool-1-0"
-    bench.log.state.absences[name] = Absence(name, "quarantined", "entry-2", 1)
+    harness.log.state.absences[name] = Absence(name, "quarantined", "entry-2", 1)
     change = AbsenceChange(name, False, 1, "quarantined")
-    bench.log.folded(ReportAbsences("dc-1", (change,)))
-    assert bench.router.slots("pool-1") == 16
-    del bench.log.state.absences[name]
-    bench.log.folded(ReportAbsences("dc-1", (AbsenceChange(name, True, 2),)))
-    assert bench.router.slots("pool-1") == 24
+    harness.log.folded(ReportAbsences("dc-1", (change,)))
+    assert harness.router.slots("pool-1") == 16
+    del harness.log.state.absences[name]
+    harness.log.folded(ReportAbsences("dc-1", (AbsenceChange(name, True, 2),)))
+    assert harness.router.slots("pool-1") == 24
 
 
-def test_other_data_centre_is_used_once_and_only_with_room() -> None:
-    """Symptom: requests go round between full data centres until their deadlines.
+def test_requests_are_forwarded_once_and_only_to_capacity() -> None:
+    """Guard against requests that circulate between full data centres.
 
-    Sequence: all data centres are full; each forwards to the next one.
-    Cause: forwarding what was forwarded, and forwarding to where there is no room.
+    All data centres are full and each would forward to the next one until the deadline.
     """
     state = build_state(1)
     add_workers(state, 1, "pool-1", "dc-2")
@@ -390,12 +384,12 @@
         build_member("entry-2", "dc-2", in_flight=3),
         build_member("entry-3", "dc-2", in_flight=9),
     )
-    bench = Bench(state, FakeMembership(members))
-    remote = bench.router.choose_remote(build_facts())
+    harness = RouterHarness(state, FakeMembership(members))
+    remote = harness.router.choose_remote(build_facts())
     assert remote is not None
     assert remote.member.name == "entry-2"
-    assert bench.router.choose_remote(build_facts(hops=1)) is None
-    soon = build_facts(deadline=bench.timers.monotonic() + 0.01)
-    assert bench.router.choose_remote(soon) is None
+    assert harness.router.choose_remote(build_facts(hops=1)) is None
+    near_deadline = build_facts(deadline=harness.timers.monotonic() + 0.01)
+    assert harness.router.choose_remote(near_deadline) is None
     state.silent.add("dc-2")
-    assert bench.router.choose_remote(build_facts()) is None
+    assert harness.router.choose_remote(build_facts()) is None
