--- a/bench/capacity/measures.py
+++ b/bench/capacity/measures.py
@@ -14,7 +14,7 @@
 from mustardward.components.entry.models import Ran, RequestFacts, RequestFinished
 from mustardward.components.explain.models import DecisionMade
 from mustardward.components.explain.store import StoryStore
-from mustardward.components.limits.gate import PoolAdmission
+from mustardward.components.limits.admission import PoolAdmission
 from mustardward.components.limits.latency import LatencyEstimate
 from mustardward.components.limits.models import PoolCapacity, Ticket
 from mustardward.components.maintenance.selection import SelectionFacts, select_claims
--- a/bench/policy_entries.py
+++ b/bench/policy_entries.py
@@ -26,11 +26,11 @@
     RequestFinished,
 )
 from mustardward.components.entry.protocols import Choice
+from mustardward.components.limits.admission import PoolAdmission
 from mustardward.components.limits.capacity import CapacityView
-from mustardward.components.limits.gate import PoolAdmission
 from mustardward.components.limits.latency import LatencyEstimates
 from mustardward.components.limits.models import Ticket, TicketState
-from mustardward.components.limits.spread import RetryAfterPacer
+from mustardward.components.limits.retry_pacing import RetryAfterPacer
 from mustardward.components.retries.services import RetryPolicyService
 from mustardward.components.routing.models import (
     InstanceQuarantined,
--- a/mustardward/components/limits/gate.py
+++ b/mustardward/components/limits/admission.py
@@ -19,7 +19,7 @@
 )
 from .fairness import OrganisationQueue
 from .models import AdmissionStats, PoolCapacity, RefusalCause, Ticket, TicketState
-from .places import PermitLimits
+from .permits import PermitLimits
 from .selection import RequestSelector
 from .shares import OrganisationTable
 from .waiting import WaitTracker
--- a/mustardward/components/limits/services.py
+++ b/mustardward/components/limits/services.py
@@ -12,8 +12,8 @@
 from ...helpers.timer import TimerService
 from ..entry.models import Ran, RequestFacts, RequestRefusal
 from ..entry.protocols import Permit
+from .admission import PoolAdmission
 from .capacity import CapacityView
-from .gate import PoolAdmission
 from .latency import LatencyEstimates
 from .models import (
     AdmissionStats,
@@ -22,7 +22,7 @@
     Ticket,
     TicketState,
 )
-from .spread import RetryAfterPacer
+from .retry_pacing import RetryAfterPacer
 
 _LOGGER = get_logger(__name__)
 
--- a/mustardward/components/routing/choice.py
+++ b/mustardward/components/routing/choice.py
@@ -8,7 +8,7 @@
 from .const import CANDIDATES, RANDOM_PROBES, SCAN_PROBES
 from .health import penalty
 from .index import WorkerLoad
-from .picklist import RandomAccessSet
+from .random_access_set import RandomAccessSet
 
 
 def estimate_external_in_flight(load: WorkerLoad, now: float) -> float:
--- a/mustardward/components/routing/index.py
+++ b/mustardward/components/routing/index.py
@@ -13,7 +13,7 @@
 from ...state.models.pools import Instance
 from .const import LATENCY_SMOOTHING, QUARANTINE_CAUSE
 from .health import TRUSTED, Health
-from .picklist import RandomAccessSet
+from .random_access_set import RandomAccessSet
 
 GroupKey = tuple[str, str]
 ComputePreferredSlots = Callable[[Instance, int], int]
--- a/mustardward/components/routing/services.py
+++ b/mustardward/components/routing/services.py
@@ -19,7 +19,6 @@
 from ..entry.models import Attempt, AttemptOutcome, Ran, RequestFacts, RequestRefusal
 from ..entry.protocols import Choice
 from ..membership.protocols import Membership
-from .allotment import preferred_slots
 from .changes import InstanceChangeTracker
 from .choice import choose_worker, estimate_external_in_flight
 from .const import (
@@ -36,8 +35,9 @@
 from .health import is_unreachable
 from .index import FleetIndex, WorkerGroup, WorkerLoad
 from .models import RemoteChoice, WorkerBusy
+from .preferred_slots import preferred_slots
+from .quarantine import QuarantineTracker
 from .remote import choose_remote
-from .standing import QuarantineTracker
 
 _LOGGER = get_logger(__name__)
 
--- a/mustardward/components/routing/setup.py
+++ b/mustardward/components/routing/setup.py
@@ -5,7 +5,7 @@
 from ...core import Core, Unload
 from ..keys import FLEET_LOG, MEMBERSHIP, POWER_SERVICE, ROUTER, WORK_LOG
 from .const import REPORT_INTERVAL_SECONDS
-from .long_work import JobSlotCounter
+from .job_slots import JobSlotCounter
 from .models import InstanceQuarantined, InstanceReleased
 from .reporter import QuarantineReporter
 from .services import RouterService
--- a/tests/components/limits/test_gate.py
+++ b/tests/components/limits/test_admission.py
@@ -4,7 +4,7 @@
 
 from collections import Counter
 
-from mustardward.components.limits.gate import PoolAdmission
+from mustardward.components.limits.admission import PoolAdmission
 from mustardward.components.limits.latency import LatencyEstimates
 from mustardward.components.limits.models import (
     PoolCapacity,
--- a/tests/components/limits/test_limiter.py
+++ b/tests/components/limits/test_limiter.py
@@ -13,8 +13,8 @@
 from mustardward.components.limits.adaptive import AdaptiveLimit
 from mustardward.components.limits.capacity import CapacityView
 from mustardward.components.limits.models import SlotReclaimRequested
+from mustardward.components.limits.retry_pacing import RetryAfterPacer
 from mustardward.components.limits.services import LimiterService
-from mustardward.components.limits.spread import RetryAfterPacer
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.state.models.templates import (
     Organisation,
--- a/tests/components/routing/test_long_work.py
+++ b/tests/components/routing/test_job_slots.py
@@ -7,12 +7,12 @@
 import pytest
 from returns.result import Failure, Success
 
-from mustardward.components.routing.allotment import preferred_slots
-from mustardward.components.routing.long_work import JobSlotCounter
+from mustardward.components.routing.job_slots import JobSlotCounter
 from mustardward.components.routing.models import (
     InstanceQuarantined,
     InstanceReleased,
 )
+from mustardward.components.routing.preferred_slots import preferred_slots
 from mustardward.components.routing.reporter import QuarantineReporter
 from mustardward.exceptions import PlatformUnavailableError
 from mustardward.state.fold import Acceptance, RecordOutcome
