--- a/mustardward/components/routing/health.py
+++ b/mustardward/components/routing/health.py
@@ -58,7 +58,7 @@
 
     A refusal is not: the worker reported correctly that it can't take the request. An
     abandoned attempt only is if the worker had it for long, because a caller with
-    little time left abandons any worker, and an overload would condemn all of them.
+    little time left abandons any worker, and an overload would quarantine all of them.
     """
     if attempt.outcome is AttemptOutcome.ANSWERED:
         return is_failure(attempt) or not attempt.cause
