--- a/mustardward/components/routing/choice.py
+++ b/mustardward/components/routing/choice.py
@@ -31,12 +31,8 @@
     slots_in_use = (
         load.in_flight + load.job_slots + estimate_external_in_flight(load, now)
     )
-    utilisation = slots_in_use / max(1, load.slots)
-    return (
-        utilisation
-        if now >= load.penalised_until
-        else utilisation + penalty(load.health, now)
-    )
+    usage = slots_in_use / max(1, load.slots)
+    return usage if now >= load.penalised_until else usage + penalty(load.health, now)
 
 
 def choose_worker(
--- a/mustardward/components/routing/remote.py
+++ b/mustardward/components/routing/remote.py
@@ -31,7 +31,7 @@
         member
         for other in index.data_centres(facts.pool)
         if other != data_centre and other not in index.state.silent
-        for member in _members_with_room(facts.pool, other, index, membership)
+        for member in _members_with_capacity(facts.pool, other, index, membership)
         if member.name not in exclude
     ]
     if not candidates:
@@ -41,7 +41,7 @@
     return min(sampled, key=lambda member: member.in_flight)
 
 
-def _members_with_room(
+def _members_with_capacity(
     pool: str, data_centre: str, index: FleetIndex, membership: Membership
 ) -> tuple[Member, ...]:
     group = index.group(data_centre, pool)
