--- a/mustardward/components/limits/const.py
+++ b/mustardward/components/limits/const.py
@@ -63,6 +63,7 @@
 
 DEMAND_RISE_SECONDS: Final = 2.0
 """Time constant of rising demand."""
+
 DEMAND_FALL_SECONDS: Final = 10.0
 """Time constant of falling demand."""
 
