--- a/bench/turns.py
+++ b/bench/turns.py
@@ -20,8 +20,8 @@
 from mustardward.components.ledger.ledger import LedgerJob
 from mustardward.components.ledger.models import JobRecord
 from mustardward.components.scheduling.commands import Start
+from mustardward.components.scheduling.job_order import ORDERS
 from mustardward.components.scheduling.models import QueuePolicy
-from mustardward.components.scheduling.order import ORDERS
 from mustardward.components.scheduling.scheduler import Scheduler
 from mustardward.platform.models import Room, SubmittedStep, WorkerEntry
 from mustardward.platform.workers import EndedTask, HoldAnswer, TaskName
@@ -202,12 +202,12 @@
     @property
     def going(self) -> bool:
         """Return whether something is left to be done."""
-        return bool(self._waiting or self._ends or self._scheduler.board.jobs)
+        return bool(self._waiting or self._ends or self._scheduler.state.jobs)
 
     def grow(self, now: float) -> None:
         """Let the pool's second part be known, and come."""
         kind = self._kind
-        coming = self._scheduler.board.coming
+        coming = self._scheduler.state.incoming_cpu
         if self._grown:
             return
         if now >= kind.late_pool_at:
@@ -223,7 +223,7 @@
         while self._waiting and self._waiting[-1].at <= now:
             drawn = self._waiting.pop()
             self._scheduler.add_job(drawn.job, now, now)
-            self._scheduler.note_stored([drawn.job.record.id])
+            self._scheduler.mark_stored([drawn.job.record.id])
 
     def end(self, now: float) -> None:
         """List the runs that ended."""
@@ -231,7 +231,7 @@
             _, run, worker, name = heapq.heappop(self._ends)
             self._numbers[worker] += 1
             ended = EndedTask(self._numbers[worker], name, run, "done", "")
-            state = self._scheduler.board.workers[worker]
+            state = self._scheduler.state.workers[worker]
             self._scheduler.reports.ended(state, ended, now)
 
     def plan(self, now: float) -> None:
@@ -256,8 +256,8 @@
     room = Room(cpu=kind.worker_cores * 1000, mem_mb=100_000)
     for number in range(first, first + count):
         name = f"w{number}"
-        scheduler.see_worker(name, WorkerEntry(POOL, "a:1", capacity=room), now)
-        scheduler.hold_worker(name, HoldAnswer(0, [], []), now, now)
+        scheduler.update_worker(name, WorkerEntry(POOL, "a:1", capacity=room), now)
+        scheduler.apply_worker_report(name, HoldAnswer(0, [], []), now, now)
 
 
 if __name__ == "__main__":
--- a/mustardward/components/fleet/cordons.py
+++ b/mustardward/components/fleet/cordons.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Iterable
 
-from ..scheduling.incarnations import is_other
+from ..scheduling.incarnations import is_other_incarnation
 from ..scheduling.worker_state import WorkerState
 from .models import MoveOrder, WaveRun
 
@@ -34,4 +34,6 @@
 def is_cordoned(worker: WorkerState, cordoned: CordonedWorkers) -> bool:
     """Return whether a worker is cordoned; a later incarnation of its id is not."""
     started_at_ms = cordoned.get(worker.id)
-    return started_at_ms is not None and not is_other(worker.born, started_at_ms)
+    return started_at_ms is not None and not is_other_incarnation(
+        worker.born, started_at_ms
+    )
--- a/mustardward/components/fleet/services.py
+++ b/mustardward/components/fleet/services.py
@@ -20,7 +20,7 @@
 from ..ledger.ledger import Ledger, encode
 from ..ledger.models import WaveRecord
 from ..scheduling.demand import measure
-from ..scheduling.incarnations import is_other
+from ..scheduling.incarnations import is_other_incarnation
 from ..scheduling.losses import LossCause
 from ..scheduling.scheduler import Scheduler
 from ..scheduling.worker_state import WorkerState
@@ -109,10 +109,10 @@
         now = self.timers.monotonic()
         blocked = self._blocked_machines()
         view = self._view()
-        self.scheduler.board.unusable = view.unusable
+        self.scheduler.state.unusable_workers = view.unusable
         held = self.wave_planner.held_machines() | blocked
         for move in self.pool_planner.decide(
-            view, measure(self.scheduler.board, now), held, now
+            view, measure(self.scheduler.state, now), held, now
         ):
             self.tasks.start_soon(self._async_move, move)
         view = replace(
@@ -128,8 +128,8 @@
         # Cordons the workers before the orders are sent: a task placed on one of them
         # meanwhile would be interrupted.
         self._update_cordons()
-        self.scheduler.board.coming = self._incoming_cpu()
-        self.scheduler.set_due(
+        self.scheduler.state.incoming_cpu = self._incoming_cpu()
+        self.scheduler.set_maintenance_due(
             {self._worker_of(machine) for machine in view.maintenance_due}
         )
         for number in self.wave_reporter.report(view, now):
@@ -183,7 +183,7 @@
                 _LOGGER.info(
                     "unlisted_worker_lost", worker=worker_id, cause=cause.value
                 )
-                self.dispatcher.lose_worker(worker_id, cause)
+                self.dispatcher.remove_worker(worker_id, cause)
         alive = {name for name, session in sessions.items() if not session.gone}
         self._worker_hosts.update(self._instances, alive)
 
@@ -217,10 +217,12 @@
         """Remove the worker that an order was decided for, but no later incarnation."""
         if not order.worker_id:
             return
-        worker = self.scheduler.board.workers.get(order.worker_id)
-        if worker is not None and is_other(worker.born, order.started_at_ms):
+        worker = self.scheduler.state.workers.get(order.worker_id)
+        if worker is not None and is_other_incarnation(
+            worker.born, order.started_at_ms
+        ):
             return
-        self.dispatcher.lose_worker(order.worker_id, LossCause.ORDERED)
+        self.dispatcher.remove_worker(order.worker_id, LossCause.ORDERED)
 
     def _worker_of(self, machine: str) -> str:
         instance = self._instances.get(machine)
@@ -237,14 +239,14 @@
 
     def _find_unusable(self, standby: frozenset[str]) -> frozenset[str]:
         """Return the workers that have been unable to take tasks for a while."""
-        board = self.scheduler.board
+        state = self.scheduler.state
         instances = (
             instance
             for instance in self._instances.values()
             if instance.state == INSTANCE_UP and instance.pool not in standby
         )
         now = self.timers.monotonic()
-        return self._unusable.update(instances, board.workers, board.taken_over_at, now)
+        return self._unusable.update(instances, state.workers, state.taken_over_at, now)
 
     def _update_cordons(self) -> None:
         """Cordon exactly the workers that are about to be moved or maintained."""
@@ -252,7 +254,7 @@
         cordoned = find_cordoned(
             self.wave_planner.runs.values(), self.pool_planner.orders.values()
         )
-        for worker in self.scheduler.board.workers.values():
+        for worker in self.scheduler.state.workers.values():
             should_cordon = is_cordoned(worker, cordoned)
             if worker.leaving != should_cordon:
                 self.scheduler.set_leaving(worker.id, should_cordon, now)
@@ -272,7 +274,7 @@
     def _view(self) -> FleetView:
         loads = {
             worker.id: _load_of(worker)
-            for worker in self.scheduler.board.workers.values()
+            for worker in self.scheduler.state.workers.values()
             if worker.confirmed and not worker.stale
         }
         standby = frozenset(self.configuration.standby_pools())
@@ -288,7 +290,7 @@
             unusable=self._find_unusable(standby),
             maintenance_due=frozenset(self.wave_planner.maintenance_due()),
             capacities={
-                w.id: w.capacity for w in self.scheduler.board.workers.values()
+                w.id: w.capacity for w in self.scheduler.state.workers.values()
             },
         )
 
--- a/mustardward/components/fleet/unusable.py
+++ b/mustardward/components/fleet/unusable.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from ...platform.models import Instance
-from ..scheduling.placement import can_serve
+from ..scheduling.placement import is_operational
 from ..scheduling.worker_state import WorkerState
 from .const import (
     FIRST_CONTACT_SECONDS,
@@ -46,7 +46,7 @@
             have been up since then.
         """
         names = {instance.id or instance.machine for instance in instances}
-        serving = {name for name in names if _can_serve(workers.get(name))}
+        serving = {name for name in names if _is_operational(workers.get(name))}
         self._seen_serving = (self._seen_serving & names) | serving
         first = now if self._updated else taken_over_at
         self._updated = True
@@ -76,10 +76,10 @@
             # Both are certain: the worker reports that it drains, or its entry has been
             # missing for long enough.
             return True
-        if worker.stale and worker.heard_at:
-            since = min(since, worker.heard_at)
+        if worker.stale and worker.reported_at:
+            since = min(since, worker.reported_at)
         return now - since > UNRESPONSIVE_SECONDS
 
 
-def _can_serve(worker: WorkerState | None) -> bool:
-    return worker is not None and can_serve(worker)
+def _is_operational(worker: WorkerState | None) -> bool:
+    return worker is not None and is_operational(worker)
--- a/mustardward/components/ownership/owner.py
+++ b/mustardward/components/ownership/owner.py
@@ -140,7 +140,7 @@
             )
             self.dispatcher = dispatcher
             directory = WorkerDirectory(
-                self._see_worker, self._miss_worker, self.scheduler.bar_worker
+                self._see_worker, self._miss_worker, self.scheduler.mark_worker_absent
             )
             follower = TopicFollower(
                 parts.store,
@@ -157,14 +157,14 @@
             tasks.start_soon(self._storing.async_run, dispatcher.sessions)
             tasks.start_soon(self._async_plan)
             orders = dispatcher.orders
-            lines = self.scheduler.reports.lines
+            lines = self.scheduler.reports.run_logger
             load = OwnerLoad(parts.node, orders.lanes, orders.window, lines)
             tasks.start_soon(self._async_watch, directory, load)
             if parts.fleet is not None:
                 self._start_fleet(parts.fleet, dispatcher, tasks)
             takeover = Takeover(
                 self._epoch,
-                self.scheduler.board,
+                self.scheduler.state,
                 dispatcher,
                 parts.timers,
                 self._wake_up,
@@ -178,8 +178,8 @@
 
     async def async_release(self) -> None:
         """Give the shard up, so that another entry claims it at once."""
-        board = self.scheduler.board
-        settled = self._parts.timers.monotonic() >= board.held_until
+        state = self.scheduler.state
+        settled = self._parts.timers.monotonic() >= state.takeover_hold_until
         await self._renewals.async_release(settled)
         self.depose()
 
@@ -227,8 +227,8 @@
         parts = self._parts
         now = parts.timers.monotonic()
         wall = parts.timers.wall()
-        board = self.scheduler.board
-        hold(board, self._before, now)
+        state = self.scheduler.state
+        hold(state, self._before, now)
         for job in sorted(
             parts.ledger.jobs.values(), key=lambda job: job.record.accepted_at
         ):
@@ -237,10 +237,10 @@
         parts.ledger.on_job = self._add_job
         parts.ledger.on_cancel = lambda job: self._cancel_job(job.record.id)
         parts.ledger.on_told = lambda job: self._end_told(job.record.id)
-        parts.ahead.owner_knows = self.scheduler.has_ended
+        parts.ahead.owner_knows = self.scheduler.is_job_done
         parts.configuration.on_change = self._configured
         _LOGGER.info(
-            "owner_started", node=parts.node, epoch=self._epoch, jobs=len(board.jobs)
+            "owner_started", node=parts.node, epoch=self._epoch, jobs=len(state.jobs)
         )
 
     def _unsubscribe(self) -> None:
@@ -261,7 +261,7 @@
         self.kick()
 
     def _end_told(self, job_id: str) -> None:
-        self.scheduler.end_told(job_id)
+        self.scheduler.end_reported_job(job_id)
         self.kick()
 
     def _configured(self) -> None:
@@ -270,11 +270,11 @@
 
     def _see_worker(self, worker_id: str, entry: WorkerEntry) -> None:
         if self.dispatcher is not None:
-            self.dispatcher.see_worker(worker_id, entry)
+            self.dispatcher.update_worker(worker_id, entry)
             self._wake.set()
 
     def _miss_worker(self, worker_id: str) -> None:
-        self.scheduler.miss_worker(worker_id, self._parts.timers.monotonic())
+        self.scheduler.mark_worker_missing(worker_id, self._parts.timers.monotonic())
 
     async def _async_plan(self) -> None:
         timers = self._parts.timers
@@ -290,7 +290,7 @@
                     self.dispatcher.orders.start_room(),
                 )
                 self.dispatcher.orders.execute(commands)
-                if self.scheduler.board.dirty:
+                if self.scheduler.state.dirty:
                     self._storing.kick()
             spent = timers.monotonic() - began
             await timers.async_sleep(_PLANNING.pause(spent))
@@ -315,8 +315,8 @@
             load.look(now)
             if now - told_at > TELL_SECONDS:
                 told_at = now
-                log_loads(self.scheduler.board, now)
-                self.scheduler.waits.tell(now)
+                log_loads(self.scheduler.state, now)
+                self.scheduler.wait_logger.log_due(now)
                 load.tell(now)
             if now - swept_at > SWEEP_SECONDS:
                 swept_at = now
@@ -331,7 +331,7 @@
         for worker_id, entry in directory.entries.items():
             session = self.dispatcher.sessions.get(worker_id)
             if session is None or session.gone:
-                self.dispatcher.see_worker(worker_id, entry)
+                self.dispatcher.update_worker(worker_id, entry)
 
     async def _async_call_append(
         self, records: list[Record], producer: Producer
--- /dev/null
+++ b/mustardward/components/scheduling/candidates.py
@@ -0,0 +1,182 @@
+"""Hold the workers that one plan may still give tasks to."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from collections.abc import Set
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from ...platform.models import Room
+from .isolation import SecondsToEmpty, choose_workers_to_empty
+from .models import StepRun, Task
+from .placement import (
+    RemainingSeconds,
+    count_fitting,
+    long_running_tasks_to_fit,
+    room_after_short_tasks,
+    seconds_to_room,
+)
+from .worker_state import WorkerState
+
+ZoneSet = frozenset[str] | None
+
+
+class Reservation(NamedTuple):
+    """Hold a worker that a plan gives to nobody else, and the step it is kept for."""
+
+    worker: WorkerState
+    step: StepRun
+
+
+@dataclass(slots=True, eq=False)
+class Candidates:
+    """Hold a pool's workers in one plan, and the rooms that were found too large.
+
+    :param isolation_workers: the workers where suspected tasks run.
+    :param by_zone: the workers of each data centre.
+    :param reservations: the workers that were taken out, and for whom.
+    """
+
+    workers: list[WorkerState]
+    isolation_workers: Set[str] = frozenset()
+    by_zone: dict[str, list[WorkerState]] = field(default_factory=dict)
+    reservations: list[Reservation] = field(default_factory=list)
+    _workers_in: dict[ZoneSet, list[WorkerState]] = field(default_factory=dict)
+    _full_rooms: dict[ZoneSet, list[Room]] = field(
+        default_factory=lambda: defaultdict(list)
+    )
+    _oversized_rooms: list[Room] = field(default_factory=list)
+    _oversized_steps: list[StepRun] = field(default_factory=list)
+    _has_emptying_worker: bool = False
+    _by_size: dict[Room, list[WorkerState]] = field(default_factory=dict)
+    _reserved_rooms: list[tuple[WorkerState, Room]] = field(default_factory=list)
+
+    def __post_init__(self) -> None:
+        """Part the workers by data centre."""
+        self._group_by_zone()
+
+    def _group_by_zone(self) -> None:
+        by_zone: dict[str, list[WorkerState]] = defaultdict(list)
+        for worker in self.workers:
+            by_zone[worker.zone].append(worker)
+        self.by_zone = dict(by_zone)
+        self._workers_in = {None: self.workers}
+
+    def in_zones(self, where: ZoneSet) -> list[WorkerState]:
+        """Return the workers of some data centres, or of all."""
+        found = self._workers_in.get(where)
+        if found is None:
+            zones = sorted(where or ())
+            found = [w for zone in zones for w in self.by_zone.get(zone, ())]
+            self._workers_in[where] = found
+        return found
+
+    def is_oversized(self, step: StepRun) -> bool:
+        """Return whether a step needs as much as what no worker of the pool has."""
+        return _covers(self._oversized_rooms, step.room)
+
+    def find_oversized_step(self, step: StepRun) -> StepRun | None:
+        """Return the step whose tasks showed that a step fits nowhere, if any."""
+        for other in self._oversized_steps:
+            if _covers([other.room], step.room):
+                return other
+        return None
+
+    def may_fit(self, step: StepRun) -> bool:
+        """Return whether its own data centres may have room for a step."""
+        return not _covers(self._full_rooms[step.job.stored_zones], step.room)
+
+    def record_full(self, step: StepRun, everywhere: bool) -> None:
+        """Take in that a step's tasks have no room where they may start."""
+        self._full_rooms[step.job.stored_zones].append(step.room)
+        if everywhere:
+            self._oversized_rooms.append(step.room)
+            self._oversized_steps.append(step)
+
+    def reserve_for_long_running(
+        self, step: StepRun, remaining: RemainingSeconds
+    ) -> None:
+        """Keep a worker for a lasting step that waits, if it can run there in time.
+
+        Steps share a worker as long as all that they need has room there.
+
+        :param remaining: how long a task is expected to run on.
+        """
+        for number, (worker, room) in enumerate(self._reserved_rooms):
+            count = long_running_tasks_to_fit(worker, step)
+            if 0 < count <= count_fitting(room, step.room):
+                self._reserved_rooms[number] = (
+                    worker,
+                    _subtract(room, step.room, count),
+                )
+                return
+        taken = {item.worker.id for item in self.reservations}
+        for worker in self._rank_by_free_time(step.room, remaining):
+            count = long_running_tasks_to_fit(worker, step)
+            if worker.id not in taken and count:
+                room = _subtract(room_after_short_tasks(worker), step.room, count)
+                self._reserved_rooms.append((worker, room))
+                self.exclude([worker], step)
+                return
+
+    def _rank_by_free_time(
+        self, size: Room, remaining: RemainingSeconds
+    ) -> list[WorkerState]:
+        """Return who will have room for a task, the soonest and emptiest first.
+
+        Ranked once a plan for each size, since many steps may wait.
+        """
+        found = self._by_size.get(size)
+        if found is None:
+            able = [
+                w
+                for w in self.workers
+                if count_fitting(room_after_short_tasks(w), size)
+            ]
+            seconds = {w.id: seconds_to_room(w, size, remaining) for w in able}
+            found = sorted(able, key=lambda w: (seconds[w.id], -w.free_cpu))
+            self._by_size[size] = found
+        return found
+
+    def reserve_emptying_worker(
+        self,
+        step: StepRun,
+        suspects: list[Task],
+        free: list[WorkerState],
+        seconds: SecondsToEmpty,
+    ) -> None:
+        """Keep one worker that becomes empty by itself, whoever waits for it."""
+        if self._has_emptying_worker:
+            return
+        reservations = choose_workers_to_empty(
+            self.workers, free, step, suspects, seconds
+        )
+        self._has_emptying_worker = bool(reservations)
+        self.exclude(reservations, step)
+
+    def exclude(self, taken: list[WorkerState], step: StepRun) -> None:
+        """Give workers to no other step in this plan."""
+        remaining = [worker for worker in self.workers if worker not in taken]
+        if len(remaining) < len(self.workers):
+            self.reservations.extend(
+                Reservation(w, step) for w in taken if w in self.workers
+            )
+            self.workers = remaining
+            self._group_by_zone()
+
+
+def _subtract(room: Room, size: Room, count: int) -> Room:
+    """Return what some tasks of a size leave of a room."""
+    return Room(
+        room.cpu - count * size.cpu,
+        room.mem_mb - count * size.mem_mb,
+        room.gpu - count * size.gpu,
+    )
+
+
+def _covers(too_large: list[Room], room: Room) -> bool:
+    return any(
+        seen.cpu <= room.cpu and seen.mem_mb <= room.mem_mb and seen.gpu <= room.gpu
+        for seen in too_large
+    )
--- a/mustardward/components/scheduling/losses.py
+++ b/mustardward/components/scheduling/losses.py
@@ -13,7 +13,7 @@
 
 _LOGGER = get_logger(__name__)
 
-MOST_IN_LINE: Final = 32
+MAX_RUNS_PER_LINE: Final = 32
 """Runs that one line names."""
 
 
@@ -29,14 +29,14 @@
     REPLACED = "replaced"
     """Another incarnation answers at its address."""
 
-    REBORN = "reborn"
+    RESTARTED = "reborn"
     """It started again under its id."""
 
-    LEASES_OVER = "leases-over"
+    LEASES_EXPIRED = "leases-over"
     """It is silent, and all its leases have run out; it may be alive."""
 
 
-def tell_lost(worker: WorkerState, cause: LossCause, now: float) -> None:
+def log_worker_lost(worker: WorkerState, cause: LossCause, now: float) -> None:
     """Log and count a lost worker, before its tasks are taken from it."""
     WORKERS_LOST.labels(cause.value).inc()
     runs = [_describe(task, now) for task in worker.tasks.values()]
@@ -48,7 +48,7 @@
         draining=worker.draining,
         leaving=worker.leaving,
         tasks=len(runs),
-        runs=",".join(runs[:MOST_IN_LINE]),
+        runs=",".join(runs[:MAX_RUNS_PER_LINE]),
     )
 
 
--- a/mustardward/components/scheduling/reports.py
+++ b/mustardward/components/scheduling/reports.py
@@ -15,32 +15,32 @@
     RunningTask,
     TaskName,
 )
-from .board import Board
 from .commands import Stop
-from .const import VANISHED_HOLDS
-from .health import Health
+from .const import MISSED_HOLDS_LIMIT
+from .health import WorkerHealth
 from .intake import Intake
 from .models import ACTIVE, Phase, Task
-from .run_lines import RunLines
+from .run_logger import RunLogger
+from .scheduler_state import SchedulerState
 from .worker_state import WorkerState
 
 _LOGGER = get_logger(__name__)
 
-MOST_ENDS = 500
+MAX_LISTED_ENDS = 500
 ROOM_PAUSE_SECONDS = 0.1
 UNHEALTHY_PAUSE_SECONDS = 0.5
 
 
 @dataclass(slots=True, eq=False)
 class Reports:
-    """Fold workers' reports into the board."""
+    """Fold workers' reports into the scheduler state."""
 
-    board: Board
+    state: SchedulerState
     intake: Intake
-    health: Health
-    lines: RunLines = field(default_factory=RunLines)
+    health: WorkerHealth
+    run_logger: RunLogger = field(default_factory=RunLogger)
 
-    def held(
+    def apply_hold(
         self, worker: WorkerState, answer: HoldAnswer, sent_at: float, now: float
     ) -> None:
         """Take in a worker's lists.
@@ -48,18 +48,18 @@
         :param sent_at: when the call was sent; what was ordered since may be missing.
         """
         for ended in answer.ended:
-            self.ended(worker, ended, now)
-        self.board.forget_strays(worker)
+            self.apply_end(worker, ended, now)
+        self.state.clear_orphan_runs(worker)
         listed: set[tuple[object, int]] = set()
         worker.clock_ms = answer.clock_ms
         for row in answer.running:
             listed.add((row.task, row.run))
-            self._running(worker, row, sent_at, now)
-        if len(answer.ended) < MOST_ENDS:
-            self._missing(worker, listed, sent_at, now)
+            self._handle_running(worker, row, sent_at, now)
+        if len(answer.ended) < MAX_LISTED_ENDS:
+            self._handle_missing(worker, listed, sent_at, now)
         worker.confirmed = True
         worker.stale = False
-        worker.heard_at = sent_at
+        worker.reported_at = sent_at
 
     def start_sent(self, task: Task, run: int) -> None:
         """Take in that an order to start leaves."""
@@ -76,8 +76,8 @@
             task.started_at = now
             task.percent_since = now
             waited = now - task.ready_since
-            expected = self.board.estimates.seconds(task.step)
-            self.lines.started(task, task.worker, waited, expected)
+            expected = self.state.estimates.seconds(task.step)
+            self.run_logger.record_start(task, task.worker, waited, expected)
             return
         worker = task.worker
         if reason == REFUSED_ROOM:
@@ -87,92 +87,96 @@
         elif reason == REFUSED_LATE:
             worker.stale = True
         _LOGGER.info("start_rejected", worker=worker.id, run=run, reason=reason)
-        self._not_started(task, now)
+        self._handle_not_started(task, now)
 
     def start_refused(self, task: Task, run: int, now: float) -> None:
         """Take in that a start certainly was not carried out."""
         if task.run != run or task.phase is not Phase.STARTING or task.worker is None:
             return
         task.worker.refusing_until = now + UNHEALTHY_PAUSE_SECONDS
-        self._not_started(task, now)
+        self._handle_not_started(task, now)
 
     def start_withdrawn(self, task: Task, run: int, now: float) -> None:
         """Take in that a start was not sent; that says nothing of the worker."""
         if task.run == run and task.phase is Phase.STARTING:
-            self._not_started(task, now)
+            self._handle_not_started(task, now)
 
     def start_unknown(self, task: Task, run: int) -> None:
         """Take in that a start was not answered."""
         if task.run == run and task.phase is Phase.STARTING and task.worker:
             # A worker may answer all else, and leave each start unanswered.
-            task.avoid.add(task.worker.id)
-            self.board.doubt(task)
+            task.avoided_workers.add(task.worker.id)
+            self.state.mark_uncertain(task)
 
     def stop_answered(self, task: Task, run: int, now: float) -> None:
         """Take in that a worker acknowledged a stop."""
         if task.run == run and task.phase in (Phase.UNCERTAIN, Phase.STOPPING):
             task.stop_acknowledged_at = now
 
-    def _not_started(self, task: Task, now: float) -> None:
+    def _handle_not_started(self, task: Task, now: float) -> None:
         step = task.step
-        self.board.end_run(task, now)
+        self.state.end_run(task, now)
         if step.spec.gang:
             # The others would wait for this one until they end alone.
             for member in step.tasks:
                 if member.phase in (Phase.STARTING, Phase.RUNNING):
-                    self.board.stop(member, "gang")
+                    self.state.stop(member, "gang")
 
-    def ended(self, worker: WorkerState, ended: EndedTask, now: float) -> None:
+    def apply_end(self, worker: WorkerState, ended: EndedTask, now: float) -> None:
         """Take in that a worker lists a run as ended."""
-        task = self._expected(ended.task)
+        task = self._find_task(ended.task)
         if task is None or task.phase is Phase.DONE:
             return
-        own = task.worker is worker and task.run == ended.run and task.phase in ACTIVE
-        self.lines.ended(worker, ended, own)
-        self.board.note_begun(task.step.job)
+        is_current = (
+            task.worker is worker and task.run == ended.run and task.phase in ACTIVE
+        )
+        self.run_logger.record_end(worker, ended, is_current)
+        self.state.mark_started(task.step.job)
         if ended.how == ENDED_DONE:
-            self._done(worker, task, own, now)
+            self._handle_done(worker, task, is_current, now)
             return
         if ended.how == ENDED_FAILED and ended.run not in task.failed_runs:
             task.failed_runs += (ended.run,)
-            task.avoid.add(worker.id)
-            self.health.note_failed(worker, task, now)
+            task.avoided_workers.add(worker.id)
+            self.health.record_failure(worker, task, now)
         if ended.checkpoint:
             task.checkpoint = ended.checkpoint
-        self.board.mark_dirty(task.step.job)
-        if own:
-            task.calm_runs += task.phase is not Phase.STOPPING
-            self.board.end_run(task, now)
+        self.state.mark_dirty(task.step.job)
+        if is_current:
+            task.runs_since_crash += task.phase is not Phase.STOPPING
+            self.state.end_run(task, now)
         if ended.how == ENDED_FAILED:
             self.intake.task_failed(task)
 
-    def _done(self, worker: WorkerState, task: Task, own: bool, now: float) -> None:
-        if own:
+    def _handle_done(
+        self, worker: WorkerState, task: Task, is_current: bool, now: float
+    ) -> None:
+        if is_current:
             seconds = now - task.started_at
             if not task.checkpoint:
-                self.board.estimates.learn(task.step, seconds)
-            self.health.note_done(worker, task, seconds)
+                self.state.estimates.learn(task.step, seconds)
+            self.health.record_success(worker, task, seconds)
         elif task.phase in ACTIVE and task.worker is not None:
-            self.board.give(Stop(task.name, task.worker.id, task.run, None))
+            self.state.add_command(Stop(task.name, task.worker.id, task.run, None))
         if not task.step.job.state.final:
             self.intake.task_done(task, now)
-        elif own:
-            self.board.end_run(task, now)
+        elif is_current:
+            self.state.end_run(task, now)
 
-    def _running(
+    def _handle_running(
         self, worker: WorkerState, row: RunningTask, sent_at: float, now: float
     ) -> None:
-        task = self._expected(row.task)
+        task = self._find_task(row.task)
         if task is None or task.phase is Phase.DONE:
-            self._stop_stray(worker, row)
+            self._stop_orphan_run(worker, row)
             return
         if task.phase is Phase.WAITING:
             if task.step.job.state.final:
-                self._stop_stray(worker, row)
+                self._stop_orphan_run(worker, row)
                 return
-            self.board.adopt(task, worker, row.run, now)
+            self.state.adopt(task, worker, row.run, now)
         elif task.worker is not worker or task.run != row.run:
-            self._stop_stray(worker, row)
+            self._stop_orphan_run(worker, row)
             return
         elif task.phase is Phase.STARTING:
             task.phase = Phase.RUNNING
@@ -189,16 +193,16 @@
             before = max(0.0, sent_at - task.percent_since)
             task.percent_at_ms = worker.clock_ms - 1000 * before
 
-    def _stop_stray(self, worker: WorkerState, row: RunningTask) -> None:
-        self.board.note_stray(worker, row.task)
-        self.board.give(Stop(row.task, worker.id, row.run, None))
+    def _stop_orphan_run(self, worker: WorkerState, row: RunningTask) -> None:
+        self.state.add_orphan_run(worker, row.task)
+        self.state.add_command(Stop(row.task, worker.id, row.run, None))
 
-    def _expected(self, name: TaskName) -> Task | None:
+    def _find_task(self, name: TaskName) -> Task | None:
         """Return a task, also of an occurrence that is not open here yet."""
-        task = self.board.find(name)
+        task = self.state.find_task(name)
         if task is not None:
             return task
-        job = self.board.jobs.get(name.job)
+        job = self.state.jobs.get(name.job)
         if job is None:
             return None
         step = self.intake.step_of(job, name.occurrence, name.step)
@@ -206,7 +210,7 @@
             return None
         return step.tasks[name.index]
 
-    def _missing(
+    def _handle_missing(
         self,
         worker: WorkerState,
         listed: set[tuple[object, int]],
@@ -219,9 +223,9 @@
             if task.phase in (Phase.UNCERTAIN, Phase.STOPPING):
                 at = task.stop_acknowledged_at
                 if at is not None and at <= sent_at:
-                    self.board.end_run(task, now)
+                    self.state.end_run(task, now)
             elif task.phase is Phase.RUNNING and task.started_at <= sent_at:
                 task.missed_holds += 1
-                if task.missed_holds >= VANISHED_HOLDS:
+                if task.missed_holds >= MISSED_HOLDS_LIMIT:
                     _LOGGER.warning("run_vanished", worker=worker.id, run=task.run)
-                    self.board.end_run(task, now)
+                    self.state.end_run(task, now)
--- a/mustardward/components/scheduling/worker_state.py
+++ b/mustardward/components/scheduling/worker_state.py
@@ -13,7 +13,7 @@
 
 _LOGGER = get_logger(__name__)
 
-UNANSWERED_KEPT: Final = 64
+MAX_UNANSWERED_STARTS: Final = 64
 """Starts without an answer that are remembered of a worker: an order that is carried
 out late is so within seconds, in which a worker is given no more than so many."""
 
@@ -31,9 +31,9 @@
     :param absent: whether its entry stayed away, so that it counts as gone unless it
         comes back.
     :param leaving: whether the fleet is about to take it.
-    :param due: whether its instance is still to be maintained.
+    :param maintenance_due: whether its instance is still to be maintained.
     :param unanswered: the last starts that got no answer, by task and run.
-    :param strays: the steps of runs there that are no task's any more.
+    :param orphan_steps: the steps of runs there that are no task's any more.
     :param unknown_runs: whether it lists a run of a job that is not known here.
     """
 
@@ -52,21 +52,21 @@
     missing_since: float | None = None
     absent: bool = False
     leaving: bool = False
-    due: bool = False
+    maintenance_due: bool = False
     leaving_since: float = 0.0
     refusing_until: float = 0.0
     quarantined_until: float = 0.0
     failed_jobs: set[str] = field(default_factory=set)
     speed: float = 1.0
     stale: bool = False
-    heard_at: float = 0.0
+    reported_at: float = 0.0
     clock_ms: float = 0.0
     born: int = 0
     described: bool = True
-    strays: list[StepRun] = field(default_factory=list)
+    orphan_steps: list[StepRun] = field(default_factory=list)
     unknown_runs: bool = False
     unanswered: deque[tuple[TaskName, int]] = field(
-        default_factory=lambda: deque(maxlen=UNANSWERED_KEPT)
+        default_factory=lambda: deque(maxlen=MAX_UNANSWERED_STARTS)
     )
 
     def describe(self, entry: WorkerEntry) -> None:
@@ -77,13 +77,13 @@
         self.labels = tuple(entry.labels)
         self.resize(entry.capacity)
 
-    def take(self, room: Room) -> None:
+    def reserve(self, room: Room) -> None:
         """Count a run's room as taken."""
         self.free_cpu -= room.cpu
         self.free_mem -= room.mem_mb
         self.free_gpu -= room.gpu
 
-    def give_back(self, room: Room) -> None:
+    def release(self, room: Room) -> None:
         """Count a run's room as free again."""
         self.free_cpu += room.cpu
         self.free_mem += room.mem_mb
@@ -92,8 +92,8 @@
     def resize(self, room: Room) -> None:
         """Take over a room; what runs may take more of it than there is."""
         old = self.capacity
-        self.take(old)
-        self.give_back(room)
+        self.reserve(old)
+        self.release(room)
         self.capacity = room
         if room != old:
             _LOGGER.info(
@@ -109,7 +109,7 @@
     @property
     def has_runs(self) -> bool:
         """Return whether something may run there, of a known task or not."""
-        return bool(self.tasks or self.strays or self.unknown_runs)
+        return bool(self.tasks or self.orphan_steps or self.unknown_runs)
 
     @property
     def incarnation(self) -> str:
--- a/mustardward/components/scheduling/zones.py
+++ b/mustardward/components/scheduling/zone_chooser.py
@@ -14,35 +14,35 @@
 from dataclasses import dataclass, field
 
 from ...helpers.policies import switchable
-from .board import Board
 from .models import Job, StepRun
 from .placement import fits, may_run
+from .scheduler_state import SchedulerState
 from .worker_state import WorkerState
 
 Key = tuple[str, str]
 ByZone = Mapping[str, Sequence[WorkerState]]
 
 
-def _choose_none(zones: Zones, /, job: Job) -> None:
+def _choose_no_zones(zones: ZoneChooser, /, job: Job) -> None:
     """Let a job start in any data centre."""
 
 
 @dataclass(slots=True, eq=False)
-class Zones:
+class ZoneChooser:
     """Choose data centres by the work that was promised to their workers.
 
     Work is in core seconds, by pool and data centre. What each job adds is held by its
     id, so that a job that comes costs no look at all others.
     """
 
-    board: Board
-    _promised: dict[Key, float] = field(default_factory=lambda: defaultdict(float))
-    _shares: dict[str, tuple[list[Key], float]] = field(default_factory=dict)
+    state: SchedulerState
+    _assigned_work: dict[Key, float] = field(default_factory=lambda: defaultdict(float))
+    _work_by_job: dict[str, tuple[list[Key], float]] = field(default_factory=dict)
 
     @switchable(
         "zones-told",
         "a data centre that is cut off holds up the jobs that may run in it, no others",
-        without=_choose_none,
+        without=_choose_no_zones,
     )
     def choose(self, job: Job) -> None:
         """Choose where a job that was just taken in may start.
@@ -57,28 +57,28 @@
         capacity = self._capacity(job)
         if not capacity or "" in capacity:
             return
-        near = self._near_data(job) & set(capacity)
-        job.zones = frozenset(near or (self._least_promised(job, capacity),))
-        self.promise(job)
+        near_data = self._zones_near_data(job) & set(capacity)
+        job.zones = frozenset(near_data or (self._least_assigned(job, capacity),))
+        self.add_work(job)
 
-    def promise(self, job: Job) -> None:
+    def add_work(self, job: Job) -> None:
         """Count a job's work for the data centres in which it may start."""
-        self.forget(job)
+        self.remove_work(job)
         if not job.zones:
             return
-        share = self.board.estimates.work_left(job) / len(job.zones)
+        share = self.state.estimates.remaining_work(job) / len(job.zones)
         keys = [(job.policy.service, zone) for zone in job.zones]
         for key in keys:
-            self._promised[key] += share
-        self._shares[job.record.id] = (keys, share)
+            self._assigned_work[key] += share
+        self._work_by_job[job.record.id] = (keys, share)
 
-    def forget(self, job: Job) -> None:
+    def remove_work(self, job: Job) -> None:
         """Count a job's work no longer, since it is over."""
-        keys, share = self._shares.pop(job.record.id, ([], 0.0))
+        keys, share = self._work_by_job.pop(job.record.id, ([], 0.0))
         for key in keys:
-            self._promised[key] -= share
+            self._assigned_work[key] -= share
 
-    def widen(self, step: StepRun, by_zone: ByZone, promised: Counter[str]) -> bool:
+    def add_zone(self, step: StepRun, by_zone: ByZone, promised: Counter[str]) -> bool:
         """Let a job start in one data centre more, where there is room for its step.
 
         :param promised: room given away like that in this plan; it is added to.
@@ -87,7 +87,7 @@
         job = step.job
         if job.zones is None:
             return False
-        if job.zones != job.open_zones:
+        if job.zones != job.stored_zones:
             # The log is being told.
             return True
         room = step.room
@@ -104,35 +104,37 @@
         if free[best] - promised[best] >= room.cpu:
             promised[best] += room.cpu * len(step.waiting)
             job.zones = job.zones | {best}
-            self.promise(job)
-            self.board.mark_dirty(job)
+            self.add_work(job)
+            self.state.mark_dirty(job)
         return True
 
     def _capacity(self, job: Job) -> dict[str, int]:
         """Return the processors of the job's pool by data centre."""
         capacity: Counter[str] = Counter()
-        for worker in self.board.workers.values():
-            usable = worker.confirmed and not (worker.leaving or worker.draining)
-            usable = usable and worker.id not in self.board.unusable
-            if worker.service == job.policy.service and usable and not worker.absent:
+        for worker in self.state.workers.values():
+            is_usable = worker.confirmed and not (worker.leaving or worker.draining)
+            is_usable = is_usable and worker.id not in self.state.unusable_workers
+            if worker.service == job.policy.service and is_usable and not worker.absent:
                 capacity[worker.zone] += worker.capacity.cpu
         return {zone: cpu for zone, cpu in capacity.items() if cpu > 0}
 
-    def _least_promised(self, job: Job, capacity: dict[str, int]) -> str:
-        work = self.board.estimates.work_left(job)
+    def _least_assigned(self, job: Job, capacity: dict[str, int]) -> str:
+        work = self.state.estimates.remaining_work(job)
         service = job.policy.service
         return min(
             sorted(capacity),
-            key=lambda zone: (self._promised[service, zone] + work) / capacity[zone],
+            key=lambda zone: (
+                (self._assigned_work[service, zone] + work) / capacity[zone]
+            ),
         )
 
-    def _near_data(self, job: Job) -> set[str]:
+    def _zones_near_data(self, job: Job) -> set[str]:
         racks = {step.data_rack for step in job.record.steps if step.data_rack}
         if not racks:
             return set()
         return {
             worker.zone
-            for worker in self.board.workers.values()
+            for worker in self.state.workers.values()
             if worker.service == job.policy.service and worker.rack in racks
         }
 
@@ -142,7 +144,7 @@
     promised: Counter[str] = Counter()
     for step in steps:
         job = step.job
-        if job.zones is not None and job.zones != job.open_zones:
-            for zone in job.zones - (job.open_zones or frozenset()):
+        if job.zones is not None and job.zones != job.stored_zones:
+            for zone in job.zones - (job.stored_zones or frozenset()):
                 promised[zone] += step.room.cpu * len(step.waiting)
     return promised
--- a/tests/components/dispatch/test_gone_workers.py
+++ b/tests/components/dispatch/test_gone_workers.py
@@ -101,7 +101,7 @@
         for name in self.workers:
             rack = "r1" if name in RACK else "r2"
             entry = an_entry(labels=["a", rack], zone="z")
-            self.dispatcher.see_worker(name, entry)
+            self.dispatcher.update_worker(name, entry)
             session = self.dispatcher.sessions[name]
             session.client = self.workers[name]  # type: ignore[assignment]
 
@@ -109,7 +109,7 @@
         """Hand in a job that may start at once."""
         job = a_job(a_step(count=count))
         self.scheduler.add_job(job, self.timers.monotonic(), 0.0)
-        self.scheduler.note_stored([JOB])
+        self.scheduler.mark_stored([JOB])
 
     def lose_rack(self, gone: Exception) -> None:
         """Let the workers of the rack be gone."""
@@ -117,7 +117,7 @@
             self.workers[name].gone = gone
 
     def task(self) -> Task:
-        found = self.scheduler.board.find(TaskName(JOB, 0, 0, 0))
+        found = self.scheduler.state.find_task(TaskName(JOB, 0, 0, 0))
         assert found is not None
         return found
 
@@ -126,7 +126,7 @@
         for _ in range(round(seconds / 0.05)):
             now = self.timers.monotonic()
             commands = self.scheduler.plan(now, 0.0)
-            self.scheduler.note_stored(
+            self.scheduler.mark_stored(
                 job_id for job_id, _ in self.scheduler.take_dirty(now, 0.0)
             )
             self.dispatcher.orders.execute(commands)
@@ -138,7 +138,7 @@
                 if session.gone or since is None:
                     continue
                 if self.timers.monotonic() - since > UNLISTED_SECONDS:
-                    self.dispatcher.lose_worker(name, LossCause.UNLISTED)
+                    self.dispatcher.remove_worker(name, LossCause.UNLISTED)
 
 
 @asynccontextmanager
@@ -164,7 +164,7 @@
         bench.lose_rack(gone)
         bench.add()
         await bench.async_pass(6.0)
-        assert bench.scheduler.board.jobs[JOB].state is JobState.RUNNING
+        assert bench.scheduler.state.jobs[JOB].state is JobState.RUNNING
         assert bench.task().phase is Phase.RUNNING
         assert bench.task().crashes == ()
 
@@ -212,7 +212,7 @@
         bench.lose_rack(gone)
         bench.add()
         await bench.async_pass(6.0)
-        assert bench.scheduler.board.jobs[JOB].state is JobState.RUNNING
+        assert bench.scheduler.state.jobs[JOB].state is JobState.RUNNING
         assert len(bench.task().crashes) <= 1
 
 
--- a/tests/components/dispatch/test_held_up.py
+++ b/tests/components/dispatch/test_held_up.py
@@ -68,8 +68,8 @@
         for name, worker in self.estate.workers.items():
             address = self.estate.address_of(name)
             entry = WorkerEntry(POOL, address, capacity=worker.room)
-            self.dispatcher.see_worker(name, entry)
-        workers = self.scheduler.board.workers.values()
+            self.dispatcher.update_worker(name, entry)
+        workers = self.scheduler.state.workers.values()
         await async_until(lambda: all(worker.confirmed for worker in workers))
 
     def plan(self) -> None:
@@ -103,14 +103,14 @@
         await owner.async_see_workers()
         step = a_step(count=TASKS, cpu=100, mem_mb=1, long_running=True)
         owner.scheduler.add_job(a_job(step), owner.timers.monotonic(), 0.0)
-        owner.scheduler.note_stored([JOB])
+        owner.scheduler.mark_stored([JOB])
         owner.plan()
         for _ in range(4):
             await anyio.lowlevel.checkpoint()
         time.sleep(HELD_UP_SECONDS)  # noqa: ASYNC251 - it holds the loop up
         await owner.async_go_on(2.0)
         assert not [c for c in owner.commands if isinstance(c, Stop)]
-        job = owner.scheduler.board.jobs[JOB]
+        job = owner.scheduler.state.jobs[JOB]
         assert {task.phase for task in job.steps[(0, 0)].tasks} == {Phase.RUNNING}
         begun = Counter(
             task for worker in estate.workers.values() for task, _ in worker.starts
@@ -136,10 +136,10 @@
         )
         now = timers.monotonic()
         scheduler.add_job(a_job(a_step(count=1)), now, 0.0)
-        scheduler.note_stored([JOB])
+        scheduler.mark_stored([JOB])
         entry = WorkerEntry(POOL, "127.0.0.1:9", capacity=Room(8000, 8000))
-        scheduler.see_worker("w", entry, now)
-        worker = scheduler.board.workers["w"]
+        scheduler.update_worker("w", entry, now)
+        worker = scheduler.state.workers["w"]
         worker.confirmed = True
         (start,) = [c for c in scheduler.plan(now - 2.0, 0.0) if isinstance(c, Start)]
         dispatcher.orders.execute([start])
--- a/tests/components/fleet/test_cordons.py
+++ b/tests/components/fleet/test_cordons.py
@@ -51,7 +51,7 @@
             blocked_until={},
             timers=SimpleNamespace(monotonic=lambda: self.bench.now),  # type: ignore[arg-type]
             scheduler=self.bench.scheduler,
-            dispatcher=SimpleNamespace(lose_worker=self._lose),  # type: ignore[arg-type]
+            dispatcher=SimpleNamespace(remove_worker=self._lose),  # type: ignore[arg-type]
             configuration=SimpleNamespace(  # type: ignore[arg-type]
                 standby_pools=lambda: [STANDBY], config=None
             ),
@@ -69,7 +69,7 @@
 
     def worker(self, name: str) -> WorkerState:
         """Return the state of a worker."""
-        return self.bench.scheduler.board.workers[name]
+        return self.bench.scheduler.state.workers[name]
 
     def apply_list(self, instances: list[Instance]) -> None:
         """Apply an instance list and decide by it."""
@@ -236,7 +236,9 @@
     fleet = FleetHarness(instances)
     fleet.bench.add(a_job(a_step(count=3, long_running=True, max_per_server=1)))
     assert len(fleet.bench.plan_starts()) == 3
-    fleet.bench.scheduler.lose_worker("i-00", LossCause.LEASES_OVER, fleet.bench.now)
+    fleet.bench.scheduler.remove_worker(
+        "i-00", LossCause.LEASES_EXPIRED, fleet.bench.now
+    )
     fleet.apply_list(instances)
     assert [order.pool for order in fleet.orders if isinstance(order, Move)] == [POOL]
 
@@ -269,7 +271,7 @@
     instances += [an_instance(4, OTHER)]
     for restarted in (False, True):
         fleet = FleetHarness(instances)
-        for worker in fleet.bench.scheduler.board.workers.values():
+        for worker in fleet.bench.scheduler.state.workers.values():
             worker.born = 1000
         if kind == "maintenance":
             fleet.wave_planner.runs[1] = a_wave(["m-04"])
--- a/tests/components/fleet/test_pool_planner.py
+++ b/tests/components/fleet/test_pool_planner.py
@@ -131,7 +131,7 @@
 def test_work_that_is_limited_by_memory_gets_workers_for_its_memory() -> None:
     planner = PoolPlanner(MOVE_SECONDS)
     fleet = [an_instance(n, POOL if n < 2 else STANDBY) for n in range(8)]
-    load = PoolLoad(lasting=Amount(cpu=1000, mem_mb=4 * 8000 * TARGET_UTILISATION))
+    load = PoolLoad(long_running=Amount(cpu=1000, mem_mb=4 * 8000 * TARGET_UTILISATION))
     moves = planner.decide(a_view(fleet), {POOL: load}, set(), 0.0)
     assert [move.pool for move in moves].count(POOL) == 2
 
@@ -201,7 +201,7 @@
     view = a_view([*first, *second, an_instance(8, STANDBY)])
     load = a_load(cores=2.0)
     assert PoolPlanner(MOVE_SECONDS).decide(view, {POOL: load}, set(), 0.0) == []
-    load.apart = 1
+    load.isolation_workers = 1
     moves = PoolPlanner(MOVE_SECONDS).decide(view, {POOL: load}, set(), 0.0)
     assert moves == [Move("m-08", POOL)]
 
--- a/tests/components/fleet/test_unusable.py
+++ b/tests/components/fleet/test_unusable.py
@@ -13,7 +13,7 @@
     UNRESPONSIVE_SECONDS,
 )
 from mustardward.components.fleet.models import Move
-from mustardward.components.scheduling.placement import usable
+from mustardward.components.scheduling.placement import is_usable
 from mustardward.components.scheduling.worker_state import WorkerState
 from mustardward.platform.models import Instance, Room
 
@@ -53,10 +53,10 @@
     ordered_moves(fleet, 1.0)
     worker = fleet.worker("i-00")
     setattr(worker, flag, not getattr(worker, flag))
-    replaced = flag not in BRIEF_STATES and not usable(worker, fleet.bench.now)
+    replaced = flag not in BRIEF_STATES and not is_usable(worker, fleet.bench.now)
     moves = ordered_moves(fleet, UNRESPONSIVE_SECONDS + 2.0)
     assert {move.pool for move in moves} == ({POOL} if replaced else set())
-    assert ("i-00" in fleet.bench.scheduler.board.unusable) == replaced
+    assert ("i-00" in fleet.bench.scheduler.state.unusable_workers) == replaced
 
 
 def test_a_worker_that_refuses_or_is_quarantined_counts() -> None:
@@ -73,15 +73,15 @@
 ) -> None:
     """Guard against replacing all instances in the first seconds after a takeover."""
     fleet = FleetHarness(minimum_pools())
-    board = fleet.bench.scheduler.board
-    board.taken_over_at = fleet.bench.now
-    workers = dict(board.workers)
+    state = fleet.bench.scheduler.state
+    state.taken_over_at = fleet.bench.now
+    workers = dict(state.workers)
     for worker in workers.values():
         worker.confirmed = False
     if not known:
-        board.workers.clear()
+        state.workers.clear()
     assert ordered_moves(fleet, FIRST_CONTACT_SECONDS) == []
-    board.workers.update(workers)
+    state.workers.update(workers)
     for worker in workers.values():
         worker.confirmed = True
     assert ordered_moves(fleet, 10.0) == []
@@ -90,8 +90,8 @@
 def test_a_takeover_without_any_confirmed_worker_orders_replacements_once() -> None:
     """Guard against one order after another while no worker responds."""
     fleet = FleetHarness(minimum_pools())
-    fleet.bench.scheduler.board.taken_over_at = fleet.bench.now
-    fleet.bench.scheduler.board.workers.clear()
+    fleet.bench.scheduler.state.taken_over_at = fleet.bench.now
+    fleet.bench.scheduler.state.workers.clear()
     bound = FIRST_CONTACT_SECONDS + 12 * FIRST_CONTACT_SECONDS_PER_WORKER
     first = ordered_moves(fleet, bound + 0.5)
     assert len({move.machine for move in first}) <= 2 * MIN_POOL_INSTANCES
--- a/tests/components/scheduling/test_liveness.py
+++ b/tests/components/scheduling/test_liveness.py
@@ -14,7 +14,7 @@
     Progress,
     StepMark,
 )
-from mustardward.components.scheduling.commands import AskAdvice
+from mustardward.components.scheduling.commands import RequestAdvice
 from mustardward.components.scheduling.losses import LossCause
 from mustardward.components.scheduling.models import Phase, QueuePolicy
 from mustardward.platform.models import Room, SubmittedStep
@@ -22,15 +22,15 @@
 
 from .builders import JOB, POOL, SchedulerBench, a_job, a_step
 from .liveness_jobs import POLICIES, POOL_A
-from .liveness_loop import DrivenLoop
 from .liveness_owner import Directory, Owner
+from .liveness_virtual_time import VirtualTimeLoop
 from .liveness_world import ModelWorker, Run, World
 
 TICK_SECONDS = 0.1
 WAIT_SECONDS = 10.0
 LEASE_SECONDS = 4.0
 
-LASTING = {"long_running": True, "max_per_server": 1, "cpu": 1000, "mem_mb": 1000}
+LONG_RUNNING = {"long_running": True, "max_per_server": 1, "cpu": 1000, "mem_mb": 1000}
 LARGE = {"count": 6, "cpu": 7000, "mem_mb": 28_000}
 MOST_OF_A_WORKER = {"count": 1, "cpu": 6000}
 
@@ -42,13 +42,13 @@
         bench.plan_starts()
 
 
-def test_work_waits_for_no_lasting_step_that_no_worker_can_run() -> None:
+def test_work_waits_for_no_long_running_step_that_no_worker_can_run() -> None:
     """Guard against workers kept empty for tasks whose limit allows none of them."""
     bench = SchedulerBench()
     for name in ("w1", "w2", "w3"):
         bench.worker(name, capacity=Room(cpu=64_000, mem_mb=256_000))
     for number in range(3):
-        bench.add(a_job(a_step(count=6, **LASTING), job=f"{number:016x}"))
+        bench.add(a_job(a_step(count=6, **LONG_RUNNING), job=f"{number:016x}"))
     bench.add(a_job(a_step(**LARGE)))
     _plan_for(bench, WAIT_SECONDS)
 
@@ -65,7 +65,7 @@
 
     async def async_own() -> set[TaskName]:
         world = World(0)
-        world.troubled = False
+        world.faults_enabled = False
         world.jobs[job.record.id] = job
         now = world.now
         for number in range(workers):
@@ -89,7 +89,7 @@
         assert not first.runs
         return directory.done
 
-    with asyncio.Runner(loop_factory=DrivenLoop) as runner:
+    with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         return runner.run(async_own())
 
 
@@ -114,7 +114,7 @@
     return job
 
 
-def test_the_room_of_a_stray_is_given_back_though_nothing_else_runs_there() -> None:
+def test_room_of_an_orphan_run_is_released_though_nothing_else_runs_there() -> None:
     """Guard against a run of a task that is done, whose room stays taken for ever on a
     worker that is not asked again.
     """
@@ -127,7 +127,7 @@
     assert done == {TaskName(JOB, 0, 1, 0)}
 
 
-def test_the_quota_of_a_stray_is_given_back_though_nothing_else_runs_there() -> None:
+def test_quota_of_an_orphan_run_is_released_though_nothing_else_runs_there() -> None:
     """Guard against a run of a task that is done, which counts for its organisation for
     ever, so that this starts nothing on any worker.
     """
@@ -140,35 +140,35 @@
     assert done == {TaskName(JOB, 0, 1, 0)}
 
 
-def test_a_step_asks_for_advice_anew_once_the_workers_it_may_use_are_gone() -> None:
+def test_step_requests_advice_again_once_its_allowed_workers_are_gone() -> None:
     """Guard against tickets of workers that are gone, which keep a step from asking for
     others as long as they are valid.
     """
     bench = SchedulerBench(policy=QueuePolicy(POOL, advice=True))
     bench.worker("w1")
     bench.add(a_job())
-    asked = [c for c in bench.plan() if isinstance(c, AskAdvice)]
-    bench.scheduler.give_tickets(asked[0].step, {"w1": "t"}, bench.now + 60.0)
-    bench.scheduler.lose_worker("w1", LossCause.UNLISTED, bench.now)
+    asked = [c for c in bench.plan() if isinstance(c, RequestAdvice)]
+    bench.scheduler.set_tickets(asked[0].step, {"w1": "t"}, bench.now + 60.0)
+    bench.scheduler.remove_worker("w1", LossCause.UNLISTED, bench.now)
     bench.worker("w2")
     bench.now += WAIT_SECONDS
 
-    asked = [c for c in bench.plan() if isinstance(c, AskAdvice)]
+    asked = [c for c in bench.plan() if isinstance(c, RequestAdvice)]
 
     assert [ask.workers for ask in asked] == [("w2",)]
 
 
-def test_a_step_asks_about_workers_that_came_once_its_own_may_run_no_more() -> None:
+def test_step_requests_advice_on_new_workers_once_its_own_may_run_no_more() -> None:
     """Guard against a lasting step that keeps to the workers it asked about first."""
     bench = SchedulerBench(policy=QueuePolicy(POOL, advice=True))
     bench.worker("w1")
     bench.add(a_job(a_step(long_running=True, max_per_server=1)))
-    asked = [c for c in bench.plan() if isinstance(c, AskAdvice)]
-    bench.scheduler.give_tickets(asked[0].step, {"w1": "t"}, bench.now + 60.0)
+    asked = [c for c in bench.plan() if isinstance(c, RequestAdvice)]
+    bench.scheduler.set_tickets(asked[0].step, {"w1": "t"}, bench.now + 60.0)
     assert len(bench.plan_starts()) == 1
     bench.worker("w2")
     bench.now += WAIT_SECONDS
 
-    asked = [c for c in bench.plan() if isinstance(c, AskAdvice)]
+    asked = [c for c in bench.plan() if isinstance(c, RequestAdvice)]
 
     assert [set(ask.workers) for ask in asked] == [{"w1", "w2"}]
--- a/tests/components/scheduling/test_waits.py
+++ b/tests/components/scheduling/test_wait_tracker.py
@@ -13,8 +13,8 @@
 from mustardward.components.reports.day_lines import read_pairs
 from mustardward.components.scheduling.commands import Start
 from mustardward.components.scheduling.models import Phase, QueuePolicy
-from mustardward.components.scheduling.wait_lines import WAIT_TOLD_SECONDS
-from mustardward.components.scheduling.waits import Reason
+from mustardward.components.scheduling.wait_logger import WAIT_LOG_AFTER_SECONDS
+from mustardward.components.scheduling.wait_tracker import Reason
 from mustardward.helpers.registry import Registry
 from mustardward.platform.models import Room
 
@@ -22,31 +22,31 @@
 
 OTHER: Final = "00000000000000bb"
 FULL: Final = Room(cpu=8000, mem_mb=8000)
-Scene = Callable[[], tuple[SchedulerBench, dict[str, str]]]
-SCENES: Final[Registry[Reason, Scene]] = Registry("scenes")
+Scenario = Callable[[], tuple[SchedulerBench, dict[str, str]]]
+SCENARIOS: Final[Registry[Reason, Scenario]] = Registry("scenes")
 
 
 def wait_on(
-    bench: SchedulerBench, seconds: float = 4.0, most_starts: int = sys.maxsize
+    bench: SchedulerBench, seconds: float = 4.0, max_starts: int = sys.maxsize
 ) -> None:
     """Let time go by, with a plan each half of a second."""
     for _ in range(int(2 * seconds)):
         bench.now += 0.5
-        bench.scheduler.plan(bench.now, bench.now, most_starts)
+        bench.scheduler.plan(bench.now, bench.now, max_starts)
 
 
-def tell(
+def logged_waits(
     bench: SchedulerBench, caplog: pytest.LogCaptureFixture, event: str = "task_waiting"
 ) -> list[dict[str, str]]:
     """Return the pairs of the lines that a look writes."""
     caplog.set_level("INFO", "absl")
     caplog.clear()
-    bench.scheduler.waits.tell(bench.now)
+    bench.scheduler.wait_logger.log_due(bench.now)
     lines = [read_pairs(record.getMessage()) for record in caplog.records]
     return [pairs for pairs in lines if pairs["event"] == event]
 
 
-def lasting(job: str, count: int = 2, cpu: int = 1000) -> LedgerJob:
+def long_running_job(job: str, count: int = 2, cpu: int = 1000) -> LedgerJob:
     """Return a job whose tasks last, one a worker at most."""
     step = a_step(count=count, cpu=cpu, long_running=True, max_per_server=1)
     return a_job(step, job=job)
@@ -72,7 +72,7 @@
     return [command for command in bench.plan() if isinstance(command, Start)]
 
 
-@SCENES.register(Reason.NOT_STORED)
+@SCENARIOS.register(Reason.NOT_STORED)
 def not_stored() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1")
@@ -83,7 +83,7 @@
     return bench, {"dirty": "false", "sent_seconds": "4", "reason_seconds": "4.5"}
 
 
-@SCENES.register(Reason.NO_USABLE_WORKER)
+@SCENARIOS.register(Reason.NO_USABLE_WORKER)
 def no_usable_worker() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1").stale = True
@@ -100,22 +100,22 @@
     }
 
 
-@SCENES.register(Reason.STARTS_USED_UP)
+@SCENARIOS.register(Reason.STARTS_USED_UP)
 def starts_used_up() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job())
-    wait_on(bench, most_starts=0)
+    wait_on(bench, max_starts=0)
     return bench, {"most_starts": "0", "allowed": "1"}
 
 
-@SCENES.register(Reason.HELD_AFTER_TAKEOVER)
+@SCENARIOS.register(Reason.HELD_AFTER_TAKEOVER)
 def held_after_takeover() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench(epoch=2)
-    board = bench.scheduler.board
-    board.taken_over_at = bench.now
-    board.held_until = bench.now + 9.0
-    board.accounted = frozenset({"z1"})
+    state = bench.scheduler.state
+    state.taken_over_at = bench.now
+    state.takeover_hold_until = bench.now + 9.0
+    state.accounted_zones = frozenset({"z1"})
     bench.worker("w1", zone="z1")
     job = a_job()
     job.progress = Progress(JobState.RUNNING, zones=["z1", "z2"])
@@ -129,17 +129,17 @@
     }
 
 
-@SCENES.register(Reason.AWAITS_JUDGEMENT)
-def awaits_judgement() -> tuple[SchedulerBench, dict[str, str]]:
+@SCENARIOS.register(Reason.AWAITS_EVALUATION)
+def awaits_evaluation() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(suspected(crashes=3))
-    bench.task(0).judged_at = bench.now + 60.0
+    bench.task(0).evaluation_due_at = bench.now + 60.0
     wait_on(bench)
     return bench, {"suspicion": "3", "unjudged": "1", "overdue_seconds": "-56"}
 
 
-@SCENES.register(Reason.SUSPECTS_WAIT)
+@SCENARIOS.register(Reason.SUSPECTS_WAIT)
 def suspects_wait() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1")
@@ -150,14 +150,14 @@
     return bench, {"suspects": "1", "suspicion": "2", "empty_workers": "-"}
 
 
-@SCENES.register(Reason.KEPT_FOR_OTHERS)
-def kept_for_others() -> tuple[SchedulerBench, dict[str, str]]:
+@SCENARIOS.register(Reason.RESERVED_FOR_OTHERS)
+def reserved_for_others() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1")
     bench.worker("w2")
     fill_in_part(bench, count=2)
     for number in (1, 2):
-        bench.add(lasting(f"{number:016x}", count=1, cpu=6000))
+        bench.add(long_running_job(f"{number:016x}", count=1, cpu=6000))
     bench.plan_starts()
     bench.add(a_job())
     wait_on(bench)
@@ -169,7 +169,7 @@
     }
 
 
-@SCENES.register(Reason.FITS_NOWHERE)
+@SCENARIOS.register(Reason.FITS_NOWHERE)
 def fits_nowhere() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1").leaving = True
@@ -185,7 +185,7 @@
     }
 
 
-@SCENES.register(Reason.ADVICE_UNANSWERED)
+@SCENARIOS.register(Reason.ADVICE_UNANSWERED)
 def advice_unanswered() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench(policy=QueuePolicy(service=POOL, advice=True))
     bench.worker("w1")
@@ -194,7 +194,7 @@
     return bench, {"asked_seconds": "1.5", "tickets": "0"}
 
 
-@SCENES.register(Reason.QUOTA)
+@SCENARIOS.register(Reason.QUOTA)
 def quota() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench(quotas={"dairy": Room(cpu=1500)})
     bench.worker("w1")
@@ -211,7 +211,7 @@
     }
 
 
-@SCENES.register(Reason.GANG_INCOMPLETE)
+@SCENARIOS.register(Reason.GANG_INCOMPLETE)
 def gang_incomplete() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1")
@@ -219,7 +219,7 @@
     first, second = starts_of(bench)
     bench.accept(second)
     bench.scheduler.reports.start_refused(first.task, first.run, bench.now)
-    bench.scheduler.waits.tell(bench.now)
+    bench.scheduler.wait_logger.log_due(bench.now)
     wait_on(bench)
     return bench, {
         "members": "stopping:1,waiting:1",
@@ -231,7 +231,7 @@
     }
 
 
-@SCENES.register(Reason.GANG_HAS_NO_ROOM)
+@SCENARIOS.register(Reason.GANG_HAS_NO_ROOM)
 def gang_has_no_room() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1")
@@ -241,7 +241,7 @@
     return bench, {"members": "3", "allowed": "2", "same_rack": "false"}
 
 
-@SCENES.register(Reason.NO_ROOM)
+@SCENARIOS.register(Reason.NO_ROOM)
 def no_room() -> tuple[SchedulerBench, dict[str, str]]:
     """Let a job lose its next data centres between two records of it."""
     bench = SchedulerBench()
@@ -249,18 +249,18 @@
     bench.worker("w2", zone="z2")
     bench.add(a_job())
     job = bench.task(0).step.job
-    job.zones, job.open_zones = None, frozenset({"z1"})
+    job.zones, job.stored_zones = None, frozenset({"z1"})
     wait_on(bench)
     return bench, {"zones": "-", "open_zones": "z1", "allowed": "1", "kept": "0"}
 
 
-@SCENES.register(Reason.ZONE_BEING_STORED)
+@SCENARIOS.register(Reason.ZONE_BEING_STORED)
 def zone_being_stored() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1", zone="z1")
     bench.add(a_job(), stored=False)
     bench.store()
-    bench.scheduler.board.workers["w1"].stale = True
+    bench.scheduler.state.workers["w1"].stale = True
     bench.worker("w2", zone="z2")
     wait_on(bench, 1.0)
     bench.scheduler.take_dirty(bench.now, bench.now)
@@ -274,14 +274,14 @@
     }
 
 
-@SCENES.register(Reason.ROOM_PROMISED)
+@SCENARIOS.register(Reason.ROOM_PROMISED)
 def room_promised() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1", zone="z1")
     for job in (OTHER, JOB):
         bench.add(a_job(a_step(cpu=4000), job=job), stored=False)
     bench.store()
-    bench.scheduler.board.workers["w1"].stale = True
+    bench.scheduler.state.workers["w1"].stale = True
     bench.worker("w2", zone="z2")
     wait_on(bench)
     return bench, {
@@ -292,7 +292,7 @@
     }
 
 
-@SCENES.register(Reason.RULES)
+@SCENARIOS.register(Reason.RULES)
 def rules() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1")
@@ -302,7 +302,7 @@
     return bench, {"required_label": "ssd", "without_label": "2", "able": "2"}
 
 
-@SCENES.register(Reason.NOT_PLANNED)
+@SCENARIOS.register(Reason.NOT_PLANNED)
 def not_planned() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1").stale = True
@@ -312,17 +312,17 @@
     return bench, {"plan_seconds": "4"}
 
 
-@SCENES.register(Reason.NOT_READY)
+@SCENARIOS.register(Reason.NOT_READY)
 def not_ready() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job())
-    bench.scheduler.board.ready.clear()
+    bench.scheduler.state.ready.clear()
     wait_on(bench)
     return bench, {"ready": "2", "allowed": "1"}
 
 
-@SCENES.register(Reason.OFF_QUEUE)
+@SCENARIOS.register(Reason.OFF_QUEUE)
 def off_queue() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1")
@@ -332,7 +332,7 @@
     return bench, {"ready": "0", "off_queue": "2"}
 
 
-@SCENES.register(Reason.UNFINISHED_ORDER)
+@SCENARIOS.register(Reason.UNFINISHED_ORDER)
 def unfinished_order() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1")
@@ -350,30 +350,30 @@
     }
 
 
-@SCENES.register(Reason.NOT_NOTED)
-def not_noted() -> tuple[SchedulerBench, dict[str, str]]:
+@SCENARIOS.register(Reason.NOT_RECORDED)
+def not_recorded() -> tuple[SchedulerBench, dict[str, str]]:
     """Put a step among the ready ones behind the planner's back."""
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job())
     step = bench.task(0).step
-    bench.scheduler.board.ready.clear()
+    bench.scheduler.state.ready.clear()
     wait_on(bench)
-    bench.scheduler.board.ready[id(step)] = step
+    bench.scheduler.state.ready[id(step)] = step
     return bench, {"reason_seconds": "-"}
 
 
-def test_each_reason_has_a_scene() -> None:
-    assert set(SCENES) == set(Reason)
+def test_each_reason_has_a_scenario() -> None:
+    assert set(SCENARIOS) == set(Reason)
 
 
 @pytest.mark.parametrize("reason", list(Reason), ids=lambda reason: reason.value)
-def test_a_step_that_waits_is_told_with_its_reason_and_inputs(
+def test_a_step_that_waits_is_logged_with_its_reason_and_inputs(
     reason: Reason, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Guards against a job that waits without a line that says why."""
-    bench, inputs = SCENES[reason]()
-    (line,) = [pairs for pairs in tell(bench, caplog) if pairs["job"] == JOB]
+    bench, inputs = SCENARIOS[reason]()
+    (line,) = [pairs for pairs in logged_waits(bench, caplog) if pairs["job"] == JOB]
     assert line["reason"] == reason.value
     assert line["step"] == "0.0"
     assert {name: line.get(name) for name in inputs} == inputs
@@ -401,29 +401,29 @@
     bench.worker("w2", capacity=Room(cpu=500, mem_mb=8000))
     bench.add(a_job())
     wait_on(bench)
-    (line,) = tell(bench, caplog)
+    (line,) = logged_waits(bench, caplog)
     assert line["reason"] == Reason.NO_USABLE_WORKER.value
     assert line["unusable"] == f"{name}:1"
 
 
-def test_a_worker_kept_beside_full_ones_is_told_as_kept(
+def test_reserved_worker_among_full_ones_is_logged_as_reserved(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """Guards against a pool that seems to have no room, and keeps all of it."""
     bench = SchedulerBench()
     bench.worker("w1")
     fill_in_part(bench)
-    bench.add(lasting(OTHER, count=1, cpu=6000))
+    bench.add(long_running_job(OTHER, count=1, cpu=6000))
     bench.plan_starts()
     bench.worker("w2", capacity=Room(cpu=500, mem_mb=8000))
     bench.add(a_job())
     wait_on(bench)
-    (line,) = [pairs for pairs in tell(bench, caplog) if pairs["job"] == JOB]
-    assert line["reason"] == Reason.KEPT_FOR_OTHERS.value
+    (line,) = [pairs for pairs in logged_waits(bench, caplog) if pairs["job"] == JOB]
+    assert line["reason"] == Reason.RESERVED_FOR_OTHERS.value
     assert line["kept_for"] == f"w1:{OTHER}"
 
 
-def test_a_worker_that_a_step_keeps_for_itself_is_not_kept_for_others(
+def test_worker_reserved_for_the_step_itself_is_not_reserved_for_others(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """Guards against a step that is told to wait for itself."""
@@ -432,21 +432,21 @@
     bench.worker("w2", zone="z2")
     bench.add(a_job(a_step(long_running=True)))
     job = bench.task(0).step.job
-    job.zones = job.open_zones = frozenset({"z1"})
+    job.zones = job.stored_zones = frozenset({"z1"})
     wait_on(bench)
-    (line,) = tell(bench, caplog)
+    (line,) = logged_waits(bench, caplog)
     assert line["reason"] == Reason.NO_ROOM.value
     assert (line["open_zones"], line["kept"]) == ("z1", "0")
 
 
-@pytest.mark.parametrize("at_trial", [True, False])
-def test_a_worker_kept_for_suspects_is_told_with_their_job(
-    at_trial: bool, caplog: pytest.LogCaptureFixture
+@pytest.mark.parametrize("isolating", [True, False])
+def test_worker_reserved_for_suspects_is_logged_with_their_job(
+    isolating: bool, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Whether the suspects run there or wait until it is empty."""
     bench = SchedulerBench()
     bench.worker("w1")
-    if not at_trial:
+    if not isolating:
         third = "00000000000000cc"
         bench.add(a_job(a_step(count=1, estimate_ms=2400), job=third))
         bench.plan_starts()
@@ -454,8 +454,8 @@
     bench.plan_starts()
     bench.add(a_job(job=OTHER))
     wait_on(bench)
-    (line,) = [pairs for pairs in tell(bench, caplog) if pairs["job"] == OTHER]
-    assert line["reason"] == Reason.KEPT_FOR_OTHERS.value
+    (line,) = [pairs for pairs in logged_waits(bench, caplog) if pairs["job"] == OTHER]
+    assert line["reason"] == Reason.RESERVED_FOR_OTHERS.value
     assert line["kept_for"] == f"w1:{JOB}"
     assert line["kept_for_suspects"] == "1"
 
@@ -471,7 +471,7 @@
         ({"required_label": "ssd"}, {"required_label": "ssd", "without_label": "1"}),
     ],
 )
-def test_a_rule_that_allows_no_worker_is_told(
+def test_a_rule_that_allows_no_worker_is_logged(
     step: dict[str, object], inputs: dict[str, str], caplog: pytest.LogCaptureFixture
 ) -> None:
     bench = SchedulerBench()
@@ -479,7 +479,7 @@
     bench.add(a_job(a_step(**step)))
     bench.plan_starts()
     wait_on(bench)
-    (line,) = tell(bench, caplog)
+    (line,) = logged_waits(bench, caplog)
     assert line["reason"] == Reason.RULES.value
     assert {name: line[name] for name in inputs} == inputs
 
@@ -487,7 +487,7 @@
 @pytest.mark.parametrize(
     "step", [{"cpu": 1000}, {"count": 3, "cpu": 200, "gang": True}], ids=["one", "gang"]
 )
-def test_suspects_whose_own_worker_is_too_small_are_told(
+def test_suspects_whose_own_worker_is_too_small_are_logged(
     step: dict[str, object], caplog: pytest.LogCaptureFixture
 ) -> None:
     """Other workers have room, beside jobs that a crash would take along."""
@@ -499,23 +499,25 @@
     assert start.worker == "w2"
     bench.add(suspected(**step))
     wait_on(bench)
-    (line,) = [pairs for pairs in tell(bench, caplog) if pairs["job"] == JOB]
+    (line,) = [pairs for pairs in logged_waits(bench, caplog) if pairs["job"] == JOB]
     assert line["reason"] == Reason.SUSPECTS_WAIT.value
     assert line["suspicion"] == "2"
 
 
-def test_starts_used_up_amid_a_step_are_told(caplog: pytest.LogCaptureFixture) -> None:
+def test_start_limit_reached_within_a_step_is_logged(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     bench = SchedulerBench()
     bench.worker("w1")
     bench.worker("w2")
     bench.add(a_job(a_step(count=16)))
-    wait_on(bench, most_starts=1)
-    (line,) = tell(bench, caplog)
+    wait_on(bench, max_starts=1)
+    (line,) = logged_waits(bench, caplog)
     assert line["reason"] == Reason.STARTS_USED_UP.value
     assert (line["ready"], line["most_starts"]) == ("8", "1")
 
 
-def test_tickets_that_name_no_worker_with_room_are_told(
+def test_tickets_that_name_no_worker_with_room_are_logged(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     bench = SchedulerBench(policy=QueuePolicy(service=POOL, advice=True))
@@ -524,9 +526,9 @@
     bench.add(a_job())
     bench.plan()
     step = bench.task(0).step
-    bench.scheduler.give_tickets(step, {"w1": "t"}, bench.now + 9.0)
+    bench.scheduler.set_tickets(step, {"w1": "t"}, bench.now + 9.0)
     wait_on(bench)
-    (line,) = tell(bench, caplog)
+    (line,) = logged_waits(bench, caplog)
     assert line["reason"] == Reason.RULES.value
     assert (line["advice"], line["tickets"]) == ("true", "1")
     assert line["tickets_seconds_left"] == "5"
@@ -534,7 +536,7 @@
 
 @pytest.mark.parametrize("acknowledged", [True, False])
 @pytest.mark.parametrize("phase", [Phase.UNCERTAIN, Phase.STOPPING])
-def test_a_stop_without_an_end_is_told(
+def test_a_stop_without_an_end_is_logged(
     phase: Phase, acknowledged: bool, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Guards against tasks that stay between two phases while their job waits."""
@@ -549,12 +551,12 @@
         bench.scheduler.reports.start_unknown(first.task, first.run)
     else:
         bench.accept(first)
-        bench.scheduler.board.stop(first.task, "test")
-    assert tell(bench, caplog) == []
+        bench.scheduler.state.stop(first.task, "test")
+    assert logged_waits(bench, caplog) == []
     if acknowledged:
         bench.scheduler.reports.stop_answered(first.task, first.run, bench.now)
     wait_on(bench)
-    (line,) = tell(bench, caplog)
+    (line,) = logged_waits(bench, caplog)
     assert line["reason"] == Reason.UNFINISHED_ORDER.value
     assert line["order_phase"] == phase.value
     assert (line["running"], line[phase.value]) == ("2", "1")
@@ -563,7 +565,7 @@
     assert line["acknowledged_seconds"] == ("4" if acknowledged else "-")
 
 
-def test_a_job_that_is_over_and_can_not_be_stopped_is_told(
+def test_a_job_that_is_over_and_can_not_be_stopped_is_logged(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """It keeps its room, and nothing else says so."""
@@ -572,9 +574,9 @@
     bench.add(a_job(a_step(count=1)))
     bench.plan_starts()
     bench.scheduler.cancel_job(JOB)
-    tell(bench, caplog)
+    logged_waits(bench, caplog)
     wait_on(bench)
-    (line,) = tell(bench, caplog)
+    (line,) = logged_waits(bench, caplog)
     assert line["reason"] == Reason.UNFINISHED_ORDER.value
 
 
@@ -588,25 +590,25 @@
     for start in starts_of(bench)[1:]:
         bench.accept(start)
     wait_on(bench)
-    (line,) = tell(bench, caplog)
+    (line,) = logged_waits(bench, caplog)
     assert line["reason"] == Reason.UNFINISHED_ORDER.value
     assert (line["ready"], line["starting"], line["running"]) == ("1", "1", "7")
 
 
-def test_a_new_reason_counts_its_seconds_anew(caplog: pytest.LogCaptureFixture) -> None:
+def test_new_reason_restarts_its_seconds(caplog: pytest.LogCaptureFixture) -> None:
     bench = SchedulerBench()
     worker = bench.worker("w1")
     worker.stale = True
     bench.add(a_job())
     wait_on(bench, 2.0)
     worker.stale = False
-    wait_on(bench, 2.0, most_starts=0)
-    (line,) = tell(bench, caplog)
+    wait_on(bench, 2.0, max_starts=0)
+    (line,) = logged_waits(bench, caplog)
     assert line["reason"] == Reason.STARTS_USED_UP.value
     assert (line["seconds"], line["reason_seconds"]) == ("4", "1.5")
 
 
-def test_nothing_is_told_of_work_that_runs_or_waits_for_room(
+def test_nothing_is_logged_of_work_that_runs_or_waits_for_room(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """A full pool is told by its load; lines of each job would tell no more."""
@@ -618,17 +620,17 @@
     bench.hold("w1", running=[a_row(start.task, 1.0) for start in starts])
     wait_on(bench, 10.0)
     assert len(starts) == 8
-    assert tell(bench, caplog) == []
+    assert logged_waits(bench, caplog) == []
 
 
-def test_a_short_wait_is_not_told(caplog: pytest.LogCaptureFixture) -> None:
+def test_a_short_wait_is_not_logged(caplog: pytest.LogCaptureFixture) -> None:
     bench = SchedulerBench()
     bench.worker("w1").stale = True
     bench.add(a_job())
-    wait_on(bench, WAIT_TOLD_SECONDS)
-    assert tell(bench, caplog) == []
+    wait_on(bench, WAIT_LOG_AFTER_SECONDS)
+    assert logged_waits(bench, caplog) == []
     wait_on(bench, 0.5)
-    assert len(tell(bench, caplog)) == 1
+    assert len(logged_waits(bench, caplog)) == 1
 
 
 def test_room_on_a_worker_whose_entry_is_gone_is_none(
@@ -636,8 +638,8 @@
 ) -> None:
     bench = SchedulerBench()
     bench.worker("w1")
-    bench.scheduler.miss_worker("w1", bench.now)
-    bench.scheduler.board.workers["w1"].stale = True
+    bench.scheduler.mark_worker_missing("w1", bench.now)
+    bench.scheduler.state.workers["w1"].stale = True
     bench.add(a_job())
     wait_on(bench)
-    assert tell(bench, caplog) == []
+    assert logged_waits(bench, caplog) == []
