--- a/tests/components/scheduling/liveness_troubles.py
+++ b/tests/components/scheduling/liveness_faults.py
@@ -13,7 +13,6 @@
 from mustardward.platform.models import Room
 from mustardward.platform.workers import TaskName
 
-from .liveness_estate import ENTRY_LAPSE_SECONDS, Slot, WorkerPoolModel
 from .liveness_jobs import (
     LONG_RUNNING,
     ORDINARY,
@@ -24,6 +23,7 @@
     unplaceable_long_running,
 )
 from .liveness_owner import Owner
+from .liveness_workers import ENTRY_LAPSE_SECONDS, Slot, WorkerPoolModel
 from .liveness_world import ModelWorker, World
 
 EVENTS: Final = 45
--- a/tests/components/scheduling/liveness_owner.py
+++ b/tests/components/scheduling/liveness_owner.py
@@ -20,7 +20,7 @@
 from mustardward.platform.workers import HoldAnswer, TaskName
 
 from .liveness_calls import ModelAdvice, ModelClient
-from .liveness_loop import LoopTimers
+from .liveness_virtual_time import LoopTimers
 from .liveness_world import World
 
 PLAN_SECONDS = 0.1
--- a/tests/components/scheduling/liveness_walk.py
+++ b/tests/components/scheduling/liveness_walk.py
@@ -21,6 +21,7 @@
 from mustardward.components.scheduling.models import Job
 from mustardward.platform.workers import TaskName, encode_task
 
+from .liveness_faults import FaultInjector
 from .liveness_jobs import (
     FOLLOWING_PROBES,
     LONGEST_SECONDS,
@@ -29,9 +30,8 @@
     PROBES,
     probes,
 )
-from .liveness_loop import VirtualTimeLoop
-from .liveness_rule import RunnableTasks
-from .liveness_troubles import FaultInjector
+from .liveness_runnable import RunnableTasks
+from .liveness_virtual_time import VirtualTimeLoop
 from .liveness_world import World
 
 TICK_SECONDS: Final = 0.05
--- a/tests/components/scheduling/test_crash_walks.py
+++ b/tests/components/scheduling/test_crash_walks.py
@@ -325,7 +325,7 @@
 
 
 @pytest.mark.parametrize("seed", REGRESSION_SEEDS)
-def test_an_order_that_broke_a_rule_once_keeps_it(seed: int) -> None:
+def test_seeds_that_once_broke_a_rule_pass(seed: int) -> None:
     walks(seed, seed + 1)
 
 
@@ -374,7 +374,7 @@
 
 
 @pytest.mark.parametrize("mutant", MUTANTS)
-def test_a_protection_that_is_taken_out_is_missed(
+def test_each_removed_protection_is_detected(
     mutant: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     owner, name, other = MUTANTS[mutant]
--- a/tests/components/scheduling/test_crashes.py
+++ b/tests/components/scheduling/test_crashes.py
@@ -112,7 +112,7 @@
     assert successor.stored[JOB].state is JobState.FAILED
 
 
-def test_a_job_that_the_owner_before_had_not_judged_is_given_up() -> None:
+def test_job_that_the_previous_owner_had_not_evaluated_is_given_up() -> None:
     """Guards against a change of owner between the last crash and what follows."""
     bench = SchedulerBench(epoch=2)
     suspected(bench, crashes=MAX_CRASHES)
@@ -136,7 +136,7 @@
     assert len(bench.plan_starts()) == 1
 
 
-def test_what_ran_for_long_beside_it_is_not_suspected() -> None:
+def test_long_running_neighbour_is_not_suspected() -> None:
     """Guards against sound tasks that are given up with the one that crashes."""
     bench = SchedulerBench()
     bench.worker("w1")
@@ -169,7 +169,7 @@
     assert crashed == CONCLUSIVE_CRASHES
 
 
-def test_a_lasting_task_may_have_bad_luck_once_more() -> None:
+def test_long_running_task_is_allowed_one_more_crash() -> None:
     """Guards against a lasting job that is given up for crashes by chance."""
     bench = SchedulerBench()
     bench.add(a_job(a_step(count=1, long_running=True)))
@@ -177,7 +177,7 @@
     assert bench.stored[JOB].state is JobState.FAILED
 
 
-def test_a_lasting_task_outlives_the_job_that_crashes_its_workers() -> None:
+def test_a_long_running_task_outlives_the_job_that_crashes_its_workers() -> None:
     """Guards against giving up a neighbour that was on all workers that crashed."""
     bench = SchedulerBench()
     bench.worker("w1")
@@ -190,7 +190,7 @@
 
 
 @pytest.mark.parametrize("how", ["draining", "leaving", "ordered", "leases"])
-def test_an_end_that_was_asked_for_is_no_crash(how: str) -> None:
+def test_requested_end_is_no_crash(how: str) -> None:
     """Guards against sound tasks that are given up in a rolling replacement."""
     bench = SchedulerBench()
     worker = bench.worker("w1")
@@ -247,7 +247,7 @@
     assert measure(bench.scheduler.state, bench.now)[POOL].isolation_workers == 1
 
 
-def test_a_suspected_job_runs_beside_what_is_not_suspected_in_the_end() -> None:
+def test_suspected_job_shares_a_worker_after_a_long_wait() -> None:
     """Guards against a job that waits for ever where each worker has a lasting task."""
     bench = SchedulerBench()
     bench.worker("w1")
@@ -276,7 +276,7 @@
     assert bench.scheduler.state.jobs[JOB].state is JobState.RUNNING
 
 
-def test_only_runs_that_nobody_stopped_clear_a_lasting_suspect() -> None:
+def test_only_runs_that_were_not_stopped_clear_a_long_running_suspect() -> None:
     """Guards against a suspect that is cleared by ends which others asked for."""
     bench = SchedulerBench()
     job = a_job(a_step(count=1, long_running=True))
@@ -296,7 +296,7 @@
     assert start.task.crashes == ()
 
 
-def test_a_crash_counts_the_runs_of_a_lasting_suspect_anew() -> None:
+def test_crash_resets_the_run_count_of_a_long_running_suspect() -> None:
     """Guards against a suspect that is cleared by runs from before its last crash."""
     bench = SchedulerBench()
     job = a_job(a_step(count=1, long_running=True))
--- a/tests/components/scheduling/test_demand.py
+++ b/tests/components/scheduling/test_demand.py
@@ -24,7 +24,7 @@
     assert measure(bench.scheduler.state, bench.now)[POOL].spread_workers == 3
 
 
-def test_what_runs_and_what_waits_is_told_apart() -> None:
+def test_running_and_waiting_work_are_counted_separately() -> None:
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=12, cpu=1000, mem_mb=100, estimate_ms=2000)))
@@ -56,7 +56,7 @@
     return measure(bench.scheduler.state, bench.now)[POOL].inflow.cpu
 
 
-def test_the_first_arrivals_of_a_turn_tell_its_need() -> None:
+def test_first_arrivals_of_a_burst_forecast_its_demand() -> None:
     """Load: a queue that was silent has 16 jobs in three quarters of a second."""
     bench = SchedulerBench()
     bench.worker("w1")
@@ -69,7 +69,7 @@
     assert inflow_of(bench) == 0
 
 
-def test_a_turn_is_told_by_its_first_third_of_a_second() -> None:
+def test_burst_is_forecast_from_its_first_third_of_a_second() -> None:
     """Load: sixteen jobs a second from now on; instances take 1.5 s to come."""
     bench = SchedulerBench()
     bench.worker("w1")
@@ -77,7 +77,7 @@
     assert inflow_of(bench) >= 0.75 * 16 * 2000
 
 
-def test_a_large_job_does_not_make_a_turn_look_larger() -> None:
+def test_large_job_does_not_inflate_the_forecast_of_a_burst() -> None:
     """Weigh the rate by what jobs ask for in the mean.
 
     Symptom: eighteen instances come for a turn whose work takes eight. Load: four jobs
@@ -94,14 +94,14 @@
     assert inflow_of(bench) == pytest.approx(4 * mean * 1000, rel=0.15)
 
 
-def test_a_single_job_tells_nothing_of_a_rate() -> None:
+def test_single_job_gives_no_arrival_rate() -> None:
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=100)))
     assert measure(bench.scheduler.state, bench.now)[POOL].inflow.cpu == 0
 
 
-def test_what_an_owner_before_took_in_long_ago_is_no_arrival() -> None:
+def test_old_job_of_the_previous_owner_is_no_arrival() -> None:
     bench = SchedulerBench()
     bench.scheduler.state.taken_over_at = bench.now
     bench.worker("w1")
@@ -111,7 +111,7 @@
     assert inflow_of(bench) == 0
 
 
-def test_a_turn_goes_on_under_a_new_owner() -> None:
+def test_burst_forecast_continues_under_a_new_owner() -> None:
     """Know the last arrivals of an owner before, each at its time.
 
     Symptom: after a change of owner in a turn its instances come 1.5 s later than the
--- a/tests/components/scheduling/test_evacuation.py
+++ b/tests/components/scheduling/test_evacuation.py
@@ -29,7 +29,7 @@
     assert bench.plan_stops() == []
 
 
-def test_the_next_task_is_stopped_once_the_first_is_at_work_again() -> None:
+def test_next_task_is_stopped_once_the_first_serves_again() -> None:
     bench, tasks = long_running_on_three_workers()
     bench.scheduler.set_leaving("w1", True, bench.now)
     bench.scheduler.set_leaving("w2", True, bench.now)
@@ -43,7 +43,7 @@
     assert len(bench.plan_stops()) == 1
 
 
-def test_a_silent_worker_counts_its_tasks_as_away() -> None:
+def test_tasks_of_a_silent_worker_count_as_missing() -> None:
     """No task is stopped beside those of a worker that fell silent.
 
     Symptom: maintenance ended a second task of a step that may miss one.
@@ -57,7 +57,7 @@
     assert bench.plan_stops() == []
 
 
-def test_a_task_on_a_leaving_worker_that_is_silent_counts_as_at_work() -> None:
+def test_task_on_a_silent_leaving_worker_counts_as_serving() -> None:
     """A leaving worker's silence does not let its tasks be stopped together.
 
     Symptom: a second task of a step that may miss one was stopped on a worker that
@@ -92,7 +92,7 @@
     assert len(bench.plan_stops()) == 1
 
 
-def test_two_tasks_that_may_have_come_to_work_are_not_stopped_together() -> None:
+def test_two_tasks_that_may_have_started_serving_are_not_stopped_together() -> None:
     """Two tasks at work were ended at once, since neither was at its last report."""
     bench = SchedulerBench()
     bench.worker("w1")
--- a/tests/components/scheduling/test_hold_walks.py
+++ b/tests/components/scheduling/test_hold_walks.py
@@ -293,7 +293,7 @@
 
 
 @pytest.mark.parametrize("seed", range(WALKS))
-def test_in_a_calm_all_work_runs_that_can(seed: int) -> None:
+def test_all_runnable_work_runs_once_faults_end(seed: int) -> None:
     """Guards against work that waits for what never comes, or is never told."""
     walk = _Walk(seed)
     for _ in range(STEPS):
@@ -337,7 +337,7 @@
     )
 
 
-def test_no_task_waits_beside_room_for_it() -> None:
+def test_no_task_waits_while_a_worker_has_room_for_it() -> None:
     """Guards against room that is found too small for one step, and is not for others.
 
     All of the log is told after each plan, so that every data centre may be used.
--- a/tests/components/scheduling/test_holds.py
+++ b/tests/components/scheduling/test_holds.py
@@ -100,7 +100,7 @@
     return found
 
 
-def test_a_lasting_task_that_waits_for_its_quota_keeps_no_worker() -> None:
+def test_a_long_running_task_that_waits_for_its_quota_reserves_no_worker() -> None:
     """Guards against a pool that stands still for an organisation's quota."""
     bench = SchedulerBench(quotas={"team": Room(cpu=1000)})
     bench.worker("w1")
@@ -110,7 +110,7 @@
     assert Simulation(bench).run(RECOVERY_SECONDS) == [OTHER, JOB, JOB]
 
 
-def test_a_lasting_task_that_waits_for_advice_keeps_no_worker() -> None:
+def test_a_long_running_task_that_waits_for_advice_reserves_no_worker() -> None:
     """Guards against a pool that stands still until advice is given."""
     bench = SchedulerBench()
     bench.worker("w1")
@@ -121,7 +121,7 @@
     assert Simulation(bench).run(RECOVERY_SECONDS) == [JOB, JOB]
 
 
-def test_a_lasting_task_whose_data_is_elsewhere_runs_where_room_is() -> None:
+def test_a_long_running_task_whose_data_is_elsewhere_runs_where_room_is() -> None:
     """Guards against a task that waits for a data centre without room."""
     bench = SchedulerBench()
     bench.worker("w1", labels=["a", "r1"])
@@ -130,7 +130,7 @@
     assert Simulation(bench).run(RECOVERY_SECONDS) == [OTHER, JOB, JOB]
 
 
-def test_a_lasting_gang_that_finds_no_room_keeps_no_worker() -> None:
+def test_a_long_running_gang_that_finds_no_room_reserves_no_worker() -> None:
     """Guards against a pool that stands still for a gang that is too wide."""
     bench = SchedulerBench()
     bench.worker("w1")
@@ -182,7 +182,7 @@
 
 
 @pytest.mark.parametrize("reason", HOPELESS)
-def test_a_lasting_task_that_no_worker_can_take_keeps_none(reason: str) -> None:
+def test_a_long_running_task_that_no_worker_can_run_reserves_none(reason: str) -> None:
     """Guards against a pool that stands still for a task it can never run."""
     bench = SchedulerBench()
     bench.worker("w1")
@@ -191,7 +191,7 @@
     assert Simulation(bench).run(RECOVERY_SECONDS) == [JOB, JOB]
 
 
-def test_a_lasting_task_that_advice_keeps_off_a_worker_does_not_keep_it() -> None:
+def test_a_long_running_task_does_not_reserve_a_worker_that_advice_forbids() -> None:
     """Guards against a worker that stands idle for a task it is not allowed."""
     bench = SchedulerBench()
     bench.worker("w1", capacity=Room(cpu=1000, mem_mb=8000))
@@ -207,7 +207,7 @@
     assert Simulation(bench).run(RECOVERY_SECONDS) == [JOB, JOB]
 
 
-def test_a_lasting_task_that_lacks_memory_keeps_a_worker_that_can_have_it() -> None:
+def test_long_running_task_reserves_a_worker_that_will_have_its_memory() -> None:
     """Guards against short tasks that take each hole a lasting one waits for.
 
     The worker with most of its processor free has no memory left for it.
@@ -229,7 +229,7 @@
     assert bench.task(0, job=OTHER).phase is Phase.RUNNING
 
 
-def test_lasting_steps_that_wait_keep_no_worker_where_each_has_all_it_may() -> None:
+def test_waiting_long_running_steps_reserve_no_worker_that_is_at_its_limit() -> None:
     """Guards against a pool that stands still for tasks that its limit holds back."""
     bench = SchedulerBench()
     for name in ("w1", "w2", "w3"):
@@ -243,7 +243,7 @@
     assert simulation.run(RECOVERY_SECONDS) == [JOB, JOB]
 
 
-def test_lasting_steps_that_wait_share_the_worker_that_is_kept() -> None:
+def test_waiting_long_running_steps_share_the_reserved_worker() -> None:
     """Guards against a worker kept for each of many steps that one has room for."""
     bench = SchedulerBench()
     bench.worker("w1")
@@ -258,7 +258,7 @@
     assert simulation.run(RECOVERY_SECONDS) == [JOB]
 
 
-def test_a_suspected_task_that_fits_no_worker_keeps_none() -> None:
+def test_a_suspected_task_that_fits_no_worker_reserves_none() -> None:
     """Guards against a pool that waits as long as its longest task runs."""
     bench = SchedulerBench()
     bench.worker("w1")
@@ -294,7 +294,7 @@
     assert simulation.run(RECOVERY_SECONDS) == [THIRD, THIRD]
 
 
-def test_a_suspected_gang_that_fits_no_pool_keeps_no_worker() -> None:
+def test_a_suspected_gang_that_fits_no_pool_reserves_no_worker() -> None:
     """Guards against a worker that is emptied for a gang it is too small for."""
     bench = SchedulerBench()
     bench.worker("w1")
@@ -306,7 +306,7 @@
     assert simulation.run(0.5) == [THIRD, THIRD]
 
 
-def test_a_suspected_task_that_waits_for_its_quota_keeps_no_worker() -> None:
+def test_a_suspected_task_that_waits_for_its_quota_reserves_no_worker() -> None:
     """Guards against a worker that is emptied for a task that may not start."""
     bench = SchedulerBench(quotas={"team": Room(cpu=1000)})
     bench.worker("w1")
@@ -351,7 +351,9 @@
     assert OTHER in {start.task.name.job for start in simulation.started}
 
 
-def test_a_suspected_lasting_task_that_fails_early_does_not_hold_its_worker() -> None:
+def test_a_suspected_long_running_task_that_fails_early_does_not_hold_its_worker() -> (
+    None
+):
     """Guards against a worker that others never get, since its task is never cleared.
 
     A lasting task is cleared once it ran for a while; this one always fails before.
@@ -440,7 +442,7 @@
     assert OTHER in run_beside_short_tasks(Simulation(bench), job)
 
 
-def test_a_suspected_task_gets_room_where_each_worker_has_a_lasting_task() -> None:
+def test_a_suspected_task_gets_room_where_each_worker_has_a_long_running_task() -> None:
     """Guards against a wait for as long as short tasks go on coming."""
     bench = SchedulerBench()
     bench.worker("w1")
--- a/tests/components/scheduling/test_liveness.py
+++ b/tests/components/scheduling/test_liveness.py
@@ -22,8 +22,8 @@
 
 from .builders import JOB, POOL, SchedulerBench, a_job, a_step
 from .liveness_jobs import POLICIES, POOL_A
-from .liveness_loop import VirtualTimeLoop
 from .liveness_owner import Directory, Owner
+from .liveness_virtual_time import VirtualTimeLoop
 from .liveness_world import ModelWorker, Run, World
 
 TICK_SECONDS = 0.1
@@ -42,7 +42,7 @@
         bench.plan_starts()
 
 
-def test_work_waits_for_no_lasting_step_that_no_worker_can_run() -> None:
+def test_work_waits_for_no_long_running_step_that_no_worker_can_run() -> None:
     """Guard against workers kept empty for tasks whose limit allows none of them."""
     bench = SchedulerBench()
     for name in ("w1", "w2", "w3"):
@@ -114,7 +114,7 @@
     return job
 
 
-def test_the_room_of_a_stray_is_given_back_though_nothing_else_runs_there() -> None:
+def test_room_of_an_orphan_run_is_released_though_nothing_else_runs_there() -> None:
     """Guard against a run of a task that is done, whose room stays taken for ever on a
     worker that is not asked again.
     """
@@ -127,7 +127,7 @@
     assert done == {TaskName(JOB, 0, 1, 0)}
 
 
-def test_the_quota_of_a_stray_is_given_back_though_nothing_else_runs_there() -> None:
+def test_quota_of_an_orphan_run_is_released_though_nothing_else_runs_there() -> None:
     """Guard against a run of a task that is done, which counts for its organisation for
     ever, so that this starts nothing on any worker.
     """
@@ -140,7 +140,7 @@
     assert done == {TaskName(JOB, 0, 1, 0)}
 
 
-def test_a_step_asks_for_advice_anew_once_the_workers_it_may_use_are_gone() -> None:
+def test_step_requests_advice_again_once_its_allowed_workers_are_gone() -> None:
     """Guard against tickets of workers that are gone, which keep a step from asking for
     others as long as they are valid.
     """
@@ -158,7 +158,7 @@
     assert [ask.workers for ask in asked] == [("w2",)]
 
 
-def test_a_step_asks_about_workers_that_came_once_its_own_may_run_no_more() -> None:
+def test_step_requests_advice_on_new_workers_once_its_own_may_run_no_more() -> None:
     """Guard against a lasting step that keeps to the workers it asked about first."""
     bench = SchedulerBench(policy=QueuePolicy(POOL, advice=True))
     bench.worker("w1")
--- a/tests/components/scheduling/test_liveness_walks.py
+++ b/tests/components/scheduling/test_liveness_walks.py
@@ -54,13 +54,13 @@
 
 
 @pytest.mark.parametrize("seed", SCARCE_SEEDS)
-def test_what_can_run_runs_beside_lasting_steps_that_cannot(seed: int) -> None:
+def test_what_can_run_runs_beside_long_running_steps_that_cannot(seed: int) -> None:
     found = LivenessWalk(seed, scarce=True).walk()
     assert not found, f"seed={seed} {found}"
 
 
 @pytest.mark.parametrize("mutant", MISSED_BY)
-def test_a_release_that_is_taken_out_is_missed(
+def test_each_removed_release_is_detected(
     mutant: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     kept = _kept_seeds()
--- a/tests/components/scheduling/test_losses.py
+++ b/tests/components/scheduling/test_losses.py
@@ -11,7 +11,7 @@
 from .builders import JOB, SchedulerBench, a_job
 
 
-def test_a_lost_worker_is_told_with_its_runs_and_the_cause(
+def test_lost_worker_is_logged_with_its_runs_and_cause(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against a loss whose runs and cause no line names."""
--- a/tests/components/scheduling/test_pacing.py
+++ b/tests/components/scheduling/test_pacing.py
@@ -33,7 +33,7 @@
     return [c.percent for c in bench.plan() if isinstance(c, Pace)]
 
 
-def test_what_fills_is_held_back_until_the_serving_task_is_well() -> None:
+def test_filling_task_is_throttled_until_the_serving_task_meets_its_target() -> None:
     """Load: work that fills disturbs a serving task beyond its target, for seconds."""
     bench, serving, filling = serving_and_filling()
     ordered: list[int] = []
@@ -44,7 +44,7 @@
     assert ordered == [50, 25, 0]
 
 
-def test_it_is_raised_slowly_once_there_is_room_again() -> None:
+def test_throttle_is_raised_slowly_once_there_is_headroom() -> None:
     bench, serving, filling = serving_and_filling()
     bench.now += 0.7
     report(bench, serving, filling, 150.0)
@@ -57,7 +57,7 @@
     assert ordered == [75, 100]
 
 
-def test_a_serving_task_within_its_target_holds_nothing_back() -> None:
+def test_serving_task_within_its_target_throttles_nothing() -> None:
     bench, serving, filling = serving_and_filling()
     bench.now += 0.7
     report(bench, serving, filling, 60.0)
--- a/tests/components/scheduling/test_planning.py
+++ b/tests/components/scheduling/test_planning.py
@@ -71,7 +71,7 @@
     assert worker.free_cpu == 1000
 
 
-def test_labels_and_most_a_worker_are_kept() -> None:
+def test_required_label_and_limit_per_worker_are_respected() -> None:
     bench = SchedulerBench()
     bench.worker("w1", labels=["a", "r1"])
     bench.worker("w2", labels=["b", "r1"])
@@ -132,7 +132,7 @@
     assert [stop.task for stop in stops] == [first.task]
 
 
-def test_one_member_done_speaks_for_its_gang() -> None:
+def test_one_member_that_is_done_ends_its_gang_as_done() -> None:
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=2, gang=True)))
@@ -155,7 +155,7 @@
     assert [s.task.step.occurrence for s in bench.plan_starts()] == [1]
 
 
-def test_lasting_tasks_spread_and_come_first() -> None:
+def test_long_running_tasks_spread_and_come_first() -> None:
     bench = SchedulerBench()
     for name in ("w1", "w2"):
         bench.worker(name, capacity=Room(cpu=1000, mem_mb=8000))
@@ -171,7 +171,7 @@
     return dict(Counter(start.worker for start in bench.plan_starts()))
 
 
-def test_lasting_tasks_share_workers_up_to_what_may_be_missing() -> None:
+def test_long_running_tasks_share_workers_up_to_what_may_be_missing() -> None:
     """Workers without a lasting task can be lent while others' demand has its turn.
 
     Symptom: a pool that asked for four times its mean got nothing from pools that stood
@@ -206,7 +206,7 @@
     assert bench.plan_stops() == []
 
 
-def test_lasting_tasks_with_a_target_spread() -> None:
+def test_long_running_tasks_with_a_target_spread() -> None:
     bench = SchedulerBench()
     for number in range(3):
         bench.worker(f"w{number}")
@@ -215,7 +215,7 @@
     assert len(starts_by_worker(bench)) == 3
 
 
-def test_lasting_tasks_go_where_maintenance_is_done() -> None:
+def test_long_running_tasks_go_where_maintenance_is_done() -> None:
     bench = SchedulerBench()
     for number in range(4):
         bench.worker(f"w{number}")
@@ -224,7 +224,7 @@
     assert starts_by_worker(bench)["w3"] == 2
 
 
-def test_a_lasting_task_starts_again_however_it_ended() -> None:
+def test_a_long_running_task_starts_again_however_it_ended() -> None:
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=1, long_running=True)))
@@ -234,7 +234,7 @@
     assert len(bench.plan_starts()) == 1
 
 
-def test_a_lasting_task_gets_the_next_room_however_much_else_waits() -> None:
+def test_a_long_running_task_gets_the_next_room_however_much_else_waits() -> None:
     """A lasting task is not starved by shorter ones that fit each small hole.
 
     Load: a pool full of short tasks, and one lasting task that needs half a worker.
--- a/tests/components/scheduling/test_quota_walks.py
+++ b/tests/components/scheduling/test_quota_walks.py
@@ -432,7 +432,7 @@
         _ignore_takeover_hold,
     ],
 )
-def test_each_protection_is_missed_when_it_is_taken_out(
+def test_each_removed_protection_is_detected(
     mutate: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     mutate(monkeypatch)
--- a/tests/components/scheduling/test_quotas.py
+++ b/tests/components/scheduling/test_quotas.py
@@ -51,7 +51,7 @@
     assert len(bench.plan_starts()) == started
 
 
-def test_the_room_beyond_a_quota_goes_to_others() -> None:
+def test_room_above_a_quota_goes_to_others() -> None:
     """Load: a hot organisation fills a pool, and everybody else waits behind it."""
     bench = a_bench(Room(cpu=2000), workers=1)
     bench.add(a_job(a_step(count=40), organisation=DAIRY))
@@ -74,7 +74,7 @@
     assert len(bench.plan_starts()) == 1
 
 
-def test_what_runs_behind_a_cut_counts_until_its_lease_is_over() -> None:
+def test_run_on_a_cut_off_worker_counts_until_its_lease_expires() -> None:
     bench = a_bench(Room(cpu=2000), workers=1)
     bench.add(a_job(a_step(count=2), organisation=DAIRY))
     assert len(bench.plan_starts()) == 2
@@ -86,7 +86,7 @@
     assert len(bench.plan_starts()) == 2
 
 
-def test_a_run_that_is_no_tasks_any_more_counts_until_it_is_listed_no_more() -> None:
+def test_orphan_run_counts_until_it_is_no_longer_listed() -> None:
     """Symptom: an organisation has twice its quota running. Cause: a run that a worker
     began late, and that is being stopped, was counted for nobody."""
     bench = a_bench(Room(cpu=2000))
@@ -101,7 +101,7 @@
     assert len(bench.plan_starts()) == 1
 
 
-def test_strays_go_with_their_worker() -> None:
+def test_orphan_runs_end_with_their_worker() -> None:
     bench = a_bench(Room(cpu=1000))
     bench.add(a_job(a_step(count=1), organisation=DAIRY))
     stray = RunningTask(TaskName(bench_job(bench), 0, 0, 0), 5, "", 1.0, 0.0)
@@ -120,7 +120,7 @@
     return job
 
 
-def test_after_a_takeover_what_may_run_unseen_counts() -> None:
+def test_unconfirmed_runs_count_after_a_takeover() -> None:
     """Symptom: an organisation has its quota running twice, after a takeover by a cut.
 
     Sequence: the owner is cut off with some workers, and goes on ordering there; the
--- a/tests/components/scheduling/test_ranked_workers.py
+++ b/tests/components/scheduling/test_ranked_workers.py
@@ -44,7 +44,7 @@
 
 
 @given(st.lists(ROOMS, max_size=8), STEPS, st.lists(st.integers(0, 9), max_size=6))
-def test_each_task_goes_where_a_look_at_each_worker_would_put_it(
+def test_ranking_chooses_the_same_worker_as_a_full_scan(
     rooms: list[tuple[int, int, float]], step: dict[str, object], avoiding: list[int]
 ) -> None:
     bench = SchedulerBench()
--- a/tests/components/scheduling/test_rate_shares.py
+++ b/tests/components/scheduling/test_rate_shares.py
@@ -28,13 +28,15 @@
 @pytest.mark.parametrize(
     ("gap", "within"), [(0.25, 20), (0.125, 12), (0.0, 4), (1.0, 20)]
 )
-def test_a_rate_is_kept_over_time_with_a_seconds_burst(gap: float, within: int) -> None:
+def test_rate_holds_over_time_with_a_burst_of_one_second(
+    gap: float, within: int
+) -> None:
     shares = RateShares(lambda name: 4.0)
     seen = [shares.exceeds_rate(HOT, 10.0 + gap * number) for number in range(20)]
     assert abs(seen.count(False) - within) <= 1
 
 
-def test_what_came_late_gives_no_rate_back() -> None:
+def test_late_arrivals_earn_no_extra_rate() -> None:
     """Jobs are told in the order of the log, their times are other entries' clocks."""
     shares = RateShares(lambda name: 1.0)
     assert not shares.exceeds_rate(HOT, 100.0)
@@ -43,7 +45,7 @@
     assert not shares.exceeds_rate(HOT, 101.0)
 
 
-def test_without_an_organisation_or_a_rate_nothing_lies_beyond() -> None:
+def test_nothing_exceeds_the_rate_without_an_organisation_or_a_rate() -> None:
     assert not any(RateShares(lambda name: 1.0).exceeds_rate("", 0.0) for _ in range(9))
     assert not any(RateShares().exceeds_rate(HOT, 0.0) for _ in range(9))
 
@@ -81,7 +83,7 @@
     )
 
 
-def test_a_hot_organisation_keeps_nobody_elses_jobs_waiting() -> None:
+def test_busy_organisation_does_not_delay_jobs_of_others() -> None:
     """Replay a hot organisation: ten times another's rate, beyond what the pool does.
 
     Symptom: one job in four is late, whoever sent it. Cause: the order of work knew no
@@ -95,7 +97,7 @@
         switch_off([])
 
 
-def test_what_lies_beyond_a_rate_takes_the_room_that_is_left() -> None:
+def test_jobs_over_the_rate_use_the_remaining_room() -> None:
     bench = a_bench()
     for number in range(8):
         bench.add(a_job(a_step(count=1), job=f"{number:016x}", organisation=SMALL))
--- a/tests/components/scheduling/test_room_walks.py
+++ b/tests/components/scheduling/test_room_walks.py
@@ -194,7 +194,7 @@
 @pytest.mark.parametrize(
     "mutate", [_keep_orphans_of_lost_workers, _release_uncertain_room_twice]
 )
-def test_a_book_that_is_wrong_is_found(
+def test_wrong_accounting_is_detected(
     mutate: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     mutate(monkeypatch)
--- a/tests/components/scheduling/test_rooms.py
+++ b/tests/components/scheduling/test_rooms.py
@@ -58,7 +58,7 @@
     assert len(bench.plan_starts()) == 8
 
 
-def test_the_room_of_an_incarnation_that_is_over_says_nothing() -> None:
+def test_room_of_an_ended_incarnation_is_ignored() -> None:
     """Guards against an entry that is read late and was written by another life."""
     bench = a_bench()
     update_worker(bench, HALF, born=BORN - 1000)
@@ -66,7 +66,7 @@
     assert len(bench.plan_starts()) == 8
 
 
-def test_a_run_that_is_no_tasks_any_more_takes_its_room() -> None:
+def test_orphan_run_takes_its_room() -> None:
     """Guards against starts beside a stray run that bring a worker over its room."""
     bench = a_bench()
     bench.add(a_job(a_step(count=1, cpu=6000)))
--- a/tests/components/scheduling/test_run_logger.py
+++ b/tests/components/scheduling/test_run_logger.py
@@ -19,7 +19,7 @@
     return [r.getMessage() for r in caplog.records if f"event={event} " in r.message]
 
 
-def test_all_runs_of_a_turn_are_told_within_what_a_second_may_hold(
+def test_all_runs_of_a_burst_are_logged_within_the_limit_of_a_second(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """Follow each task of each job by the log, also in a peak.
@@ -48,7 +48,7 @@
     assert len(ended) == 60
 
 
-def test_a_line_tells_of_so_many_runs_at_most(
+def test_line_names_a_limited_number_of_runs(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level("INFO", "absl")
--- a/tests/components/scheduling/test_stuck.py
+++ b/tests/components/scheduling/test_stuck.py
@@ -29,7 +29,7 @@
         assert bench.plan_stops() == []
 
 
-def test_a_lasting_task_on_a_silent_worker_is_not_stopped() -> None:
+def test_a_long_running_task_on_a_silent_worker_is_not_stopped() -> None:
     """A worker's silence is no reason to stop the lasting tasks on it.
 
     Symptom: three tasks of one step were stopped at once, though one may miss.
@@ -49,7 +49,7 @@
     assert all(start.task.phase is Phase.RUNNING for start in starts)
 
 
-def test_a_lasting_task_that_never_gets_to_work_is_stopped() -> None:
+def test_long_running_task_that_never_serves_is_stopped() -> None:
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=1, long_running=True, estimate_ms=500)))
@@ -79,7 +79,7 @@
     assert start.task.phase is Phase.RUNNING
 
 
-def test_progress_is_timed_on_the_clock_of_the_worker_that_tells_of_it() -> None:
+def test_progress_is_timed_on_the_clock_of_the_reporting_worker() -> None:
     """Symptom: as above, by an owner that reads two reports late, one behind another.
 
     Sequence: a poll that left long ago is read after a hold-up of seconds; its report
--- a/tests/components/scheduling/test_takeover.py
+++ b/tests/components/scheduling/test_takeover.py
@@ -37,7 +37,7 @@
     assert len(bench.plan_starts()) == 2
 
 
-def test_a_job_that_no_owner_has_taken_in_starts_at_once() -> None:
+def test_job_that_no_owner_has_stored_starts_at_once() -> None:
     """What was accepted while nobody owned the shard can run nowhere.
 
     Symptom: 48 jobs were never done in time though half of their pool stood idle.
@@ -51,7 +51,7 @@
     assert len(bench.plan_starts()) == 2
 
 
-def test_nothing_of_a_job_starts_before_its_taking_in_is_stored() -> None:
+def test_no_task_of_a_job_starts_before_its_acceptance_is_stored() -> None:
     """Else a next owner would start it too, for nothing told that it may run."""
     bench = SchedulerBench()
     bench.worker("w1")
@@ -106,7 +106,7 @@
     assert len(bench.plan_starts()) == 1
 
 
-def test_failed_runs_count_in_whichever_order_they_are_told() -> None:
+def test_failed_runs_count_in_whichever_order_they_are_reported() -> None:
     """A failed run that is told late counts, though a later run failed before.
 
     Symptom: a task was started a fourth time after three runs had failed.
--- a/tests/components/scheduling/test_wait_logger.py
+++ b/tests/components/scheduling/test_wait_logger.py
@@ -42,7 +42,7 @@
     return REGISTRY.get_sample_value(name, {"reason": reason.value}) or 0.0
 
 
-def test_a_look_writes_a_bounded_number_of_lines_the_oldest_first(
+def test_check_writes_a_bounded_number_of_lines_the_oldest_first(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """Guards against a log that is full of waits when a pool is held up."""
@@ -53,7 +53,7 @@
     assert untold["count"] == str(JOBS - 2 * MAX_LINES)
 
 
-def test_a_large_pool_gets_fewer_lines_a_look(
+def test_large_pool_gets_fewer_lines_per_check(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """Guards against an owner that is late since it looks at thousands of workers."""
@@ -68,7 +68,7 @@
     assert untold["count"] == "5"
 
 
-def test_each_step_is_told_in_turn_and_not_again_soon(
+def test_each_step_is_logged_in_turn_and_not_again_soon(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     bench = a_bench_that_waits()
@@ -81,7 +81,7 @@
     assert logged_waits(bench, caplog, "task_waits_untold") == []
 
 
-def test_a_step_is_told_again_while_it_waits_on(
+def test_a_step_is_logged_again_while_it_waits_on(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     bench = a_bench_that_waits(jobs=1)
@@ -92,7 +92,7 @@
     assert len(logged) == 2
 
 
-def test_what_waits_is_counted_by_its_reason_in_each_look(
+def test_waits_are_counted_by_reason_in_each_check(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """Also what no line told of, and under the reason that its line told."""
@@ -136,7 +136,7 @@
     assert oldest_seconds() == 2 * WAIT_LOG_AFTER_SECONDS
 
 
-def test_looks_hold_on_to_nothing_of_jobs_that_are_over(
+def test_checks_keep_nothing_of_ended_jobs(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """Guards against memory that grows with each job."""
--- a/tests/components/scheduling/test_wait_tracker.py
+++ b/tests/components/scheduling/test_wait_tracker.py
@@ -363,12 +363,12 @@
     return bench, {"reason_seconds": "-"}
 
 
-def test_each_reason_has_a_scene() -> None:
+def test_each_reason_has_a_scenario() -> None:
     assert set(SCENARIOS) == set(Reason)
 
 
 @pytest.mark.parametrize("reason", list(Reason), ids=lambda reason: reason.value)
-def test_a_step_that_waits_is_told_with_its_reason_and_inputs(
+def test_a_step_that_waits_is_logged_with_its_reason_and_inputs(
     reason: Reason, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Guards against a job that waits without a line that says why."""
@@ -406,7 +406,7 @@
     assert line["unusable"] == f"{name}:1"
 
 
-def test_a_worker_kept_beside_full_ones_is_told_as_kept(
+def test_reserved_worker_among_full_ones_is_logged_as_reserved(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """Guards against a pool that seems to have no room, and keeps all of it."""
@@ -423,7 +423,7 @@
     assert line["kept_for"] == f"w1:{OTHER}"
 
 
-def test_a_worker_that_a_step_keeps_for_itself_is_not_kept_for_others(
+def test_worker_reserved_for_the_step_itself_is_not_reserved_for_others(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """Guards against a step that is told to wait for itself."""
@@ -440,7 +440,7 @@
 
 
 @pytest.mark.parametrize("isolating", [True, False])
-def test_a_worker_kept_for_suspects_is_told_with_their_job(
+def test_worker_reserved_for_suspects_is_logged_with_their_job(
     isolating: bool, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Whether the suspects run there or wait until it is empty."""
@@ -471,7 +471,7 @@
         ({"required_label": "ssd"}, {"required_label": "ssd", "without_label": "1"}),
     ],
 )
-def test_a_rule_that_allows_no_worker_is_told(
+def test_a_rule_that_allows_no_worker_is_logged(
     step: dict[str, object], inputs: dict[str, str], caplog: pytest.LogCaptureFixture
 ) -> None:
     bench = SchedulerBench()
@@ -487,7 +487,7 @@
 @pytest.mark.parametrize(
     "step", [{"cpu": 1000}, {"count": 3, "cpu": 200, "gang": True}], ids=["one", "gang"]
 )
-def test_suspects_whose_own_worker_is_too_small_are_told(
+def test_suspects_whose_own_worker_is_too_small_are_logged(
     step: dict[str, object], caplog: pytest.LogCaptureFixture
 ) -> None:
     """Other workers have room, beside jobs that a crash would take along."""
@@ -504,7 +504,9 @@
     assert line["suspicion"] == "2"
 
 
-def test_starts_used_up_amid_a_step_are_told(caplog: pytest.LogCaptureFixture) -> None:
+def test_start_limit_reached_within_a_step_is_logged(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     bench = SchedulerBench()
     bench.worker("w1")
     bench.worker("w2")
@@ -515,7 +517,7 @@
     assert (line["ready"], line["most_starts"]) == ("8", "1")
 
 
-def test_tickets_that_name_no_worker_with_room_are_told(
+def test_tickets_that_name_no_worker_with_room_are_logged(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     bench = SchedulerBench(policy=QueuePolicy(service=POOL, advice=True))
@@ -534,7 +536,7 @@
 
 @pytest.mark.parametrize("acknowledged", [True, False])
 @pytest.mark.parametrize("phase", [Phase.UNCERTAIN, Phase.STOPPING])
-def test_a_stop_without_an_end_is_told(
+def test_a_stop_without_an_end_is_logged(
     phase: Phase, acknowledged: bool, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Guards against tasks that stay between two phases while their job waits."""
@@ -563,7 +565,7 @@
     assert line["acknowledged_seconds"] == ("4" if acknowledged else "-")
 
 
-def test_a_job_that_is_over_and_can_not_be_stopped_is_told(
+def test_a_job_that_is_over_and_can_not_be_stopped_is_logged(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """It keeps its room, and nothing else says so."""
@@ -593,7 +595,7 @@
     assert (line["ready"], line["starting"], line["running"]) == ("1", "1", "7")
 
 
-def test_a_new_reason_counts_its_seconds_anew(caplog: pytest.LogCaptureFixture) -> None:
+def test_new_reason_restarts_its_seconds(caplog: pytest.LogCaptureFixture) -> None:
     bench = SchedulerBench()
     worker = bench.worker("w1")
     worker.stale = True
@@ -606,7 +608,7 @@
     assert (line["seconds"], line["reason_seconds"]) == ("4", "1.5")
 
 
-def test_nothing_is_told_of_work_that_runs_or_waits_for_room(
+def test_nothing_is_logged_of_work_that_runs_or_waits_for_room(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """A full pool is told by its load; lines of each job would tell no more."""
@@ -621,7 +623,7 @@
     assert logged_waits(bench, caplog) == []
 
 
-def test_a_short_wait_is_not_told(caplog: pytest.LogCaptureFixture) -> None:
+def test_a_short_wait_is_not_logged(caplog: pytest.LogCaptureFixture) -> None:
     bench = SchedulerBench()
     bench.worker("w1").stale = True
     bench.add(a_job())
--- a/tests/components/scheduling/test_zone_chooser.py
+++ b/tests/components/scheduling/test_zone_chooser.py
@@ -55,7 +55,7 @@
     assert (len(starts), zones_of(bench, starts)) == (4, {zone})
 
 
-def test_it_starts_in_another_one_only_once_the_log_was_told() -> None:
+def test_job_starts_in_another_data_centre_only_once_that_is_stored() -> None:
     """Else the next owner would take it for accounted for, and start it again."""
     bench = a_bench()
     bench.add(a_job(a_step(count=12)), stored=False)
@@ -99,7 +99,7 @@
     assert {tuple(record.zones) for record in store(bench).values()} == {("z2",)}
 
 
-def test_what_lasts_or_is_a_gang_may_start_anywhere() -> None:
+def test_long_running_tasks_and_gangs_may_start_anywhere() -> None:
     bench = a_bench()
     for number, step in enumerate((a_step(long_running=True), a_step(gang=True))):
         bench.add(a_job(step, job=f"{number:016x}"), stored=False)
@@ -131,7 +131,7 @@
     assert {start.task.step.job.record.id for start in starts} >= {f"{2:016x}"}
 
 
-def test_a_job_whose_data_centre_went_goes_elsewhere_once_the_log_was_told() -> None:
+def test_job_of_a_lost_data_centre_starts_elsewhere_once_that_is_stored() -> None:
     bench = a_bench()
     bench.add(a_job(), stored=False)
     (zone,) = store(bench)[JOB].zones
@@ -164,7 +164,7 @@
 
 
 @given(st.integers(0, 10_000))
-def test_nothing_ever_starts_where_the_log_does_not_name(seed: int) -> None:
+def test_nothing_starts_in_a_data_centre_that_is_not_stored(seed: int) -> None:
     """Whatever comes when: a start follows a record that names its data centre."""
     chance = random.Random(seed)
     bench = a_bench(workers=chance.randint(1, 2))
@@ -194,7 +194,7 @@
             assert zone in log[start.task.step.job.record.id]
 
 
-def test_a_job_that_is_over_is_promised_no_room_any_more() -> None:
+def test_ended_job_has_no_assigned_work() -> None:
     """Else work would go to the data centre with the fewest jobs since the begin."""
     bench = a_bench()
     zone_chooser = bench.scheduler.intake.zone_chooser
