--- a/mustardward/components/scheduling/candidates.py
+++ b/mustardward/components/scheduling/candidates.py
@@ -149,11 +149,9 @@
         """Keep one worker that becomes empty by itself, whoever waits for it."""
         if self._has_emptying_worker:
             return
-        reservations = choose_workers_to_empty(
-            self.workers, free, step, suspects, seconds
-        )
-        self._has_emptying_worker = bool(reservations)
-        self.exclude(reservations, step)
+        emptying = choose_workers_to_empty(self.workers, free, step, suspects, seconds)
+        self._has_emptying_worker = bool(emptying)
+        self.exclude(emptying, step)
 
     def exclude(self, taken: list[WorkerState], step: StepRun) -> None:
         """Give workers to no other step in this plan."""
--- a/mustardward/components/scheduling/placement.py
+++ b/mustardward/components/scheduling/placement.py
@@ -172,7 +172,7 @@
     room: Counter[FailureDomain] = Counter()
     for worker in workers:
         room[FailureDomain(worker.zone, worker.rack)] += worker.free_cpu
-    return max(room, key=lambda place: room[place], default=None)
+    return max(room, key=lambda domain: room[domain], default=None)
 
 
 def _long_running_score(worker: WorkerState, step: StepRun) -> Score:
--- a/mustardward/components/scheduling/wait_inputs.py
+++ b/mustardward/components/scheduling/wait_inputs.py
@@ -45,7 +45,7 @@
 
 
 @INPUTS.register(Reason.NOT_STORED)
-def _storing(wait: WaitContext) -> Inputs:
+def _storage_state(wait: WaitContext) -> Inputs:
     job = wait.step.job
     return {
         "dirty": job.record.id in wait.state.dirty,
@@ -70,7 +70,7 @@
 
 
 @INPUTS.register(Reason.STARTS_USED_UP)
-def _starts(wait: WaitContext) -> Inputs:
+def _start_limit(wait: WaitContext) -> Inputs:
     return {"most_starts": wait.wait_tracker.max_starts}
 
 
@@ -157,13 +157,13 @@
 @INPUTS.register(Reason.ADVICE_UNANSWERED)
 def _advice(wait: WaitContext) -> Inputs:
     step = wait.step
-    asked = (
+    requested_at = (
         step.advice_requested_until - ADVICE_TIMEOUT_SECONDS
         if step.advice_requested_until
         else None
     )
     return {
-        "asked_seconds": _seconds_since(asked, wait.now),
+        "asked_seconds": _seconds_since(requested_at, wait.now),
         "tickets": len(step.tickets),
     }
 
@@ -190,7 +190,7 @@
 
 
 @INPUTS.register(Reason.GANG_INCOMPLETE)
-def _members(wait: WaitContext) -> Inputs:
+def _gang_members(wait: WaitContext) -> Inputs:
     phases = Counter(task.phase.value for task in wait.step.tasks)
     return {
         "members": ",".join(f"{phase}:{n}" for phase, n in sorted(phases.items())),
@@ -204,20 +204,20 @@
         "members": len(wait.step.tasks),
         "same_rack": spec.same_rack,
         **_rules(wait),
-        **_zones(wait),
+        **_zone_inputs(wait),
     }
 
 
 @INPUTS.register(Reason.NO_ROOM)
 def _room(wait: WaitContext) -> Inputs:
-    return {**_zones(wait), **_reserved(wait)}
+    return {**_zone_inputs(wait), **_reserved(wait)}
 
 
 @INPUTS.register(Reason.ZONE_BEING_STORED)
 def _next_zone(wait: WaitContext) -> Inputs:
     job = wait.step.job
     return {
-        **_zones(wait),
+        **_zone_inputs(wait),
         "sent_zones": _join_names(job.pending_zones),
         "dirty": job.record.id in wait.state.dirty,
         "sent_seconds": _seconds_since(wait.sent_at, wait.now),
@@ -231,7 +231,7 @@
         free[worker.zone] += worker.free_cpu
     promised = wait.decision.promised if wait.decision is not None else None
     return {
-        **_zones(wait),
+        **_zone_inputs(wait),
         "free": _join_names(f"{zone}:{cpu}" for zone, cpu in free.items()),
         "promised": _join_names(
             f"{zone}:{cpu}" for zone, cpu in (promised or {}).items()
@@ -258,7 +258,7 @@
     }
 
 
-def _zones(wait: WaitContext) -> Inputs:
+def _zone_inputs(wait: WaitContext) -> Inputs:
     job = wait.step.job
     return {
         "zones": _join_names(job.zones),
--- a/mustardward/components/scheduling/wait_logger.py
+++ b/mustardward/components/scheduling/wait_logger.py
@@ -159,11 +159,11 @@
 
     def _overdue_orders(self, now: float) -> dict[StepRun, _Order]:
         """Return each step's task whose order has not ended for too long."""
-        before = self._phase_since
+        previous = self._phase_since
         self._phase_since = {}
         oldest: dict[StepRun, _Order] = {}
         for task in self._tasks_in_transition():
-            phase, run, since = before.get(task, (None, 0, 0.0))
+            phase, run, since = previous.get(task, (None, 0, 0.0))
             if phase is not task.phase or run != task.run:
                 since = task.started_at if task.phase is Phase.STARTING else now
             self._phase_since[task] = (task.phase, task.run, since)
