--- a/mustardward/components/scheduling/wait_context.py
+++ b/mustardward/components/scheduling/wait_context.py
@@ -52,7 +52,7 @@
         # What a suspected step's own trial keeps, its other tasks wait for.
         own = None if self.step.job.suspicion else self.step
         reserved = {
-            k.worker.id: k.step for k in candidates.reserved if k.step is not own
+            k.worker.id: k.step for k in candidates.reservations if k.step is not own
         }
         for worker in self.workers:
             if worker.id in candidates.isolation_workers:
--- a/mustardward/components/scheduling/wait_logger.py
+++ b/mustardward/components/scheduling/wait_logger.py
@@ -273,7 +273,7 @@
         "order_seconds": now - order.since,
         "order_run": task.run,
         "order_worker": worker.id if worker is not None else None,
-        "order_sent": task.record_sent,
+        "order_sent": task.sent,
         "stop_acknowledged": stopped_at is not None,
         "acknowledged_seconds": now - stopped_at if stopped_at is not None else None,
         "worker_heard_seconds": now - worker.reported_at
