--- a/bench/owner.py
+++ b/bench/owner.py
@@ -164,7 +164,7 @@
     scheduler.reports.start_answered(start.task, start.run, "", now)
     worker = scheduler.state.workers[start.worker]
     ended = EndedTask(1, start.task.name, start.run, "done", "")
-    scheduler.reports.ended(worker, ended, now)
+    scheduler.reports.apply_end(worker, ended, now)
 
 
 def _pairs(cost: PlanCost) -> dict[str, float]:
--- a/bench/turns.py
+++ b/bench/turns.py
@@ -232,7 +232,7 @@
             self._numbers[worker] += 1
             ended = EndedTask(self._numbers[worker], name, run, "done", "")
             state = self._scheduler.state.workers[worker]
-            self._scheduler.reports.ended(state, ended, now)
+            self._scheduler.reports.apply_end(state, ended, now)
 
     def plan(self, now: float) -> None:
         """Start what the scheduler orders, and note what is done."""
