--- a/mustardward/components/scheduling/wait_logger.py
+++ b/mustardward/components/scheduling/wait_logger.py
@@ -159,11 +159,11 @@
 
     def _overdue_orders(self, now: float) -> dict[StepRun, _Order]:
         """Return each step's task whose order has not ended for too long."""
-        before = self._phase_since
+        previous = self._phase_since
         self._phase_since = {}
         oldest: dict[StepRun, _Order] = {}
         for task in self._tasks_in_transition():
-            phase, run, since = before.get(task, (None, 0, 0.0))
+            phase, run, since = previous.get(task, (None, 0, 0.0))
             if phase is not task.phase or run != task.run:
                 since = task.started_at if task.phase is Phase.STARTING else now
             self._phase_since[task] = (task.phase, task.run, since)
@@ -273,7 +273,7 @@
         "order_seconds": now - order.since,
         "order_run": task.run,
         "order_worker": worker.id if worker is not None else None,
-        "order_sent": task.record_sent,
+        "order_sent": task.sent,
         "stop_acknowledged": stopped_at is not None,
         "acknowledged_seconds": now - stopped_at if stopped_at is not None else None,
         "worker_heard_seconds": now - worker.reported_at
