--- a/tests/components/scheduling/test_holds.py
+++ b/tests/components/scheduling/test_holds.py
@@ -207,9 +207,7 @@
     assert Simulation(bench).run(RECOVERY_SECONDS) == [JOB, JOB]
 
 
-def test_a_long_running_task_that_lacks_memory_reserves_a_worker_that_will_have_it() -> (
-    None
-):
+def test_long_running_task_reserves_a_worker_that_will_have_its_memory() -> None:
     """Guards against short tasks that take each hole a lasting one waits for.
 
     The worker with most of its processor free has no memory left for it.
