--- a/mustardward/components/fleet/pool_planner.py
+++ b/mustardward/components/fleet/pool_planner.py
@@ -93,7 +93,7 @@
         sizes = mean_sizes(view)
         needs = {
             pool: self._need(pool, sizes, loads, counts[pool], now)
-            for pool in _pools(view)
+            for pool in _pool_names(view)
         }
         snapshot = _Snapshot(view, available, counts, needs, now)
         candidates = chain(
@@ -125,19 +125,20 @@
         self.orders.pop(machine, None)
 
     def _finish_orders(self, view: FleetView, now: float) -> None:
+        """Drop the orders that are listed as done or timed out, or lost their instance."""
         for machine, order in list(self.orders.items()):
             if order.accepted_at is None:
                 continue
             instance = view.instances.get(machine)
-            since = now - order.accepted_at
-            shown = (
+            elapsed = now - order.accepted_at
+            listed = (
                 instance is not None
                 and instance.pool == order.pool
                 and instance.state == INSTANCE_UP
                 and view.read_at >= order.accepted_at + self.move_seconds
             )
             gone = instance is None and view.complete
-            if gone or shown or since > MOVE_TIMEOUT_SECONDS:
+            if gone or listed or elapsed > MOVE_TIMEOUT_SECONDS:
                 del self.orders[machine]
 
     def _retry_orders(self, view: FleetView, now: float) -> Iterator[Move]:
@@ -315,7 +316,7 @@
         return order.move
 
 
-def _pools(view: FleetView) -> set[str]:
+def _pool_names(view: FleetView) -> set[str]:
     pools = {instance.pool for instance in view.instances.values()}
     return (pools | set(view.pools)) - view.standby
 
--- a/mustardward/components/fleet/services.py
+++ b/mustardward/components/fleet/services.py
@@ -142,7 +142,7 @@
         self._read_at = listing.started_at
         self._instances = {row.machine: row for row in listing.instances}
         self._complete = listing.complete
-        self._lose_unlisted_workers(self._read_at)
+        self._remove_unlisted_workers(self._read_at)
 
     def listed_workers(self) -> dict[str, str] | None:
         """Return the data centres of the workers that are listed as up.
@@ -158,7 +158,7 @@
             if instance.id and instance.state == INSTANCE_UP
         }
 
-    def _lose_unlisted_workers(self, read_at: float) -> None:
+    def _remove_unlisted_workers(self, read_at: float) -> None:
         """Remove the unresponsive workers whose incarnation is no longer listed.
 
         Their tasks would otherwise not restart before the end of their leases.
@@ -173,15 +173,15 @@
             | self.wave_planner.held_machines()
         )
         for worker_id, session in list(sessions.items()):
-            silent_since = session.silent_since
-            if session.gone or silent_since is None or worker_id in listed:
+            unresponsive_since = session.silent_since
+            if session.gone or unresponsive_since is None or worker_id in listed:
                 continue
-            if read_at > silent_since:
+            if read_at > unresponsive_since:
                 cause = self._worker_hosts.loss_cause(
                     worker_id, self._instances, ordered
                 )
                 _LOGGER.info(
-                    "unlisted_worker_lost", worker=worker_id, cause=cause.value
+                    "unlisted_worker_removed", worker=worker_id, cause=cause.value
                 )
                 self.dispatcher.remove_worker(worker_id, cause)
         alive = {name for name, session in sessions.items() if not session.gone}
@@ -201,7 +201,7 @@
             self.wave_planner.record_accepted(
                 order.wave, order.machine, self.timers.monotonic()
             )
-            self._lose_ordered_worker(order)
+            self._remove_ordered_worker(order)
             self._store_wave(self.wave_planner.runs[order.wave])
 
     async def _async_move(self, order: Move) -> None:
@@ -211,9 +211,9 @@
             self._update_cordons()
         elif outcome is OrderOutcome.BEGUN:
             self.pool_planner.record_accepted(order.machine, self.timers.monotonic())
-            self._lose_ordered_worker(order)
+            self._remove_ordered_worker(order)
 
-    def _lose_ordered_worker(self, order: Maintain | Move) -> None:
+    def _remove_ordered_worker(self, order: Maintain | Move) -> None:
         """Remove the worker that an order was decided for, but no later incarnation."""
         if not order.worker_id:
             return
--- a/tests/components/fleet/test_cordons.py
+++ b/tests/components/fleet/test_cordons.py
@@ -30,13 +30,13 @@
     """Drive a fleet by instance lists; record its orders without a response.
 
     :param orders: the orders that were to be issued.
-    :param lost: the workers that were removed.
+    :param removed: the workers that were removed.
     """
 
     instances: list[Instance]
     bench: SchedulerBench = field(default_factory=SchedulerBench)
     orders: list[object] = field(default_factory=list)
-    lost: list[str] = field(default_factory=list)
+    removed: list[str] = field(default_factory=list)
     outcome: OrderOutcome = OrderOutcome.BEGUN
     wave_planner: WavePlanner = field(
         default_factory=lambda: WavePlanner(MAINTENANCE_SECONDS)
@@ -51,7 +51,7 @@
             blocked_until={},
             timers=SimpleNamespace(monotonic=lambda: self.bench.now),  # type: ignore[arg-type]
             scheduler=self.bench.scheduler,
-            dispatcher=SimpleNamespace(remove_worker=self._lose),  # type: ignore[arg-type]
+            dispatcher=SimpleNamespace(remove_worker=self._remove_worker),  # type: ignore[arg-type]
             configuration=SimpleNamespace(  # type: ignore[arg-type]
                 standby_pools=lambda: [STANDBY], config=None
             ),
@@ -81,8 +81,8 @@
     def _start(self, call: Callable[[object], object], order: object) -> None:
         self.orders.append(order)
 
-    def _lose(self, worker_id: str, cause: LossCause) -> None:
-        self.lost.append(worker_id)
+    def _remove_worker(self, worker_id: str, cause: LossCause) -> None:
+        self.removed.append(worker_id)
 
     async def _async_execute(self, order: object) -> OrderOutcome:
         return self.outcome
@@ -255,7 +255,7 @@
     fleet.bench.worker("i-90", service=OTHER)
     fleet.apply_list([an_instance(0, OTHER, id="i-90"), *instances[1:]])
     await fleet.fleet._async_move(Move("m-00", OTHER))
-    assert "i-90" not in fleet.lost
+    assert "i-90" not in fleet.removed
 
 
 @pytest.mark.anyio
@@ -285,4 +285,4 @@
             await fleet.fleet._async_move(order)
         else:
             await fleet.fleet._async_maintain(order)
-        assert fleet.lost == ([] if restarted else [worker_id])
+        assert fleet.removed == ([] if restarted else [worker_id])
