--- a/tests/components/routing/test_router.py
+++ b/tests/components/routing/test_router.py
@@ -248,7 +248,7 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "cause", "verdict", "failure"),
+    ("status", "cause", "conclusive", "failure"),
     [
         (200, "", True, False),
         (500, "", True, True),
