--- a/mustardward/components/dispatch/const.py
+++ b/mustardward/components/dispatch/const.py
@@ -56,6 +56,6 @@
 one may have taken over, and waits for workers it can't reach only so long."""
 
 
-def lease_bound(now: float, seconds: float = LEASE_SECONDS) -> float:
+def latest_lease_end(now: float, seconds: float = LEASE_SECONDS) -> float:
     """Return until when a lease renewed now may last, in the owner's time."""
     return now + seconds * (1 + CLOCK_ERROR) + LEASE_SLACK_SECONDS
--- a/mustardward/components/dispatch/dispatcher.py
+++ b/mustardward/components/dispatch/dispatcher.py
@@ -17,10 +17,10 @@
 from ..scheduling.losses import LossCause
 from ..scheduling.scheduler import Scheduler
 from .closed import ClosedWorkers
-from .const import LEASE_SECONDS, lease_bound
+from .const import LEASE_SECONDS, latest_lease_end
 from .contacts import Contacts
 from .lease import Lease
-from .orders import Orders
+from .orders import CommandExecutor
 from .session import WorkerSession
 
 
@@ -47,7 +47,7 @@
     advice: AdviceClient | None = None
     longest_lease_seconds: float = LEASE_SECONDS
     confirmed_seconds: Callable[[], float] = lambda: 0.0
-    orders: Orders = field(init=False)
+    executor: CommandExecutor = field(init=False)
     sessions: dict[str, WorkerSession] = field(default_factory=dict)
     accounted: set[str] = field(default_factory=set)
     _entries: dict[str, WorkerEntry] = field(default_factory=dict)
@@ -56,7 +56,7 @@
 
     def __post_init__(self) -> None:
         """Make what carries out orders."""
-        self.orders = Orders(
+        self.executor = CommandExecutor(
             self.scheduler,
             self.timers,
             self.tasks,
@@ -75,7 +75,7 @@
         if self._closed.holds(worker_id, entry.born, now):
             return
         session = self.sessions.get(worker_id)
-        if session is not None and not session.gone:
+        if session is not None and not session.closed:
             if session.born and entry.born > session.born:
                 self._replace(session, entry.born)
             elif is_other(entry.born, session.born):
@@ -86,7 +86,7 @@
         self.scheduler.see_worker(worker_id, entry, now)
         # The owner before may have renewed its lease until the end of its own
         # authority.
-        lease_until = max(lease_bound(now), self.scheduler.board.held_until)
+        lease_until = max(latest_lease_end(now), self.scheduler.board.held_until)
         self._open(worker_id, entry, entry.born, lease_until)
 
     def _open(
@@ -110,7 +110,7 @@
 
     def _reborn(self, session: WorkerSession, born: int) -> None:
         """Take in that another incarnation answered in a session's place."""
-        if session.gone or self.sessions.get(session.worker_id) is not session:
+        if session.closed or self.sessions.get(session.worker_id) is not session:
             return
         self._replace(session, born)
         self.on_report()
@@ -125,18 +125,20 @@
         """
         worker_id = session.worker_id
         now = self.timers.monotonic()
-        session.gone = True
+        session.closed = True
         session.wake()
         self.accounted.discard(worker_id)
         entry = self._entries[worker_id]
         self.scheduler.replace_worker(worker_id, born, entry, now)
         # An order that is still on its way carries a deadline of the clock before.
-        self._open(worker_id, entry, born, lease_bound(now, self.longest_lease_seconds))
+        self._open(
+            worker_id, entry, born, latest_lease_end(now, self.longest_lease_seconds)
+        )
 
-    def any_silent(self) -> bool:
+    def has_unresponsive_workers(self) -> bool:
         """Return whether a worker stopped answering."""
         return any(
-            session.silent_since is not None and not session.gone
+            session.unresponsive_since is not None and not session.closed
             for session in self.sessions.values()
         )
 
@@ -145,7 +147,7 @@
         return [
             worker_id
             for worker_id, session in self.sessions.items()
-            if not (session.answered or session.gone or worker_id in self.accounted)
+            if not (session.answered or session.closed or worker_id in self.accounted)
         ]
 
     async def _async_run_session(self, session: WorkerSession) -> None:
@@ -154,7 +156,7 @@
         except FencedError:
             self.on_fenced()
         finally:
-            session.gone = True
+            session.closed = True
 
     def lose_worker(self, worker_id: str, cause: LossCause) -> None:
         """Take in that a worker's incarnation is surely gone."""
@@ -165,6 +167,6 @@
         born = session.born if session is not None else 0
         self._closed.close(worker_id, born, now)
         if session is not None:
-            session.gone = True
+            session.closed = True
             session.wake()
         self.scheduler.lose_worker(worker_id, cause, now)
--- a/mustardward/components/dispatch/lease.py
+++ b/mustardward/components/dispatch/lease.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from .const import CLOCK_ERROR, LEASE_SECONDS, REBORN_MILLISECONDS, lease_bound
+from .const import CLOCK_ERROR, LEASE_SECONDS, REBORN_MILLISECONDS, latest_lease_end
 
 
 @dataclass(slots=True)
@@ -38,7 +38,7 @@
 
         The clock may have been slow since its last answer, too.
         """
-        return lease_bound(now) + (now - self.at) * CLOCK_ERROR
+        return latest_lease_end(now) + (now - self.at) * CLOCK_ERROR
 
 
 @dataclass(slots=True, eq=False)
--- a/mustardward/components/dispatch/orders.py
+++ b/mustardward/components/dispatch/orders.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Orders:
+class CommandExecutor:
     """Give orders in the sessions with workers, and report what became of them.
 
     :param sessions: the sessions by worker.
@@ -73,7 +73,7 @@
             elif self.advice is not None:
                 self.tasks.start_soon(self._async_advice, self.advice, command)
 
-    def start_room(self) -> int:
+    def available_starts(self) -> int:
         """Return how many starts may be decided now.
 
         What waits for a worker that leaves calls unanswered says nothing of this owner:
@@ -83,7 +83,7 @@
 
     def _answers(self, worker: str) -> bool:
         session = self.sessions.get(worker)
-        return session is not None and not session.gone and not session.doubted
+        return session is not None and not session.closed and not session.doubted
 
     async def _async_start(self, start: Start) -> None:
         task = start.task
@@ -93,7 +93,7 @@
             return
         session = self.sessions.get(start.worker)
         try:
-            if session is None or session.gone:
+            if session is None or session.closed:
                 raise CallRefusedError("worker gone")
             await session.async_prove(anew=bool(task.crashes))
             if self._is_void(start):
@@ -145,10 +145,10 @@
 
     async def _async_stop(self, stop: Stop) -> None:
         session = self.sessions.get(stop.worker)
-        if session is None or session.gone:
+        if session is None or session.closed:
             return
         if not self.authorised():
-            self.tasks.start_soon(self._async_stop_again, stop)
+            self.tasks.start_soon(self._async_retry_stop, stop)
             return
         try:
             await session.client.async_stop(stop.name, stop.run)
@@ -157,9 +157,9 @@
         except WrongIncarnationError:
             self._lose_session(session)
         except _FAILED:
-            self.tasks.start_soon(self._async_stop_again, stop)
+            self.tasks.start_soon(self._async_retry_stop, stop)
         else:
-            if self.sessions.get(stop.worker) is not session or session.gone:
+            if self.sessions.get(stop.worker) is not session or session.closed:
                 # The incarnation that has its id now was not told.
                 return
             if stop.task is not None:
@@ -167,14 +167,14 @@
                 self.scheduler.reports.stop_answered(stop.task, stop.run, now)
             session.wake()
 
-    async def _async_stop_again(self, stop: Stop) -> None:
+    async def _async_retry_stop(self, stop: Stop) -> None:
         """Repeat a stop; what waits meanwhile takes no other call's place."""
         await self.timers.async_sleep(STOP_RETRY_SECONDS)
         self.lanes.put(stop.worker, partial(self._async_stop, stop))
 
     async def _async_pace(self, pace: Pace) -> None:
         session = self.sessions.get(pace.worker)
-        if session is None or session.gone:
+        if session is None or session.closed:
             return
         name: TaskName = pace.task.name
         try:
@@ -219,5 +219,5 @@
 
     def _lose_session(self, session: WorkerSession | None) -> None:
         """Tell that the incarnation of a session is gone, unless it is known."""
-        if session is not None and not session.gone:
+        if session is not None and not session.closed:
             self.on_lost(session.worker_id, LossCause.REPLACED)
--- a/mustardward/components/dispatch/session.py
+++ b/mustardward/components/dispatch/session.py
@@ -62,11 +62,11 @@
     on_reborn: Callable[[int], None]
     contacts: Contacts
     owned_until: Callable[[], float]
-    listed_upto: int = 0
+    received_upto: int = 0
     seen_upto: int = 0
     answered: bool = False
-    gone: bool = False
-    silent_since: float | None = None
+    closed: bool = False
+    unresponsive_since: float | None = None
     _proof: Proof = field(default_factory=Proof)
     _asked: bool = False
     _told_upto: int = 0
@@ -107,11 +107,11 @@
 
     async def async_run(self) -> None:
         """Hold the worker until it is surely gone."""
-        while not self.gone:
+        while not self.closed:
             worker = self.scheduler.board.workers.get(self.worker_id)
             if worker is None:
                 return
-            if self._idle(worker):
+            if self._is_idle(worker):
                 await self._wake.wait()
                 self._wake = anyio.Event()
                 continue
@@ -153,7 +153,7 @@
         except CallUnknownError as error:
             self.ask()
             raise CallRefusedError(f"not heard: {error.detail}") from error
-        if self.gone or self._is_another(answer):
+        if self.closed or self._is_another(answer):
             self.ask()
             raise CallRefusedError("other incarnation")
         self._prove(answer.clock_ms)
@@ -206,7 +206,7 @@
         """Return whether this incarnation answered its last call, and so lately."""
         return self._proof.is_within(seconds, self.timers.monotonic())
 
-    def _idle(self, worker: WorkerState) -> bool:
+    def _is_idle(self, worker: WorkerState) -> bool:
         """Return whether nothing is to be learned from the worker.
 
         A run that no task is known of, too, holds room until a look no longer lists it.
@@ -216,7 +216,7 @@
             and worker.confirmed
             and not worker.has_runs
             and not worker.stale
-            and self.listed_upto <= self._told_upto
+            and self.received_upto <= self._told_upto
         )
 
     async def _async_look(self, worker: WorkerState) -> None:
@@ -225,16 +225,16 @@
         pause = 0.0
         async with self.contacts.async_place(unheard):
             # Its incarnation may have ended, or this ownership, while it waited.
-            if not self.gone and self.authorised():
+            if not self.closed and self.authorised():
                 pause = await self._async_hold(worker)
         self._looked.set()
         self._looked = anyio.Event()
-        if pause and not self.gone:
+        if pause and not self.closed:
             await self.timers.async_sleep(pause)
 
     async def _async_hold(self, worker: WorkerState) -> float:
         """Hold the worker once; return how long to pause until the next time."""
-        if self.listed_upto > self.seen_upto:
+        if self.received_upto > self.seen_upto:
             with anyio.move_on_after(UNSTORED_WAIT_SECONDS):
                 await self._stored.wait()
         sent_at = self.timers.monotonic()
@@ -243,15 +243,15 @@
         try:
             answer = await self._async_call(worker, sent_at, told_upto)
         except WrongIncarnationError:
-            if not self.gone:
-                self.gone = True
+            if not self.closed:
+                self.closed = True
                 now = self.timers.monotonic()
                 self.scheduler.lose_worker(self.worker_id, LossCause.REPLACED, now)
                 self.on_report()
             return 0.0
         except (CallRefusedError, CallUnknownError) as error:
             return self._failed(worker, error.detail)
-        if self.gone:
+        if self.closed:
             # It was found out meanwhile that this incarnation is over: what it said
             # must not be taken for the word of the one that has its id now.
             return 0.0
@@ -265,12 +265,12 @@
         renewed = self._renews(sent_at)
         self._prove(answer.clock_ms)
         self.answered = True
-        self.silent_since = None
+        self.unresponsive_since = None
         numbers = [ended.number for ended in answer.ended]
         for ended in answer.ended:
-            if ended.number > self.listed_upto:
+            if ended.number > self.received_upto:
                 ENDS.labels(ended.how).inc()
-        self.listed_upto = max(numbers, default=self.listed_upto)
+        self.received_upto = max(numbers, default=self.received_upto)
         self._stored = anyio.Event()
         self.scheduler.hold_worker(self.worker_id, answer, sent_at, now)
         self.on_report()
@@ -297,16 +297,16 @@
         what runs on a silent worker could not start elsewhere for as long as such looks
         go on.
         """
-        return self.silent_since is None and self.lease.may_renew(now)
+        return self.unresponsive_since is None and self.lease.may_renew(now)
 
     def _failed(self, worker: WorkerState, detail: str) -> float:
         """Take in that a hold was not answered; return how long to pause."""
-        if self.gone:
+        if self.closed:
             return 0.0
         now = self.timers.monotonic()
         self._proof.withdraw()
-        if self.silent_since is None:
-            self.silent_since = now
+        if self.unresponsive_since is None:
+            self.unresponsive_since = now
         if not worker.stale:
             worker.stale = True
             _LOGGER.warning("worker_silent", worker=self.worker_id, detail=detail)
@@ -314,7 +314,7 @@
             # Its leases have run out on the slowest clock it can have, and no other
             # owner can have renewed them before, so nothing runs there.
             self.scheduler.lose_worker(self.worker_id, LossCause.LEASES_OVER, now)
-            self.gone = True
+            self.closed = True
             self.on_report()
             return 0.0
         return FAILED_HOLD_SECONDS
--- a/mustardward/components/fleet/services.py
+++ b/mustardward/components/fleet/services.py
@@ -93,7 +93,11 @@
         self._take_in_waves()
         now = self.timers.monotonic()
         active = any(not run.done for run in self.planner.runs.values())
-        active = active or bool(self.pools.orders) or self.dispatcher.any_silent()
+        active = (
+            active
+            or bool(self.pools.orders)
+            or self.dispatcher.has_unresponsive_workers()
+        )
         interval = BUSY_LIST_SECONDS if active else LIST_SECONDS
         if now - self._read_at >= self.listing.interval(interval):
             await self._async_read()
@@ -162,14 +166,14 @@
         sessions = self.dispatcher.sessions
         ordered = self._barred() | set(self.pools.orders) | self.planner.taken()
         for worker_id, session in list(sessions.items()):
-            since = session.silent_since
-            if session.gone or since is None or worker_id in listed:
+            since = session.unresponsive_since
+            if session.closed or since is None or worker_id in listed:
                 continue
             if read_at > since:
                 cause = self._hosts.why_unlisted(worker_id, self._instances, ordered)
                 _LOGGER.info("silent_worker_gone", worker=worker_id, cause=cause.value)
                 self.dispatcher.lose_worker(worker_id, cause)
-        alive = {name for name, session in sessions.items() if not session.gone}
+        alive = {name for name, session in sessions.items() if not session.closed}
         self._hosts.read(self._instances, alive)
 
     def _barred(self) -> set[str]:
--- a/mustardward/components/ownership/const.py
+++ b/mustardward/components/ownership/const.py
@@ -61,8 +61,8 @@
 CONFIRM_RETRY_SECONDS: Final = 0.05
 """Pauses of the owner's own looks: at itself, at who answered, at the log's end."""
 
-OWNER_GAP_SECONDS: Final = 0.02
+OWNER_POLL_SECONDS: Final = 0.02
 """An owner reads new jobs at once, but not more often than this."""
 
-IDLE_GAP_SECONDS: Final = 0.15
+FOLLOWER_POLL_SECONDS: Final = 0.15
 """Other entries follow the log to answer callers and to take over."""
--- a/mustardward/components/ownership/models.py
+++ b/mustardward/components/ownership/models.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OwnerParts:
+class OwnerDependencies:
     """Hold what an owner's work is built on.
 
     :param fleet_limits: what the platform's fleet calls take of all entries together.
--- a/mustardward/components/ownership/owner.py
+++ b/mustardward/components/ownership/owner.py
@@ -41,10 +41,10 @@
 )
 from .directory import WorkerDirectory
 from .load import OwnerLoad
-from .models import OwnerParts
-from .renewals import Renewals, barred_until
+from .models import OwnerDependencies
+from .renewals import Renewals, blocked_until
 from .storing import Storing
-from .takeover import Takeover, hold
+from .takeover import Takeover, hold_previous_runs
 
 _LOGGER = get_logger(__name__)
 
@@ -63,7 +63,7 @@
     """
 
     def __init__(
-        self, parts: OwnerParts, epoch: int, claim: str, before: OwnerRecord
+        self, parts: OwnerDependencies, epoch: int, claim: str, before: OwnerRecord
     ) -> None:
         self._parts = parts
         self._before = before
@@ -156,9 +156,9 @@
             tasks.start_soon(self.appender.async_run)
             tasks.start_soon(self._storing.async_run, dispatcher.sessions)
             tasks.start_soon(self._async_plan)
-            orders = dispatcher.orders
+            executor = dispatcher.executor
             lines = self.scheduler.reports.lines
-            load = OwnerLoad(parts.node, orders.lanes, orders.window, lines)
+            load = OwnerLoad(parts.node, executor.lanes, executor.window, lines)
             tasks.start_soon(self._async_watch, directory, load)
             if parts.fleet is not None:
                 self._start_fleet(parts.fleet, dispatcher, tasks)
@@ -189,7 +189,7 @@
         parts = self._parts
         now = parts.timers.monotonic()
         lease = parts.bounds.lease_ms / 1000
-        barred = barred_until(self._before, now, parts.timers.wall(), lease)
+        barred = blocked_until(self._before, now, parts.timers.wall(), lease)
         status = GroupAppender(
             lambda records, producer: parts.store.async_append(
                 TOPIC_STATUS, records, producer
@@ -226,7 +226,7 @@
         now = parts.timers.monotonic()
         wall = parts.timers.wall()
         board = self.scheduler.board
-        hold(board, self._before, now)
+        hold_previous_runs(board, self._before, now)
         for job in sorted(
             parts.ledger.jobs.values(), key=lambda job: job.record.accepted_at
         ):
@@ -285,9 +285,9 @@
                 commands = self.scheduler.plan(
                     timers.monotonic(),
                     timers.wall(),
-                    self.dispatcher.orders.start_room(),
+                    self.dispatcher.executor.available_starts(),
                 )
-                self.dispatcher.orders.execute(commands)
+                self.dispatcher.executor.execute(commands)
                 if self.scheduler.board.dirty:
                     self._storing.kick()
             spent = timers.monotonic() - began
@@ -328,7 +328,7 @@
             return
         for worker_id, entry in directory.entries.items():
             session = self.dispatcher.sessions.get(worker_id)
-            if session is None or session.gone:
+            if session is None or session.closed:
                 self.dispatcher.see_worker(worker_id, entry)
 
     async def _async_call_append(
--- a/mustardward/components/ownership/renewals.py
+++ b/mustardward/components/ownership/renewals.py
@@ -13,7 +13,7 @@
 from .const import ANNOUNCE_SECONDS, BEAT_SECONDS, RELEASE_SECONDS
 
 
-def barred_until(
+def blocked_until(
     before: OwnerRecord, now: float, wall: float, lease_seconds: float
 ) -> dict[str, float]:
     """Return until when a new owner leaves instances alone, in steady seconds.
--- a/mustardward/components/ownership/services.py
+++ b/mustardward/components/ownership/services.py
@@ -24,11 +24,11 @@
 from .const import (
     HANDOVER_AFTER_SECONDS,
     HANDOVER_AGAIN_SECONDS,
-    OWNER_GAP_SECONDS,
+    OWNER_POLL_SECONDS,
     WATCH_SECONDS,
 )
 from .election import Election, should_hand_over
-from .models import OwnerParts
+from .models import OwnerDependencies
 from .owner import Owner
 
 _LOGGER = get_logger(__name__)
@@ -40,7 +40,7 @@
     :param share: where in the spread of claims this entry stands, from 0 to 1.
     """
 
-    def __init__(self, parts: OwnerParts, share: float) -> None:
+    def __init__(self, parts: OwnerDependencies, share: float) -> None:
         self._parts = parts
         self._election = Election(parts.node, share)
         self._leaving = False
@@ -82,7 +82,7 @@
         speeds = [node.speed for node in parts.ledger.nodes.values()]
         return should_hand_over(parts.speed, speeds)
 
-    async def async_leave(self) -> None:
+    async def async_resign(self) -> None:
         """Claim nothing any more, and give up what is owned."""
         self._leaving = True
         if self.owner is not None:
@@ -146,7 +146,7 @@
     async def _async_own(self, owner: Owner) -> None:
         self.owner = owner
         OWNED_EPOCH.set(owner.epoch)
-        self._parts.follower.hurry(OWNER_GAP_SECONDS)
+        self._parts.follower.hurry(OWNER_POLL_SECONDS)
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._async_give_way, owner)
--- a/mustardward/components/ownership/storing.py
+++ b/mustardward/components/ownership/storing.py
@@ -21,7 +21,7 @@
 from ..scheduling.scheduler import Scheduler
 from .authority import Authority
 from .const import BEAT_SECONDS, STORED_JOBS_SECONDS
-from .models import OwnerParts
+from .models import OwnerDependencies
 from .renewals import Renewals
 
 FOREVER_SECONDS: Final = 86400.0
@@ -36,7 +36,7 @@
     :param depose: called when the log takes nothing of this owner any more.
     """
 
-    parts: OwnerParts
+    parts: OwnerDependencies
     scheduler: Scheduler
     appender: GroupAppender
     renewals: Renewals
@@ -56,7 +56,7 @@
                 await self._dirty.wait()
             self._dirty = anyio.Event()
             job_ids, records = self._records()
-            upto = [(session, session.listed_upto) for session in sessions.values()]
+            upto = [(session, session.received_upto) for session in sessions.values()]
             if records and not await self._async_append(job_ids, records):
                 self.depose()
                 return
--- a/mustardward/components/ownership/takeover.py
+++ b/mustardward/components/ownership/takeover.py
@@ -7,7 +7,7 @@
 
 from ...helpers.logging import get_logger
 from ...helpers.timer import TimerService
-from ..dispatch.const import AUTHORITY_SECONDS, lease_bound
+from ..dispatch.const import AUTHORITY_SECONDS, latest_lease_end
 from ..dispatch.dispatcher import Dispatcher
 from ..fleet.services import Fleet
 from ..ledger.follower import TopicFollower
@@ -99,7 +99,7 @@
         return all(name in self.dispatcher.sessions for name in listed)
 
 
-def hold(board: Board, before: OwnerRecord, now: float) -> None:
+def hold_previous_runs(board: Board, before: OwnerRecord, now: float) -> None:
     """Hold what the owner before may have started for as long as it may run.
 
     One that gave the shard up gives no more orders; one that fell silent may, for as
@@ -109,5 +109,5 @@
     """
     over = not before.node and before.settled
     authority = 0.0 if over else AUTHORITY_SECONDS
-    board.held_until = lease_bound(now) + authority
+    board.held_until = latest_lease_end(now) + authority
     board.taken_over_at = now
--- a/mustardward/node/app.py
+++ b/mustardward/node/app.py
@@ -29,8 +29,8 @@
 from ..components.ledger.ledger import Ledger, encode
 from ..components.ledger.models import NodeRecord
 from ..components.ledger.sighting import Sighting
-from ..components.ownership.const import IDLE_GAP_SECONDS
-from ..components.ownership.models import OwnerParts
+from ..components.ownership.const import FOLLOWER_POLL_SECONDS
+from ..components.ownership.models import OwnerDependencies
 from ..components.ownership.services import Ownership
 from ..helpers.logging import get_logger
 from ..helpers.policies import switched_off
@@ -93,7 +93,7 @@
             TOPIC,
             self._ledger.apply,
             self._ledger.keys,
-            IDLE_GAP_SECONDS,
+            FOLLOWER_POLL_SECONDS,
             entries=self._count_entries,
             node=boot.node,
             paced=True,
@@ -137,7 +137,7 @@
         address = boot.cloud.address
         fleet = FleetClient(self._http, address, boot.node) if address else None
         self._ownership = Ownership(
-            OwnerParts(
+            OwnerDependencies(
                 boot.node,
                 store,
                 self._http,
@@ -234,7 +234,7 @@
         grace = self._boot.bounds.grace_s
         began = self._timers.monotonic()
         self._server.leave_by(grace * ANSWER_SHARE)
-        await self._ownership.async_leave()
+        await self._ownership.async_resign()
         await self._timers.async_sleep(grace * LEAVE_SHARE)
         left = began + grace * CLOSE_SHARE - self._timers.monotonic()
         await self._server.async_close(max(0.0, left))
--- a/tests/components/dispatch/test_gone_workers.py
+++ b/tests/components/dispatch/test_gone_workers.py
@@ -129,13 +129,13 @@
             self.scheduler.note_stored(
                 job_id for job_id, _ in self.scheduler.take_dirty(now, 0.0)
             )
-            self.dispatcher.orders.execute(commands)
+            self.dispatcher.executor.execute(commands)
             await anyio.wait_all_tasks_blocked()
             await self.timers.async_advance(0.05)
             await anyio.wait_all_tasks_blocked()
             for name, session in list(self.dispatcher.sessions.items()):
-                since = session.silent_since
-                if session.gone or since is None:
+                since = session.unresponsive_since
+                if session.closed or since is None:
                     continue
                 if self.timers.monotonic() - since > UNLISTED_SECONDS:
                     self.dispatcher.lose_worker(name, LossCause.UNLISTED)
@@ -184,7 +184,7 @@
     async with a_bench() as bench:
         asked = {n: w.holds for n, w in bench.workers.items()}
         bench.add(count=6)
-        bench.dispatcher.orders.execute(
+        bench.dispatcher.executor.execute(
             bench.scheduler.plan(bench.timers.monotonic(), 0.0)
         )
         await anyio.wait_all_tasks_blocked()
--- a/tests/components/dispatch/test_held_up.py
+++ b/tests/components/dispatch/test_held_up.py
@@ -12,7 +12,7 @@
 
 from mustardward.components.dispatch.dispatcher import Dispatcher
 from mustardward.components.dispatch.lanes import MOST, MOST_A_WORKER, Lanes
-from mustardward.components.dispatch.orders import Orders
+from mustardward.components.dispatch.orders import CommandExecutor
 from mustardward.components.dispatch.window import FIRST_STARTS
 from mustardward.components.scheduling.commands import Command, Start, Stop
 from mustardward.components.scheduling.models import Phase, QueuePolicy
@@ -76,7 +76,7 @@
         now = self.timers.monotonic()
         commands = self.scheduler.plan(now, now)
         self.commands.extend(commands)
-        self.dispatcher.orders.execute(commands)
+        self.dispatcher.executor.execute(commands)
 
     async def async_go_on(self, seconds: float) -> None:
         until = self.timers.monotonic() + seconds
@@ -142,7 +142,7 @@
         worker = scheduler.board.workers["w"]
         worker.confirmed = True
         (start,) = [c for c in scheduler.plan(now - 2.0, 0.0) if isinstance(c, Start)]
-        dispatcher.orders.execute([start])
+        dispatcher.executor.execute([start])
         await anyio.wait_all_tasks_blocked()
         assert start.task.phase is Phase.WAITING
         assert worker.refusing_until == 0.0
@@ -161,7 +161,7 @@
         scheduler = Scheduler(1, lambda queue: QueuePolicy(service=POOL))
         timers = LoopTimerService(tasks)
         sessions: dict[str, Any] = {"dark": _Answering(False), "well": _Answering(True)}
-        orders = Orders(
+        executor = CommandExecutor(
             scheduler,
             timers,
             tasks,
@@ -176,14 +176,14 @@
             await anyio.sleep_forever()
 
         for _ in range(MOST_A_WORKER + 400):
-            orders.lanes.put("dark", async_hang)
+            executor.lanes.put("dark", async_hang)
         await anyio.wait_all_tasks_blocked()
-        assert orders.lanes.waiting == 400
-        assert orders.start_room() >= FIRST_STARTS
+        assert executor.lanes.waiting == 400
+        assert executor.available_starts() >= FIRST_STARTS
         for _ in range(MOST_A_WORKER + 50):
-            orders.lanes.put("well", async_hang)
+            executor.lanes.put("well", async_hang)
         await anyio.wait_all_tasks_blocked()
-        assert orders.start_room() == orders.window.most - 50
+        assert executor.available_starts() == executor.window.most - 50
         tasks.cancel_scope.cancel()
 
 
--- a/tests/components/dispatch/test_hold_walks.py
+++ b/tests/components/dispatch/test_hold_walks.py
@@ -235,7 +235,7 @@
     def lose(self, name: str) -> None:
         """Let the list of instances show that a worker's life is over."""
         session = self.dispatcher.sessions.get(name)
-        if session is not None and not session.gone:
+        if session is not None and not session.closed:
             self.workers[name].restart()
             self.dispatcher.lose_worker(name, LossCause.UNLISTED)
 
@@ -260,17 +260,17 @@
             now = self.timers.monotonic()
             for name, entry in self.entries.items():
                 session = self.dispatcher.sessions.get(name)
-                if session is None or session.gone:
+                if session is None or session.closed:
                     self.dispatcher.see_worker(name, entry)
             self._set_clients()
             if self.authorised:
-                room = self.dispatcher.orders.start_room()
+                room = self.dispatcher.executor.available_starts()
                 commands = self.scheduler.plan(now, 0.0, room)
-                self.dispatcher.orders.execute(commands)
+                self.dispatcher.executor.execute(commands)
             stored = [name for name, _ in self.scheduler.take_dirty(now, 0.0)]
             self.scheduler.note_stored(stored)
             for session in self.dispatcher.sessions.values():
-                session.acknowledge(session.listed_upto)
+                session.acknowledge(session.received_upto)
             await anyio.wait_all_tasks_blocked()
             await self.timers.async_advance(0.02)
             self._set_clients()
--- a/tests/components/dispatch/test_holds.py
+++ b/tests/components/dispatch/test_holds.py
@@ -165,7 +165,7 @@
         for _ in range(2):
             before.client = _Before()  # type: ignore[assignment]
             now = bench.timers.monotonic()
-            bench.dispatcher.orders.execute(bench.scheduler.plan(now, 0.0))
+            bench.dispatcher.executor.execute(bench.scheduler.plan(now, 0.0))
             await anyio.wait_all_tasks_blocked()
         assert bench.task().phase is Phase.UNCERTAIN
         bench.worker.restart()
--- a/tests/components/dispatch/test_leases.py
+++ b/tests/components/dispatch/test_leases.py
@@ -144,7 +144,7 @@
         for _ in range(4):
             worker.arrives = never
             await bench.async_pass(LEASE_SECONDS - 0.6)
-            assert bench.session.silent_since is not None
+            assert bench.session.unresponsive_since is not None
             until = bench.session.lease_until
             worker.arrives = lambda number, first=worker.looks: number <= first + 2
             await bench.async_pass(0.3)
--- a/tests/components/dispatch/test_reborn.py
+++ b/tests/components/dispatch/test_reborn.py
@@ -167,14 +167,14 @@
 
     def acknowledge(self) -> None:
         """Store what the worker listed."""
-        self.session.acknowledge(self.session.listed_upto)
+        self.session.acknowledge(self.session.received_upto)
 
     async def async_pass(self, seconds: float, plans: bool = True) -> None:
         """Let time pass, planning all the while."""
         for _ in range(round(seconds / 0.05)):
             now = self.timers.monotonic()
             if plans:
-                self.dispatcher.orders.execute(self.scheduler.plan(now, 0.0))
+                self.dispatcher.executor.execute(self.scheduler.plan(now, 0.0))
             await anyio.wait_all_tasks_blocked()
             await self.timers.async_advance(0.05)
             self._report()
@@ -201,7 +201,7 @@
     """
     async with a_bench() as bench:
         bench.worker.work_of[f"{JOB}.0"] = Work(Room(1000, 100), 0.5)
-        bench.session.listed_upto = bench.session.seen_upto = 58
+        bench.session.received_upto = bench.session.seen_upto = 58
         await bench.async_pass(1.0)
         bench.worker.restart()
         bench.worker.process.start(
@@ -215,7 +215,7 @@
         await bench.async_pass(0.3, plans=False)
         assert bench.worker.seen and set(bench.worker.seen) == {0}
         assert bench.session.born == bench.worker.born
-        assert bench.session.listed_upto == 1
+        assert bench.session.received_upto == 1
 
 
 async def test_after_a_lost_answer_nothing_is_acknowledged_before_the_next() -> None:
@@ -224,7 +224,7 @@
         await bench.async_pass(0.3)
         bench.worker.dark = True
         await bench.async_pass(1.0)
-        bench.session.listed_upto = bench.session.seen_upto = 58
+        bench.session.received_upto = bench.session.seen_upto = 58
         bench.worker.dark = False
         bench.worker.seen.clear()
         await bench.async_pass(0.5)
@@ -328,8 +328,8 @@
         bench.worker.restart()
         bench.see()
         await bench.async_pass(0.3)
-        bench.dispatcher.orders._lose_session(old)
-        assert not bench.session.gone
+        bench.dispatcher.executor._lose_session(old)
+        assert not bench.session.closed
         assert WORKER in bench.scheduler.board.workers
 
 
@@ -411,7 +411,7 @@
         bench.worker.restart()
         bench.see()
         assert WORKER in bench.scheduler.board.workers
-        assert not bench.session.gone
+        assert not bench.session.closed
 
 
 async def test_judgements_of_one_incarnation_end_with_it() -> None:
@@ -441,9 +441,9 @@
         bench.scheduler.board.stop(bench.task(), "test")
         commands = bench.scheduler.board.take_commands()
         old.client = _Wrong()  # type: ignore[assignment]
-        bench.dispatcher.orders.execute(commands)
+        bench.dispatcher.executor.execute(commands)
         await anyio.wait_all_tasks_blocked()
-        assert not bench.session.gone
+        assert not bench.session.closed
         assert WORKER in bench.scheduler.board.workers
 
 
@@ -460,7 +460,7 @@
         await bench.async_pass(0.5)
         assert bench.task().phase is Phase.RUNNING
         first = bench.session
-        first.listed_upto = first.seen_upto = 58
+        first.received_upto = first.seen_upto = 58
         bench.worker.dark = True
         await bench.async_pass(0.5)
         bench.worker.dark = False
--- a/tests/components/dispatch/test_session.py
+++ b/tests/components/dispatch/test_session.py
@@ -9,7 +9,7 @@
 import pytest
 from anyio.abc import TaskGroup
 
-from mustardward.components.dispatch.const import LEASE_SECONDS, lease_bound
+from mustardward.components.dispatch.const import LEASE_SECONDS, latest_lease_end
 from mustardward.components.dispatch.dispatcher import Dispatcher
 from mustardward.components.scheduling.models import QueuePolicy
 from mustardward.components.scheduling.scheduler import Scheduler
@@ -116,7 +116,7 @@
     Cause: a session at takeover forgot how long the old owner may give orders.
     """
     async with a_bench() as bench:
-        held_until = lease_bound(bench.timers.monotonic()) + 4.0
+        held_until = latest_lease_end(bench.timers.monotonic()) + 4.0
         bench.scheduler.board.held_until = held_until
         bench.client.failure = CallUnknownError("cut off")
         bench.see()
@@ -140,7 +140,7 @@
         bench.see()
         await bench.async_pass(0.1)
         session = bench.dispatcher.sessions[WORKER]
-        session.listed_upto = 7
+        session.received_upto = 7
         session.wake()
         await bench.async_pass(1.0)
         assert set(bench.client.seen) == {0}
--- a/tests/components/ownership/test_barred_instances.py
+++ b/tests/components/ownership/test_barred_instances.py
@@ -6,7 +6,7 @@
 
 from mustardward.components.ledger.ledger import NO_OWNER
 from mustardward.components.ledger.models import OwnerRecord
-from mustardward.components.ownership.renewals import barred_until
+from mustardward.components.ownership.renewals import blocked_until
 
 LEASE = 3.0
 NOW = 50.0
@@ -18,7 +18,7 @@
 
 
 def test_the_first_owner_leaves_nothing_alone() -> None:
-    assert barred_until(NO_OWNER, NOW, 1000.0, LEASE) == {}
+    assert blocked_until(NO_OWNER, NOW, 1000.0, LEASE) == {}
 
 
 def test_what_the_owner_before_ordered_is_left_alone_for_a_lease() -> None:
@@ -29,12 +29,12 @@
     ordered the same instance elsewhere two seconds later.
     Cause: the next owner did not know what had been ordered.
     """
-    barred = barred_until(an_owner(998.0), NOW, 1000.0, LEASE)
+    barred = blocked_until(an_owner(998.0), NOW, 1000.0, LEASE)
     assert barred == {"m-1": pytest.approx(51.0), "m-2": pytest.approx(51.0)}
 
 
 def test_a_clock_that_jumped_back_adds_no_more_than_a_lease() -> None:
-    barred = barred_until(an_owner(1005.0), NOW, 1000.0, LEASE)
+    barred = blocked_until(an_owner(1005.0), NOW, 1000.0, LEASE)
     assert barred["m-1"] == NOW + LEASE
 
 
@@ -46,4 +46,4 @@
     Cause: each new owner waited a whole lease, though the one before it had been
     silent for most of that time.
     """
-    assert barred_until(an_owner(996.0), NOW, 1000.0, LEASE)["m-1"] == NOW
+    assert blocked_until(an_owner(996.0), NOW, 1000.0, LEASE)["m-1"] == NOW
--- a/tests/components/ownership/test_log_walks.py
+++ b/tests/components/ownership/test_log_walks.py
@@ -19,7 +19,7 @@
 from mustardward.components.ledger.const import PREFIX_JOB, PREFIX_PROGRESS, TOPIC
 from mustardward.components.ledger.follower import TopicFollower
 from mustardward.components.ledger.ledger import Ledger, encode
-from mustardward.components.ownership.models import OwnerParts
+from mustardward.components.ownership.models import OwnerDependencies
 from mustardward.components.ownership.owner import Owner
 from mustardward.components.ownership.services import Ownership
 from mustardward.helpers.timer import DrivenTimerService
@@ -52,7 +52,7 @@
             self.ledger.keys,
             0.1,
         )
-        parts = OwnerParts(
+        parts = OwnerDependencies(
             node,
             store,  # type: ignore[arg-type]
             HttpCaller(),
--- a/tests/components/ownership/test_takeover.py
+++ b/tests/components/ownership/test_takeover.py
@@ -5,9 +5,9 @@
 from types import SimpleNamespace
 from typing import Any
 
-from mustardward.components.dispatch.const import AUTHORITY_SECONDS, lease_bound
+from mustardward.components.dispatch.const import AUTHORITY_SECONDS, latest_lease_end
 from mustardward.components.ledger.models import OwnerRecord
-from mustardward.components.ownership.takeover import Takeover, hold
+from mustardward.components.ownership.takeover import Takeover, hold_previous_runs
 from mustardward.helpers.timer import DrivenTimerService
 from tests.components.scheduling.builders import POOL, SchedulerBench, a_job, an_entry
 
@@ -39,7 +39,7 @@
         self.takeover = Takeover(
             2, self.board, dispatcher, DrivenTimerService(), self._wake, fleet
         )
-        hold(self.board, OwnerRecord(1, "c", "node-1", 5), self.bench.now)
+        hold_previous_runs(self.board, OwnerRecord(1, "c", "node-1", 5), self.bench.now)
 
     def _wake(self) -> None:
         self.woken += 1
@@ -79,10 +79,10 @@
 
 def test_an_owner_that_gave_the_shard_up_gives_no_more_orders() -> None:
     board = SchedulerBench().scheduler.board
-    hold(board, OwnerRecord(1, "c", "", 5, settled=True), NOW)
-    assert board.held_until == lease_bound(NOW)
-    hold(board, OwnerRecord(1, "c", "node-1", 5), NOW)
-    assert board.held_until == lease_bound(NOW) + AUTHORITY_SECONDS
+    hold_previous_runs(board, OwnerRecord(1, "c", "", 5, settled=True), NOW)
+    assert board.held_until == latest_lease_end(NOW)
+    hold_previous_runs(board, OwnerRecord(1, "c", "node-1", 5), NOW)
+    assert board.held_until == latest_lease_end(NOW) + AUTHORITY_SECONDS
 
 
 def test_an_owner_that_gives_up_before_it_heard_of_all_workers_says_so() -> None:
@@ -94,8 +94,8 @@
     Cause: whoever gave the shard up was taken for the only one that may give orders.
     """
     board = SchedulerBench().scheduler.board
-    hold(board, OwnerRecord(2, "c", "", 5, settled=False), NOW)
-    assert board.held_until == lease_bound(NOW) + AUTHORITY_SECONDS
+    hold_previous_runs(board, OwnerRecord(2, "c", "", 5, settled=False), NOW)
+    assert board.held_until == latest_lease_end(NOW) + AUTHORITY_SECONDS
 
 
 def with_zones(listed: dict[str, str] | None) -> TakeoverBench:
--- a/tests/components/scheduling/liveness_mutants.py
+++ b/tests/components/scheduling/liveness_mutants.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from mustardward.components.dispatch.orders import Orders
+from mustardward.components.dispatch.orders import CommandExecutor
 from mustardward.components.dispatch.session import WorkerSession
 from mustardward.components.scheduling import health, planner, reports
 from mustardward.components.scheduling.board import Board
@@ -142,16 +142,18 @@
 
 def _hold_once(patch: pytest.MonkeyPatch) -> None:
     """Ask no worker that fell silent."""
-    idle = WorkerSession._idle
+    idle = WorkerSession._is_idle
 
     def give_up(own: WorkerSession, worker: Any) -> bool:
         return worker.stale or idle(own, worker)
 
-    patch.setattr(WorkerSession, "_idle", give_up)
+    patch.setattr(WorkerSession, "_is_idle", give_up)
 
 
 MUTANTS: dict[str, Mutate] = {
-    "a-stop-is-not-repeated": _replace(Orders, "_async_stop_again", _async_nothing),
+    "a-stop-is-not-repeated": _replace(
+        CommandExecutor, "_async_retry_stop", _async_nothing
+    ),
     "a-stop-is-not-acknowledged": _replace(Reports, "stop_answered", _nothing),
     "data-centres-told-are-not-opened": _replace(
         Scheduler, "note_stored", _store_without_zones
--- a/tests/components/scheduling/liveness_owner.py
+++ b/tests/components/scheduling/liveness_owner.py
@@ -12,7 +12,7 @@
 
 from mustardward.components.dispatch.dispatcher import Dispatcher
 from mustardward.components.ledger.models import OwnerRecord, Progress
-from mustardward.components.ownership.takeover import Takeover, hold
+from mustardward.components.ownership.takeover import Takeover, hold_previous_runs
 from mustardward.components.scheduling.losses import LossCause
 from mustardward.components.scheduling.models import QueuePolicy
 from mustardward.components.scheduling.scheduler import Scheduler
@@ -124,7 +124,7 @@
         )
         self.dispatcher.world = world
         self._listen()
-        hold(self.scheduler.board, before, world.now)
+        hold_previous_runs(self.scheduler.board, before, world.now)
         for job in sorted(world.jobs.values(), key=lambda j: j.record.accepted_at):
             self.scheduler.add_job(job, world.now, world.now)
         fleet: Any = self
@@ -201,9 +201,11 @@
                 await self._wake.wait()
             self._wake = anyio.Event()
             now = self.world.now
-            orders = self.dispatcher.orders
+            executor = self.dispatcher.executor
             if self.authorised:
-                orders.execute(self.scheduler.plan(now, now, orders.start_room()))
+                executor.execute(
+                    self.scheduler.plan(now, now, executor.available_starts())
+                )
             if self.scheduler.board.dirty:
                 self._dirty.set()
             await anyio.sleep(PLAN_GAP_SECONDS)
@@ -219,7 +221,7 @@
                 for job_id, progress in self.scheduler.take_dirty(now, now)
             ]
             sessions = self.dispatcher.sessions.values()
-            upto = [(session, session.listed_upto) for session in sessions]
+            upto = [(session, session.received_upto) for session in sessions]
             await anyio.sleep(self._store_seconds())
             self._write(records)
             await anyio.sleep(self._store_seconds())
@@ -243,7 +245,7 @@
         while self.dispatcher is not None:
             for worker_id, entry in self.directory.entries.items():
                 session = self.dispatcher.sessions.get(worker_id)
-                if session is None or session.gone:
+                if session is None or session.closed:
                     self.see(worker_id, entry)
             await anyio.sleep(REOPEN_SECONDS)
 
@@ -253,8 +255,8 @@
             read_at = self.world.now
             listed = self.listed_workers()
             for worker_id, session in list(self.dispatcher.sessions.items()):
-                since = session.silent_since
-                if listed is None or session.gone or worker_id in listed:
+                since = session.unresponsive_since
+                if listed is None or session.closed or worker_id in listed:
                     continue
                 if since is not None and read_at > since:
                     self.dispatcher.lose_worker(worker_id, LossCause.UNLISTED)
--- a/tests/components/scheduling/liveness_walk.py
+++ b/tests/components/scheduling/liveness_walk.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from mustardward.components.dispatch.const import AUTHORITY_SECONDS, lease_bound
+from mustardward.components.dispatch.const import AUTHORITY_SECONDS, latest_lease_end
 from mustardward.components.ledger.ledger import LedgerJob
 from mustardward.components.scheduling.advice import ADVICE_SECONDS
 from mustardward.components.scheduling.const import (
@@ -39,7 +39,7 @@
 QUIET_SECONDS: Final = 1.0
 
 BOUND_SECONDS: Final = (
-    lease_bound(0.0)
+    latest_lease_end(0.0)
     + AUTHORITY_SECONDS
     + MISSING_GRACE_SECONDS
     + QUARANTINE_SECONDS
