--- a/mustardward/components/dispatch/closed.py
+++ b/mustardward/components/dispatch/closed.py
@@ -1,36 +1,39 @@
-"""Remember which incarnations of workers are gone, while their entries still stand."""
+"""Track lost incarnations of workers whose entries have not expired yet."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from typing import Final
 
-CLOSED_SECONDS: Final = 5.0
-"""Time in which no session is opened with an incarnation that was gone: its entry
-lapses after three missed heartbeats."""
+REMEMBER_SECONDS: Final = 5.0
+"""Time in which no session is opened with a lost incarnation: its entry expires after
+three missed heartbeats."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Closed:
-    """Hold an incarnation that is gone, and until when that is remembered."""
+class _LostIncarnation:
+    """Identify a lost incarnation by the start time of its process."""
 
-    born: int
-    until: float
+    started_at_ms: int
+    remembered_until: float
 
 
 @dataclass(slots=True, eq=False)
-class ClosedWorkers:
-    """Hold the incarnations that were gone lately, by the worker's id."""
+class LostIncarnations:
+    """Hold the recently lost incarnations by worker id."""
 
-    _closed: dict[str, _Closed] = field(default_factory=dict)
+    _lost: dict[str, _LostIncarnation] = field(default_factory=dict)
 
-    def close(self, worker_id: str, born: int, now: float) -> None:
-        """Take in that an incarnation is gone; 0 stands for a birth not known."""
-        self._closed[worker_id] = _Closed(born, now + CLOSED_SECONDS)
+    def add(self, worker_id: str, started_at_ms: int, now: float) -> None:
+        """Record a lost incarnation.
 
-    def holds(self, worker_id: str, born: int, now: float) -> bool:
-        """Return whether an entry may be of the incarnation that is gone."""
-        closed = self._closed.get(worker_id)
-        if closed is None or now >= closed.until:
+        :param started_at_ms: start time of its process, 0 if unknown.
+        """
+        self._lost[worker_id] = _LostIncarnation(started_at_ms, now + REMEMBER_SECONDS)
+
+    def includes(self, worker_id: str, started_at_ms: int, now: float) -> bool:
+        """Return whether an entry may belong to a lost incarnation."""
+        lost = self._lost.get(worker_id)
+        if lost is None or now >= lost.remembered_until:
             return False
-        return not (closed.born and born > closed.born)
+        return not (lost.started_at_ms and started_at_ms > lost.started_at_ms)
--- a/mustardward/components/dispatch/const.py
+++ b/mustardward/components/dispatch/const.py
@@ -1,61 +1,64 @@
-"""Hold the figures of leases and calls to workers."""
+"""Define the timing of leases and of calls to workers."""
 
 from __future__ import annotations
 
 from typing import Final
 
 LEASE_SECONDS: Final = 4.0
-"""Outlives a takeover (2 s) and its first hold; bounds how long a silent worker's
-tasks wait before they may run elsewhere."""
+"""Longer than a takeover (2 s) and its first poll; bounds how long the tasks of an
+unresponsive worker wait before they may run elsewhere."""
 
-CLOCK_ERROR: Final = 0.03
-"""A worker's clock may be 2 % slow, so its lease ends that much later."""
+CLOCK_DRIFT_RATIO: Final = 0.03
+"""A worker's clock may be 2 % slow, in which case its lease ends that much later."""
 
 LEASE_SLACK_SECONDS: Final = 0.25
-"""Covers the way of the order that renewed the lease last."""
+"""Covers the latency of the call that last renewed the lease."""
 
-LONG_HOLD_MILLISECONDS: Final = 1000
-BUSY_HOLD_MILLISECONDS: Final = 250
-"""Used where short tasks run: an answer that is lost then costs them less."""
+LONG_POLL_MS: Final = 1000
+BUSY_POLL_MS: Final = 250
+"""Used where short tasks run, so that a lost answer delays them less."""
 
-SHORT_HOLD_MILLISECONDS: Final = 300
-"""Used where figures have to be fresh: serving beside filling, and evacuations."""
+SHORT_POLL_MS: Final = 300
+"""Used where load figures must be fresh: for workers that share capacity between
+latency-sensitive and backfill tasks, and during evacuations."""
 
-HOLD_GAP_SECONDS: Final = 0.07
-"""Shortest time between two holds of a worker: ends that come together are read
-together. Each call takes about 1 ms of the owner's processor."""
+MIN_POLL_INTERVAL_SECONDS: Final = 0.07
+"""Minimum time between two polls of a worker, so that runs that end close together are
+reported in one answer. Each call takes about 1 ms of the owner's processor."""
 
-UNSTORED_WAIT_SECONDS: Final = 0.25
-"""While ends are not stored, a hold answers at once; this keeps it from spinning."""
+UNSTORED_POLL_DELAY_SECONDS: Final = 0.25
+"""While reported ends are not stored, polls return at once; this delay keeps them from
+looping without a pause."""
 
-DECISION_SECONDS: Final = 0.5
-"""Age at which a start that has not left is withdrawn: its job may be over, its worker
-full or silent, and the lease it would carry is as much shorter."""
+START_MAX_AGE_SECONDS: Final = 0.5
+"""Age at which a start that was not sent is withdrawn: its job may be over, its worker
+full or unresponsive, and its lease would be shorter by this time."""
 
-PROOF_SECONDS: Final = 0.6
-"""Time after an answer in which a worker can't have started again, taken a task and
-ended it. Later an acknowledgement may reach another incarnation, whose ends count from
-1 again, and would make it forget ends that nobody has read."""
+ACKNOWLEDGE_MAX_AGE_SECONDS: Final = 0.6
+"""Time after an answer in which a worker can't have restarted, accepted a task and
+finished it. A later acknowledgement may reach a new incarnation, which numbers its ends
+from 1 again, and would make it discard ends that were never read."""
 
-ALIVE_SECONDS: Final = 1.5
-"""Age of a worker's last answer up to which it is given tasks unasked. One on which
-something runs answers more often: its longest poll takes LONG_HOLD_MILLISECONDS."""
+LIVENESS_MAX_AGE_SECONDS: Final = 1.5
+"""Maximum age of a worker's last answer for a start without a liveness check. A worker
+with runs answers more often: its longest poll takes LONG_POLL_MS."""
 
-ALIVE_WAIT_SECONDS: Final = 0.35
-"""Longest wait for the answer of a worker that is asked first."""
+LIVENESS_TIMEOUT_SECONDS: Final = 0.35
+"""Timeout of the liveness check before a start."""
 
-REBORN_MILLISECONDS: Final = 2000
-"""A worker's clock that is so much behind what it was belongs to another incarnation;
-answers that overtake each other differ by less."""
+CLOCK_RESET_THRESHOLD_MS: Final = 2000
+"""A worker's clock that went back by more than this belongs to another incarnation;
+answers that arrive out of order differ by less."""
 
-FAILED_HOLD_SECONDS: Final = 0.2
+POLL_RETRY_SECONDS: Final = 0.2
 STOP_RETRY_SECONDS: Final = 0.15
 
 AUTHORITY_SECONDS: Final = 4.0
-"""An owner whose renewals were not stored for so long gives no more orders: another
-one may have taken over, and waits for workers it can't reach only so long."""
+"""An owner whose renewals were not stored for this long sends no more commands: another
+entry may have taken over, and waits no longer than this, plus a lease, for workers that
+it can't reach."""
 
 
 def latest_lease_end(now: float, seconds: float = LEASE_SECONDS) -> float:
-    """Return until when a lease renewed now may last, in the owner's time."""
-    return now + seconds * (1 + CLOCK_ERROR) + LEASE_SLACK_SECONDS
+    """Return the latest end of a lease renewed now, on the owner's clock."""
+    return now + seconds * (1 + CLOCK_DRIFT_RATIO) + LEASE_SLACK_SECONDS
--- a/mustardward/components/dispatch/contacts.py
+++ b/mustardward/components/dispatch/contacts.py
@@ -1,8 +1,8 @@
-"""Bound how many workers that are not heard of are asked at once.
+"""Limit how many unconfirmed workers are polled concurrently.
 
-Load pattern: a new owner asks thousands of workers what they run. Asked all at once,
-each call waits for all others inside this process while its own limit of time runs out;
-asked again all at once, none is ever heard, and nothing is started.
+A new owner polls thousands of workers for what they run. If it polls all of them at
+once, each call times out while it waits for the others inside this process; repeated
+the same way, no call ever completes and no task is started.
 """
 
 from __future__ import annotations
@@ -13,28 +13,28 @@
 
 import anyio
 
-MOST_CONTACTS: Final = 96
-"""Workers asked at once. Opening a connection and asking takes an owner 1 to 2 ms of a
-core, so that on half a core all of them have their turn within the 0.35 s that a worker
-has for its answer (3,000 workers, silent ones told of: 807 with 256 at once, 387 with
-these). Workers behind a cut hold a place for 0.6 s each: 750 of them hold up the others
-by 4.7 s, reckoned."""
+MAX_CONCURRENT_CONTACTS: Final = 96
+"""Opening a connection and polling takes an owner 1 to 2 ms of a core, so that on half
+a core all of them are served within the 0.35 s that a worker has for its answer (of
+3,000 workers, 807 were reported as unresponsive with a limit of 256, 387 with this
+one). Workers behind a network partition occupy a slot for 0.6 s each: by calculation,
+750 of them delay the others by 4.7 s."""
 
 
-class Contacts:
-    """Let some workers be asked at once, in the order in which they came."""
+class ContactLimiter:
+    """Grant polling slots in the order in which they were requested."""
 
-    def __init__(self, most: int = MOST_CONTACTS) -> None:
-        self._places = anyio.Semaphore(most, fast_acquire=True)
+    def __init__(self, limit: int = MAX_CONCURRENT_CONTACTS) -> None:
+        self._slots = anyio.Semaphore(limit, fast_acquire=True)
 
     @asynccontextmanager
-    async def async_place(self, needed: bool) -> AsyncIterator[None]:
-        """Hold a place while a worker is asked.
+    async def async_slot(self, needed: bool) -> AsyncIterator[None]:
+        """Hold a slot while a worker is polled.
 
-        :param needed: False for a worker that answered a moment ago; it waits for none.
+        :param needed: False for a worker that answered recently; it takes no slot.
         """
         if not needed:
             yield
             return
-        async with self._places:
+        async with self._slots:
             yield
--- a/mustardward/components/dispatch/dispatcher.py
+++ b/mustardward/components/dispatch/dispatcher.py
@@ -1,4 +1,4 @@
-"""Keep a session with each worker, and begin anew with those that start again."""
+"""Maintain a session with each worker and replace it when the worker restarts."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from ..scheduling.incarnations import is_other
 from ..scheduling.losses import LossCause
 from ..scheduling.scheduler import Scheduler
-from .closed import ClosedWorkers
+from .closed import LostIncarnations
 from .const import LEASE_SECONDS, latest_lease_end
-from .contacts import Contacts
+from .contacts import ContactLimiter
 from .lease import Lease
 from .orders import CommandExecutor
 from .session import WorkerSession
@@ -26,14 +26,16 @@
 
 @dataclass(slots=True, eq=False)
 class Dispatcher:
-    """Hold the sessions with workers under one epoch, and the orders given in them.
+    """Hold the sessions with workers under one epoch and execute commands in them.
 
     :param token: the fencing token, the owner's epoch.
     :param on_fenced: called when a worker has seen a newer owner.
     :param on_report: called when there may be something to plan or to store.
-    :param confirmed_seconds: age of the newest renewal of the ownership that is stored.
-    :param longest_lease_seconds: the longest lease that workers take, whatever the
-        deadline that they are told.
+    :param authorised: whether this owner may still send commands.
+    :param max_lease_seconds: the longest lease that workers accept, whatever deadline
+        they are sent.
+    :param renewal_age_seconds: age of the newest stored renewal of the ownership.
+    :param reconciled_workers: lost workers, on which nothing of an earlier owner runs.
     """
 
     http: HttpCaller
@@ -45,17 +47,17 @@
     on_report: Callable[[], None]
     authorised: Callable[[], bool]
     advice: AdviceClient | None = None
-    longest_lease_seconds: float = LEASE_SECONDS
-    confirmed_seconds: Callable[[], float] = lambda: 0.0
+    max_lease_seconds: float = LEASE_SECONDS
+    renewal_age_seconds: Callable[[], float] = lambda: 0.0
     executor: CommandExecutor = field(init=False)
     sessions: dict[str, WorkerSession] = field(default_factory=dict)
-    accounted: set[str] = field(default_factory=set)
+    reconciled_workers: set[str] = field(default_factory=set)
     _entries: dict[str, WorkerEntry] = field(default_factory=dict)
-    _closed: ClosedWorkers = field(default_factory=ClosedWorkers)
-    _contacts: Contacts = field(default_factory=Contacts)
+    _lost_incarnations: LostIncarnations = field(default_factory=LostIncarnations)
+    _contact_limiter: ContactLimiter = field(default_factory=ContactLimiter)
 
     def __post_init__(self) -> None:
-        """Make what carries out orders."""
+        """Create the command executor."""
         self.executor = CommandExecutor(
             self.scheduler,
             self.timers,
@@ -69,28 +71,32 @@
         )
 
     def see_worker(self, worker_id: str, entry: WorkerEntry) -> None:
-        """Open a session with a worker that is not known yet, or started again."""
+        """Apply a worker's entry; open a session if it is new or has restarted."""
         now = self.timers.monotonic()
         self._entries[worker_id] = entry
-        if self._closed.holds(worker_id, entry.born, now):
+        if self._lost_incarnations.includes(worker_id, entry.born, now):
             return
         session = self.sessions.get(worker_id)
         if session is not None and not session.closed:
-            if session.born and entry.born > session.born:
-                self._replace(session, entry.born)
-            elif is_other(entry.born, session.born):
-                # Read late, or its time of day went back: the worker itself knows.
-                session.ask()
+            if session.started_at_ms and entry.born > session.started_at_ms:
+                self._replace_session(session, entry.born)
+            elif is_other(entry.born, session.started_at_ms):
+                # The entry is outdated or the worker's wall clock went back; only the
+                # worker itself can tell.
+                session.request_identity()
             self.scheduler.see_worker(worker_id, entry, now)
             return
         self.scheduler.see_worker(worker_id, entry, now)
-        # The owner before may have renewed its lease until the end of its own
-        # authority.
-        lease_until = max(latest_lease_end(now), self.scheduler.board.held_until)
-        self._open(worker_id, entry, entry.born, lease_until)
-
-    def _open(
-        self, worker_id: str, entry: WorkerEntry, born: int, lease_until: float
+        # The previous owner may have renewed the lease until its authority ended.
+        lease_ends_at = max(latest_lease_end(now), self.scheduler.board.held_until)
+        self._open_session(worker_id, entry, entry.born, lease_ends_at)
+
+    def _open_session(
+        self,
+        worker_id: str,
+        entry: WorkerEntry,
+        started_at_ms: int,
+        lease_ends_at: float,
     ) -> None:
         session = WorkerSession(
             worker_id,
@@ -99,55 +105,62 @@
             self.timers,
             self.on_report,
             self.authorised,
-            Lease(lease_until),
-            born,
-            lambda other: self._reborn(session, other),
-            self._contacts,
-            lambda: self.timers.monotonic() - self.confirmed_seconds(),
+            Lease(lease_ends_at),
+            started_at_ms,
+            lambda other: self._handle_restart(session, other),
+            self._contact_limiter,
+            lambda: self.timers.monotonic() - self.renewal_age_seconds(),
         )
         self.sessions[worker_id] = session
         self.tasks.start_soon(self._async_run_session, session)
 
-    def _reborn(self, session: WorkerSession, born: int) -> None:
-        """Take in that another incarnation answered in a session's place."""
+    def _handle_restart(self, session: WorkerSession, started_at_ms: int) -> None:
+        """Replace a session after another incarnation answered its poll."""
         if session.closed or self.sessions.get(session.worker_id) is not session:
             return
-        self._replace(session, born)
+        self._replace_session(session, started_at_ms)
         self.on_report()
 
-    def _replace(self, session: WorkerSession, born: int) -> None:
-        """Go on with a worker that started again under its id.
+    def _replace_session(self, session: WorkerSession, started_at_ms: int) -> None:
+        """Replace the session of a worker that restarted under the same id.
 
-        Symptom without it: work that was done is lost, or done again. Sequence: its
-        ends count from 1 anew, and the next acknowledgement, of 58 ends from before,
-        makes it forget ends that nobody has read. So whatever was counted or reckoned
-        for one incarnation ends with its session.
+        A new incarnation numbers its ends from 1 again. An acknowledgement of, say, 58
+        ends of the previous incarnation would make it discard ends that were never
+        read, so that work is lost or repeated. Counters and leases of an incarnation
+        therefore end with its session.
         """
         worker_id = session.worker_id
         now = self.timers.monotonic()
         session.closed = True
         session.wake()
-        self.accounted.discard(worker_id)
+        self.reconciled_workers.discard(worker_id)
         entry = self._entries[worker_id]
-        self.scheduler.replace_worker(worker_id, born, entry, now)
-        # An order that is still on its way carries a deadline of the clock before.
-        self._open(
-            worker_id, entry, born, latest_lease_end(now, self.longest_lease_seconds)
+        self.scheduler.replace_worker(worker_id, started_at_ms, entry, now)
+        # A command in flight carries a deadline on the previous incarnation's clock.
+        self._open_session(
+            worker_id,
+            entry,
+            started_at_ms,
+            latest_lease_end(now, self.max_lease_seconds),
         )
 
     def has_unresponsive_workers(self) -> bool:
-        """Return whether a worker stopped answering."""
+        """Return whether any worker stopped answering."""
         return any(
             session.unresponsive_since is not None and not session.closed
             for session in self.sessions.values()
         )
 
-    def unheard(self) -> list[str]:
-        """Return the workers that have not told what they run."""
+    def unconfirmed_workers(self) -> list[str]:
+        """Return the workers that have not reported their runs."""
         return [
             worker_id
             for worker_id, session in self.sessions.items()
-            if not (session.answered or session.closed or worker_id in self.accounted)
+            if not (
+                session.has_answered
+                or session.closed
+                or worker_id in self.reconciled_workers
+            )
         ]
 
     async def _async_run_session(self, session: WorkerSession) -> None:
@@ -159,13 +172,13 @@
             session.closed = True
 
     def lose_worker(self, worker_id: str, cause: LossCause) -> None:
-        """Take in that a worker's incarnation is surely gone."""
-        self.accounted.add(worker_id)
-        # Its entry stays in the store for some seconds.
+        """Close the session of a worker whose incarnation is known to be over."""
+        self.reconciled_workers.add(worker_id)
+        # Its entry stays in the store for some seconds and must not reopen a session.
         now = self.timers.monotonic()
         session = self.sessions.get(worker_id)
-        born = session.born if session is not None else 0
-        self._closed.close(worker_id, born, now)
+        started_at_ms = session.started_at_ms if session is not None else 0
+        self._lost_incarnations.add(worker_id, started_at_ms, now)
         if session is not None:
             session.closed = True
             session.wake()
--- a/mustardward/components/dispatch/lanes.py
+++ b/mustardward/components/dispatch/lanes.py
@@ -1,8 +1,8 @@
-"""Carry calls to workers, a few at a time to each and in all.
+"""Send calls to workers with a concurrency limit per worker and in total.
 
-Load pattern: a turn begins, and hundreds of starts are due within one plan. Begun all
-at once, each call waits for all others inside this process while its own limit of time
-runs; calls that workers had long answered were given up.
+A demand peak makes hundreds of starts due within one plan. If all calls begin at once,
+each waits for the others inside this process while its timeout runs, and calls that
+workers have long answered are given up.
 """
 
 from __future__ import annotations
@@ -14,81 +14,84 @@
 
 from anyio.abc import TaskGroup
 
-MOST_A_WORKER: Final = 4
-"""Calls under way to one worker. Its poll takes a connection more, and a worker that
-answers in 3 ms still takes a thousand calls a second."""
+MAX_CALLS_PER_WORKER: Final = 4
+"""Concurrent calls to one worker. Its poll uses another connection, and a worker that
+answers in 3 ms still handles a thousand calls per second."""
 
-MOST: Final = 128
-"""Calls under way in all: at 3 ms an answer, ten times what one owner can send. What
-waits here can still be withdrawn, what is under way can't."""
+MAX_CALLS: Final = 128
+"""Concurrent calls to all workers: with 3 ms per answer, ten times what one owner can
+send. Waiting calls can still be withdrawn, calls in progress can't."""
 
 Call = Callable[[], Awaitable[None]]
 
 
 @dataclass(slots=True, eq=False)
-class Lanes:
-    """Hold the calls that wait, by worker, in the order in which they came."""
+class CallQueue:
+    """Hold waiting calls by worker in first-in, first-out order."""
 
     tasks: TaskGroup
     _waiting: dict[str, deque[Call]] = field(default_factory=dict)
-    _free: deque[str] = field(default_factory=deque)
-    _under_way: Counter[str] = field(default_factory=Counter)
-    _carriers: int = 0
+    _ready: deque[str] = field(default_factory=deque)
+    _in_progress: Counter[str] = field(default_factory=Counter)
+    _senders: int = 0
 
     @property
-    def under_way(self) -> int:
-        """Return how many calls are under way."""
-        return self._under_way.total()
+    def in_progress(self) -> int:
+        """Return how many calls are in progress."""
+        return self._in_progress.total()
 
     @property
     def waiting(self) -> int:
-        """Return how many calls have not left."""
+        """Return how many calls were not sent yet."""
         return sum(len(calls) for calls in self._waiting.values())
 
-    def waiting_for(self, counts: Callable[[str], bool]) -> int:
-        """Return how many calls have not left to workers that count."""
+    def count_waiting(self, includes: Callable[[str], bool]) -> int:
+        """Return how many calls were not sent yet to the workers included."""
         return sum(
-            len(calls) for worker, calls in self._waiting.items() if counts(worker)
+            len(calls) for worker, calls in self._waiting.items() if includes(worker)
         )
 
-    def put(self, worker: str, call: Call) -> None:
-        """Make a call as soon as its worker and this process have room for it."""
+    def enqueue(self, worker: str, call: Call) -> None:
+        """Make a call as soon as both concurrency limits allow it."""
         calls = self._waiting.get(worker)
         if calls is None:
             calls = self._waiting[worker] = deque()
         calls.append(call)
-        if self._under_way[worker] < MOST_A_WORKER:
-            self._free.append(worker)
-        if self._free and self._carriers < MOST:
-            self._carriers += 1
-            self.tasks.start_soon(self._async_carry)
-
-    async def _async_carry(self) -> None:
-        """Make one call after the other until none may leave."""
+        if self._in_progress[worker] < MAX_CALLS_PER_WORKER:
+            self._ready.append(worker)
+        if self._ready and self._senders < MAX_CALLS:
+            self._senders += 1
+            self.tasks.start_soon(self._async_send)
+
+    async def _async_send(self) -> None:
+        """Make one call after the other until none may be sent."""
         try:
-            while (worker := self._next()) is not None:
+            while (worker := self._next_worker()) is not None:
                 call = self._waiting[worker].popleft()
-                self._under_way[worker] += 1
+                self._in_progress[worker] += 1
                 try:
                     await call()
                 finally:
-                    self._done(worker)
+                    self._finish_call(worker)
         finally:
-            self._carriers -= 1
-
-    def _next(self) -> str | None:
-        """Return a worker that a call waits for and that has room for it."""
-        while self._free:
-            worker = self._free.popleft()
-            if self._waiting.get(worker) and self._under_way[worker] < MOST_A_WORKER:
+            self._senders -= 1
+
+    def _next_worker(self) -> str | None:
+        """Return a worker below its limit that has a waiting call."""
+        while self._ready:
+            worker = self._ready.popleft()
+            if (
+                self._waiting.get(worker)
+                and self._in_progress[worker] < MAX_CALLS_PER_WORKER
+            ):
                 return worker
         return None
 
-    def _done(self, worker: str) -> None:
-        self._under_way[worker] -= 1
+    def _finish_call(self, worker: str) -> None:
+        self._in_progress[worker] -= 1
         if self._waiting.get(worker):
-            self._free.append(worker)
+            self._ready.append(worker)
             return
         self._waiting.pop(worker, None)
-        if not self._under_way[worker]:
-            del self._under_way[worker]
+        if not self._in_progress[worker]:
+            del self._in_progress[worker]
--- a/mustardward/components/dispatch/lease.py
+++ b/mustardward/components/dispatch/lease.py
@@ -1,68 +1,73 @@
-"""Reckon until when something may run on a worker, on its clock and the owner's."""
+"""Calculate when leases end, on the worker's clock and on the owner's."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-from .const import CLOCK_ERROR, LEASE_SECONDS, REBORN_MILLISECONDS, latest_lease_end
+from .const import (
+    CLOCK_DRIFT_RATIO,
+    CLOCK_RESET_THRESHOLD_MS,
+    LEASE_SECONDS,
+    latest_lease_end,
+)
 
 
 @dataclass(slots=True)
 class WorkerClock:
-    """Know a worker's steady clock by its last answer."""
+    """Estimate a worker's monotonic clock from its last answer."""
 
     clock_ms: float = 0.0
-    at: float = -1.0
+    read_at: float = -1.0
 
     @property
-    def known(self) -> bool:
-        """Return whether the worker ever answered."""
-        return self.at >= 0
+    def is_known(self) -> bool:
+        """Return whether the worker has ever reported its clock."""
+        return self.read_at >= 0
 
-    def take(self, clock_ms: float, at: float) -> None:
-        """Take in an answer that came at ``at``."""
+    def update(self, clock_ms: float, at: float) -> None:
+        """Record the clock of an answer that was received at ``at``."""
         if clock_ms:
             self.clock_ms = clock_ms
-            self.at = at
+            self.read_at = at
 
-    def is_behind(self, clock_ms: float) -> bool:
-        """Return whether an answer shows a clock that began anew."""
-        return self.known and 0 < clock_ms < self.clock_ms - REBORN_MILLISECONDS
+    def has_reset(self, clock_ms: float) -> bool:
+        """Return whether the clock of an answer shows that the worker restarted."""
+        return self.is_known and 0 < clock_ms < self.clock_ms - CLOCK_RESET_THRESHOLD_MS
 
-    def deadline(self, now: float) -> int:
-        """Return the end of a lease that begins now, on the worker's clock."""
-        return int(self.clock_ms + (now - self.at + LEASE_SECONDS) * 1000)
+    def lease_deadline_ms(self, now: float) -> int:
+        """Return the end of a lease that begins now, on the worker's clock in ms."""
+        return int(self.clock_ms + (now - self.read_at + LEASE_SECONDS) * 1000)
 
-    def lease_until(self, now: float) -> float:
-        """Return when that lease is surely over, in the owner's time.
+    def lease_end(self, now: float) -> float:
+        """Return the latest end of that lease, on the owner's clock.
 
-        The clock may have been slow since its last answer, too.
+        The worker's clock may also have been slow since its last answer.
         """
-        return latest_lease_end(now) + (now - self.at) * CLOCK_ERROR
+        return latest_lease_end(now) + (now - self.read_at) * CLOCK_DRIFT_RATIO
 
 
 @dataclass(slots=True, eq=False)
 class Lease:
     """Hold the longest lease that one incarnation of a worker may have.
 
-    :param until: when it is surely over, in the owner's time.
+    :param ends_at: its latest end, on the owner's clock.
     :param deadline_ms: the last end that was sent, on the worker's clock.
     """
 
-    until: float
+    ends_at: float
     clock: WorkerClock = field(default_factory=WorkerClock)
     deadline_ms: int | None = None
 
     def may_renew(self, now: float) -> bool:
-        """Return whether the worker's clock is known well enough for a new lease.
+        """Return whether the worker's clock is known precisely enough for a renewal.
 
-        After a long time without an answer it may have drifted; nothing runs there
-        then.
+        Without an answer for longer than a lease it may have drifted; nothing runs on
+        the worker by then.
         """
-        return self.clock.known and now - self.clock.at <= LEASE_SECONDS
+        return self.clock.is_known and now - self.clock.read_at <= LEASE_SECONDS
 
     def renew(self, now: float) -> int:
-        """Reckon with a lease sent now; return its end on the worker's clock."""
-        self.until = max(self.until, self.clock.lease_until(now))
-        self.deadline_ms = self.clock.deadline(now)
+        """Extend the lease from now; return its end on the worker's clock."""
+        self.ends_at = max(self.ends_at, self.clock.lease_end(now))
+        self.deadline_ms = self.clock.lease_deadline_ms(now)
         return self.deadline_ms
--- a/mustardward/components/dispatch/looks.py
+++ b/mustardward/components/dispatch/looks.py
@@ -1,4 +1,4 @@
-"""Choose how long a worker keeps a look until something ends there."""
+"""Choose how long a worker may delay its answer to a poll."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 from ..scheduling.pacing import Pacing
 from ..scheduling.worker_state import WorkerState
 from .const import (
-    BUSY_HOLD_MILLISECONDS,
-    LONG_HOLD_MILLISECONDS,
-    SHORT_HOLD_MILLISECONDS,
+    BUSY_POLL_MS,
+    LONG_POLL_MS,
+    SHORT_POLL_MS,
 )
 
 
 def choose_wait_ms(worker: WorkerState, pacing: Pacing) -> int:
-    """Return how long a worker may keep a look, in milliseconds."""
+    """Return how long a worker may wait for a run to end before it answers, in ms."""
     if not worker.confirmed or worker.stale or not worker.tasks:
         return 0
     if any(task.phase is Phase.UNCERTAIN for task in worker.tasks.values()):
         return 0
     if worker.leaving or worker.draining:
-        return SHORT_HOLD_MILLISECONDS
+        return SHORT_POLL_MS
     if pacing.needs_looks(worker):
-        return SHORT_HOLD_MILLISECONDS
+        return SHORT_POLL_MS
     if any(not task.step.spec.long_running for task in worker.tasks.values()):
-        return BUSY_HOLD_MILLISECONDS
-    return LONG_HOLD_MILLISECONDS
+        return BUSY_POLL_MS
+    return LONG_POLL_MS
--- a/mustardward/components/dispatch/orders.py
+++ b/mustardward/components/dispatch/orders.py
@@ -1,4 +1,4 @@
-"""Carry out the scheduler's orders to workers, a few at a time."""
+"""Send the scheduler's commands to workers."""
 
 from __future__ import annotations
 
@@ -24,25 +24,26 @@
 from ..scheduling.losses import LossCause
 from ..scheduling.models import Phase, Task
 from ..scheduling.scheduler import Scheduler
-from .const import DECISION_SECONDS, STOP_RETRY_SECONDS
-from .lanes import Lanes
+from .const import START_MAX_AGE_SECONDS, STOP_RETRY_SECONDS
+from .lanes import CallQueue
 from .session import WorkerSession
 from .window import StartWindow
 
 _LOGGER = get_logger(__name__)
 
 ADVICE_TIMEOUT_SECONDS: Final = 2.0
-_FAILED = (CallRefusedError, CallUnknownError)
+_CALL_ERRORS = (CallRefusedError, CallUnknownError)
 
 
 @dataclass(slots=True, eq=False)
 class CommandExecutor:
-    """Give orders in the sessions with workers, and report what became of them.
+    """Execute commands in the workers' sessions and report the results.
 
-    :param sessions: the sessions by worker.
+    :param sessions: the sessions by worker id.
     :param on_fenced: called when a worker has seen a newer owner.
     :param on_report: called when there may be something to plan or to store.
-    :param on_lost: called with a worker that answered as another incarnation.
+    :param authorised: whether this owner may still send commands.
+    :param on_worker_lost: called with a worker that another incarnation answered for.
     """
 
     scheduler: Scheduler
@@ -52,51 +53,54 @@
     on_fenced: Callable[[], None]
     on_report: Callable[[], None]
     authorised: Callable[[], bool]
-    on_lost: Callable[[str, LossCause], None]
+    on_worker_lost: Callable[[str, LossCause], None]
     advice: AdviceClient | None = None
-    lanes: Lanes = field(init=False)
+    calls: CallQueue = field(init=False)
     window: StartWindow = field(default_factory=StartWindow)
 
     def __post_init__(self) -> None:
-        """Make the lanes to the workers."""
-        self.lanes = Lanes(self.tasks)
+        """Create the queue of calls to workers."""
+        self.calls = CallQueue(self.tasks)
 
     def execute(self, commands: list[Command]) -> None:
-        """Carry out commands, as workers have room for calls."""
+        """Enqueue the calls that the commands need."""
         for command in commands:
             if isinstance(command, Start):
-                self.lanes.put(command.worker, partial(self._async_start, command))
+                self.calls.enqueue(command.worker, partial(self._async_start, command))
             elif isinstance(command, Stop):
-                self.lanes.put(command.worker, partial(self._async_stop, command))
+                self.calls.enqueue(command.worker, partial(self._async_stop, command))
             elif isinstance(command, Pace):
-                self.lanes.put(command.worker, partial(self._async_pace, command))
+                self.calls.enqueue(command.worker, partial(self._async_pace, command))
             elif self.advice is not None:
                 self.tasks.start_soon(self._async_advice, self.advice, command)
 
     def available_starts(self) -> int:
-        """Return how many starts may be decided now.
+        """Return how many starts may be planned now.
 
-        What waits for a worker that leaves calls unanswered says nothing of this owner:
-        one dark worker would else hold up the starts on all others.
+        Calls that wait for an unresponsive worker are not counted, since they say
+        nothing about this owner's speed; otherwise one such worker would delay the
+        starts on all others.
         """
-        return self.window.room(self.lanes.waiting_for(self._answers))
+        return self.window.available(self.calls.count_waiting(self._is_responsive))
 
-    def _answers(self, worker: str) -> bool:
+    def _is_responsive(self, worker: str) -> bool:
         session = self.sessions.get(worker)
-        return session is not None and not session.closed and not session.doubted
+        return (
+            session is not None and not session.closed and not session.is_unresponsive
+        )
 
     async def _async_start(self, start: Start) -> None:
         task = start.task
         run = start.run
         reports = self.scheduler.reports
-        if self._withdrawn(start):
+        if self._withdraw_if_stale(start):
             return
         session = self.sessions.get(start.worker)
         try:
             if session is None or session.closed:
-                raise CallRefusedError("worker gone")
-            await session.async_prove(anew=bool(task.crashes))
-            if self._is_void(start):
+                raise CallRefusedError("worker has no open session")
+            await session.async_ensure_alive(fresh=bool(task.crashes))
+            if self._is_superseded(start):
                 return
             reports.start_sent(task, run)
             answer = await session.async_start(task, run)
@@ -104,15 +108,15 @@
             self.on_fenced()
             return
         except WrongIncarnationError:
-            self._log_start(task, start, "other incarnation")
-            self._lose_session(session)
+            self._log_failed_start(task, start, "another incarnation answered")
+            self._report_restart(session)
         except CallRefusedError as error:
             STARTS.labels("refused").inc()
-            self._log_start(task, start, error.detail)
+            self._log_failed_start(task, start, error.detail)
             reports.start_refused(task, run, self.timers.monotonic())
         except CallUnknownError as error:
             STARTS.labels("unknown").inc()
-            self._log_start(task, start, error.detail)
+            self._log_failed_start(task, start, error.detail)
             reports.start_unknown(task, run)
         else:
             reports.start_answered(task, run, answer.reason, self.timers.monotonic())
@@ -122,23 +126,23 @@
                 return
         self.on_report()
 
-    def _is_void(self, start: Start) -> bool:
-        """Return whether a start's task is no longer the one to be started by it."""
+    def _is_superseded(self, start: Start) -> bool:
+        """Return whether the task was stopped or started again since the command."""
         task = start.task
         return task.run != start.run or task.phase is not Phase.STARTING
 
-    def _withdrawn(self, start: Start) -> bool:
-        """Return whether a start must not leave any more."""
+    def _withdraw_if_stale(self, start: Start) -> bool:
+        """Withdraw a start that is too old; return whether it must not be sent."""
         task = start.task
-        if self._is_void(start):
+        if self._is_superseded(start):
             return True
         now = self.timers.monotonic()
-        if now - task.started_at <= DECISION_SECONDS:
+        if now - task.started_at <= START_MAX_AGE_SECONDS:
             return False
-        # Decided on what was known then; it is decided anew on what is known now.
+        # The state that it was planned on is outdated, so it is planned again.
         STARTS.labels("withdrawn").inc()
-        if self._answers(start.worker):
-            self.window.note_withdrawn(now)
+        if self._is_responsive(start.worker):
+            self.window.record_withdrawn(now)
         self.scheduler.reports.start_withdrawn(task, start.run, now)
         self.on_report()
         return True
@@ -155,12 +159,12 @@
         except FencedError:
             self.on_fenced()
         except WrongIncarnationError:
-            self._lose_session(session)
-        except _FAILED:
+            self._report_restart(session)
+        except _CALL_ERRORS:
             self.tasks.start_soon(self._async_retry_stop, stop)
         else:
             if self.sessions.get(stop.worker) is not session or session.closed:
-                # The incarnation that has its id now was not told.
+                # The new incarnation under this id did not receive the stop.
                 return
             if stop.task is not None:
                 now = self.timers.monotonic()
@@ -168,9 +172,9 @@
             session.wake()
 
     async def _async_retry_stop(self, stop: Stop) -> None:
-        """Repeat a stop; what waits meanwhile takes no other call's place."""
+        """Enqueue a stop again after a delay, without occupying a call slot."""
         await self.timers.async_sleep(STOP_RETRY_SECONDS)
-        self.lanes.put(stop.worker, partial(self._async_stop, stop))
+        self.calls.enqueue(stop.worker, partial(self._async_stop, stop))
 
     async def _async_pace(self, pace: Pace) -> None:
         session = self.sessions.get(pace.worker)
@@ -182,11 +186,11 @@
         except FencedError:
             self.on_fenced()
         except WrongIncarnationError:
-            self._lose_session(session)
-        except _FAILED as error:
+            self._report_restart(session)
+        except _CALL_ERRORS as error:
             _LOGGER.warning("pace_failed", worker=pace.worker, detail=error.detail)
             if pace.task.run == pace.run:
-                # The next look gives the order again.
+                # A value that no pace matches makes the next plan send it again.
                 pace.task.pace = -1
 
     async def _async_advice(self, client: AdviceClient, ask: AskAdvice) -> None:
@@ -208,16 +212,16 @@
         self.scheduler.give_tickets(step, advice.tickets, until)
         self.on_report()
 
-    def _log_start(self, task: Task, start: Start, detail: str) -> None:
+    def _log_failed_start(self, task: Task, start: Start, detail: str) -> None:
         _LOGGER.warning(
-            "start_unanswered",
+            "start_failed",
             job=task.step.job.record.id,
             worker=start.worker,
             run=start.run,
             detail=detail,
         )
 
-    def _lose_session(self, session: WorkerSession | None) -> None:
-        """Tell that the incarnation of a session is gone, unless it is known."""
+    def _report_restart(self, session: WorkerSession | None) -> None:
+        """Report a session's incarnation as replaced if the session is still open."""
         if session is not None and not session.closed:
-            self.on_lost(session.worker_id, LossCause.REPLACED)
+            self.on_worker_lost(session.worker_id, LossCause.REPLACED)
--- a/mustardward/components/dispatch/proof.py
+++ b/mustardward/components/dispatch/proof.py
@@ -1,4 +1,4 @@
-"""Know when a worker was last proved alive."""
+"""Track when a worker last answered a call."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 
 
 @dataclass(slots=True, eq=False)
-class Proof:
-    """Hold when one incarnation of a worker answered, until it leaves a call so."""
+class Liveness:
+    """Hold the time of an incarnation's last answer until a call to it fails."""
 
-    _at: float = -math.inf
+    _confirmed_at: float = -math.inf
 
     @property
-    def stands(self) -> bool:
+    def is_confirmed(self) -> bool:
         """Return whether the last call was answered."""
-        return not math.isinf(self._at)
+        return not math.isinf(self._confirmed_at)
 
-    def give(self, now: float) -> None:
-        """Take in an answer of the incarnation."""
-        self._at = now
+    def confirm(self, now: float) -> None:
+        """Record an answer of the incarnation."""
+        self._confirmed_at = now
 
-    def withdraw(self) -> None:
-        """Take in that a call was not answered, or that another may have answered."""
-        self._at = -math.inf
+    def reset(self) -> None:
+        """Discard the answer: a call failed or another incarnation may be running."""
+        self._confirmed_at = -math.inf
 
-    def is_within(self, seconds: float, now: float) -> bool:
-        """Return whether it answered its last call, and so lately."""
-        return now - self._at <= seconds
+    def was_confirmed_within(self, seconds: float, now: float) -> bool:
+        """Return whether the last call was answered within this time."""
+        return now - self._confirmed_at <= seconds
--- a/mustardward/components/dispatch/session.py
+++ b/mustardward/components/dispatch/session.py
@@ -1,4 +1,4 @@
-"""Keep one worker's lease, and read its reports."""
+"""Renew one worker's lease and read its reports."""
 
 from __future__ import annotations
 
@@ -22,33 +22,36 @@
 from ..scheduling.scheduler import Scheduler
 from ..scheduling.worker_state import WorkerState
 from .const import (
-    ALIVE_SECONDS,
-    ALIVE_WAIT_SECONDS,
-    FAILED_HOLD_SECONDS,
-    HOLD_GAP_SECONDS,
-    PROOF_SECONDS,
-    UNSTORED_WAIT_SECONDS,
+    ACKNOWLEDGE_MAX_AGE_SECONDS,
+    LIVENESS_MAX_AGE_SECONDS,
+    LIVENESS_TIMEOUT_SECONDS,
+    MIN_POLL_INTERVAL_SECONDS,
+    POLL_RETRY_SECONDS,
+    UNSTORED_POLL_DELAY_SECONDS,
 )
-from .contacts import Contacts
+from .contacts import ContactLimiter
 from .lease import Lease, WorkerClock
 from .looks import choose_wait_ms
-from .proof import Proof
+from .proof import Liveness
 
 _LOGGER = get_logger(__name__)
 
 
 @dataclass(slots=True, eq=False)
 class WorkerSession:
-    """Talk to one incarnation of a worker under one epoch.
+    """Poll one incarnation of a worker and send it starts under one epoch.
+
+    The worker numbers the ends of its runs. It keeps each end until it is acknowledged,
+    which happens with a poll after the end is stored.
 
     :param on_report: called after each report, to plan and to store.
-    :param authorised: whether this owner may still give orders.
-    :param lease: until when something may run there.
-    :param born: the incarnation, by when it started; 0 if that is not known yet.
-    :param on_reborn: called with when it started if another incarnation answers.
-    :param contacts: bounds how many workers that are not heard of are asked at once.
-    :param owned_until: until when the log is known to name no other owner; steady
-        seconds.
+    :param authorised: whether this owner may still send commands.
+    :param lease: the longest lease that the incarnation may have.
+    :param started_at_ms: the start time that identifies the incarnation, 0 if unknown.
+    :param on_restart: called with the start time of another incarnation that answers.
+    :param contact_limiter: limits concurrent polls of unconfirmed workers.
+    :param ownership_confirmed_until: until when the log is known to name no other
+        owner, in monotonic seconds.
     """
 
     worker_id: str
@@ -58,55 +61,55 @@
     on_report: Callable[[], None]
     authorised: Callable[[], bool]
     lease: Lease
-    born: int
-    on_reborn: Callable[[int], None]
-    contacts: Contacts
-    owned_until: Callable[[], float]
+    started_at_ms: int
+    on_restart: Callable[[int], None]
+    contact_limiter: ContactLimiter
+    ownership_confirmed_until: Callable[[], float]
     received_upto: int = 0
-    seen_upto: int = 0
-    answered: bool = False
+    stored_upto: int = 0
+    has_answered: bool = False
     closed: bool = False
     unresponsive_since: float | None = None
-    _proof: Proof = field(default_factory=Proof)
-    _asked: bool = False
-    _told_upto: int = 0
+    _liveness: Liveness = field(default_factory=Liveness)
+    _poll_requested: bool = False
+    _acknowledged_upto: int = 0
     _stored: anyio.Event = field(default_factory=anyio.Event)
     _wake: anyio.Event = field(default_factory=anyio.Event)
-    _looked: anyio.Event = field(default_factory=anyio.Event)
+    _polled: anyio.Event = field(default_factory=anyio.Event)
 
     @property
-    def doubted(self) -> bool:
-        """Return whether the worker left its last call unanswered, or all of them."""
-        return not self._proof.stands
+    def is_unresponsive(self) -> bool:
+        """Return whether the worker failed to answer its last call or any call."""
+        return not self._liveness.is_confirmed
 
     @property
     def clock(self) -> WorkerClock:
-        """Return what is known of the worker's steady clock."""
+        """Return the estimate of the worker's monotonic clock."""
         return self.lease.clock
 
     @property
-    def lease_until(self) -> float:
-        """Return until when something may run there, in the owner's time."""
-        return self.lease.until
+    def lease_ends_at(self) -> float:
+        """Return the latest end of the worker's lease, on the owner's clock."""
+        return self.lease.ends_at
 
     def acknowledge(self, number: int) -> None:
-        """Note that the ends up to a number are stored."""
-        if number > self.seen_upto:
-            self.seen_upto = number
+        """Acknowledge stored ends up to a number with the next poll."""
+        if number > self.stored_upto:
+            self.stored_upto = number
         self._stored.set()
 
-    def ask(self) -> None:
-        """Ask the worker who it is, though nothing runs there."""
-        self._asked = True
-        self._proof.withdraw()
+    def request_identity(self) -> None:
+        """Poll the worker for its identity even if it has no runs."""
+        self._poll_requested = True
+        self._liveness.reset()
         self._wake.set()
 
     def wake(self) -> None:
-        """Look at the worker though nothing ran there before."""
+        """Resume polling if the worker was idle."""
         self._wake.set()
 
     async def async_run(self) -> None:
-        """Hold the worker until it is surely gone."""
+        """Poll the worker until its incarnation is known to be over."""
         while not self.closed:
             worker = self.scheduler.board.workers.get(self.worker_id)
             if worker is None:
@@ -116,57 +119,57 @@
                 self._wake = anyio.Event()
                 continue
             if not self.authorised():
-                await self.timers.async_sleep(FAILED_HOLD_SECONDS)
+                await self.timers.async_sleep(POLL_RETRY_SECONDS)
                 continue
-            await self._async_look(worker)
+            await self._async_poll_in_turn(worker)
 
-    async def async_prove(self, anew: bool) -> None:
-        """Make sure that the worker was heard a moment ago, before it is given a task.
+    async def async_ensure_alive(self, fresh: bool) -> None:
+        """Check that the worker answered recently, before a task is started on it.
 
-        While nothing runs there its crash goes unnoticed, and a start that it does not
-        answer would count as the cause.
+        The crash of an idle worker goes unnoticed, and an unanswered start would then
+        be counted as its cause.
 
-        :param anew: whether only an answer to a call that leaves now will do.
-        :raises CallRefusedError: if it does not answer, or may be given no task.
+        :param fresh: whether to require the answer to a call that is sent now.
+        :raises CallRefusedError: if the worker does not answer or may not get a task.
         :raises WrongIncarnationError: if another incarnation answered.
         """
         if not self.authorised():
-            raise CallRefusedError("no authority")
-        if anew:
-            await self._async_ask_anew()
-        elif not self._was_heard_within(ALIVE_SECONDS):
-            await self._async_wait_for_look()
-
-    async def _async_wait_for_look(self) -> None:
-        """Wait for the session's next look; all starts that wait share it."""
-        self._asked = True
+            raise CallRefusedError("owner has lost its authority")
+        if fresh:
+            await self._async_probe()
+        elif not self._has_answered_within(LIVENESS_MAX_AGE_SECONDS):
+            await self._async_wait_for_poll()
+
+    async def _async_wait_for_poll(self) -> None:
+        """Wait for the session's next poll, which all waiting starts share."""
+        self._poll_requested = True
         self._wake.set()
-        with anyio.move_on_after(ALIVE_WAIT_SECONDS):
-            await self._looked.wait()
-        if not self._was_heard_within(ALIVE_SECONDS):
-            raise CallRefusedError("not heard")
+        with anyio.move_on_after(LIVENESS_TIMEOUT_SECONDS):
+            await self._polled.wait()
+        if not self._has_answered_within(LIVENESS_MAX_AGE_SECONDS):
+            raise CallRefusedError("worker did not answer a poll")
 
-    async def _async_ask_anew(self) -> None:
-        """Call the worker beside the session's looks, which may wait long for ends."""
+    async def _async_probe(self) -> None:
+        """Poll the worker outside the session's loop, whose polls may take long."""
         try:
             answer = await self.client.async_hold(0, None, 0)
         except CallUnknownError as error:
-            self.ask()
-            raise CallRefusedError(f"not heard: {error.detail}") from error
-        if self.closed or self._is_another(answer):
-            self.ask()
-            raise CallRefusedError("other incarnation")
-        self._prove(answer.clock_ms)
+            self.request_identity()
+            raise CallRefusedError(f"worker did not answer: {error.detail}") from error
+        if self.closed or self._is_other_incarnation(answer):
+            self.request_identity()
+            raise CallRefusedError("another incarnation answered")
+        self._record_answer(answer.clock_ms)
 
     async def async_start(self, task: Task, run: int) -> StartAnswer:
-        """Order a start.
+        """Start a task on the worker and extend its lease.
 
-        :raises CallRefusedError: if this owner may give no orders; nothing was sent.
+        :raises CallRefusedError: if this owner may send no commands; nothing was sent.
         """
         if not self.authorised():
-            raise CallRefusedError("no authority")
-        if not self.clock.known:
-            raise CallRefusedError("clock unknown")
+            raise CallRefusedError("owner has lost its authority")
+        if not self.clock.is_known:
+            raise CallRefusedError("worker's clock is unknown")
         now = self.timers.monotonic()
         deadline_ms = self.lease.renew(now)
         order = StartOrder(
@@ -180,68 +183,73 @@
         self._wake.set()
         try:
             answer = await self.client.async_start(order)
-            if self.clock.is_behind(answer.clock_ms):
-                # Another incarnation began this under a lease reckoned on the old
-                # clock. Its next answer to a hold tells who it is.
-                raise CallUnknownError("clock went back")
+            if self.clock.has_reset(answer.clock_ms):
+                # Another incarnation started the task under a lease that was
+                # calculated on the old clock. The next poll identifies it.
+                raise CallUnknownError("worker's clock went back")
         except CallUnknownError:
-            self._proof.withdraw()
+            self._liveness.reset()
             raise
-        self._prove(answer.clock_ms)
+        self._record_answer(answer.clock_ms)
         return answer
 
-    def _is_another(self, answer: HoldAnswer) -> bool:
-        """Return whether another incarnation answered; each has a clock of its own."""
-        if is_other(answer.born, self.born):
+    def _is_other_incarnation(self, answer: HoldAnswer) -> bool:
+        """Return whether another incarnation answered, by start time or clock."""
+        if is_other(answer.born, self.started_at_ms):
             return True
-        return self.clock.is_behind(answer.clock_ms)
+        return self.clock.has_reset(answer.clock_ms)
 
-    def _prove(self, clock_ms: float) -> None:
-        """Take in an answer of this incarnation."""
+    def _record_answer(self, clock_ms: float) -> None:
+        """Record the clock and time of an answer of this incarnation."""
         now = self.timers.monotonic()
-        self.clock.take(clock_ms, now)
-        self._proof.give(now)
+        self.clock.update(clock_ms, now)
+        self._liveness.confirm(now)
 
-    def _was_heard_within(self, seconds: float) -> bool:
-        """Return whether this incarnation answered its last call, and so lately."""
-        return self._proof.is_within(seconds, self.timers.monotonic())
+    def _has_answered_within(self, seconds: float) -> bool:
+        """Return whether this incarnation answered its last call within this time."""
+        return self._liveness.was_confirmed_within(seconds, self.timers.monotonic())
 
     def _is_idle(self, worker: WorkerState) -> bool:
-        """Return whether nothing is to be learned from the worker.
+        """Return whether the worker needs no poll.
 
-        A run that no task is known of, too, holds room until a look no longer lists it.
+        A run without a known task also occupies capacity until a poll no longer lists
+        it.
         """
         return (
-            not self._asked
+            not self._poll_requested
             and worker.confirmed
             and not worker.has_runs
             and not worker.stale
-            and self.received_upto <= self._told_upto
+            and self.received_upto <= self._acknowledged_upto
         )
 
-    async def _async_look(self, worker: WorkerState) -> None:
-        """Hold the worker, in its turn if it is not heard of; then pause."""
-        unheard = worker.stale or not worker.confirmed
+    async def _async_poll_in_turn(self, worker: WorkerState) -> None:
+        """Poll the worker, with a slot if it is unconfirmed, and pause afterwards."""
+        is_unconfirmed = worker.stale or not worker.confirmed
         pause = 0.0
-        async with self.contacts.async_place(unheard):
-            # Its incarnation may have ended, or this ownership, while it waited.
+        async with self.contact_limiter.async_slot(is_unconfirmed):
+            # The incarnation or this ownership may have ended during the wait.
             if not self.closed and self.authorised():
-                pause = await self._async_hold(worker)
-        self._looked.set()
-        self._looked = anyio.Event()
+                pause = await self._async_poll(worker)
+        self._polled.set()
+        self._polled = anyio.Event()
         if pause and not self.closed:
             await self.timers.async_sleep(pause)
 
-    async def _async_hold(self, worker: WorkerState) -> float:
-        """Hold the worker once; return how long to pause until the next time."""
-        if self.received_upto > self.seen_upto:
-            with anyio.move_on_after(UNSTORED_WAIT_SECONDS):
+    async def _async_poll(self, worker: WorkerState) -> float:
+        """Poll the worker once; return the delay in seconds until the next poll."""
+        if self.received_upto > self.stored_upto:
+            with anyio.move_on_after(UNSTORED_POLL_DELAY_SECONDS):
                 await self._stored.wait()
         sent_at = self.timers.monotonic()
-        # Who answers is to be learned before anything is acknowledged.
-        told_upto = self.seen_upto if self._was_heard_within(PROOF_SECONDS) else 0
+        # The incarnation must be known before anything is acknowledged to it.
+        acknowledged_upto = (
+            self.stored_upto
+            if self._has_answered_within(ACKNOWLEDGE_MAX_AGE_SECONDS)
+            else 0
+        )
         try:
-            answer = await self._async_call(worker, sent_at, told_upto)
+            answer = await self._async_send_poll(worker, sent_at, acknowledged_upto)
         except WrongIncarnationError:
             if not self.closed:
                 self.closed = True
@@ -250,21 +258,21 @@
                 self.on_report()
             return 0.0
         except (CallRefusedError, CallUnknownError) as error:
-            return self._failed(worker, error.detail)
+            return self._handle_failed_poll(worker, error.detail)
         if self.closed:
-            # It was found out meanwhile that this incarnation is over: what it said
-            # must not be taken for the word of the one that has its id now.
+            # The incarnation was replaced during the call; its answer must not be
+            # applied to the incarnation that has its id now.
             return 0.0
-        if self._is_another(answer):
-            self.on_reborn(answer.born)
+        if self._is_other_incarnation(answer):
+            self.on_restart(answer.born)
             return 0.0
-        self.born = self.born or answer.born
-        self._asked = False
-        self._told_upto = max(self._told_upto, told_upto)
+        self.started_at_ms = self.started_at_ms or answer.born
+        self._poll_requested = False
+        self._acknowledged_upto = max(self._acknowledged_upto, acknowledged_upto)
         now = self.timers.monotonic()
-        renewed = self._renews(sent_at)
-        self._prove(answer.clock_ms)
-        self.answered = True
+        renewed = self._should_renew(sent_at)
+        self._record_answer(answer.clock_ms)
+        self.has_answered = True
         self.unresponsive_since = None
         numbers = [ended.number for ended in answer.ended]
         for ended in answer.ended:
@@ -275,46 +283,45 @@
         self.scheduler.hold_worker(self.worker_id, answer, sent_at, now)
         self.on_report()
         if not renewed and worker.has_runs:
-            # Its lease may be almost over.
+            # The lease may be about to expire.
             return 0.0
-        return max(0.0, HOLD_GAP_SECONDS - (now - sent_at))
+        return max(0.0, MIN_POLL_INTERVAL_SECONDS - (now - sent_at))
 
-    async def _async_call(
-        self, worker: WorkerState, now: float, told_upto: int
+    async def _async_send_poll(
+        self, worker: WorkerState, now: float, acknowledged_upto: int
     ) -> HoldAnswer:
         deadline = self.lease.deadline_ms
         wait_ms = 0
-        if self._renews(now):
+        if self._should_renew(now):
             deadline = self.lease.renew(now)
-            if told_upto == self.seen_upto:
+            if acknowledged_upto == self.stored_upto:
                 wait_ms = choose_wait_ms(worker, self.scheduler.pacing)
-        return await self.client.async_hold(told_upto, deadline, wait_ms)
+        return await self.client.async_hold(acknowledged_upto, deadline, wait_ms)
 
-    def _renews(self, now: float) -> bool:
-        """Return whether a look sent now renews the lease.
+    def _should_renew(self, now: float) -> bool:
+        """Return whether a poll sent now renews the lease.
 
-        One that may not arrive repeats the last lease that was sent: with a longer one,
-        what runs on a silent worker could not start elsewhere for as long as such looks
-        go on.
+        Polls of an unresponsive worker repeat the last lease: if they extended it, its
+        tasks could not start elsewhere for as long as they continue.
         """
         return self.unresponsive_since is None and self.lease.may_renew(now)
 
-    def _failed(self, worker: WorkerState, detail: str) -> float:
-        """Take in that a hold was not answered; return how long to pause."""
+    def _handle_failed_poll(self, worker: WorkerState, detail: str) -> float:
+        """Handle an unanswered poll; return the delay in seconds until the next one."""
         if self.closed:
             return 0.0
         now = self.timers.monotonic()
-        self._proof.withdraw()
+        self._liveness.reset()
         if self.unresponsive_since is None:
             self.unresponsive_since = now
         if not worker.stale:
             worker.stale = True
-            _LOGGER.warning("worker_silent", worker=self.worker_id, detail=detail)
-        if self.owned_until() > self.lease_until:
-            # Its leases have run out on the slowest clock it can have, and no other
-            # owner can have renewed them before, so nothing runs there.
+            _LOGGER.warning("worker_unresponsive", worker=self.worker_id, detail=detail)
+        if self.ownership_confirmed_until() > self.lease_ends_at:
+            # The leases have expired even on the slowest clock possible, and no other
+            # owner can have renewed them, so nothing runs on the worker.
             self.scheduler.lose_worker(self.worker_id, LossCause.LEASES_OVER, now)
             self.closed = True
             self.on_report()
             return 0.0
-        return FAILED_HOLD_SECONDS
+        return POLL_RETRY_SECONDS
--- a/mustardward/components/dispatch/window.py
+++ b/mustardward/components/dispatch/window.py
@@ -1,9 +1,9 @@
-"""Bound how many starts are decided before they leave; pure.
+"""Limit how many planned starts may wait to be sent.
 
-Load pattern: a turn brings thousands of tasks to an owner that is short of processor
-time. It decides on all of them at once, most wait longer to leave than a decision may
-be old, are withdrawn and decided anew: an owner at a tenth of its speed decided 142,766
-starts for 2,732 tasks, and took 106 s for what it does in 10 s at full speed.
+A demand peak brings thousands of tasks to an owner that is short of processor time. If
+it plans all of them at once, most starts exceed their maximum age before they are sent,
+are withdrawn and planned again: an owner at a tenth of its speed planned 142,766 starts
+for 2,732 tasks, and took 106 s for what it does in 10 s at full speed.
 """
 
 from __future__ import annotations
@@ -12,42 +12,42 @@
 from dataclasses import dataclass
 from typing import Final
 
-FIRST_STARTS: Final = 256
-LEAST_STARTS: Final = 16
-MOST_STARTS: Final = 1024
-"""Starts that may wait to leave. An owner with a core of its own carries 256 out within
-a quarter of a second; the least keeps one busy that carries out 30 a second."""
+INITIAL_STARTS: Final = 256
+MIN_STARTS: Final = 16
+MAX_STARTS: Final = 1024
+"""Starts that may wait to be sent. An owner with a core of its own sends 256 within a
+quarter of a second; the minimum keeps an owner busy that sends 30 per second."""
 
-SHRINK: Final = 0.5
-GROWTH: Final = 1.1
-SHRINK_AGAIN_SECONDS: Final = 0.5
-"""What was decided by one plan is withdrawn together, and counts once."""
+SHRINK_FACTOR: Final = 0.5
+GROWTH_FACTOR: Final = 1.1
+SHRINK_INTERVAL_SECONDS: Final = 0.5
+"""The starts of one plan are withdrawn together and shrink the window only once."""
 
 
 @dataclass(slots=True)
 class StartWindow:
-    """Find out how many starts this owner can carry out while they are fresh."""
+    """Adapt the number of waiting starts to what this owner can send in time."""
 
-    _most: float = FIRST_STARTS
+    _size: float = INITIAL_STARTS
     _shrunk_at: float = -math.inf
 
     @property
-    def most(self) -> int:
-        """Return how many starts may wait to leave."""
-        return int(self._most)
+    def size(self) -> int:
+        """Return how many starts may wait to be sent."""
+        return int(self._size)
 
-    def room(self, waiting: int) -> int:
-        """Return how many starts may be decided beside those that wait to leave.
+    def available(self, waiting: int) -> int:
+        """Return how many starts may be planned besides those that are waiting.
 
-        The window grows with each plan that finds none waiting.
+        The window grows with each plan that finds no start waiting.
         """
         if not waiting:
-            self._most = min(MOST_STARTS, self._most * GROWTH)
-        return max(0, self.most - waiting)
+            self._size = min(MAX_STARTS, self._size * GROWTH_FACTOR)
+        return max(0, self.size - waiting)
 
-    def note_withdrawn(self, now: float) -> None:
-        """Take in that a start waited too long to leave."""
-        if now - self._shrunk_at < SHRINK_AGAIN_SECONDS:
+    def record_withdrawn(self, now: float) -> None:
+        """Shrink the window after a start waited too long to be sent."""
+        if now - self._shrunk_at < SHRINK_INTERVAL_SECONDS:
             return
         self._shrunk_at = now
-        self._most = max(LEAST_STARTS, self._most * SHRINK)
+        self._size = max(MIN_STARTS, self._size * SHRINK_FACTOR)
--- a/mustardward/components/ownership/authority.py
+++ b/mustardward/components/ownership/authority.py
@@ -39,7 +39,7 @@
             return False
         return now - self._confirmed_at < AUTHORITY_SECONDS
 
-    def confirmed_seconds(self) -> float:
+    def renewal_age_seconds(self) -> float:
         """Return how long ago the newest renewal that is stored was sent."""
         return self.clock() - self._confirmed_at
 
--- a/mustardward/components/ownership/load.py
+++ b/mustardward/components/ownership/load.py
@@ -6,7 +6,7 @@
 
 from ...helpers.instruments import CALLS_UNDER_WAY, LOOP_LAG_SECONDS
 from ...helpers.logging import get_logger
-from ..dispatch.lanes import Lanes
+from ..dispatch.lanes import CallQueue
 from ..dispatch.window import StartWindow
 from ..scheduling.run_lines import RunLines
 from .const import WATCH_OWN_SECONDS
@@ -24,7 +24,7 @@
     """
 
     node: str
-    lanes: Lanes
+    calls: CallQueue
     window: StartWindow
     lines: RunLines
     _looked_at: float | None = None
@@ -42,9 +42,9 @@
             LOOP_LAG_SECONDS.observe(lag)
             self._most_lag = max(self._most_lag, lag)
         self._looked_at = now
-        CALLS_UNDER_WAY.set(self.lanes.under_way)
-        self._most_under_way = max(self._most_under_way, self.lanes.under_way)
-        self._most_waiting = max(self._most_waiting, self.lanes.waiting)
+        CALLS_UNDER_WAY.set(self.calls.in_progress)
+        self._most_under_way = max(self._most_under_way, self.calls.in_progress)
+        self._most_waiting = max(self._most_waiting, self.calls.waiting)
 
     def tell(self, now: float) -> None:
         """Write a line, and begin anew."""
@@ -56,7 +56,7 @@
                 lag_seconds=round(self._most_lag, 3),
                 under_way=self._most_under_way,
                 waiting=self._most_waiting,
-                start_window=self.window.most,
+                start_window=self.window.size,
                 starts_a_second=round(
                     (self.lines.started_count - self._started) / seconds
                 ),
--- a/mustardward/components/ownership/owner.py
+++ b/mustardward/components/ownership/owner.py
@@ -136,7 +136,7 @@
                 self._authority.holds,
                 parts.advice,
                 parts.bounds.hold_max_ms / 1000,
-                self._authority.confirmed_seconds,
+                self._authority.renewal_age_seconds,
             )
             self.dispatcher = dispatcher
             directory = WorkerDirectory(
@@ -158,7 +158,7 @@
             tasks.start_soon(self._async_plan)
             executor = dispatcher.executor
             lines = self.scheduler.reports.lines
-            load = OwnerLoad(parts.node, executor.lanes, executor.window, lines)
+            load = OwnerLoad(parts.node, executor.calls, executor.window, lines)
             tasks.start_soon(self._async_watch, directory, load)
             if parts.fleet is not None:
                 self._start_fleet(parts.fleet, dispatcher, tasks)
--- a/mustardward/components/ownership/takeover.py
+++ b/mustardward/components/ownership/takeover.py
@@ -72,7 +72,9 @@
         workers = self.board.workers
         heard = {worker.zone for worker in workers.values() if worker.confirmed}
         silent = {
-            workers[name].zone for name in self.dispatcher.unheard() if name in workers
+            workers[name].zone
+            for name in self.dispatcher.unconfirmed_workers()
+            if name in workers
         }
         unknown = {
             zone
@@ -89,7 +91,7 @@
         other: that a pool's own workers were all heard of says less, since one that is
         cut off may be in neither, while others that were cut off with it still are.
         """
-        if self.dispatcher.unheard():
+        if self.dispatcher.unconfirmed_workers():
             return False
         if self.fleet is None:
             return True
--- a/tests/components/dispatch/test_contacts.py
+++ b/tests/components/dispatch/test_contacts.py
@@ -6,7 +6,7 @@
 import anyio.lowlevel
 import pytest
 
-from mustardward.components.dispatch.contacts import Contacts
+from mustardward.components.dispatch.contacts import ContactLimiter
 
 pytestmark = pytest.mark.anyio
 
@@ -22,14 +22,14 @@
     asked again with all others. Cause: nothing bounded the calls that waited for each
     other.
     """
-    contacts = Contacts(MOST)
+    contacts = ContactLimiter(MOST)
     under_way = 0
     peak = 0
     asked = 0
 
     async def async_ask() -> None:
         nonlocal under_way, peak, asked
-        async with contacts.async_place(needed=True):
+        async with contacts.async_slot(needed=True):
             under_way += 1
             peak = max(peak, under_way)
             await anyio.lowlevel.checkpoint()
@@ -43,24 +43,24 @@
 
 
 async def test_workers_that_answer_wait_for_none_that_does_not() -> None:
-    contacts = Contacts(1)
-    async with contacts.async_place(needed=True):
+    contacts = ContactLimiter(1)
+    async with contacts.async_slot(needed=True):
         with anyio.fail_after(1.0):
-            async with contacts.async_place(needed=False):
+            async with contacts.async_slot(needed=False):
                 pass
 
 
 async def test_a_session_that_ends_leaves_its_place() -> None:
-    contacts = Contacts(1)
+    contacts = ContactLimiter(1)
     async with anyio.create_task_group() as tasks:
 
         async def async_hang() -> None:
-            async with contacts.async_place(needed=True):
+            async with contacts.async_slot(needed=True):
                 await anyio.sleep_forever()
 
         tasks.start_soon(async_hang)
         await anyio.wait_all_tasks_blocked()
         tasks.cancel_scope.cancel()
     with anyio.fail_after(1.0):
-        async with contacts.async_place(needed=True):
+        async with contacts.async_slot(needed=True):
             pass
--- a/tests/components/dispatch/test_gone_workers.py
+++ b/tests/components/dispatch/test_gone_workers.py
@@ -207,7 +207,7 @@
     """A rack that dies within a moment of its last answers convicted a sound job."""
     async with a_bench() as bench:
         for name in bench.workers:
-            bench.dispatcher.sessions[name].ask()
+            bench.dispatcher.sessions[name].request_identity()
         await bench.async_pass(heard_seconds)
         bench.lose_rack(gone)
         bench.add()
--- a/tests/components/dispatch/test_held_up.py
+++ b/tests/components/dispatch/test_held_up.py
@@ -11,9 +11,13 @@
 import pytest
 
 from mustardward.components.dispatch.dispatcher import Dispatcher
-from mustardward.components.dispatch.lanes import MOST, MOST_A_WORKER, Lanes
+from mustardward.components.dispatch.lanes import (
+    MAX_CALLS,
+    MAX_CALLS_PER_WORKER,
+    CallQueue,
+)
 from mustardward.components.dispatch.orders import CommandExecutor
-from mustardward.components.dispatch.window import FIRST_STARTS
+from mustardward.components.dispatch.window import INITIAL_STARTS
 from mustardward.components.scheduling.commands import Command, Start, Stop
 from mustardward.components.scheduling.models import Phase, QueuePolicy
 from mustardward.components.scheduling.scheduler import Scheduler
@@ -41,7 +45,7 @@
     gone = False
 
     def __init__(self, answers: bool) -> None:
-        self.doubted = not answers
+        self.is_unresponsive = not answers
 
 
 class HeldUpOwner:
@@ -175,15 +179,15 @@
         async def async_hang() -> None:
             await anyio.sleep_forever()
 
-        for _ in range(MOST_A_WORKER + 400):
-            executor.lanes.put("dark", async_hang)
+        for _ in range(MAX_CALLS_PER_WORKER + 400):
+            executor.calls.enqueue("dark", async_hang)
         await anyio.wait_all_tasks_blocked()
-        assert executor.lanes.waiting == 400
-        assert executor.available_starts() >= FIRST_STARTS
-        for _ in range(MOST_A_WORKER + 50):
-            executor.lanes.put("well", async_hang)
+        assert executor.calls.waiting == 400
+        assert executor.available_starts() >= INITIAL_STARTS
+        for _ in range(MAX_CALLS_PER_WORKER + 50):
+            executor.calls.enqueue("well", async_hang)
         await anyio.wait_all_tasks_blocked()
-        assert executor.available_starts() == executor.window.most - 50
+        assert executor.available_starts() == executor.window.size - 50
         tasks.cancel_scope.cancel()
 
 
@@ -204,14 +208,14 @@
         made.append(number)
 
     async with anyio.create_task_group() as tasks:
-        lanes = Lanes(tasks)
+        call_queue = CallQueue(tasks)
         workers = [f"w{number}" for number in range(80)]
         for number in range(3000):
             worker = workers[number % 80 if number % 3 else 0]
-            lanes.put(worker, lambda w=worker, n=number: async_call(w, n))
+            call_queue.enqueue(worker, lambda w=worker, n=number: async_call(w, n))
             if number % 500 == 0:
                 await anyio.lowlevel.checkpoint()
     assert sorted(made) == list(range(3000))
-    assert max(most.values()) == MOST_A_WORKER
-    assert peak == MOST
-    assert (lanes.under_way, lanes.waiting) == (0, 0)
+    assert max(most.values()) == MAX_CALLS_PER_WORKER
+    assert peak == MAX_CALLS
+    assert (call_queue.in_progress, call_queue.waiting) == (0, 0)
--- a/tests/components/dispatch/test_leases.py
+++ b/tests/components/dispatch/test_leases.py
@@ -116,10 +116,10 @@
         await bench.async_pass(0.5)
         worker.lose_starts = True
         bench.session.client = worker  # type: ignore[assignment]
-        before = bench.session.lease_until
+        before = bench.session.lease_ends_at
         with pytest.raises(CallUnknownError):
             await bench.session.async_start(bench.task(), bench.task().run)
-        assert bench.session.lease_until > before
+        assert bench.session.lease_ends_at > before
         worker.arrives = never
         worker.carry_out_late()
         await async_until_elsewhere(bench, worker)
@@ -145,10 +145,10 @@
             worker.arrives = never
             await bench.async_pass(LEASE_SECONDS - 0.6)
             assert bench.session.unresponsive_since is not None
-            until = bench.session.lease_until
+            until = bench.session.lease_ends_at
             worker.arrives = lambda number, first=worker.looks: number <= first + 2
             await bench.async_pass(0.3)
-            assert bench.session.lease_until > until
+            assert bench.session.lease_ends_at > until
         assert worker.runs() == 1
         assert len(worker.process.starts) == 1
         assert bench.task().phase is Phase.RUNNING
@@ -164,11 +164,11 @@
         await bench.async_pass(0.3)
         assert bench.task().phase is Phase.RUNNING
         cut_at = bench.timers.monotonic()
-        bench.dispatcher.confirmed_seconds = lambda: bench.timers.monotonic() - cut_at
+        bench.dispatcher.renewal_age_seconds = lambda: bench.timers.monotonic() - cut_at
         bench.worker.dark = True
         await bench.async_pass(3 * LEASE_SECONDS)
         assert bench.task().phase is Phase.RUNNING
-        bench.dispatcher.confirmed_seconds = lambda: 0.0
+        bench.dispatcher.renewal_age_seconds = lambda: 0.0
         await bench.async_pass(0.5)
         assert bench.task().phase is Phase.WAITING
         tasks.cancel_scope.cancel()
--- a/tests/components/dispatch/test_reborn.py
+++ b/tests/components/dispatch/test_reborn.py
@@ -136,7 +136,7 @@
             lambda: None,
             self._report,
             lambda: True,
-            longest_lease_seconds=LONGEST_LEASE,
+            max_lease_seconds=LONGEST_LEASE,
         )
 
     @property
@@ -201,7 +201,7 @@
     """
     async with a_bench() as bench:
         bench.worker.work_of[f"{JOB}.0"] = Work(Room(1000, 100), 0.5)
-        bench.session.received_upto = bench.session.seen_upto = 58
+        bench.session.received_upto = bench.session.stored_upto = 58
         await bench.async_pass(1.0)
         bench.worker.restart()
         bench.worker.process.start(
@@ -214,7 +214,7 @@
         bench.session.wake()
         await bench.async_pass(0.3, plans=False)
         assert bench.worker.seen and set(bench.worker.seen) == {0}
-        assert bench.session.born == bench.worker.born
+        assert bench.session.started_at_ms == bench.worker.born
         assert bench.session.received_upto == 1
 
 
@@ -224,7 +224,7 @@
         await bench.async_pass(0.3)
         bench.worker.dark = True
         await bench.async_pass(1.0)
-        bench.session.received_upto = bench.session.seen_upto = 58
+        bench.session.received_upto = bench.session.stored_upto = 58
         bench.worker.dark = False
         bench.worker.seen.clear()
         await bench.async_pass(0.5)
@@ -260,8 +260,8 @@
         bench.worker.restart()
         bench.add(a_step(count=1, long_running=True))
         await bench.async_pass(1.0)
-        assert bench.session.born == bench.worker.born
-        assert bench.session.lease_until > bench.timers.monotonic() + 8.0
+        assert bench.session.started_at_ms == bench.worker.born
+        assert bench.session.lease_ends_at > bench.timers.monotonic() + 8.0
         bench.see()
         await bench.async_pass(1.0)
         assert bench.task().phase is Phase.RUNNING
@@ -328,7 +328,7 @@
         bench.worker.restart()
         bench.see()
         await bench.async_pass(0.3)
-        bench.dispatcher.executor._lose_session(old)
+        bench.dispatcher.executor._report_restart(old)
         assert not bench.session.closed
         assert WORKER in bench.scheduler.board.workers
 
@@ -372,7 +372,7 @@
         bench.scheduler.board.workers[WORKER].stale = True
         bench.session.wake()
         await bench.async_pass(0.3)
-        assert bench.session.born == bench.worker.born
+        assert bench.session.started_at_ms == bench.worker.born
         bench.add(a_step(count=1, long_running=True))
         await bench.async_pass(0.5)
         assert not bench.worker.process.starts
@@ -398,7 +398,7 @@
         await bench.async_pass(0.5)
         bench.see()
         await bench.async_pass(1.0)
-        assert bench.session.born == bench.worker.born
+        assert bench.session.started_at_ms == bench.worker.born
         assert len(bench.worker.process.runs) == 1
 
 
@@ -460,7 +460,7 @@
         await bench.async_pass(0.5)
         assert bench.task().phase is Phase.RUNNING
         first = bench.session
-        first.received_upto = first.seen_upto = 58
+        first.received_upto = first.stored_upto = 58
         bench.worker.dark = True
         await bench.async_pass(0.5)
         bench.worker.dark = False
@@ -477,6 +477,6 @@
     async with a_bench() as bench:
         session = bench.session
         await bench.async_pass(2.0)
-        assert not session.clock.is_behind(session.clock.clock_ms - 1500)
-        assert session.clock.is_behind(session.clock.clock_ms - 2500)
+        assert not session.clock.has_reset(session.clock.clock_ms - 1500)
+        assert session.clock.has_reset(session.clock.clock_ms - 2500)
         assert bench.session is session
--- a/tests/components/dispatch/test_session.py
+++ b/tests/components/dispatch/test_session.py
@@ -89,9 +89,9 @@
 async def test_a_worker_that_answers_is_confirmed_and_accounted_for() -> None:
     async with a_bench() as bench:
         bench.see()
-        assert bench.dispatcher.unheard()
+        assert bench.dispatcher.unconfirmed_workers()
         await bench.async_pass(0.1)
-        assert not bench.dispatcher.unheard()
+        assert not bench.dispatcher.unconfirmed_workers()
         assert bench.scheduler.board.workers[WORKER].confirmed
 
 
@@ -121,9 +121,9 @@
         bench.client.failure = CallUnknownError("cut off")
         bench.see()
         await bench.async_pass(LEASE_SECONDS + 2.0)
-        assert bench.dispatcher.unheard()
+        assert bench.dispatcher.unconfirmed_workers()
         await bench.async_pass(4.0)
-        assert not bench.dispatcher.unheard()
+        assert not bench.dispatcher.unconfirmed_workers()
 
 
 async def test_another_incarnation_at_the_address_means_the_worker_is_gone() -> None:
@@ -132,7 +132,7 @@
         bench.see()
         await bench.async_pass(0.1)
         assert WORKER not in bench.scheduler.board.workers
-        assert not bench.dispatcher.unheard()
+        assert not bench.dispatcher.unconfirmed_workers()
 
 
 async def test_ends_are_acknowledged_only_once_they_are_stored() -> None:
--- a/tests/components/dispatch/test_window.py
+++ b/tests/components/dispatch/test_window.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from mustardward.components.dispatch.const import DECISION_SECONDS
+from mustardward.components.dispatch.const import START_MAX_AGE_SECONDS
 from mustardward.components.dispatch.window import StartWindow
 from mustardward.components.scheduling.commands import Start
 from mustardward.components.scheduling.models import QueuePolicy
@@ -42,7 +42,7 @@
     def tick(self) -> None:
         """Plan once, and carry out what there is time for."""
         bench = self.bench
-        room = self.window.room(len(self._waiting))
+        room = self.window.available(len(self._waiting))
         commands = bench.scheduler.plan(bench.now, bench.now, room)
         for start in commands:
             if isinstance(start, Start):
@@ -51,8 +51,8 @@
         left = self._carried
         while left and self._waiting:
             decided_at, start = self._waiting.popleft()
-            if bench.now - decided_at > DECISION_SECONDS:
-                self.window.note_withdrawn(bench.now)
+            if bench.now - decided_at > START_MAX_AGE_SECONDS:
+                self.window.record_withdrawn(bench.now)
                 bench.scheduler.reports.start_withdrawn(
                     start.task, start.run, bench.now
                 )
--- a/tests/components/ownership/test_load.py
+++ b/tests/components/ownership/test_load.py
@@ -7,8 +7,8 @@
 from click.testing import CliRunner
 
 from mustardward.cli.report import command
-from mustardward.components.dispatch.lanes import Lanes
-from mustardward.components.dispatch.window import FIRST_STARTS, StartWindow
+from mustardward.components.dispatch.lanes import CallQueue
+from mustardward.components.dispatch.window import INITIAL_STARTS, StartWindow
 from mustardward.components.ownership.const import WATCH_OWN_SECONDS
 from mustardward.components.ownership.load import OwnerLoad
 from mustardward.components.reports.day_lines import read_day
@@ -27,7 +27,7 @@
     async with anyio.create_task_group() as tasks:
         caplog.set_level("INFO", "absl")
         lines = RunLines()
-        load = OwnerLoad("n-1", Lanes(tasks), StartWindow(), lines)
+        load = OwnerLoad("n-1", CallQueue(tasks), StartWindow(), lines)
         load.look(10.0)
         load.tell(10.0)
         lines.started_count = 300
@@ -39,7 +39,7 @@
     assert "event=owner_load" in text
     for pair in ("lag_seconds=0.7", "starts_a_second=150", "ends_a_second=50"):
         assert pair in text
-    assert f"start_window={FIRST_STARTS}" in text
+    assert f"start_window={INITIAL_STARTS}" in text
 
 
 def test_the_report_of_a_day_has_the_owners_worst() -> None:
--- a/tests/components/ownership/test_takeover.py
+++ b/tests/components/ownership/test_takeover.py
@@ -21,7 +21,7 @@
     def __init__(self, listed: dict[str, str] | None) -> None:
         self.bench = SchedulerBench(epoch=2)
         self.board = self.bench.scheduler.board
-        self.unheard = ["w1", "w2"]
+        self.unconfirmed_workers = ["w1", "w2"]
         self.listed = listed
         self.woken = 0
         for name, pool in (("w1", POOL), ("w2", OTHER)):
@@ -33,7 +33,7 @@
             job.policy = SimpleNamespace(service=pool)  # type: ignore[assignment]
         sessions = {"w1": None, "w2": None}
         dispatcher: Any = SimpleNamespace(
-            unheard=lambda: self.unheard, sessions=sessions
+            unconfirmed_workers=lambda: self.unconfirmed_workers, sessions=sessions
         )
         fleet: Any = SimpleNamespace(listed_workers=lambda: self.listed)
         self.takeover = Takeover(
@@ -58,22 +58,22 @@
     """
     bench = TakeoverBench({"w1": POOL, "w2": OTHER})
     assert not bench.look()
-    bench.unheard = ["w2"]
+    bench.unconfirmed_workers = ["w2"]
     assert not bench.look()
-    bench.unheard = []
+    bench.unconfirmed_workers = []
     assert bench.look()
 
 
 def test_a_worker_that_only_the_list_names_holds_all_up() -> None:
     """Its entry may have lapsed while the store was away, and it may run something."""
     bench = TakeoverBench({"w1": POOL, "w2": OTHER, "w9": POOL})
-    bench.unheard = []
+    bench.unconfirmed_workers = []
     assert not bench.look()
 
 
 def test_nothing_is_released_before_the_list_was_read() -> None:
     bench = TakeoverBench(None)
-    bench.unheard = []
+    bench.unconfirmed_workers = []
     assert not bench.look()
 
 
@@ -104,7 +104,7 @@
     for name, zone in (("w1", "z1"), ("w2", "z2")):
         bench.board.workers[name].zone = zone
     bench.board.workers["w1"].confirmed = True
-    bench.unheard = ["w2"]
+    bench.unconfirmed_workers = ["w2"]
     bench.look()
     return bench
 
@@ -128,7 +128,7 @@
     """Its workers may have lapsed from entries and list, and run on behind a cut."""
     bench = with_zones({"w1": "z1"})
     del bench.board.workers["w2"]
-    bench.unheard = []
+    bench.unconfirmed_workers = []
     bench.listed = {"w1": "z1", "w8": "z3"}
     bench.look()
     assert bench.board.accounted == {"z1"}
--- a/tests/components/scheduling/liveness_owner.py
+++ b/tests/components/scheduling/liveness_owner.py
@@ -50,10 +50,10 @@
 
     world: World
 
-    def _open(
-        self, worker_id: str, entry: WorkerEntry, born: int, lease_until: float
+    def _open_session(
+        self, worker_id: str, entry: WorkerEntry, born: int, lease_ends_at: float
     ) -> None:
-        super()._open(worker_id, entry, born, lease_until)
+        super()._open_session(worker_id, entry, born, lease_ends_at)
         client: Any = ModelClient(self.world, worker_id, self.token)
         self.sessions[worker_id].client = client
 
