--- a/tests/components/dispatch/test_contacts.py
+++ b/tests/components/dispatch/test_contacts.py
@@ -1,4 +1,4 @@
-"""Test that workers that are not heard of are asked a few at a time."""
+"""Test the limit on concurrent polls of unconfirmed workers."""
 
 from __future__ import annotations
 
@@ -11,56 +11,55 @@
 pytestmark = pytest.mark.anyio
 
 WORKERS = 3000
-MOST = 64
+LIMIT = 64
 
 
-async def test_a_new_owner_asks_some_workers_at_once_and_all_in_the_end() -> None:
-    """Symptom: an owner of 3,000 workers starts nothing, on none of them.
+async def test_new_owner_polls_all_workers_with_limited_concurrency() -> None:
+    """Guard against an owner of 3,000 workers that starts no task.
 
-    Sequence: it asks all of them at once what they run; opening the connections takes
-    it longer than a worker has for its answer, so that each counts as silent and is
-    asked again with all others. Cause: nothing bounded the calls that waited for each
-    other.
+    It polls all of them at once. Opening the connections takes longer than the timeout
+    of a poll, so that each worker counts as unresponsive and is polled again together
+    with all others.
     """
-    contacts = ContactLimiter(MOST)
-    under_way = 0
+    limiter = ContactLimiter(LIMIT)
+    in_progress = 0
     peak = 0
-    asked = 0
+    polled = 0
 
-    async def async_ask() -> None:
-        nonlocal under_way, peak, asked
-        async with contacts.async_slot(needed=True):
-            under_way += 1
-            peak = max(peak, under_way)
+    async def async_poll() -> None:
+        nonlocal in_progress, peak, polled
+        async with limiter.async_slot(needed=True):
+            in_progress += 1
+            peak = max(peak, in_progress)
             await anyio.lowlevel.checkpoint()
-            under_way -= 1
-            asked += 1
+            in_progress -= 1
+            polled += 1
 
     async with anyio.create_task_group() as tasks:
         for _ in range(WORKERS):
-            tasks.start_soon(async_ask)
-    assert (asked, peak) == (WORKERS, MOST)
+            tasks.start_soon(async_poll)
+    assert (polled, peak) == (WORKERS, LIMIT)
 
 
-async def test_workers_that_answer_wait_for_none_that_does_not() -> None:
-    contacts = ContactLimiter(1)
-    async with contacts.async_slot(needed=True):
+async def test_confirmed_worker_needs_no_slot() -> None:
+    limiter = ContactLimiter(1)
+    async with limiter.async_slot(needed=True):
         with anyio.fail_after(1.0):
-            async with contacts.async_slot(needed=False):
+            async with limiter.async_slot(needed=False):
                 pass
 
 
-async def test_a_session_that_ends_leaves_its_place() -> None:
-    contacts = ContactLimiter(1)
+async def test_cancelled_session_frees_its_slot() -> None:
+    limiter = ContactLimiter(1)
     async with anyio.create_task_group() as tasks:
 
         async def async_hang() -> None:
-            async with contacts.async_slot(needed=True):
+            async with limiter.async_slot(needed=True):
                 await anyio.sleep_forever()
 
         tasks.start_soon(async_hang)
         await anyio.wait_all_tasks_blocked()
         tasks.cancel_scope.cancel()
     with anyio.fail_after(1.0):
-        async with contacts.async_slot(needed=True):
+        async with limiter.async_slot(needed=True):
             pass
--- a/tests/components/dispatch/test_gone_workers.py
+++ b/tests/components/dispatch/test_gone_workers.py
@@ -1,4 +1,4 @@
-"""Test what a job's starts come to that are sent to workers that are gone."""
+"""Test the effect on a job of starts that are sent to lost workers."""
 
 from __future__ import annotations
 
@@ -28,66 +28,69 @@
 
 pytestmark = pytest.mark.anyio
 
-RACK = ("w1", "w2", "w3")
-"""Workers of the rack with most room, where a job finds its home."""
-OTHER = "w4"
+RACK_WORKERS = ("w1", "w2", "w3")
+"""Workers of the rack with most free capacity, where a job is placed."""
+OTHER_RACK_WORKER = "w4"
 IDLE_SECONDS = 3.0
 UNLISTED_SECONDS = 0.5
 
 
-class _Worker:
-    """Play a worker that may be gone.
+class _FakeWorker:
+    """Simulate a worker that may be lost.
 
-    :param gone: what a call meets once it is gone.
-    :param deadly: whether a start ends it before it is answered.
-    :param deaf: whether it leaves starts alone unanswered.
+    :param failure: raised by each call once the worker is lost.
+    :param crashes_on_start: whether a start crashes it before it answers.
+    :param ignores_starts: whether it answers all calls but starts.
     """
 
     def __init__(self, timers: DrivenTimerService) -> None:
         self._timers = timers
-        self.gone: Exception | None = None
-        self.deadly = False
-        self.deaf = False
+        self.failure: Exception | None = None
+        self.crashes_on_start = False
+        self.ignores_starts = False
         self.starts: list[TaskName] = []
-        self.holds = 0
+        self.polls = 0
         self._runs: dict[TaskName, int] = {}
 
     async def async_start(self, order: StartOrder) -> StartAnswer:
-        self._check()
+        self._raise_failure()
         self.starts.append(order.task)
-        if self.deaf:
+        if self.ignores_starts:
             raise CallUnknownError("timeout")
-        if self.deadly:
-            self.gone = CallUnknownError("timeout")
-            raise self.gone
+        if self.crashes_on_start:
+            self.failure = CallUnknownError("timeout")
+            raise self.failure
         self._runs[order.task] = order.run
         return StartAnswer(self._clock(), "")
 
     async def async_hold(self, *_: object) -> HoldAnswer:
-        self._check()
-        self.holds += 1
-        rows = [RunningTask(t, run, "", 50.0, 0.0) for t, run in self._runs.items()]
-        return HoldAnswer(self._clock(), rows, [])
+        self._raise_failure()
+        self.polls += 1
+        runs = [RunningTask(t, run, "", 50.0, 0.0) for t, run in self._runs.items()]
+        return HoldAnswer(self._clock(), runs, [])
 
     async def async_stop(self, task: TaskName, run: int) -> None:
-        self._check()
+        self._raise_failure()
         self._runs.pop(task, None)
 
-    def _check(self) -> None:
-        if self.gone is not None:
-            raise self.gone
+    def _raise_failure(self) -> None:
+        if self.failure is not None:
+            raise self.failure
 
     def _clock(self) -> float:
         return 1000 * self._timers.monotonic()
 
 
-class GoneBench:
-    """Hold an owner's dispatcher and four workers, three of them in one rack."""
+class LostWorkersHarness:
+    """Provide an owner's dispatcher and four workers, three of them in one rack."""
 
     def __init__(self, tasks: TaskGroup) -> None:
         self.timers = DrivenTimerService()
         self.scheduler = Scheduler(2, lambda queue: QueuePolicy(service=POOL))
-        self.workers = {name: _Worker(self.timers) for name in (*RACK, OTHER)}
+        self.workers = {
+            name: _FakeWorker(self.timers)
+            for name in (*RACK_WORKERS, OTHER_RACK_WORKER)
+        }
         self.dispatcher = Dispatcher(
             None,  # type: ignore[arg-type]
             self.scheduler,
@@ -99,30 +102,30 @@
             lambda: True,
         )
         for name in self.workers:
-            rack = "r1" if name in RACK else "r2"
+            rack = "r1" if name in RACK_WORKERS else "r2"
             entry = an_entry(labels=["a", rack], zone="z")
             self.dispatcher.see_worker(name, entry)
             session = self.dispatcher.sessions[name]
             session.client = self.workers[name]  # type: ignore[assignment]
 
     def add(self, count: int = 1) -> None:
-        """Hand in a job that may start at once."""
+        """Submit a job that may start at once."""
         job = a_job(a_step(count=count))
         self.scheduler.add_job(job, self.timers.monotonic(), 0.0)
         self.scheduler.note_stored([JOB])
 
-    def lose_rack(self, gone: Exception) -> None:
-        """Let the workers of the rack be gone."""
-        for name in RACK:
-            self.workers[name].gone = gone
+    def lose_rack(self, failure: Exception) -> None:
+        """Make all calls to the workers of the rack fail."""
+        for name in RACK_WORKERS:
+            self.workers[name].failure = failure
 
     def task(self) -> Task:
         found = self.scheduler.board.find(TaskName(JOB, 0, 0, 0))
         assert found is not None
         return found
 
-    async def async_pass(self, seconds: float) -> None:
-        """Let time pass; the list tells of workers that fell silent."""
+    async def async_advance_time(self, seconds: float) -> None:
+        """Advance the time; report unresponsive workers as missing from the list."""
         for _ in range(round(seconds / 0.05)):
             now = self.timers.monotonic()
             commands = self.scheduler.plan(now, 0.0)
@@ -142,85 +145,85 @@
 
 
 @asynccontextmanager
-async def a_bench() -> AsyncIterator[GoneBench]:
-    """Yield a bench all of whose workers answered, and nothing runs on any."""
+async def a_harness() -> AsyncIterator[LostWorkersHarness]:
+    """Yield a harness whose workers have all answered and are idle."""
     async with anyio.create_task_group() as tasks:
-        bench = GoneBench(tasks)
-        await bench.async_pass(IDLE_SECONDS)
-        yield bench
+        harness = LostWorkersHarness(tasks)
+        await harness.async_advance_time(IDLE_SECONDS)
+        yield harness
         tasks.cancel_scope.cancel()
 
 
 @pytest.mark.parametrize(
-    "gone",
+    "failure",
     [WrongIncarnationError("other"), CallUnknownError("timeout")],
-    ids=["replaced", "silent"],
+    ids=["replaced", "unresponsive"],
 )
-async def test_a_sound_job_is_not_given_up_for_workers_that_were_gone(
-    gone: Exception,
+async def test_job_does_not_fail_because_of_workers_lost_before(
+    failure: Exception,
 ) -> None:
-    """A job whose starts met only workers gone before was shown as failed."""
-    async with a_bench() as bench:
-        bench.lose_rack(gone)
-        bench.add()
-        await bench.async_pass(6.0)
-        assert bench.scheduler.board.jobs[JOB].state is JobState.RUNNING
-        assert bench.task().phase is Phase.RUNNING
-        assert bench.task().crashes == ()
-
-
-async def test_a_job_that_crashes_idle_workers_before_they_answer_is_given_up() -> None:
-    """A task that ends each worker before it answers is started three times."""
-    async with a_bench() as bench:
-        for worker in bench.workers.values():
-            worker.deadly = True
-        bench.add()
-        await bench.async_pass(12.0)
-        assert sum(len(worker.starts) for worker in bench.workers.values()) == 3
-
-
-async def test_an_idle_worker_is_asked_once_before_many_starts() -> None:
-    """Each start on a worker that slept was held up by a look of its own."""
-    async with a_bench() as bench:
-        asked = {n: w.holds for n, w in bench.workers.items()}
-        bench.add(count=6)
-        bench.dispatcher.executor.execute(
-            bench.scheduler.plan(bench.timers.monotonic(), 0.0)
+    """Guard against a job that fails although its starts met only lost workers."""
+    async with a_harness() as harness:
+        harness.lose_rack(failure)
+        harness.add()
+        await harness.async_advance_time(6.0)
+        assert harness.scheduler.board.jobs[JOB].state is JobState.RUNNING
+        assert harness.task().phase is Phase.RUNNING
+        assert harness.task().crashes == ()
+
+
+async def test_job_that_crashes_idle_workers_on_start_is_given_up() -> None:
+    """Check that a task that crashes each worker on start is started three times."""
+    async with a_harness() as harness:
+        for worker in harness.workers.values():
+            worker.crashes_on_start = True
+        harness.add()
+        await harness.async_advance_time(12.0)
+        assert sum(len(worker.starts) for worker in harness.workers.values()) == 3
+
+
+async def test_idle_worker_is_polled_once_before_many_starts() -> None:
+    """Guard against starts on an idle worker that each wait for a poll of their own."""
+    async with a_harness() as harness:
+        polls_before = {n: w.polls for n, w in harness.workers.items()}
+        harness.add(count=6)
+        harness.dispatcher.executor.execute(
+            harness.scheduler.plan(harness.timers.monotonic(), 0.0)
         )
         await anyio.wait_all_tasks_blocked()
-        used = {n: w for n, w in bench.workers.items() if w.starts}
+        used = {n: w for n, w in harness.workers.items() if w.starts}
         assert sum(len(worker.starts) for worker in used.values()) == 6
-        assert {n: w.holds - asked[n] for n, w in used.items()} == dict.fromkeys(
+        assert {n: w.polls - polls_before[n] for n, w in used.items()} == dict.fromkeys(
             used, 1
         )
 
 
-@pytest.mark.parametrize("heard_seconds", [0.1, 0.4, 0.8, 1.2])
+@pytest.mark.parametrize("answer_age_seconds", [0.1, 0.4, 0.8, 1.2])
 @pytest.mark.parametrize(
-    "gone",
+    "failure",
     [WrongIncarnationError("other"), CallUnknownError("timeout")],
-    ids=["replaced", "silent"],
+    ids=["replaced", "unresponsive"],
 )
-async def test_a_sound_job_is_not_given_up_for_a_rack_that_was_just_heard(
-    gone: Exception, heard_seconds: float
+async def test_job_does_not_fail_because_of_rack_lost_after_its_last_answers(
+    failure: Exception, answer_age_seconds: float
 ) -> None:
-    """A rack that dies within a moment of its last answers convicted a sound job."""
-    async with a_bench() as bench:
-        for name in bench.workers:
-            bench.dispatcher.sessions[name].request_identity()
-        await bench.async_pass(heard_seconds)
-        bench.lose_rack(gone)
-        bench.add()
-        await bench.async_pass(6.0)
-        assert bench.scheduler.board.jobs[JOB].state is JobState.RUNNING
-        assert len(bench.task().crashes) <= 1
-
-
-async def test_a_task_whose_start_is_not_answered_goes_elsewhere() -> None:
-    """A task was given for ever to a worker that answers all calls but its starts."""
-    async with a_bench() as bench:
-        bench.workers["w1"].deaf = True
-        bench.add()
-        await bench.async_pass(2.0)
-        assert len(bench.workers["w1"].starts) == 1
-        assert bench.task().phase is Phase.RUNNING
+    """Guard against a job that is blamed for a rack lost right after its answers."""
+    async with a_harness() as harness:
+        for name in harness.workers:
+            harness.dispatcher.sessions[name].request_identity()
+        await harness.async_advance_time(answer_age_seconds)
+        harness.lose_rack(failure)
+        harness.add()
+        await harness.async_advance_time(6.0)
+        assert harness.scheduler.board.jobs[JOB].state is JobState.RUNNING
+        assert len(harness.task().crashes) <= 1
+
+
+async def test_task_with_unanswered_start_is_rescheduled_elsewhere() -> None:
+    """Guard against a task that is sent forever to a worker that ignores starts."""
+    async with a_harness() as harness:
+        harness.workers["w1"].ignores_starts = True
+        harness.add()
+        await harness.async_advance_time(2.0)
+        assert len(harness.workers["w1"].starts) == 1
+        assert harness.task().phase is Phase.RUNNING
--- a/tests/components/dispatch/test_held_up.py
+++ b/tests/components/dispatch/test_held_up.py
@@ -1,4 +1,4 @@
-"""Test an owner whose loop is held up while hundreds of starts are due."""
+"""Test an owner whose event loop is blocked while hundreds of starts are due."""
 
 from __future__ import annotations
 
@@ -35,21 +35,21 @@
 pytestmark = pytest.mark.anyio
 
 TASKS = 300
-HELD_UP_SECONDS = 0.8
-"""More than twice the time that a start has for its answer."""
+BLOCKED_SECONDS = 0.8
+"""More than twice the timeout of a start."""
 
 
-class _Answering:
-    """Stand in for a session whose worker answers, or does not."""
+class _FakeSession:
+    """Simulate a session with a responsive or unresponsive worker."""
 
-    gone = False
+    closed = False
 
     def __init__(self, answers: bool) -> None:
         self.is_unresponsive = not answers
 
 
-class HeldUpOwner:
-    """Hold an owner's scheduler and dispatcher, and workers in another thread."""
+class BlockedOwner:
+    """Provide an owner's scheduler and dispatcher, with workers in another thread."""
 
     def __init__(self, estate: Estate, tasks: anyio.abc.TaskGroup) -> None:
         self.estate = estate
@@ -68,7 +68,7 @@
             lambda: True,
         )
 
-    async def async_see_workers(self) -> None:
+    async def async_open_sessions(self) -> None:
         for name, worker in self.estate.workers.items():
             address = self.estate.address_of(name)
             entry = WorkerEntry(POOL, address, capacity=worker.room)
@@ -82,20 +82,20 @@
         self.commands.extend(commands)
         self.dispatcher.executor.execute(commands)
 
-    async def async_go_on(self, seconds: float) -> None:
+    async def async_keep_planning(self, seconds: float) -> None:
         until = self.timers.monotonic() + seconds
         while self.timers.monotonic() < until:
             self.plan()
             await anyio.sleep(0.01)
 
 
-async def test_a_late_owner_neither_stops_nor_repeats_what_began() -> None:
-    """Symptom: 6,954 starts and 7,963 stops for 1,200 tasks.
+async def test_delayed_owner_neither_stops_nor_repeats_started_tasks() -> None:
+    """Guard against excess starts and stops, such as 6,954 and 7,963 for 1,200 tasks.
 
-    Sequence: an owner gave 300 starts at once and was held up for longer than a start
-    has for its answer; the workers had begun all of them, and their answers lay unread.
-    Cause: the owner took its own lateness for their silence, stopped the runs and began
-    them elsewhere, which held it up still longer.
+    An owner sends 300 starts at once and its loop is blocked for longer than their
+    timeout. The workers have begun all of them, but their answers are unread. If the
+    owner treats its own delay as missing answers, it stops the runs and starts them
+    elsewhere, which delays it further.
     """
     plan = EstatePlan(pools=(POOL,), instances=16, standby=0, cores=64)
     async with (
@@ -103,28 +103,28 @@
         anyio.create_task_group() as tasks,
     ):
         estate.work_of[f"{JOB}.0"] = Work(Room(100, 1), 60.0, lasts=True)
-        owner = HeldUpOwner(estate, tasks)
-        await owner.async_see_workers()
+        owner = BlockedOwner(estate, tasks)
+        await owner.async_open_sessions()
         step = a_step(count=TASKS, cpu=100, mem_mb=1, long_running=True)
         owner.scheduler.add_job(a_job(step), owner.timers.monotonic(), 0.0)
         owner.scheduler.note_stored([JOB])
         owner.plan()
         for _ in range(4):
             await anyio.lowlevel.checkpoint()
-        time.sleep(HELD_UP_SECONDS)  # noqa: ASYNC251 - it holds the loop up
-        await owner.async_go_on(2.0)
+        time.sleep(BLOCKED_SECONDS)  # noqa: ASYNC251 - blocks the event loop
+        await owner.async_keep_planning(2.0)
         assert not [c for c in owner.commands if isinstance(c, Stop)]
         job = owner.scheduler.board.jobs[JOB]
         assert {task.phase for task in job.steps[(0, 0)].tasks} == {Phase.RUNNING}
-        begun = Counter(
+        starts = Counter(
             task for worker in estate.workers.values() for task, _ in worker.starts
         )
-        assert (len(begun), max(begun.values())) == (TASKS, 1)
+        assert (len(starts), max(starts.values())) == (TASKS, 1)
         tasks.cancel_scope.cancel()
 
 
-async def test_a_start_that_waited_too_long_to_leave_is_decided_anew() -> None:
-    """Symptom: a task starts on a worker that fell silent or full since the plan."""
+async def test_start_that_waited_too_long_is_withdrawn() -> None:
+    """Guard against a start on a worker that is unresponsive or full since the plan."""
     async with anyio.create_task_group() as tasks:
         scheduler = Scheduler(1, lambda queue: QueuePolicy(service=POOL))
         timers = LoopTimerService(tasks)
@@ -154,17 +154,20 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_a_dark_worker_does_not_hold_up_the_starts_on_others() -> None:
-    """Symptom: a pool has room and work, and hardly anything is started.
+async def test_unresponsive_worker_does_not_delay_starts_on_others() -> None:
+    """Guard against a pool with free capacity in which hardly any task is started.
 
-    Sequence: a worker goes dark with a dozen starts waiting to leave for it, each
-    for as long as the calls before have for their answers. Cause: these counted as
-    what this owner is too slow to carry out.
+    A worker becomes unresponsive while a dozen starts wait for it, each until the calls
+    before it have timed out. They must not count as starts that the owner is too slow
+    to send.
     """
     async with anyio.create_task_group() as tasks:
         scheduler = Scheduler(1, lambda queue: QueuePolicy(service=POOL))
         timers = LoopTimerService(tasks)
-        sessions: dict[str, Any] = {"dark": _Answering(False), "well": _Answering(True)}
+        sessions: dict[str, Any] = {
+            "unresponsive": _FakeSession(False),
+            "responsive": _FakeSession(True),
+        }
         executor = CommandExecutor(
             scheduler,
             timers,
@@ -180,32 +183,32 @@
             await anyio.sleep_forever()
 
         for _ in range(MAX_CALLS_PER_WORKER + 400):
-            executor.calls.enqueue("dark", async_hang)
+            executor.calls.enqueue("unresponsive", async_hang)
         await anyio.wait_all_tasks_blocked()
         assert executor.calls.waiting == 400
         assert executor.available_starts() >= INITIAL_STARTS
         for _ in range(MAX_CALLS_PER_WORKER + 50):
-            executor.calls.enqueue("well", async_hang)
+            executor.calls.enqueue("responsive", async_hang)
         await anyio.wait_all_tasks_blocked()
         assert executor.available_starts() == executor.window.size - 50
         tasks.cancel_scope.cancel()
 
 
-async def test_calls_are_bounded_by_worker_and_in_all_and_none_is_forgotten() -> None:
-    most: Counter[str] = Counter()
-    now: Counter[str] = Counter()
-    made: list[int] = []
+async def test_calls_are_limited_per_worker_and_in_total_and_all_complete() -> None:
+    max_concurrent: Counter[str] = Counter()
+    concurrent: Counter[str] = Counter()
+    completed: list[int] = []
     peak = 0
 
     async def async_call(worker: str, number: int) -> None:
         nonlocal peak
-        now[worker] += 1
-        most[worker] = max(most[worker], now[worker])
-        peak = max(peak, now.total())
+        concurrent[worker] += 1
+        max_concurrent[worker] = max(max_concurrent[worker], concurrent[worker])
+        peak = max(peak, concurrent.total())
         for _ in range(3):
             await anyio.lowlevel.checkpoint()
-        now[worker] -= 1
-        made.append(number)
+        concurrent[worker] -= 1
+        completed.append(number)
 
     async with anyio.create_task_group() as tasks:
         call_queue = CallQueue(tasks)
@@ -215,7 +218,7 @@
             call_queue.enqueue(worker, lambda w=worker, n=number: async_call(w, n))
             if number % 500 == 0:
                 await anyio.lowlevel.checkpoint()
-    assert sorted(made) == list(range(3000))
-    assert max(most.values()) == MAX_CALLS_PER_WORKER
+    assert sorted(completed) == list(range(3000))
+    assert max(max_concurrent.values()) == MAX_CALLS_PER_WORKER
     assert peak == MAX_CALLS
     assert (call_queue.in_progress, call_queue.waiting) == (0, 0)
--- a/tests/components/dispatch/test_hold_walks.py
+++ b/tests/components/dispatch/test_hold_walks.py
@@ -1,9 +1,9 @@
-"""Check that after any order of events, once calm, each worker is used again.
+"""Check that each worker is used again after any sequence of faults.
 
-The owner's scheduler, sessions and orders run in driven time against workers that fall
-silent, lose answers, carry orders out late, start again, and run what is no task's.
-Then all is well: jobs of before are cancelled, and a job that needs the whole of each
-worker has to run within a bound.
+The owner's scheduler, sessions and command executor run in simulated time against
+workers that become unreachable, lose answers, execute commands late, restart, and have
+orphan runs. After the faults end, all jobs are cancelled, and a job that needs the full
+size of each worker has to run within a time limit.
 """
 
 from __future__ import annotations
@@ -43,92 +43,99 @@
 ROOM = Room(8000, 8000)
 NAMES = ("w1", "w2", "w3")
 EPOCH = 2
-BORN = 1_700_000_000_000
-CALM_SECONDS = 12.0
-"""Longer than a lease, a closed entry, a quarantine and a missing entry's grace."""
+STARTED_AT_MS = 1_700_000_000_000
+RECOVERY_SECONDS = 12.0
+"""Longer than a lease, the memory of a lost incarnation, a quarantine, and the grace
+period of a missing entry."""
 
-CALLS = ("well", "dark", "lost", "late", "refused")
+CALL_OUTCOMES = ("ok", "unreachable", "answer-lost", "delayed", "refused")
 
 
-class _Worker:
-    """Play a worker's calls; what becomes of one is drawn while there is trouble."""
+class _FakeWorker:
+    """Simulate a worker whose calls have random outcomes while faults are injected."""
 
-    def __init__(self, walk: HoldWalk, name: str) -> None:
+    def __init__(self, walk: RecoveryWalk, name: str) -> None:
         self.walk = walk
         self.name = name
-        self.born = BORN
+        self.started_at_ms = STARTED_AT_MS
         self.room = ROOM
-        self.fates = ["well"]
-        self.late: list[Callable[[], str]] = []
-        self.zero = walk.timers.monotonic() - 100.0
-        self.process = self._begin()
+        self.outcomes = ["ok"]
+        self.delayed_calls: list[Callable[[], str]] = []
+        self.clock_zero = walk.timers.monotonic() - 100.0
+        self.process = self._new_process()
 
-    def clock(self) -> float:
-        return 1000 * (self.walk.timers.monotonic() - self.zero)
+    def clock_ms(self) -> float:
+        return 1000 * (self.walk.timers.monotonic() - self.clock_zero)
 
     def restart(self) -> None:
-        self.zero = self.walk.timers.monotonic() - 0.01
-        self.born += 30_000
-        self.process = self._begin()
+        self.clock_zero = self.walk.timers.monotonic() - 0.01
+        self.started_at_ms += 30_000
+        self.process = self._new_process()
 
     def resize(self, room: Room) -> None:
         self.room = self.process.room = room
 
-    def _begin(self) -> MemoryWorker:
+    def _new_process(self) -> MemoryWorker:
         work_of = self.walk.work_of
-        return MemoryWorker(self.name, "m", POOL, self.room, work_of, born=self.born)
+        return MemoryWorker(
+            self.name, "m", POOL, self.room, work_of, born=self.started_at_ms
+        )
 
-    def _fate(self) -> str:
-        fate = self.walk.random.choice(self.fates)
-        if fate == "refused":
+    def _draw_outcome(self) -> str:
+        outcome = self.walk.random.choice(self.outcomes)
+        if outcome == "refused":
             raise CallRefusedError("status=503")
-        if fate == "dark":
-            raise CallUnknownError("dark")
-        return fate
+        if outcome == "unreachable":
+            raise CallUnknownError("unreachable")
+        return outcome
 
     async def async_start(self, order: StartOrder) -> StartAnswer:
-        fate = self._fate()
+        outcome = self._draw_outcome()
         body = StartBody(
             encode_task(order.task), order.run, "", order.deadline_ms, EPOCH
         )
-        if fate == "late":
-            self.late.append(lambda: self.process.start(body, self.clock()))
-            raise CallUnknownError("late")
-        reason = self.process.start(body, self.clock())
-        if fate == "lost":
-            raise CallUnknownError("lost")
-        return StartAnswer(self.clock(), reason)
+        if outcome == "delayed":
+            self.delayed_calls.append(lambda: self.process.start(body, self.clock_ms()))
+            raise CallUnknownError("delayed")
+        reason = self.process.start(body, self.clock_ms())
+        if outcome == "answer-lost":
+            raise CallUnknownError("answer-lost")
+        return StartAnswer(self.clock_ms(), reason)
 
     async def async_stop(self, task: TaskName, run: int) -> None:
-        fate = self._fate()
+        outcome = self._draw_outcome()
         name = encode_task(task)
-        if fate == "late":
-            self.late.append(
-                lambda: self.process.stop(name, run, EPOCH, self.clock()) or ""
+        if outcome == "delayed":
+            self.delayed_calls.append(
+                lambda: self.process.stop(name, run, EPOCH, self.clock_ms()) or ""
             )
-            raise CallUnknownError("late")
-        self.process.stop(name, run, EPOCH, self.clock())
-        if fate == "lost":
-            raise CallUnknownError("lost")
+            raise CallUnknownError("delayed")
+        self.process.stop(name, run, EPOCH, self.clock_ms())
+        if outcome == "answer-lost":
+            raise CallUnknownError("answer-lost")
 
     async def async_pace(self, task: TaskName, run: int, percent: int) -> None:
-        self._fate()
+        self._draw_outcome()
 
     async def async_hold(
         self, seen_upto: int, deadline_ms: int | None, wait_ms: int
     ) -> HoldAnswer:
-        fate = self._fate()
+        outcome = self._draw_outcome()
         until = self.walk.timers.monotonic() + wait_ms / 1000
-        body = self.process.hold(EPOCH, seen_upto, deadline_ms, self.clock())
+        body = self.process.hold(EPOCH, seen_upto, deadline_ms, self.clock_ms())
         process = self.process
         while not process.has_news(seen_upto):
             if self.walk.timers.monotonic() >= until:
                 break
             await self.walk.timers.async_sleep(0.02)
-            process.advance(self.clock())
-        body = process.hold(EPOCH, seen_upto, deadline_ms, self.clock())
-        if fate in ("lost", "late") or process is not self.process or body is None:
-            raise CallUnknownError("lost")
+            process.advance(self.clock_ms())
+        body = process.hold(EPOCH, seen_upto, deadline_ms, self.clock_ms())
+        if (
+            outcome in ("answer-lost", "delayed")
+            or process is not self.process
+            or body is None
+        ):
+            raise CallUnknownError("answer-lost")
         return HoldAnswer(
             body.clock_ms,
             [decode_running(row) for row in body.running],
@@ -137,8 +144,8 @@
         )
 
 
-class HoldWalk:
-    """Hold an owner and its workers, and what may befall them."""
+class RecoveryWalk:
+    """Provide an owner, its workers and the faults to inject."""
 
     def __init__(self, seed: int, tasks: TaskGroup) -> None:
         self.random = random.Random(seed)
@@ -147,7 +154,7 @@
         self.scheduler = Scheduler(
             EPOCH, lambda queue: QueuePolicy(service=POOL, max_attempts=50)
         )
-        self.workers = {name: _Worker(self, name) for name in NAMES}
+        self.workers = {name: _FakeWorker(self, name) for name in NAMES}
         self.authorised = True
         self.jobs = 0
         self.dispatcher = Dispatcher(
@@ -156,49 +163,49 @@
             self.timers,
             tasks,
             EPOCH,
-            self._fenced,
+            self._fail_on_fenced,
             self._set_clients,
             lambda: self.authorised,
         )
         self.entries: dict[str, WorkerEntry] = {}
         for name in NAMES:
-            self.see(name)
+            self.update_entry(name)
 
-    def _fenced(self) -> None:
+    def _fail_on_fenced(self) -> None:
         raise AssertionError("fenced")
 
     def _set_clients(self) -> None:
         for name, session in self.dispatcher.sessions.items():
             session.client = self.workers[name]  # type: ignore[assignment]
 
-    def see(self, name: str) -> None:
-        """Let a worker's entry be read, as the directory hands it on."""
+    def update_entry(self, name: str) -> None:
+        """Apply a worker's entry as the directory does."""
         worker = self.workers[name]
-        entry = an_entry(born=worker.born, capacity=worker.room)
+        entry = an_entry(born=worker.started_at_ms, capacity=worker.room)
         if self.entries.get(name) != entry:
             self.entries[name] = entry
             self.dispatcher.see_worker(name, entry)
             self._set_clients()
 
-    def miss(self, name: str) -> None:
-        """Let a worker's entry lapse."""
+    def expire_entry(self, name: str) -> None:
+        """Let a worker's entry expire."""
         if self.entries.pop(name, None) is not None:
             self.scheduler.miss_worker(name, self.timers.monotonic())
 
-    def bar(self, name: str) -> None:
-        """Let an entry be read that names no worker."""
+    def write_unusable_entry(self, name: str) -> None:
+        """Apply an entry that describes no usable worker."""
         self.entries.pop(name, None)
         self.scheduler.bar_worker(name)
 
     def submit(self) -> None:
-        """Take a job in."""
+        """Submit a random job."""
         draw = self.random
         lasts = draw.random() < 0.3
         room = Room(draw.choice([500, 1000, 4000, 8000]), 100)
         self.add(draw.randint(1, 4), room, lasts, draw.choice([0.05, 0.3, 2.0]))
 
     def add(self, count: int, room: Room, lasts: bool, seconds: float) -> str:
-        """Take a job in; return its id."""
+        """Submit a job; return its id."""
         name = f"{self.jobs:016x}"
         self.jobs += 1
         self.work_of[f"{name}.0"] = Work(room, seconds, lasts=lasts)
@@ -207,55 +214,57 @@
         self.scheduler.add_job(job, self.timers.monotonic(), 0.0)
         return name
 
-    def stray(self) -> None:
-        """Let a worker run what no owner asked for."""
+    def start_orphan_run(self) -> None:
+        """Start a run on a worker that no owner requested."""
         name = f"{self.random.choice([self.random.randrange(self.jobs + 1), 99]):016x}"
         self.work_of.setdefault(f"{name}.0", Work(Room(100, 1), 60.0, lasts=True))
         worker = self.workers[self.random.choice(NAMES)]
         run = self.random.choice([1, (1 << 20) + 1, (EPOCH << 20) + 1])
         body = StartBody(f"{name}.0.0.0", run, "", 10**12, EPOCH)
-        worker.process.start(body, worker.clock())
+        worker.process.start(body, worker.clock_ms())
 
     def cancel(self) -> None:
         """Cancel a job."""
         if self.jobs:
             self.scheduler.cancel_job(f"{self.random.randrange(self.jobs):016x}")
 
-    def carry_out_late(self, name: str) -> None:
-        """Carry an order out that was left unanswered."""
+    def execute_delayed_call(self, name: str) -> None:
+        """Execute a delayed call that was left unanswered."""
         worker = self.workers[name]
-        if worker.late:
-            worker.late.pop(self.random.randrange(len(worker.late)))()
+        if worker.delayed_calls:
+            worker.delayed_calls.pop(self.random.randrange(len(worker.delayed_calls)))()
 
-    def trouble(self, name: str) -> None:
-        """Let calls to a worker fail in some ways, or none."""
+    def disturb_calls(self, name: str) -> None:
+        """Choose the possible outcomes of calls to a worker."""
         count = self.random.randint(1, 3)
-        self.workers[name].fates = [self.random.choice(CALLS) for _ in range(count)]
+        self.workers[name].outcomes = [
+            self.random.choice(CALL_OUTCOMES) for _ in range(count)
+        ]
 
-    def lose(self, name: str) -> None:
-        """Let the list of instances show that a worker's life is over."""
+    def report_lost(self, name: str) -> None:
+        """Restart a worker after the instance list shows that it is lost."""
         session = self.dispatcher.sessions.get(name)
         if session is not None and not session.closed:
             self.workers[name].restart()
             self.dispatcher.lose_worker(name, LossCause.UNLISTED)
 
     def resize(self, name: str) -> None:
-        """Let a worker change its size."""
+        """Change the capacity of a worker."""
         self.workers[name].resize(Room(self.random.choice([4000, 8000, 16000]), 8000))
 
-    def end_trouble(self) -> None:
-        """Let all be well from now on."""
+    def end_faults(self) -> None:
+        """End all faults and cancel all jobs."""
         self.authorised = True
         for name, worker in self.workers.items():
-            worker.fates = ["well"]
-            worker.late.clear()
+            worker.outcomes = ["ok"]
+            worker.delayed_calls.clear()
             worker.resize(ROOM)
-            self.see(name)
+            self.update_entry(name)
         for number in range(self.jobs):
             self.scheduler.cancel_job(f"{number:016x}")
 
-    async def async_pass(self, seconds: float) -> None:
-        """Let time pass, planning, storing and looking all the while."""
+    async def async_advance_time(self, seconds: float) -> None:
+        """Advance the time; plan, store and reopen sessions in each step."""
         for _ in range(round(seconds / 0.02)):
             now = self.timers.monotonic()
             for name, entry in self.entries.items():
@@ -278,64 +287,68 @@
 
 
 async def async_walk(
-    seed: int, events_made: int = 40, strays: bool = True
+    seed: int, event_count: int = 40, orphan_runs: bool = True
 ) -> list[str]:
-    """Walk into trouble and out of it; return what is still held."""
+    """Inject random faults and end them; return the tasks that do not start then."""
     async with anyio.create_task_group() as tasks:
-        walk = HoldWalk(seed, tasks)
+        walk = RecoveryWalk(seed, tasks)
         walk._set_clients()
         draw = walk.random
         events: list[Callable[[], None]] = [
             walk.submit,
             walk.submit,
-            walk.stray,
+            walk.start_orphan_run,
             walk.cancel,
-            lambda: walk.trouble(draw.choice(NAMES)),
-            lambda: walk.trouble(draw.choice(NAMES)),
-            lambda: walk.carry_out_late(draw.choice(NAMES)),
+            lambda: walk.disturb_calls(draw.choice(NAMES)),
+            lambda: walk.disturb_calls(draw.choice(NAMES)),
+            lambda: walk.execute_delayed_call(draw.choice(NAMES)),
             lambda: walk.workers[draw.choice(NAMES)].restart(),
-            lambda: walk.see(draw.choice(NAMES)),
-            lambda: walk.miss(draw.choice(NAMES)),
-            lambda: walk.bar(draw.choice(NAMES)),
-            lambda: walk.lose(draw.choice(NAMES)),
+            lambda: walk.update_entry(draw.choice(NAMES)),
+            lambda: walk.expire_entry(draw.choice(NAMES)),
+            lambda: walk.write_unusable_entry(draw.choice(NAMES)),
+            lambda: walk.report_lost(draw.choice(NAMES)),
             lambda: walk.resize(draw.choice(NAMES)),
             lambda: setattr(walk, "authorised", draw.random() < 0.7),
         ]
-        if not strays:
-            events.remove(walk.stray)
-        for _ in range(events_made):
+        if not orphan_runs:
+            events.remove(walk.start_orphan_run)
+        for _ in range(event_count):
             draw.choice(events)()
-            await walk.async_pass(draw.choice([0.02, 0.06, 0.1, 0.4]))
-        walk.end_trouble()
-        await walk.async_pass(CALM_SECONDS)
+            await walk.async_advance_time(draw.choice([0.02, 0.06, 0.1, 0.4]))
+        walk.end_faults()
+        await walk.async_advance_time(RECOVERY_SECONDS)
         job = walk.add(len(NAMES), ROOM, True, 60.0)
-        await walk.async_pass(2.0)
-        held = held_of(walk, job)
+        await walk.async_advance_time(2.0)
+        unstarted = unstarted_tasks(walk, job)
         tasks.cancel_scope.cancel()
-    return held
+    return unstarted
 
 
-def held_of(walk: HoldWalk, job: str) -> list[str]:
-    """Return what does not run of a job, and why its workers are not used."""
+def unstarted_tasks(walk: RecoveryWalk, job: str) -> list[str]:
+    """Return a job's tasks that do not run, with the state of the workers."""
     steps = walk.scheduler.board.jobs[job].steps
     tasks = steps[(0, 0)].tasks
-    held = [f"{t.index}:{t.phase.value}" for t in tasks if t.phase is not Phase.RUNNING]
-    if held:
-        held += [describe(w) for w in walk.scheduler.board.workers.values()]
-    return held
+    unstarted = [
+        f"{t.index}:{t.phase.value}" for t in tasks if t.phase is not Phase.RUNNING
+    ]
+    if unstarted:
+        unstarted += [describe(w) for w in walk.scheduler.board.workers.values()]
+    return unstarted
 
 
 def describe(worker: WorkerState) -> str:
-    """Return what a worker's books say."""
+    """Describe a worker's state."""
     flags = ("confirmed", "stale", "absent", "draining", "leaving", "unknown_runs")
     on = [flag for flag in flags if getattr(worker, flag)]
     return f"{worker.id} {on} free={worker.free_cpu} strays={len(worker.strays)}"
 
 
-@pytest.mark.parametrize("first", [0, 5, 10])
-async def test_after_any_order_of_events_each_worker_is_used_again(first: int) -> None:
-    """Work waits for as long as its owner lives, though workers are free."""
-    held = {}
-    for seed in range(first, first + 5):
-        held[seed] = await async_walk(seed)
-    assert not {seed: why for seed, why in held.items() if why}
+@pytest.mark.parametrize("first_seed", [0, 5, 10])
+async def test_each_worker_is_used_again_after_any_sequence_of_faults(
+    first_seed: int,
+) -> None:
+    """Guard against tasks that wait for a new owner although workers are free."""
+    unstarted = {}
+    for seed in range(first_seed, first_seed + 5):
+        unstarted[seed] = await async_walk(seed)
+    assert not {seed: why for seed, why in unstarted.items() if why}
--- a/tests/components/dispatch/test_holds.py
+++ b/tests/components/dispatch/test_holds.py
@@ -1,4 +1,4 @@
-"""Test that a worker, or work, that was held back is given back once it may be."""
+"""Test that withheld workers and tasks are used again as soon as they may be."""
 
 from __future__ import annotations
 
@@ -23,129 +23,131 @@
 
 from ...platform.test_entries import GOOD
 from ..scheduling.builders import POOL, a_job, a_step
-from .test_reborn import BORN, ROOM, WORKER, RebornBench, _Never
+from .test_reborn import ROOM, STARTED_AT_MS, WORKER, RestartHarness, UnansweredClient
 
 pytestmark = pytest.mark.anyio
 
-OLD_RUN = (1 << 20) + 1
-OLD_JOB = "00000000000000bb"
-WHOLE = a_step(count=1, cpu=ROOM.cpu, mem_mb=ROOM.mem_mb, long_running=True)
+PREVIOUS_RUN = (1 << 20) + 1
+PREVIOUS_JOB = "00000000000000bb"
+FULL_SIZE_STEP = a_step(count=1, cpu=ROOM.cpu, mem_mb=ROOM.mem_mb, long_running=True)
 
 
 @asynccontextmanager
-async def a_takeover(*, running: str, ledger: LedgerJob) -> AsyncIterator[RebornBench]:
-    """Yield an owner that takes over a worker on which an owner before left a run.
+async def a_takeover(*, running: str, job: LedgerJob) -> AsyncIterator[RestartHarness]:
+    """Yield an owner that takes over a worker with a run of the previous owner.
 
-    :param running: the run's task, which takes the whole worker.
-    :param ledger: what the log says of its job.
+    :param running: the run's task, which occupies the whole worker.
+    :param job: its job as the log has it.
     """
     async with anyio.create_task_group() as tasks:
-        bench = RebornBench(tasks)
-        work_of = bench.worker.work_of
-        work_of[f"{OLD_JOB}.0"] = Work(ROOM, 60.0, lasts=True)
-        bench.worker.process = MemoryWorker(WORKER, "m", POOL, ROOM, work_of, born=BORN)
-        order = StartBody(running, OLD_RUN, "x", 10**9, 1)
-        assert bench.worker.process.start(order, 100_000.0) == ""
-        bench.scheduler.add_job(ledger, bench.timers.monotonic(), 0.0)
-        bench.see()
-        yield bench
+        harness = RestartHarness(tasks)
+        work_of = harness.worker.work_of
+        work_of[f"{PREVIOUS_JOB}.0"] = Work(ROOM, 60.0, lasts=True)
+        harness.worker.process = MemoryWorker(
+            WORKER, "m", POOL, ROOM, work_of, born=STARTED_AT_MS
+        )
+        order = StartBody(running, PREVIOUS_RUN, "x", 10**9, 1)
+        assert harness.worker.process.start(order, 100_000.0) == ""
+        harness.scheduler.add_job(job, harness.timers.monotonic(), 0.0)
+        harness.update_entry()
+        yield harness
         tasks.cancel_scope.cancel()
 
 
-async def async_check_used(bench: RebornBench) -> None:
-    """Check that the worker runs what needs all of it, once the stop is over."""
-    await bench.async_pass(STOP_MS / 1000 + 1.0)
-    bench.worker.process.advance(bench.worker._clock())
-    assert not bench.worker.process.runs
-    bench.add(WHOLE)
-    await bench.async_pass(12.0)
-    worker = bench.scheduler.board.workers[WORKER]
+async def async_check_worker_is_used(harness: RestartHarness) -> None:
+    """Check that a task of the worker's full size runs once the stop is complete."""
+    await harness.async_advance_time(STOP_MS / 1000 + 1.0)
+    harness.worker.process.advance(harness.worker.clock_ms())
+    assert not harness.worker.process.runs
+    harness.add(FULL_SIZE_STEP)
+    await harness.async_advance_time(12.0)
+    worker = harness.scheduler.board.workers[WORKER]
     assert (worker.unknown_runs, worker.strays) == (False, [])
-    assert (worker.free_cpu, bench.task().phase) == (0, Phase.RUNNING)
+    assert (worker.free_cpu, harness.task().phase) == (0, Phase.RUNNING)
 
 
-async def test_a_worker_with_a_run_of_a_cancelled_job_is_used_once_it_ended() -> None:
-    """A worker that nothing runs on is given nothing, as long as it lives."""
-    cancelled = a_job(WHOLE, job=OLD_JOB)
+async def test_worker_is_used_after_run_of_cancelled_job_ended() -> None:
+    """Guard against an idle worker that never gets a task again."""
+    cancelled = a_job(FULL_SIZE_STEP, job=PREVIOUS_JOB)
     cancelled.cancelled_at = 5.0
-    async with a_takeover(running=f"{OLD_JOB}.0.0.0", ledger=cancelled) as bench:
-        await async_check_used(bench)
+    async with a_takeover(running=f"{PREVIOUS_JOB}.0.0.0", job=cancelled) as harness:
+        await async_check_worker_is_used(harness)
 
 
-async def test_a_stray_gives_its_room_back_once_it_ended() -> None:
-    """Room that nothing takes is never given, where nothing else runs."""
-    half_done = a_job(a_step(count=2, cpu=ROOM.cpu, mem_mb=ROOM.mem_mb), job=OLD_JOB)
+async def test_orphan_run_frees_its_capacity_when_it_ends() -> None:
+    """Guard against free capacity that is never used on a worker without other runs."""
+    unfinished = a_job(
+        a_step(count=2, cpu=ROOM.cpu, mem_mb=ROOM.mem_mb), job=PREVIOUS_JOB
+    )
     marks = [StepMark(0, 0, pack([0]))]
-    half_done.progress = Progress(JobState.RUNNING, marks, [])
-    async with a_takeover(running=f"{OLD_JOB}.0.0.0", ledger=half_done) as bench:
-        bench.scheduler.cancel_job(OLD_JOB)
-        await async_check_used(bench)
+    unfinished.progress = Progress(JobState.RUNNING, marks, [])
+    async with a_takeover(running=f"{PREVIOUS_JOB}.0.0.0", job=unfinished) as harness:
+        harness.scheduler.cancel_job(PREVIOUS_JOB)
+        await async_check_worker_is_used(harness)
 
 
-async def test_a_worker_that_falls_silent_is_lost_when_its_longest_lease_is_over() -> (
-    None
-):
-    """What runs on a worker that is cut off never goes elsewhere."""
+async def test_task_of_unreachable_worker_is_released_after_its_lease() -> None:
+    """Guard against tasks of an unreachable worker that never start elsewhere."""
     async with anyio.create_task_group() as tasks:
-        bench = RebornBench(tasks)
-        bench.see()
-        await bench.async_pass(0.3)
-        bench.add(a_step(count=1, long_running=True))
-        await bench.async_pass(0.3)
-        assert bench.task().phase is Phase.RUNNING
-        bench.worker.dark = True
-        await bench.async_pass(4 * LEASE_SECONDS)
-        phase = bench.task().phase
+        harness = RestartHarness(tasks)
+        harness.update_entry()
+        await harness.async_advance_time(0.3)
+        harness.add(a_step(count=1, long_running=True))
+        await harness.async_advance_time(0.3)
+        assert harness.task().phase is Phase.RUNNING
+        harness.worker.unreachable = True
+        await harness.async_advance_time(4 * LEASE_SECONDS)
+        phase = harness.task().phase
         tasks.cancel_scope.cancel()
     assert phase is Phase.WAITING
 
 
-async def test_a_worker_first_read_under_another_service_is_used_under_its_own() -> (
-    None
-):
-    """A worker is given nothing for as long as its owner lives."""
+async def test_worker_first_seen_in_another_service_is_used_in_its_own() -> None:
+    """Guard against a worker that gets no task until the owner changes."""
     async with anyio.create_task_group() as tasks:
-        bench = RebornBench(tasks)
-        bench.see(service="no-such-service")
-        await bench.async_pass(0.3)
-        bench.see()
-        bench.add(a_step(count=1, long_running=True))
-        await bench.async_pass(12.0)
-        worker = bench.scheduler.board.workers[WORKER]
+        harness = RestartHarness(tasks)
+        harness.update_entry(service="no-such-service")
+        await harness.async_advance_time(0.3)
+        harness.update_entry()
+        harness.add(a_step(count=1, long_running=True))
+        await harness.async_advance_time(12.0)
+        worker = harness.scheduler.board.workers[WORKER]
         tasks.cancel_scope.cancel()
     assert (worker.absent, worker.service) == (False, POOL)
-    assert bench.task().phase is Phase.RUNNING
+    assert harness.task().phase is Phase.RUNNING
 
 
-async def test_a_worker_whose_entry_could_not_be_read_is_used_once_it_can() -> None:
-    """The same entry as before the unreadable one ends what the latter began."""
+async def test_worker_is_used_again_after_an_unreadable_entry() -> None:
+    """Check that the entry from before the unreadable one makes the worker usable."""
     async with anyio.create_task_group() as tasks:
-        bench = RebornBench(tasks)
-        bench.see()
-        await bench.async_pass(0.3)
+        harness = RestartHarness(tasks)
+        harness.update_entry()
+        await harness.async_advance_time(0.3)
         directory = WorkerDirectory(
-            bench.dispatcher.see_worker,
-            lambda name: bench.scheduler.miss_worker(name, bench.timers.monotonic()),
-            bench.scheduler.bar_worker,
+            harness.dispatcher.see_worker,
+            lambda name: harness.scheduler.miss_worker(
+                name, harness.timers.monotonic()
+            ),
+            harness.scheduler.bar_worker,
         )
-        good = {**GOOD, "service": POOL, "born": BORN}
+        good = {**GOOD, "service": POOL, "born": STARTED_AT_MS}
         for entry in (good, {**good, "state": "?"}, good):
             directory.apply(KeyedRecord(1, WORKER, msgspec.json.encode(entry)))
-            worker = bench.scheduler.board.workers[WORKER]
+            worker = harness.scheduler.board.workers[WORKER]
             assert worker.absent == (entry["state"] == "?")
         directory.apply(KeyedRecord(1, WORKER, b""))
-        await bench.async_pass(4.0)
+        await harness.async_advance_time(4.0)
         assert worker.absent
         directory.apply(KeyedRecord(1, WORKER, msgspec.json.encode(good)))
         assert not worker.absent
         tasks.cancel_scope.cancel()
 
 
-async def test_a_stop_is_acknowledged_by_the_incarnation_that_may_run_it() -> None:
-    """A task runs twice."""
+async def test_stop_must_be_acknowledged_by_the_current_incarnation() -> None:
+    """Guard against a task that runs twice."""
     release = anyio.Event()
 
-    class _Before:
+    class _PreviousIncarnation:
         async def async_start(self, order: StartOrder) -> StartAnswer:
             raise CallUnknownError("no answer")
 
@@ -157,66 +159,64 @@
             raise AssertionError
 
     async with anyio.create_task_group() as tasks:
-        bench = RebornBench(tasks)
-        bench.see()
-        await bench.async_pass(0.3)
-        bench.add(a_step(count=1, long_running=True))
-        before = bench.session
+        harness = RestartHarness(tasks)
+        harness.update_entry()
+        await harness.async_advance_time(0.3)
+        harness.add(a_step(count=1, long_running=True))
+        previous = harness.session
         for _ in range(2):
-            before.client = _Before()  # type: ignore[assignment]
-            now = bench.timers.monotonic()
-            bench.dispatcher.executor.execute(bench.scheduler.plan(now, 0.0))
+            previous.client = _PreviousIncarnation()  # type: ignore[assignment]
+            now = harness.timers.monotonic()
+            harness.dispatcher.executor.execute(harness.scheduler.plan(now, 0.0))
             await anyio.wait_all_tasks_blocked()
-        assert bench.task().phase is Phase.UNCERTAIN
-        bench.worker.restart()
-        bench.see()
-        bench.session.client = _Never()  # type: ignore[assignment]
-        assert bench.session is not before
+        assert harness.task().phase is Phase.UNCERTAIN
+        harness.worker.restart()
+        harness.update_entry()
+        harness.session.client = UnansweredClient()  # type: ignore[assignment]
+        assert harness.session is not previous
         release.set()
         await anyio.wait_all_tasks_blocked()
-        acknowledged_at = bench.task().stop_acknowledged_at
+        acknowledged_at = harness.task().stop_acknowledged_at
         tasks.cancel_scope.cancel()
     assert acknowledged_at is None
 
 
-async def test_another_writers_entry_that_the_workers_own_follows_changes_nothing() -> (
-    None
-):
-    """Guards against a worker that is used as another writer has it."""
+async def test_foreign_entry_followed_by_the_workers_own_has_no_effect() -> None:
+    """Guard against a worker that is used according to a foreign entry."""
     async with anyio.create_task_group() as tasks:
-        bench = RebornBench(tasks)
-        bench.see()
-        await bench.async_pass(0.3)
+        harness = RestartHarness(tasks)
+        harness.update_entry()
+        await harness.async_advance_time(0.3)
         for _ in range(8):
-            bench.see(service="no-such-service")
-            await bench.async_pass(0.5)
-            bench.see()
-            await bench.async_pass(0.5)
-        worker = bench.scheduler.board.workers[WORKER]
+            harness.update_entry(service="no-such-service")
+            await harness.async_advance_time(0.5)
+            harness.update_entry()
+            await harness.async_advance_time(0.5)
+        worker = harness.scheduler.board.workers[WORKER]
         assert (worker.absent, worker.service) == (False, POOL)
-        bench.see(service="no-such-service")
-        bench.scheduler.bar_worker(WORKER)
-        await bench.async_pass(4.0)
+        harness.update_entry(service="no-such-service")
+        harness.scheduler.bar_worker(WORKER)
+        await harness.async_advance_time(4.0)
         assert (worker.absent, worker.service) == (True, POOL)
         tasks.cancel_scope.cancel()
 
 
-async def test_a_worker_changes_its_service_only_while_nothing_runs_there() -> None:
-    """Guards against a task that runs on a worker of another service than its own."""
+async def test_worker_changes_service_only_while_it_has_no_runs() -> None:
+    """Guard against a task that runs on a worker of another service."""
     async with anyio.create_task_group() as tasks:
-        bench = RebornBench(tasks)
-        bench.see()
-        await bench.async_pass(0.3)
-        bench.add(a_step(count=1, long_running=True))
-        await bench.async_pass(0.3)
-        assert bench.task().phase is Phase.RUNNING
-        bench.see(service="no-such-service")
-        worker = bench.scheduler.board.workers[WORKER]
+        harness = RestartHarness(tasks)
+        harness.update_entry()
+        await harness.async_advance_time(0.3)
+        harness.add(a_step(count=1, long_running=True))
+        await harness.async_advance_time(0.3)
+        assert harness.task().phase is Phase.RUNNING
+        harness.update_entry(service="no-such-service")
+        worker = harness.scheduler.board.workers[WORKER]
         for _ in range(120):
-            await bench.async_pass(0.1)
-            bench.worker.process.advance(bench.worker._clock())
-            runs = worker.has_runs or bench.worker.process.runs
+            await harness.async_advance_time(0.1)
+            harness.worker.process.advance(harness.worker.clock_ms())
+            runs = worker.has_runs or harness.worker.process.runs
             assert worker.service == POOL or not runs
         assert (worker.absent, worker.service) == (False, "no-such-service")
-        assert bench.task().phase is Phase.WAITING
+        assert harness.task().phase is Phase.WAITING
         tasks.cancel_scope.cancel()
--- a/tests/components/dispatch/test_leases.py
+++ b/tests/components/dispatch/test_leases.py
@@ -1,4 +1,4 @@
-"""Test how long the work of a worker that leaves looks unanswered may go on."""
+"""Test how long tasks of a worker with unanswered polls may continue."""
 
 from __future__ import annotations
 
@@ -14,161 +14,168 @@
 from mustardward.platform.workers import HoldAnswer, StartAnswer, StartOrder
 
 from ..scheduling.builders import a_step
-from .test_reborn import RebornBench, _Worker
+from .test_reborn import FakeWorker, RestartHarness
 
 pytestmark = pytest.mark.anyio
 
-SLOWEST = 0.98
-LATEST_SECONDS = LEASE_SECONDS * 1.03 + 0.25 + 0.3
-"""A lease on the slowest clock, its order on the way, and a look that finds it over."""
+SLOWEST_CLOCK_RATE = 0.98
+MAX_WAIT_SECONDS = LEASE_SECONDS * 1.03 + 0.25 + 0.3
+"""A lease on the slowest clock, the latency of its command, and the poll after it."""
 
 
-class _Slow(_Worker):
-    """Play a worker with the slowest clock, whose looks or answers may be lost.
+class _SlowClockWorker(FakeWorker):
+    """Simulate a worker with the slowest clock, whose polls or answers may be lost.
 
-    :param arrives: whether a look gets through, by its number.
-    :param answers: whether its answer does.
+    :param poll_arrives: returns by its number whether a poll arrives.
+    :param answer_arrives: returns whether the answer to it arrives.
     """
 
-    arrives: Callable[[int], bool] = staticmethod(lambda number: True)
-    answers: Callable[[int], bool] = staticmethod(lambda number: True)
-    looks = 0
+    poll_arrives: Callable[[int], bool] = staticmethod(lambda number: True)
+    answer_arrives: Callable[[int], bool] = staticmethod(lambda number: True)
+    polls = 0
 
     async def async_start(self, order: StartOrder) -> StartAnswer:
-        if not self.arrives(0):
+        if not self.poll_arrives(0):
             raise CallUnknownError("lost")
         return await super().async_start(order)
 
     async def async_hold(
         self, seen_upto: int, deadline_ms: int | None, wait_ms: int
     ) -> HoldAnswer:
-        self.looks += 1
-        if not self.arrives(self.looks):
+        self.polls += 1
+        if not self.poll_arrives(self.polls):
             raise CallUnknownError("lost")
         answer = await super().async_hold(seen_upto, deadline_ms, wait_ms)
-        if not self.answers(self.looks):
+        if not self.answer_arrives(self.polls):
             raise CallUnknownError("answer lost")
         return answer
 
-    def runs(self) -> int:
-        """Return how many runs it has at this moment."""
-        self.process.advance(self._clock())
+    def count_runs(self) -> int:
+        """Return how many runs the worker has now."""
+        self.process.advance(self.clock_ms())
         return len(self.process.runs)
 
-    def _clock(self) -> float:
-        return SLOWEST * super()._clock()
+    def clock_ms(self) -> float:
+        return SLOWEST_CLOCK_RATE * super().clock_ms()
 
 
 def never(number: int) -> bool:
-    """Let nothing through."""
+    """Lose every message."""
     return False
 
 
 @asynccontextmanager
-async def a_run(
-    asleep_seconds: float = 0.3,
-) -> AsyncIterator[tuple[RebornBench, _Slow]]:
-    """Yield a worker that was just given a lasting task, after a time with none."""
+async def a_running_task(
+    idle_seconds: float = 0.3,
+) -> AsyncIterator[tuple[RestartHarness, _SlowClockWorker]]:
+    """Yield a worker that just started a long-running task after an idle time."""
     async with anyio.create_task_group() as tasks:
-        bench = RebornBench(tasks)
-        worker = bench.worker = _Slow(bench.timers)
-        bench.see()
-        await bench.async_pass(asleep_seconds)
-        bench.add(a_step(count=1, long_running=True))
-        await bench.async_pass(0.1)
-        assert bench.task().phase is Phase.RUNNING
-        yield bench, worker
+        harness = RestartHarness(tasks)
+        worker = harness.worker = _SlowClockWorker(harness.timers)
+        harness.update_entry()
+        await harness.async_advance_time(idle_seconds)
+        harness.add(a_step(count=1, long_running=True))
+        await harness.async_advance_time(0.1)
+        assert harness.task().phase is Phase.RUNNING
+        yield harness, worker
         tasks.cancel_scope.cancel()
 
 
-async def async_until_elsewhere(bench: RebornBench, worker: _Slow) -> float:
-    """Return after how long the task may go elsewhere; check that nothing runs then."""
-    began = bench.timers.monotonic()
-    while bench.task().phase is not Phase.WAITING:
-        assert bench.timers.monotonic() - began < 4 * LEASE_SECONDS
-        await bench.async_pass(0.05, plans=False)
-    assert worker.runs() == 0
-    return bench.timers.monotonic() - began
+async def async_wait_until_rescheduled(
+    harness: RestartHarness, worker: _SlowClockWorker
+) -> float:
+    """Return the seconds until the task may start elsewhere, when no run is left."""
+    started_at = harness.timers.monotonic()
+    while harness.task().phase is not Phase.WAITING:
+        assert harness.timers.monotonic() - started_at < 4 * LEASE_SECONDS
+        await harness.async_advance_time(0.05, plan=False)
+    assert worker.count_runs() == 0
+    return harness.timers.monotonic() - started_at
 
 
-@pytest.mark.parametrize("asleep_seconds", [0.3, 120.0])
-async def test_work_of_a_worker_behind_a_cut_goes_elsewhere_after_its_lease(
-    asleep_seconds: float,
+@pytest.mark.parametrize("idle_seconds", [0.3, 120.0])
+async def test_task_of_unreachable_worker_is_rescheduled_after_its_lease(
+    idle_seconds: float,
 ) -> None:
-    """Guards against a second run beside the first, and against a wait without end."""
-    async with a_run(asleep_seconds) as (bench, worker):
-        worker.arrives = never
-        seconds = await async_until_elsewhere(bench, worker)
-        assert LEASE_SECONDS / SLOWEST - 0.2 < seconds < LATEST_SECONDS
-
-
-async def test_work_goes_elsewhere_after_its_lease_though_looks_arrive() -> None:
-    """Guards against leases that are renewed by looks whose answers are lost."""
-    async with a_run() as (bench, worker):
-        worker.answers = never
-        seconds = await async_until_elsewhere(bench, worker)
-        assert LEASE_SECONDS / SLOWEST - 0.2 < seconds < LATEST_SECONDS
-
-
-async def test_the_lease_of_a_start_that_is_not_answered_is_waited_for() -> None:
-    """Guards against a lease reckoned by looks alone."""
-    async with a_run() as (bench, worker):
-        await bench.async_pass(0.5)
-        worker.lose_starts = True
-        bench.session.client = worker  # type: ignore[assignment]
-        before = bench.session.lease_ends_at
+    """Guard against two concurrent runs of a task and against waiting forever."""
+    async with a_running_task(idle_seconds) as (harness, worker):
+        worker.poll_arrives = never
+        seconds = await async_wait_until_rescheduled(harness, worker)
+        assert LEASE_SECONDS / SLOWEST_CLOCK_RATE - 0.2 < seconds < MAX_WAIT_SECONDS
+
+
+async def test_task_is_rescheduled_after_its_lease_when_only_answers_are_lost() -> None:
+    """Guard against leases that are renewed by polls whose answers are lost."""
+    async with a_running_task() as (harness, worker):
+        worker.answer_arrives = never
+        seconds = await async_wait_until_rescheduled(harness, worker)
+        assert LEASE_SECONDS / SLOWEST_CLOCK_RATE - 0.2 < seconds < MAX_WAIT_SECONDS
+
+
+async def test_lease_of_unanswered_start_is_respected() -> None:
+    """Guard against a lease end that is calculated from polls alone."""
+    async with a_running_task() as (harness, worker):
+        await harness.async_advance_time(0.5)
+        worker.delay_starts = True
+        harness.session.client = worker  # type: ignore[assignment]
+        previous_end = harness.session.lease_ends_at
         with pytest.raises(CallUnknownError):
-            await bench.session.async_start(bench.task(), bench.task().run)
-        assert bench.session.lease_ends_at > before
-        worker.arrives = never
-        worker.carry_out_late()
-        await async_until_elsewhere(bench, worker)
+            await harness.session.async_start(harness.task(), harness.task().run)
+        assert harness.session.lease_ends_at > previous_end
+        worker.poll_arrives = never
+        worker.execute_delayed_starts()
+        await async_wait_until_rescheduled(harness, worker)
 
 
-@pytest.mark.parametrize("way", ["arrives", "answers"])
-async def test_a_worker_that_leaves_every_other_look_unanswered_keeps_its_work(
-    way: str,
+@pytest.mark.parametrize("lost", ["poll_arrives", "answer_arrives"])
+async def test_worker_that_loses_every_other_poll_keeps_its_task(
+    lost: str,
 ) -> None:
-    """Guards against work that lapses where each look that renews a lease is lost."""
-    async with a_run() as (bench, worker):
-        setattr(worker, way, lambda number: number % 2)
-        await bench.async_pass(5 * LEASE_SECONDS)
-        assert worker.runs() == 1
+    """Guard against runs that expire because each poll with a renewal is lost."""
+    async with a_running_task() as (harness, worker):
+        setattr(worker, lost, lambda number: number % 2)
+        await harness.async_advance_time(5 * LEASE_SECONDS)
+        assert worker.count_runs() == 1
         assert len(worker.process.starts) == 1
-        assert bench.task().phase is Phase.RUNNING
+        assert harness.task().phase is Phase.RUNNING
 
 
-async def test_an_answer_in_time_keeps_the_lease() -> None:
-    """Guards against a renewal that comes later than the first answer."""
-    async with a_run() as (bench, worker):
+async def test_answer_before_the_lease_ends_renews_it() -> None:
+    """Guard against a renewal that comes later than the first answer."""
+    async with a_running_task() as (harness, worker):
         for _ in range(4):
-            worker.arrives = never
-            await bench.async_pass(LEASE_SECONDS - 0.6)
-            assert bench.session.unresponsive_since is not None
-            until = bench.session.lease_ends_at
-            worker.arrives = lambda number, first=worker.looks: number <= first + 2
-            await bench.async_pass(0.3)
-            assert bench.session.lease_ends_at > until
-        assert worker.runs() == 1
+            worker.poll_arrives = never
+            await harness.async_advance_time(LEASE_SECONDS - 0.6)
+            assert harness.session.unresponsive_since is not None
+            until = harness.session.lease_ends_at
+            worker.poll_arrives = lambda number, first=worker.polls: number <= first + 2
+            await harness.async_advance_time(0.3)
+            assert harness.session.lease_ends_at > until
+        assert worker.count_runs() == 1
         assert len(worker.process.starts) == 1
-        assert bench.task().phase is Phase.RUNNING
+        assert harness.task().phase is Phase.RUNNING
 
 
-async def test_an_owner_that_may_be_deposed_ends_no_run_by_its_own_leases() -> None:
-    """A run that a newer owner renews was started again by one cut off with its log."""
+async def test_owner_that_may_be_deposed_ends_no_run_by_its_leases() -> None:
+    """Guard against a task that starts again although a newer owner renews its lease.
+
+    The previous owner is disconnected and can't read in the log that it was replaced.
+    """
     async with anyio.create_task_group() as tasks:
-        bench = RebornBench(tasks)
-        bench.see()
-        await bench.async_pass(0.3)
-        bench.add(a_step(count=1, long_running=True))
-        await bench.async_pass(0.3)
-        assert bench.task().phase is Phase.RUNNING
-        cut_at = bench.timers.monotonic()
-        bench.dispatcher.renewal_age_seconds = lambda: bench.timers.monotonic() - cut_at
-        bench.worker.dark = True
-        await bench.async_pass(3 * LEASE_SECONDS)
-        assert bench.task().phase is Phase.RUNNING
-        bench.dispatcher.renewal_age_seconds = lambda: 0.0
-        await bench.async_pass(0.5)
-        assert bench.task().phase is Phase.WAITING
+        harness = RestartHarness(tasks)
+        harness.update_entry()
+        await harness.async_advance_time(0.3)
+        harness.add(a_step(count=1, long_running=True))
+        await harness.async_advance_time(0.3)
+        assert harness.task().phase is Phase.RUNNING
+        cut_at = harness.timers.monotonic()
+        harness.dispatcher.renewal_age_seconds = lambda: (
+            harness.timers.monotonic() - cut_at
+        )
+        harness.worker.unreachable = True
+        await harness.async_advance_time(3 * LEASE_SECONDS)
+        assert harness.task().phase is Phase.RUNNING
+        harness.dispatcher.renewal_age_seconds = lambda: 0.0
+        await harness.async_advance_time(0.5)
+        assert harness.task().phase is Phase.WAITING
         tasks.cancel_scope.cancel()
--- a/tests/components/dispatch/test_reborn.py
+++ b/tests/components/dispatch/test_reborn.py
@@ -1,4 +1,4 @@
-"""Test workers that start again under the id that they had."""
+"""Test workers that restart under the same id."""
 
 from __future__ import annotations
 
@@ -34,99 +34,99 @@
 pytestmark = pytest.mark.anyio
 
 WORKER = "w1"
-BORN = 1_700_000_000_000
+STARTED_AT_MS = 1_700_000_000_000
 ROOM = Room(8000, 8000)
-LONGEST_LEASE = 10.0
+MAX_LEASE_SECONDS = 10.0
 
 
-class _Worker:
-    """Play a worker that may start again, and whose answers may be lost or late.
+class FakeWorker:
+    """Simulate a worker that may restart, and whose answers may be lost or delayed.
 
-    :param lose_starts: whether orders are left unanswered and not carried out yet.
+    :param delay_starts: whether starts are kept back and left unanswered.
     """
 
     def __init__(self, timers: DrivenTimerService) -> None:
         self._timers = timers
-        self._zero = timers.monotonic() - 100.0
+        self._clock_zero = timers.monotonic() - 100.0
         self.work_of = {f"{JOB}.0": Work(Room(1000, 100), 0.5, lasts=True)}
-        self.process = self._begin(BORN)
-        self.dark = False
-        self.lose_starts = False
-        self.tells_born = True
-        self.unanswered: list[StartOrder] = []
-        self.seen: list[int] = []
-        self.late_answers: list[HoldAnswer] = []
+        self.process = self._new_process(STARTED_AT_MS)
+        self.unreachable = False
+        self.delay_starts = False
+        self.reports_start_time = True
+        self.delayed_starts: list[StartOrder] = []
+        self.acknowledged: list[int] = []
+        self.delayed_answers: list[HoldAnswer] = []
 
     @property
-    def born(self) -> int:
+    def started_at_ms(self) -> int:
         return self.process.born
 
     def restart(self, seconds_later: int = 30) -> None:
-        """End the process and begin another one, whose clock begins anew."""
-        self._zero = self._timers.monotonic() - 0.01
-        self.process = self._begin(self.process.born + 1000 * seconds_later)
+        """Replace the process by a new one with a new monotonic clock."""
+        self._clock_zero = self._timers.monotonic() - 0.01
+        self.process = self._new_process(self.process.born + 1000 * seconds_later)
 
-    def carry_out_late(self) -> list[str]:
-        """Carry out the orders that were left unanswered; return the refusals."""
-        return [self._start(order) for order in self.unanswered]
+    def execute_delayed_starts(self) -> list[str]:
+        """Execute the starts that were kept back; return the reasons of refusal."""
+        return [self._start(order) for order in self.delayed_starts]
 
     async def async_start(self, order: StartOrder) -> StartAnswer:
-        if self.dark:
-            raise CallUnknownError("dark")
-        if self.lose_starts:
-            self.unanswered.append(order)
+        if self.unreachable:
+            raise CallUnknownError("unreachable")
+        if self.delay_starts:
+            self.delayed_starts.append(order)
             raise CallUnknownError("no answer")
         reason = self._start(order)
-        return StartAnswer(self._clock(), reason)
+        return StartAnswer(self.clock_ms(), reason)
 
     async def async_stop(self, task: TaskName, run: int) -> None:
-        if self.dark or self.lose_starts:
-            raise CallUnknownError("dark")
-        self.process.stop(encode_task(task), run, 2, self._clock())
+        if self.unreachable or self.delay_starts:
+            raise CallUnknownError("unreachable")
+        self.process.stop(encode_task(task), run, 2, self.clock_ms())
 
     async def async_hold(
         self, seen_upto: int, deadline_ms: int | None, wait_ms: int
     ) -> HoldAnswer:
-        if self.dark:
-            raise CallUnknownError("dark")
-        self.seen.append(seen_upto)
-        body = self.process.hold(2, seen_upto, deadline_ms, self._clock())
+        if self.unreachable:
+            raise CallUnknownError("unreachable")
+        self.acknowledged.append(seen_upto)
+        body = self.process.hold(2, seen_upto, deadline_ms, self.clock_ms())
         assert body is not None
         return HoldAnswer(
             body.clock_ms,
             [decode_running(row) for row in body.running],
             [decode_ended(row) for row in body.ended],
-            body.born if self.tells_born else 0,
+            body.born if self.reports_start_time else 0,
         )
 
     def _start(self, order: StartOrder) -> str:
         body = StartBody(
             encode_task(order.task), order.run, order.spec, order.deadline_ms, 2
         )
-        return self.process.start(body, self._clock())
+        return self.process.start(body, self.clock_ms())
 
-    def _begin(self, born: int) -> MemoryWorker:
-        return MemoryWorker(WORKER, "m", POOL, ROOM, self.work_of, born=born)
+    def _new_process(self, started_at_ms: int) -> MemoryWorker:
+        return MemoryWorker(WORKER, "m", POOL, ROOM, self.work_of, born=started_at_ms)
 
-    def _clock(self) -> float:
-        return 1000 * (self._timers.monotonic() - self._zero)
+    def clock_ms(self) -> float:
+        return 1000 * (self._timers.monotonic() - self._clock_zero)
 
 
-class _Never:
-    """Play a worker that has not answered yet."""
+class UnansweredClient:
+    """Simulate a worker that has not answered yet."""
 
     async def async_hold(self, *_: object) -> HoldAnswer:
         await anyio.sleep_forever()
         raise AssertionError
 
 
-class RebornBench:
-    """Hold an owner's dispatcher and one worker, in driven time."""
+class RestartHarness:
+    """Provide an owner's dispatcher and one worker with a simulated clock."""
 
     def __init__(self, tasks: TaskGroup) -> None:
         self.timers = DrivenTimerService()
         self.scheduler = Scheduler(2, lambda queue: QueuePolicy(service=POOL))
-        self.worker = _Worker(self.timers)
+        self.worker = FakeWorker(self.timers)
         self.dispatcher = Dispatcher(
             None,  # type: ignore[arg-type]
             self.scheduler,
@@ -134,28 +134,30 @@
             tasks,
             2,
             lambda: None,
-            self._report,
+            self._set_clients,
             lambda: True,
-            max_lease_seconds=LONGEST_LEASE,
+            max_lease_seconds=MAX_LEASE_SECONDS,
         )
 
     @property
     def session(self) -> WorkerSession:
         return self.dispatcher.sessions[WORKER]
 
-    def _report(self) -> None:
-        """Take every session's client for the worker's."""
+    def _set_clients(self) -> None:
+        """Connect every session to the simulated worker."""
         for session in self.dispatcher.sessions.values():
             session.client = self.worker  # type: ignore[assignment]
 
-    def see(self, **changes: object) -> None:
-        """Let the worker's entry be read."""
-        entry = an_entry(**{"capacity": ROOM, "born": self.worker.born, **changes})
+    def update_entry(self, **changes: object) -> None:
+        """Apply the worker's entry."""
+        entry = an_entry(
+            **{"capacity": ROOM, "born": self.worker.started_at_ms, **changes}
+        )
         self.dispatcher.see_worker(WORKER, entry)
-        self._report()
+        self._set_clients()
 
     def add(self, step: SubmittedStep) -> None:
-        """Hand a job in that may start at once."""
+        """Submit a job that may start at once."""
         now = self.timers.monotonic()
         self.scheduler.add_job(a_job(step), now, 0.0)
         self.scheduler.note_stored([JOB])
@@ -166,317 +168,309 @@
         return found
 
     def acknowledge(self) -> None:
-        """Store what the worker listed."""
+        """Acknowledge the ends that the worker reported."""
         self.session.acknowledge(self.session.received_upto)
 
-    async def async_pass(self, seconds: float, plans: bool = True) -> None:
-        """Let time pass, planning all the while."""
+    async def async_advance_time(self, seconds: float, plan: bool = True) -> None:
+        """Advance the simulated time and plan in each step."""
         for _ in range(round(seconds / 0.05)):
             now = self.timers.monotonic()
-            if plans:
+            if plan:
                 self.dispatcher.executor.execute(self.scheduler.plan(now, 0.0))
             await anyio.wait_all_tasks_blocked()
             await self.timers.async_advance(0.05)
-            self._report()
+            self._set_clients()
         await anyio.wait_all_tasks_blocked()
 
 
 @asynccontextmanager
-async def a_bench() -> AsyncIterator[RebornBench]:
+async def a_harness() -> AsyncIterator[RestartHarness]:
     async with anyio.create_task_group() as tasks:
-        bench = RebornBench(tasks)
-        bench.see()
-        await bench.async_pass(0.3)
-        yield bench
+        harness = RestartHarness(tasks)
+        harness.update_entry()
+        await harness.async_advance_time(0.3)
+        yield harness
         tasks.cancel_scope.cancel()
 
 
-async def test_ends_of_another_incarnation_are_never_acknowledged_unread() -> None:
-    """Read who answers before any end is acknowledged.
+async def test_unread_ends_of_new_incarnation_are_not_acknowledged() -> None:
+    """Guard against a completed task that is never reported as completed.
 
-    Symptom: a task that was done is never told as done; its worker forgot the end.
-    Sequence: a worker's 58 ends were stored; it starts again while nothing runs there,
-    is given a task, and ends it as its first; the next hold acknowledges 58.
-    Cause: what was counted for one incarnation was told to the next one.
+    58 ends of a worker are stored. It restarts while idle, gets a task and completes it
+    as its first. If the next poll acknowledges 58, the worker discards the unread end.
     """
-    async with a_bench() as bench:
-        bench.worker.work_of[f"{JOB}.0"] = Work(Room(1000, 100), 0.5)
-        bench.session.received_upto = bench.session.stored_upto = 58
-        await bench.async_pass(1.0)
-        bench.worker.restart()
-        bench.worker.process.start(
+    async with a_harness() as harness:
+        harness.worker.work_of[f"{JOB}.0"] = Work(Room(1000, 100), 0.5)
+        harness.session.received_upto = harness.session.stored_upto = 58
+        await harness.async_advance_time(1.0)
+        harness.worker.restart()
+        harness.worker.process.start(
             StartBody(f"{JOB}.0.0.0", 7 << 20, "x", 10**9, 2), 10.0
         )
-        bench.worker.process.advance(600.0)
-        assert bench.worker.process.has_news(0)
-        bench.worker.seen.clear()
-        bench.scheduler.board.workers[WORKER].stale = True
-        bench.session.wake()
-        await bench.async_pass(0.3, plans=False)
-        assert bench.worker.seen and set(bench.worker.seen) == {0}
-        assert bench.session.started_at_ms == bench.worker.born
-        assert bench.session.received_upto == 1
-
-
-async def test_after_a_lost_answer_nothing_is_acknowledged_before_the_next() -> None:
-    async with a_bench() as bench:
-        bench.add(a_step(count=1, long_running=True))
-        await bench.async_pass(0.3)
-        bench.worker.dark = True
-        await bench.async_pass(1.0)
-        bench.session.received_upto = bench.session.stored_upto = 58
-        bench.worker.dark = False
-        bench.worker.seen.clear()
-        await bench.async_pass(0.5)
-        assert bench.worker.seen[0] == 0
-        assert bench.worker.seen[-1] == 58
-
-
-async def test_what_ran_before_a_start_goes_on_at_once() -> None:
-    """Start a task again as soon as the worker's entry shows that it is over.
-
-    Symptom: tasks of a worker that had started again waited four seconds for the end of
-    a lease. Sequence: the worker ends behind a cut; it writes its entry; calls to it
-    get no answer yet. Cause: nothing told that what ran there was over.
+        harness.worker.process.advance(600.0)
+        assert harness.worker.process.has_news(0)
+        harness.worker.acknowledged.clear()
+        harness.scheduler.board.workers[WORKER].stale = True
+        harness.session.wake()
+        await harness.async_advance_time(0.3, plan=False)
+        assert harness.worker.acknowledged and set(harness.worker.acknowledged) == {0}
+        assert harness.session.started_at_ms == harness.worker.started_at_ms
+        assert harness.session.received_upto == 1
+
+
+async def test_nothing_is_acknowledged_between_lost_answer_and_next_one() -> None:
+    async with a_harness() as harness:
+        harness.add(a_step(count=1, long_running=True))
+        await harness.async_advance_time(0.3)
+        harness.worker.unreachable = True
+        await harness.async_advance_time(1.0)
+        harness.session.received_upto = harness.session.stored_upto = 58
+        harness.worker.unreachable = False
+        harness.worker.acknowledged.clear()
+        await harness.async_advance_time(0.5)
+        assert harness.worker.acknowledged[0] == 0
+        assert harness.worker.acknowledged[-1] == 58
+
+
+async def test_tasks_of_previous_incarnation_start_again_at_once() -> None:
+    """Guard against tasks of a restarted worker that wait four seconds for a lease.
+
+    The worker restarts during a network partition and writes its entry while calls to
+    it are still unanswered. The entry alone shows that its previous runs are over.
     """
-    async with a_bench() as bench:
-        bench.add(a_step(count=1, long_running=True))
-        await bench.async_pass(0.3)
-        assert bench.task().phase is Phase.RUNNING
-        bench.worker.dark = True
-        bench.worker.restart()
-        bench.see()
-        assert bench.task().phase is Phase.WAITING
-        bench.worker.dark = False
-        await bench.async_pass(1.0)
-        assert bench.task().phase is Phase.RUNNING
-        assert len(bench.worker.process.starts) == 1
-
-
-async def test_a_start_by_another_incarnation_is_noticed_by_its_clock() -> None:
-    """Symptom: a lease reckoned on the clock before outlives what is waited for."""
-    async with a_bench() as bench:
-        await bench.async_pass(3.0)
-        bench.worker.restart()
-        bench.add(a_step(count=1, long_running=True))
-        await bench.async_pass(1.0)
-        assert bench.session.started_at_ms == bench.worker.born
-        assert bench.session.lease_ends_at > bench.timers.monotonic() + 8.0
-        bench.see()
-        await bench.async_pass(1.0)
-        assert bench.task().phase is Phase.RUNNING
-        assert len(bench.worker.process.runs) == 1
-
-
-async def test_an_order_to_the_incarnation_before_is_made_void_first() -> None:
-    """Let no task go elsewhere while an order of it may still be carried out.
-
-    Symptom: a task runs twice. Sequence: an order gets no answer; the worker starts
-    again, and its task starts elsewhere at once; the new incarnation, which has seen no
-    token, carries the old order out. Cause: an order that is under way was taken to end
-    with the incarnation that it was meant for.
+    async with a_harness() as harness:
+        harness.add(a_step(count=1, long_running=True))
+        await harness.async_advance_time(0.3)
+        assert harness.task().phase is Phase.RUNNING
+        harness.worker.unreachable = True
+        harness.worker.restart()
+        harness.update_entry()
+        assert harness.task().phase is Phase.WAITING
+        harness.worker.unreachable = False
+        await harness.async_advance_time(1.0)
+        assert harness.task().phase is Phase.RUNNING
+        assert len(harness.worker.process.starts) == 1
+
+
+async def test_start_by_another_incarnation_is_detected_by_its_clock() -> None:
+    """Guard against a lease on the previous clock that outlasts the wait for it."""
+    async with a_harness() as harness:
+        await harness.async_advance_time(3.0)
+        harness.worker.restart()
+        harness.add(a_step(count=1, long_running=True))
+        await harness.async_advance_time(1.0)
+        assert harness.session.started_at_ms == harness.worker.started_at_ms
+        assert harness.session.lease_ends_at > harness.timers.monotonic() + 8.0
+        harness.update_entry()
+        await harness.async_advance_time(1.0)
+        assert harness.task().phase is Phase.RUNNING
+        assert len(harness.worker.process.runs) == 1
+
+
+async def test_task_waits_until_start_sent_to_previous_incarnation_is_void() -> None:
+    """Guard against a task that runs twice.
+
+    A start is not answered, the worker restarts, and the task starts elsewhere at once.
+    The new incarnation has seen no fencing token and executes the delayed start: a call
+    in flight does not end with the incarnation that it was sent to.
     """
-    async with a_bench() as bench:
-        bench.worker.lose_starts = True
-        bench.add(a_step(count=1, long_running=True))
-        await bench.async_pass(0.1, plans=True)
-        assert len(bench.worker.unanswered) == 1
-        bench.worker.dark = True
-        bench.worker.restart()
-        bench.see()
-        await bench.async_pass(0.5)
-        assert bench.task().phase is Phase.UNCERTAIN
-        bench.worker.dark = bench.worker.lose_starts = False
-        await bench.async_pass(1.0)
-        assert bench.worker.carry_out_late() == ["old"]
-        assert bench.task().phase is Phase.RUNNING
-        assert [run for _, run in bench.worker.process.starts] == [bench.task().run]
-
-
-async def test_a_late_answer_of_the_incarnation_before_changes_nothing() -> None:
-    async with a_bench() as bench:
-        bench.add(a_step(count=1, long_running=True))
-        await bench.async_pass(0.3)
-        old = bench.session
-        rows = await bench.worker.async_hold(0, None, 0)
-        blocked = anyio.Event()
-
-        async def async_late(*_: object) -> HoldAnswer:
-            await blocked.wait()
-            return rows
-
-        class _Late:
-            async_hold = staticmethod(async_late)
-
-        old.client = _Late()  # type: ignore[assignment]
-        bench.dispatcher.on_report = lambda: None
-        await bench.timers.async_advance(0.3)
+    async with a_harness() as harness:
+        harness.worker.delay_starts = True
+        harness.add(a_step(count=1, long_running=True))
+        await harness.async_advance_time(0.1, plan=True)
+        assert len(harness.worker.delayed_starts) == 1
+        harness.worker.unreachable = True
+        harness.worker.restart()
+        harness.update_entry()
+        await harness.async_advance_time(0.5)
+        assert harness.task().phase is Phase.UNCERTAIN
+        harness.worker.unreachable = harness.worker.delay_starts = False
+        await harness.async_advance_time(1.0)
+        assert harness.worker.execute_delayed_starts() == ["old"]
+        assert harness.task().phase is Phase.RUNNING
+        assert [run for _, run in harness.worker.process.starts] == [harness.task().run]
+
+
+async def test_delayed_answer_of_previous_incarnation_is_ignored() -> None:
+    async with a_harness() as harness:
+        harness.add(a_step(count=1, long_running=True))
+        await harness.async_advance_time(0.3)
+        previous = harness.session
+        answer = await harness.worker.async_hold(0, None, 0)
+        released = anyio.Event()
+
+        async def async_delayed_hold(*_: object) -> HoldAnswer:
+            await released.wait()
+            return answer
+
+        class _DelayedClient:
+            async_hold = staticmethod(async_delayed_hold)
+
+        previous.client = _DelayedClient()  # type: ignore[assignment]
+        harness.dispatcher.on_report = lambda: None
+        await harness.timers.async_advance(0.3)
         await anyio.wait_all_tasks_blocked()
-        bench.worker.restart()
-        bench.see()
-        bench.session.client = _Never()  # type: ignore[assignment]
-        assert bench.task().phase is Phase.WAITING
-        blocked.set()
+        harness.worker.restart()
+        harness.update_entry()
+        harness.session.client = UnansweredClient()  # type: ignore[assignment]
+        assert harness.task().phase is Phase.WAITING
+        released.set()
         await anyio.wait_all_tasks_blocked()
-        assert bench.task().phase is Phase.WAITING
-        assert not bench.scheduler.board.workers[WORKER].confirmed
-
-
-async def test_a_refusal_of_the_incarnation_before_does_not_lose_the_next() -> None:
-    async with a_bench() as bench:
-        old = bench.session
-        bench.worker.restart()
-        bench.see()
-        await bench.async_pass(0.3)
-        bench.dispatcher.executor._report_restart(old)
-        assert not bench.session.closed
-        assert WORKER in bench.scheduler.board.workers
-
-
-async def test_an_entry_of_the_incarnation_before_is_not_used() -> None:
-    async with a_bench() as bench:
-        first = bench.worker.born
-        bench.worker.restart()
-        bench.see()
-        await bench.async_pass(0.3)
-        session = bench.session
-        bench.see(born=first, service="pool-b", state="draining")
-        assert bench.session is session
-        worker = bench.scheduler.board.workers[WORKER]
+        assert harness.task().phase is Phase.WAITING
+        assert not harness.scheduler.board.workers[WORKER].confirmed
+
+
+async def test_refusal_by_previous_incarnation_does_not_close_new_session() -> None:
+    async with a_harness() as harness:
+        previous = harness.session
+        harness.worker.restart()
+        harness.update_entry()
+        await harness.async_advance_time(0.3)
+        harness.dispatcher.executor._report_restart(previous)
+        assert not harness.session.closed
+        assert WORKER in harness.scheduler.board.workers
+
+
+async def test_entry_of_previous_incarnation_is_ignored() -> None:
+    async with a_harness() as harness:
+        first = harness.worker.started_at_ms
+        harness.worker.restart()
+        harness.update_entry()
+        await harness.async_advance_time(0.3)
+        session = harness.session
+        harness.update_entry(born=first, service="pool-b", state="draining")
+        assert harness.session is session
+        worker = harness.scheduler.board.workers[WORKER]
         assert (worker.service, worker.draining, worker.absent) == (POOL, False, False)
 
 
-async def test_a_worker_may_come_back_in_another_pool_and_of_another_kind() -> None:
-    """Symptom: a worker that started again in another pool was barred for good."""
-    async with a_bench() as bench:
-        bench.worker.restart()
+async def test_worker_may_restart_with_another_pool_and_capacity() -> None:
+    """Guard against a worker that stays absent after a restart in another pool."""
+    async with a_harness() as harness:
+        harness.worker.restart()
         room = Room(4000, 2000)
-        bench.see(service="pool-b", labels=["b", "r2"], capacity=room)
-        worker = bench.scheduler.board.workers[WORKER]
+        harness.update_entry(service="pool-b", labels=["b", "r2"], capacity=room)
+        worker = harness.scheduler.board.workers[WORKER]
         assert (worker.service, worker.labels) == ("pool-b", ("b", "r2"))
         assert (worker.free_cpu, worker.free_mem, worker.absent) == (4000, 2000, False)
 
 
-async def test_the_same_incarnation_under_another_pool_is_another_writers_word() -> (
-    None
-):
-    async with a_bench() as bench:
-        bench.see(service="pool-b")
-        assert bench.scheduler.board.workers[WORKER].absent
-
-
-async def test_a_worker_gets_nothing_until_its_own_entry_tells_its_pool() -> None:
-    """Symptom: a task starts on a worker of a pool that its queue does not name."""
-    async with a_bench() as bench:
-        bench.worker.restart()
-        bench.scheduler.board.workers[WORKER].stale = True
-        bench.session.wake()
-        await bench.async_pass(0.3)
-        assert bench.session.started_at_ms == bench.worker.born
-        bench.add(a_step(count=1, long_running=True))
-        await bench.async_pass(0.5)
-        assert not bench.worker.process.starts
-        bench.see(service="pool-b")
-        await bench.async_pass(0.5)
-        assert not bench.worker.process.starts
-        bench.worker.restart()
-        bench.see()
-        await bench.async_pass(0.5)
-        assert len(bench.worker.process.starts) == 1
+async def test_same_incarnation_in_another_pool_makes_worker_absent() -> None:
+    async with a_harness() as harness:
+        harness.update_entry(service="pool-b")
+        assert harness.scheduler.board.workers[WORKER].absent
+
+
+async def test_restarted_worker_gets_no_task_before_its_entry_names_its_pool() -> None:
+    """Guard against a task that starts in a pool that its queue does not name."""
+    async with a_harness() as harness:
+        harness.worker.restart()
+        harness.scheduler.board.workers[WORKER].stale = True
+        harness.session.wake()
+        await harness.async_advance_time(0.3)
+        assert harness.session.started_at_ms == harness.worker.started_at_ms
+        harness.add(a_step(count=1, long_running=True))
+        await harness.async_advance_time(0.5)
+        assert not harness.worker.process.starts
+        harness.update_entry(service="pool-b")
+        await harness.async_advance_time(0.5)
+        assert not harness.worker.process.starts
+        harness.worker.restart()
+        harness.update_entry()
+        await harness.async_advance_time(0.5)
+        assert len(harness.worker.process.starts) == 1
 
 
 @pytest.mark.parametrize("seconds", [30, -30])
-async def test_a_worker_that_starts_often_is_known_whatever_its_time_of_day(
+async def test_repeated_restarts_are_detected_when_the_wall_clock_goes_back(
     seconds: int,
 ) -> None:
-    """Its time of birth may lie before that of the incarnation before."""
-    async with a_bench() as bench:
-        bench.add(a_step(count=1, long_running=True))
+    """Check that the start time may be earlier than the previous incarnation's."""
+    async with a_harness() as harness:
+        harness.add(a_step(count=1, long_running=True))
         for _ in range(3):
-            await bench.async_pass(0.5)
-            bench.worker.restart(seconds)
-        await bench.async_pass(0.5)
-        bench.see()
-        await bench.async_pass(1.0)
-        assert bench.session.started_at_ms == bench.worker.born
-        assert len(bench.worker.process.runs) == 1
-
-
-async def test_a_worker_that_is_back_in_its_id_is_used_at_once_after_a_loss() -> None:
-    """An entry of the lost incarnation opens nothing, one of the next does."""
-    async with a_bench() as bench:
-        bench.dispatcher.lose_worker(WORKER, LossCause.UNLISTED)
-        bench.see()
-        assert WORKER not in bench.scheduler.board.workers
-        bench.worker.restart()
-        bench.see()
-        assert WORKER in bench.scheduler.board.workers
-        assert not bench.session.closed
-
-
-async def test_judgements_of_one_incarnation_end_with_it() -> None:
-    async with a_bench() as bench:
-        worker = bench.scheduler.board.workers[WORKER]
+            await harness.async_advance_time(0.5)
+            harness.worker.restart(seconds)
+        await harness.async_advance_time(0.5)
+        harness.update_entry()
+        await harness.async_advance_time(1.0)
+        assert harness.session.started_at_ms == harness.worker.started_at_ms
+        assert len(harness.worker.process.runs) == 1
+
+
+async def test_restarted_worker_is_used_at_once_after_a_loss() -> None:
+    """Check that only an entry of a new incarnation opens a session after a loss."""
+    async with a_harness() as harness:
+        harness.dispatcher.lose_worker(WORKER, LossCause.UNLISTED)
+        harness.update_entry()
+        assert WORKER not in harness.scheduler.board.workers
+        harness.worker.restart()
+        harness.update_entry()
+        assert WORKER in harness.scheduler.board.workers
+        assert not harness.session.closed
+
+
+async def test_quarantine_and_speed_are_reset_on_restart() -> None:
+    async with a_harness() as harness:
+        worker = harness.scheduler.board.workers[WORKER]
         worker.quarantined_until = 1e9
         worker.speed = 0.2
-        bench.worker.restart()
-        bench.see()
-        worker = bench.scheduler.board.workers[WORKER]
+        harness.worker.restart()
+        harness.update_entry()
+        worker = harness.scheduler.board.workers[WORKER]
         assert (worker.quarantined_until, worker.speed) == (0.0, 1.0)
 
 
-async def test_another_incarnations_answer_to_an_order_is_no_loss_of_this_one() -> None:
-    async with a_bench() as bench:
+async def test_wrong_incarnation_on_old_session_does_not_lose_new_one() -> None:
+    async with a_harness() as harness:
         failure = WrongIncarnationError("other")
 
-        class _Wrong:
+        class _OtherIncarnation:
             async def async_stop(self, task: TaskName, run: int) -> None:
-                bench.worker.restart()
-                bench.see()
+                harness.worker.restart()
+                harness.update_entry()
                 raise failure
 
-        bench.add(a_step(count=1, long_running=True))
-        await bench.async_pass(0.3)
-        old = bench.session
-        bench.scheduler.board.stop(bench.task(), "test")
-        commands = bench.scheduler.board.take_commands()
-        old.client = _Wrong()  # type: ignore[assignment]
-        bench.dispatcher.executor.execute(commands)
+        harness.add(a_step(count=1, long_running=True))
+        await harness.async_advance_time(0.3)
+        previous = harness.session
+        harness.scheduler.board.stop(harness.task(), "test")
+        commands = harness.scheduler.board.take_commands()
+        previous.client = _OtherIncarnation()  # type: ignore[assignment]
+        harness.dispatcher.executor.execute(commands)
         await anyio.wait_all_tasks_blocked()
-        assert not bench.session.closed
-        assert WORKER in bench.scheduler.board.workers
-
-
-async def test_a_worker_that_does_not_say_when_it_was_born_is_told_by_its_clock() -> (
-    None
-):
-    """Its clock begins anew with each start, and never goes back within one."""
-    async with a_bench() as bench:
-        bench.worker.tells_born = False
-        bench.dispatcher.lose_worker(WORKER, LossCause.UNLISTED)
-        await bench.async_pass(6.0)
-        bench.see(born=0)
-        bench.add(a_step(count=1, long_running=True))
-        await bench.async_pass(0.5)
-        assert bench.task().phase is Phase.RUNNING
-        first = bench.session
+        assert not harness.session.closed
+        assert WORKER in harness.scheduler.board.workers
+
+
+async def test_restart_without_reported_start_time_is_detected_by_clock() -> None:
+    """Rely on a clock that resets with each start and never goes back in between."""
+    async with a_harness() as harness:
+        harness.worker.reports_start_time = False
+        harness.dispatcher.lose_worker(WORKER, LossCause.UNLISTED)
+        await harness.async_advance_time(6.0)
+        harness.update_entry(born=0)
+        harness.add(a_step(count=1, long_running=True))
+        await harness.async_advance_time(0.5)
+        assert harness.task().phase is Phase.RUNNING
+        first = harness.session
         first.received_upto = first.stored_upto = 58
-        bench.worker.dark = True
-        await bench.async_pass(0.5)
-        bench.worker.dark = False
-        bench.worker.restart()
-        bench.worker.seen.clear()
-        await bench.async_pass(1.5)
-        assert bench.session is not first
-        assert set(bench.worker.seen) == {0}
-        assert bench.task().phase is Phase.RUNNING
-        assert len(bench.worker.process.runs) == 1
-
-
-async def test_an_answer_that_was_overtaken_is_no_sign_of_another_start() -> None:
-    async with a_bench() as bench:
-        session = bench.session
-        await bench.async_pass(2.0)
+        harness.worker.unreachable = True
+        await harness.async_advance_time(0.5)
+        harness.worker.unreachable = False
+        harness.worker.restart()
+        harness.worker.acknowledged.clear()
+        await harness.async_advance_time(1.5)
+        assert harness.session is not first
+        assert set(harness.worker.acknowledged) == {0}
+        assert harness.task().phase is Phase.RUNNING
+        assert len(harness.worker.process.runs) == 1
+
+
+async def test_answer_out_of_order_is_not_a_restart() -> None:
+    async with a_harness() as harness:
+        session = harness.session
+        await harness.async_advance_time(2.0)
         assert not session.clock.has_reset(session.clock.clock_ms - 1500)
         assert session.clock.has_reset(session.clock.clock_ms - 2500)
-        assert bench.session is session
+        assert harness.session is session
--- a/tests/components/dispatch/test_session.py
+++ b/tests/components/dispatch/test_session.py
@@ -1,4 +1,4 @@
-"""Test leases, silent workers and acknowledged ends."""
+"""Test leases, unresponsive workers and acknowledged ends."""
 
 from __future__ import annotations
 
@@ -24,32 +24,32 @@
 WORKER = "w1"
 
 
-class _Client:
-    """Play a worker's answers to holds."""
+class _FakeClient:
+    """Simulate a worker's answers to polls."""
 
     def __init__(self) -> None:
         self.failure: Exception | None = None
-        self.seen: list[int] = []
+        self.acknowledged: list[int] = []
         self.deadlines: list[int | None] = []
         self.answer = HoldAnswer(5000.0, [], [])
 
     async def async_hold(
         self, seen_upto: int, deadline_ms: int | None, wait_ms: int
     ) -> HoldAnswer:
-        self.seen.append(seen_upto)
+        self.acknowledged.append(seen_upto)
         self.deadlines.append(deadline_ms)
         if self.failure is not None:
             raise self.failure
         return self.answer
 
 
-class DispatchBench:
-    """Hold a dispatcher whose workers obey the test."""
+class DispatchHarness:
+    """Provide a dispatcher with one simulated worker and a simulated clock."""
 
     def __init__(self, tasks: TaskGroup) -> None:
         self.timers = DrivenTimerService()
         self.scheduler = Scheduler(2, lambda queue: QueuePolicy(service=POOL))
-        self.client = _Client()
+        self.client = _FakeClient()
         self.fenced = False
         self.dispatcher = Dispatcher(
             None,  # type: ignore[arg-type]
@@ -57,108 +57,106 @@
             self.timers,
             tasks,
             2,
-            self._fenced,
+            self._record_fenced,
             lambda: None,
             lambda: True,
         )
 
-    def see(self) -> None:
-        """Let the worker's entry be read, and play its client."""
+    def update_entry(self) -> None:
+        """Apply the worker's entry and replace the client of its session."""
         self.dispatcher.see_worker(WORKER, an_entry())
         session = self.dispatcher.sessions[WORKER]
         session.client = self.client  # type: ignore[assignment]
 
-    async def async_pass(self, seconds: float) -> None:
-        """Let time pass."""
+    async def async_advance_time(self, seconds: float) -> None:
+        """Advance the simulated time."""
         for _ in range(round(seconds / 0.1)):
             await anyio.wait_all_tasks_blocked()
             await self.timers.async_advance(0.1)
         await anyio.wait_all_tasks_blocked()
 
-    def _fenced(self) -> None:
+    def _record_fenced(self) -> None:
         self.fenced = True
 
 
 @asynccontextmanager
-async def a_bench() -> AsyncIterator[DispatchBench]:
+async def a_harness() -> AsyncIterator[DispatchHarness]:
     async with anyio.create_task_group() as tasks:
-        yield DispatchBench(tasks)
+        yield DispatchHarness(tasks)
         tasks.cancel_scope.cancel()
 
 
-async def test_a_worker_that_answers_is_confirmed_and_accounted_for() -> None:
-    async with a_bench() as bench:
-        bench.see()
-        assert bench.dispatcher.unconfirmed_workers()
-        await bench.async_pass(0.1)
-        assert not bench.dispatcher.unconfirmed_workers()
-        assert bench.scheduler.board.workers[WORKER].confirmed
+async def test_answering_worker_is_confirmed() -> None:
+    async with a_harness() as harness:
+        harness.update_entry()
+        assert harness.dispatcher.unconfirmed_workers()
+        await harness.async_advance_time(0.1)
+        assert not harness.dispatcher.unconfirmed_workers()
+        assert harness.scheduler.board.workers[WORKER].confirmed
 
 
-async def test_a_silent_worker_is_lost_when_its_longest_lease_is_over() -> None:
-    async with a_bench() as bench:
-        bench.client.failure = CallUnknownError("silent")
-        bench.see()
-        await bench.async_pass(LEASE_SECONDS - 0.5)
-        assert WORKER in bench.scheduler.board.workers
-        await bench.async_pass(1.5)
-        assert WORKER not in bench.scheduler.board.workers
+async def test_unresponsive_worker_is_lost_when_its_longest_lease_ends() -> None:
+    async with a_harness() as harness:
+        harness.client.failure = CallUnknownError("timeout")
+        harness.update_entry()
+        await harness.async_advance_time(LEASE_SECONDS - 0.5)
+        assert WORKER in harness.scheduler.board.workers
+        await harness.async_advance_time(1.5)
+        assert WORKER not in harness.scheduler.board.workers
 
 
-async def test_a_new_owner_waits_for_leases_that_the_old_one_may_still_renew() -> None:
-    """A worker that only the old owner reaches is not taken for empty too soon.
+async def test_new_owner_waits_for_leases_that_the_previous_one_may_renew() -> None:
+    """Guard against long-running tasks that run twice, half a second in both places.
 
-    Symptom: lasting tasks ran twice for half a second, in a data centre that had been
-    cut off and outside of it.
-    Sequence: a cut parted the owner and some workers from the store; another entry took
-    over; the old owner renewed those workers' leases for as long as it may; the new one
-    counted only one lease from its own takeover, and started their tasks elsewhere.
-    Cause: a session at takeover forgot how long the old owner may give orders.
+    A network partition separates the owner and some workers from the store, and another
+    entry takes over. The previous owner keeps renewing those workers' leases until its
+    authority ends. If a session opened at takeover waits only for one lease, it ignores
+    that time, and the tasks start elsewhere too soon.
     """
-    async with a_bench() as bench:
-        held_until = latest_lease_end(bench.timers.monotonic()) + 4.0
-        bench.scheduler.board.held_until = held_until
-        bench.client.failure = CallUnknownError("cut off")
-        bench.see()
-        await bench.async_pass(LEASE_SECONDS + 2.0)
-        assert bench.dispatcher.unconfirmed_workers()
-        await bench.async_pass(4.0)
-        assert not bench.dispatcher.unconfirmed_workers()
-
-
-async def test_another_incarnation_at_the_address_means_the_worker_is_gone() -> None:
-    async with a_bench() as bench:
-        bench.client.failure = WrongIncarnationError("other")
-        bench.see()
-        await bench.async_pass(0.1)
-        assert WORKER not in bench.scheduler.board.workers
-        assert not bench.dispatcher.unconfirmed_workers()
-
-
-async def test_ends_are_acknowledged_only_once_they_are_stored() -> None:
-    async with a_bench() as bench:
-        bench.see()
-        await bench.async_pass(0.1)
-        session = bench.dispatcher.sessions[WORKER]
+    async with a_harness() as harness:
+        held_until = latest_lease_end(harness.timers.monotonic()) + 4.0
+        harness.scheduler.board.held_until = held_until
+        harness.client.failure = CallUnknownError("cut off")
+        harness.update_entry()
+        await harness.async_advance_time(LEASE_SECONDS + 2.0)
+        assert harness.dispatcher.unconfirmed_workers()
+        await harness.async_advance_time(4.0)
+        assert not harness.dispatcher.unconfirmed_workers()
+
+
+async def test_other_incarnation_at_the_address_means_the_worker_is_lost() -> None:
+    async with a_harness() as harness:
+        harness.client.failure = WrongIncarnationError("other")
+        harness.update_entry()
+        await harness.async_advance_time(0.1)
+        assert WORKER not in harness.scheduler.board.workers
+        assert not harness.dispatcher.unconfirmed_workers()
+
+
+async def test_ends_are_acknowledged_only_after_they_are_stored() -> None:
+    async with a_harness() as harness:
+        harness.update_entry()
+        await harness.async_advance_time(0.1)
+        session = harness.dispatcher.sessions[WORKER]
         session.received_upto = 7
         session.wake()
-        await bench.async_pass(1.0)
-        assert set(bench.client.seen) == {0}
+        await harness.async_advance_time(1.0)
+        assert set(harness.client.acknowledged) == {0}
         session.acknowledge(7)
-        bench.scheduler.board.workers[WORKER].stale = True
+        harness.scheduler.board.workers[WORKER].stale = True
         session.wake()
-        await bench.async_pass(1.0)
-        assert bench.client.seen[-1] == 7
-
-
-async def test_leases_are_given_on_the_workers_clock() -> None:
-    async with a_bench() as bench:
-        bench.see()
-        await bench.async_pass(0.1)
-        bench.scheduler.board.workers[WORKER].stale = True
-        bench.dispatcher.sessions[WORKER].wake()
-        await bench.async_pass(0.2)
-        assert bench.client.deadlines[0] is None
-        deadline = bench.client.deadlines[1]
+        await harness.async_advance_time(1.0)
+        assert harness.client.acknowledged[-1] == 7
+
+
+async def test_lease_deadlines_use_the_workers_clock() -> None:
+    async with a_harness() as harness:
+        harness.update_entry()
+        await harness.async_advance_time(0.1)
+        harness.scheduler.board.workers[WORKER].stale = True
+        harness.dispatcher.sessions[WORKER].wake()
+        await harness.async_advance_time(0.2)
+        assert harness.client.deadlines[0] is None
+        deadline = harness.client.deadlines[1]
         assert deadline is not None
         assert 5000 + 1000 * LEASE_SECONDS <= deadline < 5500 + 1000 * LEASE_SECONDS
--- a/tests/components/dispatch/test_window.py
+++ b/tests/components/dispatch/test_window.py
@@ -1,4 +1,4 @@
-"""Test that an owner decides on no more starts than it carries out in time."""
+"""Test that an owner plans no more starts than it can send in time."""
 
 from __future__ import annotations
 
@@ -20,87 +20,87 @@
 TICK_SECONDS = 0.01
 
 
-class CarryingOwner:
-    """Decide on starts, and let some of them leave in each tick.
+class PacedOwner:
+    """Plan starts and send a limited number of them per tick.
 
-    :param carried: starts that leave in a tick.
+    :param starts_per_tick: starts that are sent in a tick.
     """
 
-    def __init__(self, carried: int) -> None:
-        self.bench = SchedulerBench()
+    def __init__(self, starts_per_tick: int) -> None:
+        self.harness = SchedulerBench()
         self.window = StartWindow()
-        self.decided = 0
-        self.begun = 0
+        self.planned = 0
+        self.sent = 0
         self.seconds = 0.0
-        self._carried = carried
+        self._starts_per_tick = starts_per_tick
         self._waiting: deque[tuple[float, Start]] = deque()
         for number in range(WORKERS):
-            self.bench.worker(f"w{number:02d}", capacity=Room(64000, 64000))
+            self.harness.worker(f"w{number:02d}", capacity=Room(64000, 64000))
         for number in range(JOBS):
-            self.bench.add(a_job(a_step(count=TASKS, cpu=100), job=f"{number:016x}"))
+            self.harness.add(a_job(a_step(count=TASKS, cpu=100), job=f"{number:016x}"))
 
     def tick(self) -> None:
-        """Plan once, and carry out what there is time for."""
-        bench = self.bench
-        room = self.window.available(len(self._waiting))
-        commands = bench.scheduler.plan(bench.now, bench.now, room)
+        """Plan once and send as many starts as fit into a tick."""
+        harness = self.harness
+        available = self.window.available(len(self._waiting))
+        commands = harness.scheduler.plan(harness.now, harness.now, available)
         for start in commands:
             if isinstance(start, Start):
-                self.decided += 1
-                self._waiting.append((bench.now, start))
-        left = self._carried
-        while left and self._waiting:
-            decided_at, start = self._waiting.popleft()
-            if bench.now - decided_at > START_MAX_AGE_SECONDS:
-                self.window.record_withdrawn(bench.now)
-                bench.scheduler.reports.start_withdrawn(
-                    start.task, start.run, bench.now
+                self.planned += 1
+                self._waiting.append((harness.now, start))
+        remaining = self._starts_per_tick
+        while remaining and self._waiting:
+            planned_at, start = self._waiting.popleft()
+            if harness.now - planned_at > START_MAX_AGE_SECONDS:
+                self.window.record_withdrawn(harness.now)
+                harness.scheduler.reports.start_withdrawn(
+                    start.task, start.run, harness.now
                 )
                 continue
-            bench.accept(start)
-            self.begun += 1
-            left -= 1
-        bench.now += TICK_SECONDS
+            harness.accept(start)
+            self.sent += 1
+            remaining -= 1
+        harness.now += TICK_SECONDS
         self.seconds += TICK_SECONDS
 
     def run(self) -> None:
-        """Go on until all tasks have begun."""
-        while self.begun < JOBS * TASKS:
+        """Run until all tasks are started."""
+        while self.sent < JOBS * TASKS:
             self.tick()
 
 
-@pytest.mark.parametrize("carried", [1, 2, 5])
-def test_a_slow_owner_decides_little_in_vain(carried: int) -> None:
-    """Symptom: an owner short of processor time falls further and further behind.
+@pytest.mark.parametrize("starts_per_tick", [1, 2, 5])
+def test_slow_owner_plans_few_starts_in_vain(starts_per_tick: int) -> None:
+    """Guard against an owner short of processor time that falls further behind.
 
-    Load: 2,400 tasks at once, of which 100 to 500 can leave in a second. Sequence: all
-    are decided on, most are withdrawn half a second later, and all of these decided on
-    anew. Cause: nothing told the planner how much can be carried out.
+    Of 2,400 simultaneous tasks, 100 to 500 can be started per second. If the planner
+    does not know this limit, it plans all of them, most starts are withdrawn half a
+    second later, and these are planned again.
     """
-    owner = CarryingOwner(carried)
+    owner = PacedOwner(starts_per_tick)
     owner.run()
-    assert owner.decided < 1.5 * JOBS * TASKS
-    assert owner.seconds < 1.05 * JOBS * TASKS * TICK_SECONDS / carried
+    assert owner.planned < 1.5 * JOBS * TASKS
+    assert owner.seconds < 1.05 * JOBS * TASKS * TICK_SECONDS / starts_per_tick
 
 
-def test_a_fast_owner_is_not_held_back() -> None:
-    owner = CarryingOwner(carried=40)
+def test_fast_owner_is_not_limited() -> None:
+    owner = PacedOwner(starts_per_tick=40)
     owner.run()
-    assert owner.decided == JOBS * TASKS
+    assert owner.planned == JOBS * TASKS
     assert owner.seconds < 1.1 * JOBS * TASKS * TICK_SECONDS / 40
 
 
-def test_each_pool_has_its_turn_where_few_starts_may_be_decided() -> None:
-    bench = SchedulerBench()
+def test_pools_alternate_when_few_starts_may_be_planned() -> None:
+    harness = SchedulerBench()
     for pool in ("pool-a", "pool-b"):
-        bench.worker(f"{pool}-1", service=pool)
+        harness.worker(f"{pool}-1", service=pool)
     for number, pool in enumerate(("pool-a", "pool-b")):
-        bench.policy = QueuePolicy(service=pool, target_seconds=1.0)
-        bench.add(a_job(a_step(count=4, cpu=100), job=f"{number:016x}"))
+        harness.policy = QueuePolicy(service=pool, target_seconds=1.0)
+        harness.add(a_job(a_step(count=4, cpu=100), job=f"{number:016x}"))
     started = set()
     for _ in range(2):
-        for command in bench.scheduler.plan(bench.now, bench.now, 1):
+        for command in harness.scheduler.plan(harness.now, harness.now, 1):
             assert isinstance(command, Start)
-            bench.accept(command)
+            harness.accept(command)
             started.add(command.worker)
     assert started == {"pool-a-1", "pool-b-1"}
