--- a/mustardward/components/ownership/__init__.py
+++ b/mustardward/components/ownership/__init__.py
@@ -1,1 +1,1 @@
-"""Let one entry at a time own the shard, and work while it does."""
+"""Elect one entry at a time as the owner of the shard, and do the owner's work."""
--- a/mustardward/components/ownership/authority.py
+++ b/mustardward/components/ownership/authority.py
@@ -1,4 +1,4 @@
-"""Know whether an owner may still give orders."""
+"""Track whether an owner may still send commands."""
 
 from __future__ import annotations
 
@@ -7,51 +7,51 @@
 from dataclasses import dataclass, field
 
 from ..dispatch.const import AUTHORITY_SECONDS
-from .const import PAUSE_SECONDS
+from .const import PAUSE_THRESHOLD_SECONDS
 
 
 def boot_time() -> float:
-    """Return a steady clock that goes on while the machine is suspended."""
+    """Return a monotonic clock that continues while the machine is suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 @dataclass(slots=True, eq=False)
 class Authority:
-    """Hold until when orders may be given.
+    """Limit the time in which commands may be sent without a stored renewal.
 
-    Another entry that took over waits for the workers it can't reach only for as long
-    as this, and the lease on top of it.
+    After a takeover, the new owner waits no longer than this time plus a lease for
+    workers that it can't reach.
     """
 
     clock: Callable[[], float] = boot_time
-    _confirmed_at: float = field(init=False)
+    _renewed_at: float = field(init=False)
     _ticked_at: float = field(init=False)
 
     def __post_init__(self) -> None:
-        """Begin with an ownership that was just claimed."""
-        self._confirmed_at = self.clock()
-        self._ticked_at = self._confirmed_at
+        """Start from an ownership that was just claimed."""
+        self._renewed_at = self.clock()
+        self._ticked_at = self._renewed_at
 
-    def holds(self) -> bool:
-        """Return whether orders may be given now."""
+    def is_valid(self) -> bool:
+        """Return whether commands may be sent now."""
         now = self.clock()
-        if now - self._ticked_at > PAUSE_SECONDS:
+        if now - self._ticked_at > PAUSE_THRESHOLD_SECONDS:
             return False
-        return now - self._confirmed_at < AUTHORITY_SECONDS
+        return now - self._renewed_at < AUTHORITY_SECONDS
 
     def renewal_age_seconds(self) -> float:
-        """Return how long ago the newest renewal that is stored was sent."""
-        return self.clock() - self._confirmed_at
+        """Return how long ago the newest stored renewal was sent."""
+        return self.clock() - self._renewed_at
 
-    def confirm(self, sent_at: float) -> None:
-        """Take in that a renewal that was sent at a time is stored."""
-        self._confirmed_at = max(self._confirmed_at, sent_at)
+    def record_renewal(self, sent_at: float) -> None:
+        """Record a stored renewal; it counts from the time at which it was sent."""
+        self._renewed_at = max(self._renewed_at, sent_at)
 
-    def paused_for(self) -> float:
-        """Return how long the process was paused, in seconds, or 0."""
-        passed = self.clock() - self._ticked_at
-        return passed if passed > PAUSE_SECONDS else 0.0
+    def pause_seconds(self) -> float:
+        """Return how long the process was paused, or 0."""
+        elapsed = self.clock() - self._ticked_at
+        return elapsed if elapsed > PAUSE_THRESHOLD_SECONDS else 0.0
 
     def tick(self) -> None:
-        """Note that the process runs, and knows the newest owner."""
+        """Record that the process is running and has read the newest owner."""
         self._ticked_at = self.clock()
--- a/mustardward/components/ownership/const.py
+++ b/mustardward/components/ownership/const.py
@@ -1,68 +1,70 @@
-"""Hold the figures of ownership."""
+"""Define the timing of ownership."""
 
 from __future__ import annotations
 
 from typing import Final
 
-BEAT_SECONDS: Final = 0.4
-"""Interval of renewals; one write of the store's several hundred a second."""
+RENEWAL_INTERVAL_SECONDS: Final = 0.4
+"""Each renewal takes one of the several hundred writes per second of the store."""
 
-SILENCE_SECONDS: Final = 1.3
-"""Silence after which an owner counts as lost: three renewals and a slow answer."""
+OWNER_TIMEOUT_SECONDS: Final = 1.3
+"""Time without a renewal after which an owner counts as lost: three renewals and a slow
+answer."""
 
-JITTER_SECONDS: Final = 0.3
-"""Spread of the claims of equal entries, so that mostly one is made."""
+CLAIM_JITTER_SECONDS: Final = 0.3
+"""Spreads the claims of equally fast entries, so that usually only one is made."""
 
-RELEASED_JITTER_SECONDS: Final = 0.08
-SMALL_DELAY_SECONDS: Final = 0.35
-"""Added to the patience of an instance that is much smaller than the largest, so that
-those claim first; entries see a silence up to 0.15 s apart."""
+RELEASED_CLAIM_JITTER_SECONDS: Final = 0.08
+SLOW_INSTANCE_DELAY_SECONDS: Final = 0.35
+"""Added to the timeout of instances that are much slower than the fastest, so that
+faster ones claim first; entries detect a timeout up to 0.15 s apart."""
 
-HANDOVER_FACTOR: Final = 1.5
-"""An owner gives way to an instance that is faster by this. An owner with half a core
-and 600 tasks a second renewed leases too late, and they lapsed."""
+HANDOVER_SPEED_RATIO: Final = 1.5
+"""An owner hands over to an instance that is faster by this ratio. With half a core and
+600 tasks per second, an owner renews leases too late and they expire."""
 
-HANDOVER_AFTER_SECONDS: Final = 1.0
-HANDOVER_AGAIN_SECONDS: Final = 20.0
-"""Shortest time between two attempts of an entry to give way: the faster instances that
-are known may all be down."""
+HANDOVER_DELAY_SECONDS: Final = 1.0
+HANDOVER_INTERVAL_SECONDS: Final = 20.0
+"""Minimum time between two handovers by one entry: all faster instances that it knows
+of may be down."""
 
-WATCH_SECONDS: Final = 0.1
-PLAN_GAP_SECONDS: Final = 0.01
-"""Shortest time between two plans; what comes together is planned together."""
+OWNER_CHECK_SECONDS: Final = 0.1
+MIN_PLAN_INTERVAL_SECONDS: Final = 0.01
+"""Minimum time between two plans, so that events close together share one plan."""
 
-PLAN_SHARE: Final = 0.5
-"""Most of an owner's time for planning: what is planned has to be carried out too."""
+MAX_PLAN_SHARE: Final = 0.5
+"""Share of an owner's time for planning; the rest is left to execute the plans."""
 
-LONGEST_PLAN_GAP_SECONDS: Final = 0.3
-"""A task that has room waits this much longer for its start at most."""
+MAX_PLAN_DELAY_SECONDS: Final = 0.3
+"""Maximum additional wait of a task whose worker has free capacity."""
 
-PLAN_SECONDS: Final = 0.1
-PAUSE_SECONDS: Final = 1.0
-"""A step of the owner's clock by more than this means that the process was paused."""
+IDLE_PLAN_INTERVAL_SECONDS: Final = 0.1
+PAUSE_THRESHOLD_SECONDS: Final = 1.0
+"""A larger gap between two self-checks means that the process was paused."""
 
-STORED_JOBS_SECONDS: Final = 60.0
-"""Added to how long a job's state has to be readable, before its records go."""
+JOB_RETENTION_MARGIN_SECONDS: Final = 60.0
+"""Added to the time for which a job's state must be readable."""
 
-SWEEP_SECONDS: Final = 5.0
-"""Interval at which records of old jobs are dropped and sessions are looked over."""
+JOB_CLEANUP_INTERVAL_SECONDS: Final = 5.0
+"""Interval at which the records of expired jobs are removed."""
 
-TELL_SECONDS: Final = 1.0
-"""Interval of the lines that tell each pool's load."""
+LOAD_LOG_INTERVAL_SECONDS: Final = 1.0
+"""Interval of the log lines about the load of each pool and of the owner."""
 
-ANNOUNCE_SECONDS: Final = 1.0
-"""Longest wait for an order's announcement; it is decided anew after that."""
+ANNOUNCE_TIMEOUT_SECONDS: Final = 1.0
+"""Timeout of the announcement of an order, which is then decided again."""
 
-RELEASE_SECONDS: Final = 1.0
-"""Longest wait for a release; without it the others wait for a silence."""
+RELEASE_TIMEOUT_SECONDS: Final = 1.0
+"""Timeout of a release; without it, other entries wait for OWNER_TIMEOUT_SECONDS."""
 
-WATCH_OWN_SECONDS: Final = 0.2
-HELD_LOOK_SECONDS: Final = 0.02
+SELF_CHECK_SECONDS: Final = 0.2
+TAKEOVER_CHECK_SECONDS: Final = 0.02
 CONFIRM_RETRY_SECONDS: Final = 0.05
-"""Pauses of the owner's own looks: at itself, at who answered, at the log's end."""
+"""Intervals of an owner's checks of itself, of workers that have reported after a
+takeover, and of the end of the log."""
 
 OWNER_POLL_SECONDS: Final = 0.02
-"""An owner reads new jobs at once, but not more often than this."""
+"""Minimum interval at which an owner reads new jobs from the log."""
 
 FOLLOWER_POLL_SECONDS: Final = 0.15
-"""Other entries follow the log to answer callers and to take over."""
+"""Interval at which other entries read the log, to answer callers and to take over."""
--- a/mustardward/components/ownership/directory.py
+++ b/mustardward/components/ownership/directory.py
@@ -1,4 +1,4 @@
-"""Keep what workers say of themselves in the platform's store."""
+"""Maintain the workers' entries from the platform's store."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 @dataclass(slots=True, eq=False)
 class WorkerDirectory:
-    """Fold workers' entries by their id.
+    """Hold the newest entry of each worker by its id.
 
-    :param on_unusable: called when an entry names no worker to use any more; what runs
-        there stays accounted for, since the worker may live.
+    :param on_unusable: called when a worker's newest entry can't be read. The worker
+        may still be alive, so its runs remain tracked.
     """
 
     on_entry: Callable[[str, WorkerEntry], None]
-    on_gone: Callable[[str], None]
+    on_removed: Callable[[str], None]
     on_unusable: Callable[[str], None]
     entries: dict[str, WorkerEntry] = field(default_factory=dict)
 
     def apply(self, record: KeyedRecord) -> None:
-        """Fold one record; an empty value means that the entry is gone."""
+        """Apply one record; an empty value removes the entry."""
         if not record.value:
             if self.entries.pop(record.key, None) is not None:
-                self.on_gone(record.key)
+                self.on_removed(record.key)
             return
         try:
             entry = decode_worker_entry(record.key, record.value)
@@ -43,5 +43,5 @@
             self.on_entry(record.key, entry)
 
     def keys(self) -> Iterable[str]:
-        """Return the ids that are known."""
+        """Return the ids of the workers with an entry."""
         return self.entries
--- a/mustardward/components/ownership/election.py
+++ b/mustardward/components/ownership/election.py
@@ -1,4 +1,4 @@
-"""Decide when an entry claims the shard; pure."""
+"""Decide when an entry claims the shard, without I/O."""
 
 from __future__ import annotations
 
@@ -7,67 +7,71 @@
 
 from ..ledger.models import OwnerRecord
 from .const import (
-    HANDOVER_FACTOR,
-    JITTER_SECONDS,
-    RELEASED_JITTER_SECONDS,
-    SILENCE_SECONDS,
-    SMALL_DELAY_SECONDS,
+    CLAIM_JITTER_SECONDS,
+    HANDOVER_SPEED_RATIO,
+    OWNER_TIMEOUT_SECONDS,
+    RELEASED_CLAIM_JITTER_SECONDS,
+    SLOW_INSTANCE_DELAY_SECONDS,
 )
 
 
-def should_hand_over(own: float, others: Iterable[float]) -> bool:
-    """Return whether an owner should give way to a much faster instance."""
-    return any(speed >= HANDOVER_FACTOR * own for speed in others)
+def should_hand_over(own_speed: float, other_speeds: Iterable[float]) -> bool:
+    """Return whether an owner should hand over to a much faster instance."""
+    return any(speed >= HANDOVER_SPEED_RATIO * own_speed for speed in other_speeds)
 
 
 @dataclass(slots=True)
 class Election:
-    """Watch the owner's renewals as they are read from the log.
+    """Detect from the renewals in the log that the shard has no owner.
 
     :param node: this entry's name.
-    :param share: where in the spread of claims this entry stands, from 0 to 1.
-    :param small: whether a much larger instance is known, which should claim first.
+    :param jitter_position: this entry's fraction of the claim jitter, from 0 to 1.
+    :param is_slow: whether a much faster instance is known, which should claim first.
     """
 
     node: str
-    share: float
-    small: bool = False
-    seen: OwnerRecord | None = None
+    jitter_position: float
+    is_slow: bool = False
+    last_owner: OwnerRecord | None = None
     changed_at: float = 0.0
 
     @property
     def _delay(self) -> float:
-        return SMALL_DELAY_SECONDS if self.small else 0.0
+        return SLOW_INSTANCE_DELAY_SECONDS if self.is_slow else 0.0
 
-    def see(self, owner: OwnerRecord, now: float) -> None:
-        """Take in the newest owner's record."""
-        if owner != self.seen:
-            self.seen = owner
+    def observe(self, owner: OwnerRecord, now: float) -> None:
+        """Apply the newest owner's record and restart the timeout if it changed."""
+        if owner != self.last_owner:
+            self.last_owner = owner
             self.changed_at = now
 
-    def excuse(self, now: float) -> None:
-        """Start the owner's silence anew, since the log can't be read here.
+    def restart_timeout(self, now: float) -> None:
+        """Restart the owner's timeout while this entry can't read the log.
 
-        After an outage all entries would else claim at once, while the owner's
-        renewal is on its way.
+        Otherwise all entries would claim at once after an outage of the log, before the
+        owner's next renewal arrives.
         """
         self.changed_at = max(self.changed_at, now)
 
-    def due(self, now: float) -> bool:
-        """Return whether this entry should claim, once it has read the log's end.
+    def should_claim(self, now: float) -> bool:
+        """Return whether this entry should claim, provided it has read the log's end.
 
-        Silence is measured from the renewal as it was read here, on this entry's
-        steady clock, so no two clocks are ever compared.
+        The timeout starts when a renewal is read here, on this entry's monotonic clock,
+        so that the clocks of two entries are never compared.
         """
-        owner = self.seen
+        owner = self.last_owner
         if owner is None:
             return False
         if not owner.node:
-            patience = self.share * RELEASED_JITTER_SECONDS + self._delay
-            return now - self.changed_at >= patience
+            timeout = self.jitter_position * RELEASED_CLAIM_JITTER_SECONDS + self._delay
+            return now - self.changed_at >= timeout
         if owner.node == self.node:
-            # This entry's earlier process was the owner, and is gone: a node runs
-            # one process.
+            # The owner was this node's previous process, which has ended, since a
+            # node runs one process.
             return True
-        patience = SILENCE_SECONDS + self.share * JITTER_SECONDS + self._delay
-        return now - self.changed_at >= patience
+        timeout = (
+            OWNER_TIMEOUT_SECONDS
+            + self.jitter_position * CLAIM_JITTER_SECONDS
+            + self._delay
+        )
+        return now - self.changed_at >= timeout
--- a/mustardward/components/ownership/load.py
+++ b/mustardward/components/ownership/load.py
@@ -1,4 +1,4 @@
-"""Tell how busy an owner is, so that a late owner can be told from a full pool."""
+"""Log how busy an owner is, to distinguish a slow owner from a full pool."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from ..dispatch.lanes import CallQueue
 from ..dispatch.window import StartWindow
 from ..scheduling.run_lines import RunLines
-from .const import WATCH_OWN_SECONDS
+from .const import SELF_CHECK_SECONDS
 
 _LOGGER = get_logger(__name__)
 
 
 @dataclass(slots=True, eq=False)
 class OwnerLoad:
-    """Gather an owner's load between two lines.
+    """Collect an owner's maximum load between two log lines.
 
-    :param node: names the entry.
-    :param window: bounds how many starts wait to leave; it shrinks where they do for
+    :param node: the entry's name.
+    :param window: limits how many starts wait to be sent, and shrinks when they wait
         too long.
     """
 
@@ -27,44 +27,44 @@
     calls: CallQueue
     window: StartWindow
     lines: RunLines
-    _looked_at: float | None = None
-    _told_at: float | None = None
-    _most_lag: float = 0.0
-    _most_under_way: int = 0
-    _most_waiting: int = 0
+    _sampled_at: float | None = None
+    _logged_at: float | None = None
+    _max_lag_seconds: float = 0.0
+    _max_in_progress: int = 0
+    _max_waiting: int = 0
     _started: int = 0
     _ended: int = 0
 
-    def look(self, now: float) -> None:
-        """Take in that a look that is due each WATCH_OWN_SECONDS has come."""
-        if self._looked_at is not None:
-            lag = max(0.0, now - self._looked_at - WATCH_OWN_SECONDS)
-            LOOP_LAG_SECONDS.observe(lag)
-            self._most_lag = max(self._most_lag, lag)
-        self._looked_at = now
+    def sample(self, now: float) -> None:
+        """Sample the load, which is due every SELF_CHECK_SECONDS."""
+        if self._sampled_at is not None:
+            lag_seconds = max(0.0, now - self._sampled_at - SELF_CHECK_SECONDS)
+            LOOP_LAG_SECONDS.observe(lag_seconds)
+            self._max_lag_seconds = max(self._max_lag_seconds, lag_seconds)
+        self._sampled_at = now
         CALLS_UNDER_WAY.set(self.calls.in_progress)
-        self._most_under_way = max(self._most_under_way, self.calls.in_progress)
-        self._most_waiting = max(self._most_waiting, self.calls.waiting)
+        self._max_in_progress = max(self._max_in_progress, self.calls.in_progress)
+        self._max_waiting = max(self._max_waiting, self.calls.waiting)
 
-    def tell(self, now: float) -> None:
-        """Write a line, and begin anew."""
-        if self._told_at is not None:
-            seconds = max(1e-3, now - self._told_at)
+    def log(self, now: float) -> None:
+        """Log the load since the last line and reset the maxima."""
+        if self._logged_at is not None:
+            seconds = max(1e-3, now - self._logged_at)
             _LOGGER.info(
                 "owner_load",
                 node=self.node,
-                lag_seconds=round(self._most_lag, 3),
-                under_way=self._most_under_way,
-                waiting=self._most_waiting,
+                lag_seconds=round(self._max_lag_seconds, 3),
+                under_way=self._max_in_progress,
+                waiting=self._max_waiting,
                 start_window=self.window.size,
                 starts_a_second=round(
                     (self.lines.started_count - self._started) / seconds
                 ),
                 ends_a_second=round((self.lines.ended_count - self._ended) / seconds),
             )
-        self._told_at = now
-        self._most_lag = 0.0
-        self._most_under_way = 0
-        self._most_waiting = 0
+        self._logged_at = now
+        self._max_lag_seconds = 0.0
+        self._max_in_progress = 0
+        self._max_waiting = 0
         self._started = self.lines.started_count
         self._ended = self.lines.ended_count
--- a/mustardward/components/ownership/models.py
+++ b/mustardward/components/ownership/models.py
@@ -1,4 +1,4 @@
-"""Hold what an ownership is built on."""
+"""Define the dependencies of an ownership."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnerDependencies:
-    """Hold what an owner's work is built on.
+    """Provide the clients and state that an owner's work needs.
 
-    :param fleet_limits: what the platform's fleet calls take of all entries together.
+    :param fleet_limits: the platform's limits on fleet calls of all entries together.
     """
 
     node: str
--- a/mustardward/components/ownership/owner.py
+++ b/mustardward/components/ownership/owner.py
@@ -1,4 +1,4 @@
-"""Do an owner's work: plan, store what ended, renew, until deposed."""
+"""Do an owner's work: plan, store progress and renew the ownership until deposed."""
 
 from __future__ import annotations
 
@@ -31,73 +31,83 @@
 from .authority import Authority
 from .const import (
     CONFIRM_RETRY_SECONDS,
-    LONGEST_PLAN_GAP_SECONDS,
-    PLAN_GAP_SECONDS,
-    PLAN_SECONDS,
-    PLAN_SHARE,
-    SWEEP_SECONDS,
-    TELL_SECONDS,
-    WATCH_OWN_SECONDS,
+    IDLE_PLAN_INTERVAL_SECONDS,
+    JOB_CLEANUP_INTERVAL_SECONDS,
+    LOAD_LOG_INTERVAL_SECONDS,
+    MAX_PLAN_DELAY_SECONDS,
+    MAX_PLAN_SHARE,
+    MIN_PLAN_INTERVAL_SECONDS,
+    SELF_CHECK_SECONDS,
 )
 from .directory import WorkerDirectory
 from .load import OwnerLoad
 from .models import OwnerDependencies
 from .renewals import Renewals, blocked_until
-from .storing import Storing
+from .storing import ProgressWriter
 from .takeover import Takeover, hold_previous_runs
 
 _LOGGER = get_logger(__name__)
 
-_PLANNING: Final = Duty(PLAN_GAP_SECONDS, PLAN_SHARE, LONGEST_PLAN_GAP_SECONDS)
+_PLANNING: Final = Duty(
+    MIN_PLAN_INTERVAL_SECONDS, MAX_PLAN_SHARE, MAX_PLAN_DELAY_SECONDS
+)
 
-WORKERS_GAP_SECONDS = 0.1
-"""Entries are renewed each heartbeat; a change may be seen this much later."""
+WORKERS_POLL_SECONDS = 0.1
+"""Workers renew their entries with each heartbeat; changes are read this much later."""
 
 
 class Owner:
     """Own the shard under one epoch.
 
-    :param epoch: the fencing token of all orders and appends.
-    :param claim: the claim that won.
-    :param before: the newest record of the owner before.
+    :param epoch: the fencing token of all commands and appends.
+    :param claim: the id of the claim that won.
+    :param previous: the newest record of the previous owner.
     """
 
     def __init__(
-        self, parts: OwnerDependencies, epoch: int, claim: str, before: OwnerRecord
+        self,
+        dependencies: OwnerDependencies,
+        epoch: int,
+        claim: str,
+        previous: OwnerRecord,
     ) -> None:
-        self._parts = parts
-        self._before = before
+        self._dependencies = dependencies
+        self._previous = previous
         self._epoch = epoch
         self._claim = claim
         self._deposed = anyio.Event()
-        self._wake = anyio.Event()
+        self._plan_requested = anyio.Event()
         self._authority = Authority()
         self.scheduler = Scheduler(
             epoch,
-            parts.configuration.policy_of,
-            quota_of=parts.configuration.quota_of,
-            rate_of=parts.configuration.rate_of,
+            dependencies.configuration.policy_of,
+            quota_of=dependencies.configuration.quota_of,
+            rate_of=dependencies.configuration.rate_of,
         )
         self.appender = GroupAppender(
-            self._async_call_append, parts.timers, f"owner/{SHARD}", epoch, sequence=1
+            self._async_call_append,
+            dependencies.timers,
+            f"owner/{SHARD}",
+            epoch,
+            sequence=1,
         )
-        self._sighting = Sighting(parts.follower.async_confirm, MARKS_OF_OWNERS)
+        self._sighting = Sighting(dependencies.follower.async_confirm, MARKS_OF_OWNERS)
         self.appender.sighting = self._sighting
         self._renewals = Renewals(
             epoch,
             claim,
-            parts.node,
-            parts.timers,
+            dependencies.node,
+            dependencies.timers,
             self.appender,
-            parts.bounds.lease_ms / 1000,
+            dependencies.bounds.lease_ms / 1000,
         )
-        self._storing = Storing(
-            parts,
+        self._progress_writer = ProgressWriter(
+            dependencies,
             self.scheduler,
             self.appender,
             self._renewals,
             self._authority,
-            self._wake_up,
+            self._request_plan,
             self.depose,
         )
         self.dispatcher: Dispatcher | None = None
@@ -112,62 +122,64 @@
         """End this ownership; another entry has taken over."""
         self._deposed.set()
 
-    def kick(self) -> None:
-        """Plan and store soon."""
-        self._wake.set()
-        self._storing.kick()
+    def request_work(self) -> None:
+        """Request a plan and a write of progress."""
+        self._plan_requested.set()
+        self._progress_writer.request_write()
 
-    def _wake_up(self) -> None:
-        """Plan soon."""
-        self._wake.set()
+    def _request_plan(self) -> None:
+        """Request a plan."""
+        self._plan_requested.set()
 
     async def async_run(self) -> None:
-        """Work until deposed."""
-        parts = self._parts
+        """Run the owner's tasks until deposed."""
+        dependencies = self._dependencies
         async with anyio.create_task_group() as tasks:
             dispatcher = Dispatcher(
-                parts.http,
+                dependencies.http,
                 self.scheduler,
-                parts.timers,
+                dependencies.timers,
                 tasks,
                 self._epoch,
                 self.depose,
-                self.kick,
-                self._authority.holds,
-                parts.advice,
-                parts.bounds.hold_max_ms / 1000,
+                self.request_work,
+                self._authority.is_valid,
+                dependencies.advice,
+                dependencies.bounds.hold_max_ms / 1000,
                 self._authority.renewal_age_seconds,
             )
             self.dispatcher = dispatcher
             directory = WorkerDirectory(
-                self._see_worker, self._miss_worker, self.scheduler.bar_worker
+                self._update_worker,
+                self._mark_worker_missing,
+                self.scheduler.bar_worker,
             )
             follower = TopicFollower(
-                parts.store,
-                parts.timers,
+                dependencies.store,
+                dependencies.timers,
                 TOPIC_WORKERS,
                 directory.apply,
                 directory.keys,
-                WORKERS_GAP_SECONDS,
-                node=parts.node,
+                WORKERS_POLL_SECONDS,
+                node=dependencies.node,
             )
             self._take_over()
             tasks.start_soon(follower.async_run)
             tasks.start_soon(self.appender.async_run)
-            tasks.start_soon(self._storing.async_run, dispatcher.sessions)
+            tasks.start_soon(self._progress_writer.async_run, dispatcher.sessions)
             tasks.start_soon(self._async_plan)
             executor = dispatcher.executor
             lines = self.scheduler.reports.lines
-            load = OwnerLoad(parts.node, executor.calls, executor.window, lines)
-            tasks.start_soon(self._async_watch, directory, load)
-            if parts.fleet is not None:
-                self._start_fleet(parts.fleet, dispatcher, tasks)
+            load = OwnerLoad(dependencies.node, executor.calls, executor.window, lines)
+            tasks.start_soon(self._async_monitor, directory, load)
+            if dependencies.fleet is not None:
+                self._start_fleet(dependencies.fleet, dispatcher, tasks)
             takeover = Takeover(
                 self._epoch,
                 self.scheduler.board,
                 dispatcher,
-                parts.timers,
-                self._wake_up,
+                dependencies.timers,
+                self._request_plan,
                 self._fleet,
             )
             tasks.start_soon(takeover.async_run, follower)
@@ -177,44 +189,47 @@
             tasks.cancel_scope.cancel()
 
     async def async_release(self) -> None:
-        """Give the shard up, so that another entry claims it at once."""
+        """Release the shard, so that another entry claims it at once."""
         board = self.scheduler.board
-        settled = self._parts.timers.monotonic() >= board.held_until
+        settled = self._dependencies.timers.monotonic() >= board.held_until
         await self._renewals.async_release(settled)
         self.depose()
 
     def _start_fleet(
         self, client: FleetClient, dispatcher: Dispatcher, tasks: TaskGroup
     ) -> None:
-        parts = self._parts
-        now = parts.timers.monotonic()
-        lease = parts.bounds.lease_ms / 1000
-        barred = blocked_until(self._before, now, parts.timers.wall(), lease)
+        dependencies = self._dependencies
+        now = dependencies.timers.monotonic()
+        lease = dependencies.bounds.lease_ms / 1000
+        blocked = blocked_until(self._previous, now, dependencies.timers.wall(), lease)
         status = GroupAppender(
-            lambda records, producer: parts.store.async_append(
+            lambda records, producer: dependencies.store.async_append(
                 TOPIC_STATUS, records, producer
             ),
-            parts.timers,
+            dependencies.timers,
             f"status/{SHARD}",
             self._epoch,
         )
-        planner = WavePlanner(parts.bounds.maintenance_s)
+        planner = WavePlanner(dependencies.bounds.maintenance_s)
         fleet = Fleet(
-            ListReader(client, parts.timers, parts.fleet_limits.rate_per_s),
+            ListReader(
+                client, dependencies.timers, dependencies.fleet_limits.rate_per_s
+            ),
             Ordering(client, self._epoch, self._renewals.async_announce, self.depose),
-            barred,
-            parts.timers,
+            blocked,
+            dependencies.timers,
             self.scheduler,
             dispatcher,
-            parts.configuration,
-            parts.ledger,
+            dependencies.configuration,
+            dependencies.ledger,
             self.appender,
             planner,
             WaveTelling(status, planner),
             PoolPlanner(
-                parts.bounds.move_s, OrderBudget(parts.fleet_limits.duty_per_s)
+                dependencies.bounds.move_s,
+                OrderBudget(dependencies.fleet_limits.duty_per_s),
             ),
-            self._authority.holds,
+            self._authority.is_valid,
             tasks,
         )
         self._fleet = fleet
@@ -222,66 +237,69 @@
         tasks.start_soon(fleet.async_run)
 
     def _take_over(self) -> None:
-        parts = self._parts
-        now = parts.timers.monotonic()
-        wall = parts.timers.wall()
+        dependencies = self._dependencies
+        now = dependencies.timers.monotonic()
+        wall = dependencies.timers.wall()
         board = self.scheduler.board
-        hold_previous_runs(board, self._before, now)
+        hold_previous_runs(board, self._previous, now)
         for job in sorted(
-            parts.ledger.jobs.values(), key=lambda job: job.record.accepted_at
+            dependencies.ledger.jobs.values(), key=lambda job: job.record.accepted_at
         ):
             self.scheduler.add_job(job, now, wall)
-        parts.follower.watchers.append(self._sighting.see)
-        parts.ledger.on_job = self._add_job
-        parts.ledger.on_cancel = lambda job: self._cancel_job(job.record.id)
-        parts.ledger.on_told = lambda job: self._end_told(job.record.id)
-        parts.ahead.owner_knows = self.scheduler.has_ended
-        parts.configuration.on_change = self._configured
+        dependencies.follower.watchers.append(self._sighting.see)
+        dependencies.ledger.on_job = self._add_job
+        dependencies.ledger.on_cancel = lambda job: self._cancel_job(job.record.id)
+        dependencies.ledger.on_told = lambda job: self._end_reported_job(job.record.id)
+        dependencies.ahead.owner_knows = self.scheduler.has_ended
+        dependencies.configuration.on_change = self._apply_configuration
         _LOGGER.info(
-            "owner_started", node=parts.node, epoch=self._epoch, jobs=len(board.jobs)
+            "owner_started",
+            node=dependencies.node,
+            epoch=self._epoch,
+            jobs=len(board.jobs),
         )
 
     def _unsubscribe(self) -> None:
-        self._parts.follower.watchers.remove(self._sighting.see)
-        self._parts.ledger.on_job = None
-        self._parts.ledger.on_cancel = None
-        self._parts.ledger.on_told = None
-        self._parts.ahead.owner_knows = None
-        self._parts.configuration.on_change = None
+        self._dependencies.follower.watchers.remove(self._sighting.see)
+        self._dependencies.ledger.on_job = None
+        self._dependencies.ledger.on_cancel = None
+        self._dependencies.ledger.on_told = None
+        self._dependencies.ahead.owner_knows = None
+        self._dependencies.configuration.on_change = None
 
     def _add_job(self, job: LedgerJob) -> None:
-        timers = self._parts.timers
+        timers = self._dependencies.timers
         self.scheduler.add_job(job, timers.monotonic(), timers.wall())
-        self.kick()
+        self.request_work()
 
     def _cancel_job(self, job_id: str) -> None:
         self.scheduler.cancel_job(job_id)
-        self.kick()
+        self.request_work()
 
-    def _end_told(self, job_id: str) -> None:
+    def _end_reported_job(self, job_id: str) -> None:
         self.scheduler.end_told(job_id)
-        self.kick()
+        self.request_work()
 
-    def _configured(self) -> None:
+    def _apply_configuration(self) -> None:
         self.scheduler.update_policies()
-        self._wake.set()
+        self._plan_requested.set()
 
-    def _see_worker(self, worker_id: str, entry: WorkerEntry) -> None:
+    def _update_worker(self, worker_id: str, entry: WorkerEntry) -> None:
         if self.dispatcher is not None:
             self.dispatcher.see_worker(worker_id, entry)
-            self._wake.set()
+            self._plan_requested.set()
 
-    def _miss_worker(self, worker_id: str) -> None:
-        self.scheduler.miss_worker(worker_id, self._parts.timers.monotonic())
+    def _mark_worker_missing(self, worker_id: str) -> None:
+        self.scheduler.miss_worker(worker_id, self._dependencies.timers.monotonic())
 
     async def _async_plan(self) -> None:
-        timers = self._parts.timers
+        timers = self._dependencies.timers
         while True:
-            with anyio.move_on_after(PLAN_SECONDS):
-                await self._wake.wait()
-            self._wake = anyio.Event()
-            began = timers.monotonic()
-            if self._authority.holds() and self.dispatcher is not None:
+            with anyio.move_on_after(IDLE_PLAN_INTERVAL_SECONDS):
+                await self._plan_requested.wait()
+            self._plan_requested = anyio.Event()
+            started_at = timers.monotonic()
+            if self._authority.is_valid() and self.dispatcher is not None:
                 commands = self.scheduler.plan(
                     timers.monotonic(),
                     timers.wall(),
@@ -289,41 +307,41 @@
                 )
                 self.dispatcher.executor.execute(commands)
                 if self.scheduler.board.dirty:
-                    self._storing.kick()
-            spent = timers.monotonic() - began
-            await timers.async_sleep(_PLANNING.pause(spent))
+                    self._progress_writer.request_write()
+            elapsed = timers.monotonic() - started_at
+            await timers.async_sleep(_PLANNING.pause(elapsed))
 
-    async def _async_watch(self, directory: WorkerDirectory, load: OwnerLoad) -> None:
-        """Notice a pause of the process, a newer owner, and lost sessions."""
-        parts = self._parts
-        swept_at = 0.0
-        told_at = 0.0
+    async def _async_monitor(self, directory: WorkerDirectory, load: OwnerLoad) -> None:
+        """Detect pauses of the process, a newer owner and closed sessions."""
+        dependencies = self._dependencies
+        cleaned_up_at = 0.0
+        logged_at = 0.0
         while True:
-            lost = self._authority.paused_for()
-            if lost:
-                _LOGGER.warning("owner_paused", lost_seconds=lost)
-                while not await parts.follower.async_confirm():
-                    await parts.timers.async_sleep(CONFIRM_RETRY_SECONDS)
-            owner = parts.ledger.owner
+            pause_seconds = self._authority.pause_seconds()
+            if pause_seconds:
+                _LOGGER.warning("owner_paused", pause_seconds=pause_seconds)
+                while not await dependencies.follower.async_confirm():
+                    await dependencies.timers.async_sleep(CONFIRM_RETRY_SECONDS)
+            owner = dependencies.ledger.owner
             if owner.epoch > self._epoch or owner.claim != self._claim:
                 self.depose()
                 return
             self._authority.tick()
-            now = parts.timers.monotonic()
-            load.look(now)
-            if now - told_at > TELL_SECONDS:
-                told_at = now
+            now = dependencies.timers.monotonic()
+            load.sample(now)
+            if now - logged_at > LOAD_LOG_INTERVAL_SECONDS:
+                logged_at = now
                 log_loads(self.scheduler.board, now)
                 self.scheduler.waits.tell(now)
-                load.tell(now)
-            if now - swept_at > SWEEP_SECONDS:
-                swept_at = now
-                self._storing.drop_old_jobs()
+                load.log(now)
+            if now - cleaned_up_at > JOB_CLEANUP_INTERVAL_SECONDS:
+                cleaned_up_at = now
+                self._progress_writer.remove_expired_jobs()
             self._reopen_sessions(directory)
-            await parts.timers.async_sleep(WATCH_OWN_SECONDS)
+            await dependencies.timers.async_sleep(SELF_CHECK_SECONDS)
 
     def _reopen_sessions(self, directory: WorkerDirectory) -> None:
-        """Talk again to workers that were silent and may be back."""
+        """Open sessions with workers that were lost and may be available again."""
         if self.dispatcher is None:
             return
         for worker_id, entry in directory.entries.items():
@@ -334,4 +352,4 @@
     async def _async_call_append(
         self, records: list[Record], producer: Producer
     ) -> int:
-        return await self._parts.store.async_append(TOPIC, records, producer)
+        return await self._dependencies.store.async_append(TOPIC, records, producer)
--- a/mustardward/components/ownership/renewals.py
+++ b/mustardward/components/ownership/renewals.py
@@ -1,4 +1,4 @@
-"""Make the records that renew an ownership, and name what it orders."""
+"""Create the records that renew an ownership and announce its orders."""
 
 from __future__ import annotations
 
@@ -10,31 +10,36 @@
 from ..ledger.const import KEY_OWNER
 from ..ledger.ledger import encode
 from ..ledger.models import OwnerRecord
-from .const import ANNOUNCE_SECONDS, BEAT_SECONDS, RELEASE_SECONDS
+from .const import (
+    ANNOUNCE_TIMEOUT_SECONDS,
+    RELEASE_TIMEOUT_SECONDS,
+    RENEWAL_INTERVAL_SECONDS,
+)
 
 
 def blocked_until(
-    before: OwnerRecord, now: float, wall: float, lease_seconds: float
+    previous: OwnerRecord, now: float, wall: float, lease_seconds: float
 ) -> dict[str, float]:
-    """Return until when a new owner leaves instances alone, in steady seconds.
+    """Return until when a new owner may not order instances, in monotonic seconds.
 
-    Two holders that order the same instance within a lease look like two owners that
-    take turns. An owner's renewals name what it ordered lately, before it does.
+    Two owners that order the same instance within one lease look as if they alternated.
+    An owner's renewals therefore name each instance before it is ordered, for the time
+    of a lease.
     """
-    passed = max(0.0, wall - before.wall)
-    until = now + max(0.0, lease_seconds - passed)
-    return dict.fromkeys(before.ordered, until)
+    elapsed = max(0.0, wall - previous.wall)
+    until = now + max(0.0, lease_seconds - elapsed)
+    return dict.fromkeys(previous.ordered, until)
 
 
-async def _async_name_nothing(renewals: Renewals, /, machine: str) -> bool:
+async def _async_skip_announcement(renewals: Renewals, /, machine: str) -> bool:
     return True
 
 
 @dataclass(slots=True, eq=False)
 class Renewals:
-    """Renew one ownership until it is given up.
+    """Renew one ownership until it is released.
 
-    :param lease_seconds: how long an order's instance is named.
+    :param lease_seconds: how long renewals name an ordered instance.
     """
 
     epoch: int
@@ -43,18 +48,20 @@
     timers: TimerService
     appender: GroupAppender
     lease_seconds: float
-    _beat: int = 0
+    _renewal_count: int = 0
     _sent_at: float = 0.0
     _released: bool = False
     _ordered: dict[str, float] = field(default_factory=dict)
 
-    def due(self, with_others: bool) -> list[Record]:
-        """Return the renewal that should go now, or nothing.
+    def due_records(self, with_others: bool) -> list[Record]:
+        """Return the renewal that is due, or nothing.
 
-        :param with_others: whether other records go anyway.
+        :param with_others: whether other records are appended anyway.
         """
         now = self.timers.monotonic()
-        if self._released or not (with_others or now - self._sent_at >= BEAT_SECONDS):
+        if self._released or not (
+            with_others or now - self._sent_at >= RENEWAL_INTERVAL_SECONDS
+        ):
             return []
         self._sent_at = now
         return [self._record(self.node)]
@@ -62,30 +69,31 @@
     @switchable(
         "named-orders",
         "an instance is named in the log before it is ordered",
-        without=_async_name_nothing,
+        without=_async_skip_announcement,
     )
     async def async_announce(self, machine: str) -> bool:
-        """Name an instance in the log before it is ordered; return whether it is."""
+        """Name an instance in the log before it is ordered; return whether stored."""
         if self._released:
             return False
         self._ordered[machine] = self.timers.wall()
-        until = self.timers.monotonic() + ANNOUNCE_SECONDS
+        until = self.timers.monotonic() + ANNOUNCE_TIMEOUT_SECONDS
         outcome = await self.appender.async_append([self._record(self.node)], until)
         return outcome is Outcome.STORED and not self._released
 
     async def async_release(self, settled: bool) -> None:
-        """Give the ownership up.
+        """Release the ownership.
 
-        :param settled: whether all that an owner before may have started is known.
+        :param settled: whether all runs that previous owners may have started are
+            known.
         """
-        # A renewal behind the release would take it back, and others would wait as
-        # for an owner that died.
+        # A renewal after the release would revoke it, and the other entries would wait
+        # for the timeout of a lost owner.
         self._released = True
-        until = self.timers.monotonic() + RELEASE_SECONDS
+        until = self.timers.monotonic() + RELEASE_TIMEOUT_SECONDS
         await self.appender.async_append([self._record("", settled)], until)
 
     def _record(self, node: str, settled: bool = False) -> Record:
-        self._beat += 1
+        self._renewal_count += 1
         wall = self.timers.wall()
         self._ordered = {
             machine: at
@@ -94,6 +102,6 @@
         }
         ordered = sorted(self._ordered)
         owner = OwnerRecord(
-            self.epoch, self.claim, node, self._beat, wall, ordered, settled
+            self.epoch, self.claim, node, self._renewal_count, wall, ordered, settled
         )
         return (KEY_OWNER, encode(owner))
--- a/mustardward/components/ownership/services.py
+++ b/mustardward/components/ownership/services.py
@@ -1,4 +1,4 @@
-"""Claim the shard when nobody owns it, and own it until deposed."""
+"""Claim the shard when it has no owner, and own it until deposed."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 from ..ledger.models import OwnerRecord
 from ..ledger.sighting import async_or_seen
 from .const import (
-    HANDOVER_AFTER_SECONDS,
-    HANDOVER_AGAIN_SECONDS,
+    HANDOVER_DELAY_SECONDS,
+    HANDOVER_INTERVAL_SECONDS,
+    OWNER_CHECK_SECONDS,
     OWNER_POLL_SECONDS,
-    WATCH_SECONDS,
 )
 from .election import Election, should_hand_over
 from .models import OwnerDependencies
@@ -35,125 +35,130 @@
 
 
 class Ownership:
-    """Take part in the shard's ownership.
+    """Take part in the election of the shard's owner.
 
-    :param share: where in the spread of claims this entry stands, from 0 to 1.
+    :param jitter_position: this entry's fraction of the claim jitter, from 0 to 1.
     """
 
-    def __init__(self, parts: OwnerDependencies, share: float) -> None:
-        self._parts = parts
-        self._election = Election(parts.node, share)
-        self._leaving = False
-        self._gave_way_at = -math.inf
+    def __init__(self, dependencies: OwnerDependencies, jitter_position: float) -> None:
+        self._dependencies = dependencies
+        self._election = Election(dependencies.node, jitter_position)
+        self._resigning = False
+        self._handed_over_at = -math.inf
         self.owner: Owner | None = None
 
     async def async_run(self) -> None:
-        """Watch the owner, and take its place when it is lost."""
-        parts = self._parts
-        await parts.follower.async_wait_loaded()
-        while not self._leaving:
-            now = parts.timers.monotonic()
-            self._election.see(parts.ledger.owner, now)
-            self._election.small = self._is_small()
-            if parts.follower.failing_since is not None:
-                self._election.excuse(now)
-            if self._election.due(now) and await self._async_still_due():
+        """Monitor the owner and claim the shard when the owner is lost."""
+        dependencies = self._dependencies
+        await dependencies.follower.async_wait_loaded()
+        while not self._resigning:
+            now = dependencies.timers.monotonic()
+            self._election.observe(dependencies.ledger.owner, now)
+            self._election.is_slow = self._is_slow()
+            if dependencies.follower.failing_since is not None:
+                self._election.restart_timeout(now)
+            if (
+                self._election.should_claim(now)
+                and await self._async_should_still_claim()
+            ):
                 owner = await self._async_claim()
                 if owner is not None:
-                    await self._async_own(owner)
+                    await self._async_run_owner(owner)
                 continue
-            await parts.timers.async_sleep(WATCH_SECONDS)
-
-    async def _async_give_way(self, owner: Owner) -> None:
-        """Let a much faster instance own the shard, if there is one."""
-        parts = self._parts
-        await parts.timers.async_sleep(HANDOVER_AFTER_SECONDS)
-        now = parts.timers.monotonic()
-        if not self._is_small():
+            await dependencies.timers.async_sleep(OWNER_CHECK_SECONDS)
+
+    async def _async_hand_over(self, owner: Owner) -> None:
+        """Release the shard if a much faster instance is known."""
+        dependencies = self._dependencies
+        await dependencies.timers.async_sleep(HANDOVER_DELAY_SECONDS)
+        now = dependencies.timers.monotonic()
+        if not self._is_slow():
             return
-        if now - self._gave_way_at < HANDOVER_AGAIN_SECONDS:
+        if now - self._handed_over_at < HANDOVER_INTERVAL_SECONDS:
             return
-        self._gave_way_at = now
-        _LOGGER.info("owner_gives_way", epoch=owner.epoch, speed=parts.speed)
+        self._handed_over_at = now
+        _LOGGER.info("owner_handover", epoch=owner.epoch, speed=dependencies.speed)
         await owner.async_release()
 
-    def _is_small(self) -> bool:
-        parts = self._parts
-        speeds = [node.speed for node in parts.ledger.nodes.values()]
-        return should_hand_over(parts.speed, speeds)
+    def _is_slow(self) -> bool:
+        dependencies = self._dependencies
+        speeds = [node.speed for node in dependencies.ledger.nodes.values()]
+        return should_hand_over(dependencies.speed, speeds)
 
     async def async_resign(self) -> None:
-        """Claim nothing any more, and give up what is owned."""
-        self._leaving = True
+        """Stop claiming and release the shard if it is owned."""
+        self._resigning = True
         if self.owner is not None:
             await self.owner.async_release()
 
-    async def _async_still_due(self) -> bool:
-        """Return whether the log's present end shows no renewal either."""
-        parts = self._parts
-        if not await parts.follower.async_confirm():
-            await parts.timers.async_sleep(RETRY_SECONDS)
+    async def _async_should_still_claim(self) -> bool:
+        """Return whether to claim even after reading the current end of the log."""
+        dependencies = self._dependencies
+        if not await dependencies.follower.async_confirm():
+            await dependencies.timers.async_sleep(RETRY_SECONDS)
             return False
-        now = parts.timers.monotonic()
-        self._election.see(parts.ledger.owner, now)
-        return self._election.due(now)
+        now = dependencies.timers.monotonic()
+        self._election.observe(dependencies.ledger.owner, now)
+        return self._election.should_claim(now)
 
     async def _async_claim(self) -> Owner | None:
-        """Claim the next epoch; the log's first record of it decides who has it.
+        """Claim the next epoch; the first record of it in the log wins.
 
-        Two entries that claim the same epoch use the same producer, epoch and number,
-        so the log keeps one of the two records and answers both.
+        Two entries that claim the same epoch use the same producer, epoch and sequence
+        number, so that the log keeps one of the two records and confirms both.
         """
-        parts = self._parts
-        epoch = parts.ledger.owner.epoch + 1
-        before = parts.ledger.owner
+        dependencies = self._dependencies
+        epoch = dependencies.ledger.owner.epoch + 1
+        previous = dependencies.ledger.owner
         claim = secrets.token_hex(8)
-        record = OwnerRecord(epoch, claim, parts.node, 0, parts.timers.wall())
+        record = OwnerRecord(
+            epoch, claim, dependencies.node, 0, dependencies.timers.wall()
+        )
         if not await self._async_append(record):
             return None
-        while parts.ledger.owner.epoch < epoch:
-            if not await parts.follower.async_confirm():
-                await parts.timers.async_sleep(RETRY_SECONDS)
-        won = parts.ledger.owner.claim == claim
+        while dependencies.ledger.owner.epoch < epoch:
+            if not await dependencies.follower.async_confirm():
+                await dependencies.timers.async_sleep(RETRY_SECONDS)
+        won = dependencies.ledger.owner.claim == claim
         _LOGGER.info("shard_claimed", epoch=epoch, won=won)
-        return Owner(parts, epoch, claim, before) if won else None
+        return Owner(dependencies, epoch, claim, previous) if won else None
 
     async def _async_append(self, record: OwnerRecord) -> bool:
-        parts = self._parts
+        dependencies = self._dependencies
         producer = Producer(f"owner/{SHARD}", record.epoch, 0)
-        while parts.ledger.owner.epoch < record.epoch:
+        while dependencies.ledger.owner.epoch < record.epoch:
             try:
                 await async_or_seen(
-                    parts.timers,
+                    dependencies.timers,
                     partial(
-                        parts.store.async_append,
+                        dependencies.store.async_append,
                         TOPIC,
                         [(KEY_OWNER, encode(record))],
                         producer,
                     ),
-                    parts.follower.async_confirm,
-                    lambda: parts.ledger.owner.epoch >= record.epoch,
+                    dependencies.follower.async_confirm,
+                    lambda: dependencies.ledger.owner.epoch >= record.epoch,
                 )
                 return True
             except (FencedError, SequenceError):
-                await parts.follower.async_confirm()
+                await dependencies.follower.async_confirm()
                 return False
             except (CallRefusedError, CallUnknownError) as error:
                 _LOGGER.warning("claim_unanswered", detail=error.detail)
-                await parts.timers.async_sleep(RETRY_SECONDS)
+                await dependencies.timers.async_sleep(RETRY_SECONDS)
         return True
 
-    async def _async_own(self, owner: Owner) -> None:
+    async def _async_run_owner(self, owner: Owner) -> None:
         self.owner = owner
         OWNED_EPOCH.set(owner.epoch)
-        self._parts.follower.hurry(OWNER_POLL_SECONDS)
+        self._dependencies.follower.hurry(OWNER_POLL_SECONDS)
         try:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._async_give_way, owner)
+                tasks.start_soon(self._async_hand_over, owner)
                 await owner.async_run()
                 tasks.cancel_scope.cancel()
         finally:
             self.owner = None
             OWNED_EPOCH.set(0)
             OLDEST_WAIT_SECONDS.set(0)
-            self._parts.follower.hurry(None)
+            self._dependencies.follower.hurry(None)
--- a/mustardward/components/ownership/storing.py
+++ b/mustardward/components/ownership/storing.py
@@ -1,4 +1,4 @@
-"""Store what an owner's jobs have come to, and its renewals with it."""
+"""Store the progress of an owner's jobs together with its renewals."""
 
 from __future__ import annotations
 
@@ -20,91 +20,99 @@
 from ..ledger.models import JobState
 from ..scheduling.scheduler import Scheduler
 from .authority import Authority
-from .const import BEAT_SECONDS, STORED_JOBS_SECONDS
+from .const import JOB_RETENTION_MARGIN_SECONDS, RENEWAL_INTERVAL_SECONDS
 from .models import OwnerDependencies
 from .renewals import Renewals
 
-FOREVER_SECONDS: Final = 86400.0
-"""An owner's progress is stored, or the owner is deposed; there is no third way."""
+APPEND_TIMEOUT_SECONDS: Final = 86400.0
+"""Long enough that an append either is stored or ends because the owner is deposed."""
 
 
 @dataclass(slots=True, eq=False)
-class Storing:
-    """Append progress and renewals, and let workers forget what is stored.
+class ProgressWriter:
+    """Append progress and renewals, and acknowledge stored ends to the workers.
 
     :param on_stored: called after an append, since jobs may start now.
-    :param depose: called when the log takes nothing of this owner any more.
+    :param depose: called when the log accepts no more records of this owner.
     """
 
-    parts: OwnerDependencies
+    dependencies: OwnerDependencies
     scheduler: Scheduler
     appender: GroupAppender
     renewals: Renewals
     authority: Authority
     on_stored: Callable[[], None]
     depose: Callable[[], None]
-    _dirty: anyio.Event = field(default_factory=anyio.Event)
+    _write_requested: anyio.Event = field(default_factory=anyio.Event)
 
-    def kick(self) -> None:
-        """Store soon."""
-        self._dirty.set()
+    def request_write(self) -> None:
+        """Request a write without waiting for the next interval."""
+        self._write_requested.set()
 
     async def async_run(self, sessions: dict[str, WorkerSession]) -> None:
-        """Store progress, then let workers forget the ends that it came from."""
+        """Store progress, then acknowledge the ends that it includes."""
         while True:
-            with anyio.move_on_after(BEAT_SECONDS / 2):
-                await self._dirty.wait()
-            self._dirty = anyio.Event()
-            job_ids, records = self._records()
-            upto = [(session, session.received_upto) for session in sessions.values()]
+            with anyio.move_on_after(RENEWAL_INTERVAL_SECONDS / 2):
+                await self._write_requested.wait()
+            self._write_requested = anyio.Event()
+            job_ids, records = self._collect_records()
+            received = [
+                (session, session.received_upto) for session in sessions.values()
+            ]
             if records and not await self._async_append(job_ids, records):
                 self.depose()
                 return
-            for session, number in upto:
+            for session, number in received:
                 session.acknowledge(number)
 
-    def drop_old_jobs(self) -> None:
-        """Drop the records of jobs that nobody may ask for any more."""
-        wall = self.parts.timers.wall()
-        keep = self.parts.bounds.status_s + STORED_JOBS_SECONDS
-        old: list[Record] = []
-        for job_id, job in self.parts.ledger.jobs.items():
-            if not job.state.final or not job.ended_at or wall - job.ended_at <= keep:
+    def remove_expired_jobs(self) -> None:
+        """Remove the records of jobs that were readable for long enough."""
+        wall = self.dependencies.timers.wall()
+        retention_seconds = (
+            self.dependencies.bounds.status_s + JOB_RETENTION_MARGIN_SECONDS
+        )
+        expired: list[Record] = []
+        for job_id, job in self.dependencies.ledger.jobs.items():
+            if (
+                not job.state.final
+                or not job.ended_at
+                or wall - job.ended_at <= retention_seconds
+            ):
                 continue
-            old.append((PREFIX_JOB + job_id, b""))
-            old.append((PREFIX_PROGRESS + job_id, b""))
+            expired.append((PREFIX_JOB + job_id, b""))
+            expired.append((PREFIX_PROGRESS + job_id, b""))
             if job.cancelled_at:
-                old.append((PREFIX_CANCEL + job_id, b""))
+                expired.append((PREFIX_CANCEL + job_id, b""))
             if job.told_at:
-                old.append((PREFIX_TOLD + job_id, b""))
-        if old:
-            self.appender.post(old)
+                expired.append((PREFIX_TOLD + job_id, b""))
+        if expired:
+            self.appender.post(expired)
 
     async def _async_append(self, job_ids: list[str], records: list[Record]) -> bool:
-        """Return whether records were stored; else another entry owns the shard."""
+        """Return whether records were stored; if not, another entry owns the shard."""
         sent_at = self.authority.clock()
-        until = self.parts.timers.monotonic() + FOREVER_SECONDS
+        until = self.dependencies.timers.monotonic() + APPEND_TIMEOUT_SECONDS
         outcome = await self.appender.async_append(records, until)
         if outcome is not Outcome.STORED:
             return False
-        self.authority.confirm(sent_at)
+        self.authority.record_renewal(sent_at)
         self.scheduler.note_stored(job_ids)
         self.on_stored()
         return True
 
-    def _records(self) -> tuple[list[str], list[Record]]:
-        """Return the jobs whose progress is to be stored, and all that is."""
-        timers = self.parts.timers
+    def _collect_records(self) -> tuple[list[str], list[Record]]:
+        """Return the ids of jobs with new progress, and all records to store."""
+        timers = self.dependencies.timers
         dirty = self.scheduler.take_dirty(timers.monotonic(), timers.wall())
         records: list[Record] = []
         for job_id, progress in dirty:
             records.append((PREFIX_PROGRESS + job_id, encode(progress)))
             if progress.state is JobState.DONE:
-                # The scheduler may forget it before the append is through.
-                self.parts.ahead.hold(job_id)
-            job = self.parts.ledger.jobs.get(job_id)
+                # The scheduler may remove the job before the append completes.
+                self.dependencies.ahead.hold(job_id)
+            job = self.dependencies.ledger.jobs.get(job_id)
             if progress.state.final and job is not None and not job.record.is_stub:
                 records.append((PREFIX_JOB + job_id, encode(job.record.as_stub())))
         job_ids = [job_id for job_id, _ in dirty]
-        # First, so that it is in the first piece if one call does not take all.
-        return job_ids, self.renewals.due(with_others=bool(records)) + records
+        # The renewal comes first, to be in the first part of a split append.
+        return job_ids, self.renewals.due_records(with_others=bool(records)) + records
--- a/mustardward/components/ownership/takeover.py
+++ b/mustardward/components/ownership/takeover.py
@@ -1,4 +1,4 @@
-"""Find out after a takeover what the owner before may have left running."""
+"""Find out after a takeover which runs of the previous owner may be left."""
 
 from __future__ import annotations
 
@@ -13,83 +13,83 @@
 from ..ledger.follower import TopicFollower
 from ..ledger.models import OwnerRecord
 from ..scheduling.board import Board
-from .const import HELD_LOOK_SECONDS
+from .const import TAKEOVER_CHECK_SECONDS
 
 _LOGGER = get_logger(__name__)
 
 
 @dataclass(slots=True, eq=False)
 class Takeover:
-    """Hold the jobs that an owner before had taken in, until it is known what runs.
+    """Hold the jobs of previous owners until it is known which of their tasks run.
 
-    A worker that does not answer may still run anything that an earlier owner gave it:
-    to start that elsewhere would run it twice.
+    A worker that does not answer may still run any task that a previous owner started
+    on it; to start that task elsewhere would run it twice.
 
-    :param wake: plans anew.
-    :param fleet: knows the list of instances; None where there is no such list.
+    :param request_plan: requests a new plan.
+    :param fleet: provides the list of instances; None where there is no such list.
     """
 
     epoch: int
     board: Board
     dispatcher: Dispatcher
     timers: TimerService
-    wake: Callable[[], None]
+    request_plan: Callable[[], None]
     fleet: Fleet | None = None
 
     async def async_run(self, directory: TopicFollower) -> None:
-        """Release them once all workers were heard of, or leases have run out.
+        """Release the jobs once all workers have reported or all leases have expired.
 
-        :param directory: reads workers' entries; before it did, none is known.
+        :param directory: reads the workers' entries; no worker is known before that.
         """
         await directory.async_wait_loaded()
         while self.timers.monotonic() < self.board.held_until:
-            self.release()
-            await self.timers.async_sleep(HELD_LOOK_SECONDS)
-        self.wake()
-
-    def release(self) -> None:
-        """Start again what was held, once every worker that may run it was heard of."""
-        accounted = self._accounted()
-        if accounted != self.board.accounted:
-            self.board.accounted = accounted
-            zones = ",".join(sorted(accounted))
-            _LOGGER.info("zones_accounted", epoch=self.epoch, zones=zones)
-            self.wake()
-        if not self._all_heard():
+            self.try_release()
+            await self.timers.async_sleep(TAKEOVER_CHECK_SECONDS)
+        self.request_plan()
+
+    def try_release(self) -> None:
+        """Release held jobs if every worker that may run their tasks has reported."""
+        reconciled = self._reconciled_zones()
+        if reconciled != self.board.accounted:
+            self.board.accounted = reconciled
+            zones = ",".join(sorted(reconciled))
+            _LOGGER.info("zones_reconciled", epoch=self.epoch, zones=zones)
+            self.request_plan()
+        if not self._all_workers_reported():
             return
         self.board.held_until = 0.0
         _LOGGER.info("takeover_complete", epoch=self.epoch)
 
-    def _accounted(self) -> frozenset[str]:
-        """Return the data centres all of whose workers told what they run.
+    def _reconciled_zones(self) -> frozenset[str]:
+        """Return the data centres all of whose workers have reported their runs.
 
-        One of which no worker was heard is none of them: its workers may be in neither
-        entries nor list, for they are cut off from both.
+        A data centre without any report is not included: its workers may be missing
+        from both entries and list because they are disconnected from both.
         """
         listed = self.fleet.listed_workers() if self.fleet is not None else {}
         if listed is None:
             return frozenset()
         workers = self.board.workers
-        heard = {worker.zone for worker in workers.values() if worker.confirmed}
-        silent = {
+        confirmed = {worker.zone for worker in workers.values() if worker.confirmed}
+        unconfirmed = {
             workers[name].zone
             for name in self.dispatcher.unconfirmed_workers()
             if name in workers
         }
-        unknown = {
+        without_session = {
             zone
             for name, zone in listed.items()
             if name not in self.dispatcher.sessions
         }
-        return frozenset(heard - silent - unknown - {""})
+        return frozenset(confirmed - unconfirmed - without_session - {""})
 
-    def _all_heard(self) -> bool:
-        """Return whether every worker that may run something told what it runs.
+    def _all_workers_reported(self) -> bool:
+        """Return whether every worker that may have runs has reported them.
 
-        A worker's entry may have lapsed while the store was away, so the fleet's list
-        has to name no worker that is not known here either. All pools wait for each
-        other: that a pool's own workers were all heard of says less, since one that is
-        cut off may be in neither, while others that were cut off with it still are.
+        A worker's entry may have expired while the store was unavailable, so the
+        fleet's list must not name an unknown worker either. All pools wait for each
+        other, since a disconnected worker may be missing from both, while workers of
+        other pools that were disconnected with it are still listed.
         """
         if self.dispatcher.unconfirmed_workers():
             return False
@@ -101,15 +101,16 @@
         return all(name in self.dispatcher.sessions for name in listed)
 
 
-def hold_previous_runs(board: Board, before: OwnerRecord, now: float) -> None:
-    """Hold what the owner before may have started for as long as it may run.
+def hold_previous_runs(board: Board, previous: OwnerRecord, now: float) -> None:
+    """Hold tasks that previous owners may have started for as long as they may run.
 
-    One that gave the shard up gives no more orders; one that fell silent may, for as
-    long as its last renewal allows. So may one before an owner that gave the shard up
-    within that time, and did not hear of all workers: after two changes of owner in a
-    row, the first by a cut, tasks ran twice beside leases that were still renewed.
+    An owner that released the shard sends no more commands; one that was lost may, for
+    as long as its last renewal allows. The same is true of the owner before one that
+    released the shard within this time, without reports of all workers: after two
+    changes of owner in a row, the first by a network partition, tasks would run twice
+    while the first owner still renews their leases.
     """
-    over = not before.node and before.settled
-    authority = 0.0 if over else AUTHORITY_SECONDS
+    authority_ended = not previous.node and previous.settled
+    authority = 0.0 if authority_ended else AUTHORITY_SECONDS
     board.held_until = latest_lease_end(now) + authority
     board.taken_over_at = now
--- a/tests/components/ownership/test_authority.py
+++ b/tests/components/ownership/test_authority.py
@@ -4,7 +4,7 @@
 
 from mustardward.components.dispatch.const import AUTHORITY_SECONDS
 from mustardward.components.ownership.authority import Authority
-from mustardward.components.ownership.const import PAUSE_SECONDS
+from mustardward.components.ownership.const import PAUSE_THRESHOLD_SECONDS
 
 
 class _Clock:
@@ -23,10 +23,10 @@
     for _ in range(round(AUTHORITY_SECONDS / 0.5) - 1):
         clock.now += 0.5
         authority.tick()
-        assert authority.holds()
+        assert authority.is_valid()
     clock.now += 0.6
     authority.tick()
-    assert not authority.holds()
+    assert not authority.is_valid()
 
 
 def test_a_renewal_counts_from_when_it_was_sent() -> None:
@@ -35,10 +35,10 @@
     authority = Authority(clock)
     clock.now += 3.0
     authority.tick()
-    authority.confirm(sent_at=101.0)
+    authority.record_renewal(sent_at=101.0)
     clock.now = 101.0 + AUTHORITY_SECONDS
     authority.tick()
-    assert not authority.holds()
+    assert not authority.is_valid()
 
 
 def test_a_process_that_was_paused_has_none_until_it_looked() -> None:
@@ -50,9 +50,9 @@
     """
     clock = _Clock()
     authority = Authority(clock)
-    clock.now += PAUSE_SECONDS + 0.1
-    assert authority.paused_for() > 0
-    assert not authority.holds()
+    clock.now += PAUSE_THRESHOLD_SECONDS + 0.1
+    assert authority.pause_seconds() > 0
+    assert not authority.is_valid()
     authority.tick()
-    assert authority.paused_for() == 0
-    assert authority.holds()
+    assert authority.pause_seconds() == 0
+    assert authority.is_valid()
--- a/tests/components/ownership/test_election.py
+++ b/tests/components/ownership/test_election.py
@@ -4,21 +4,21 @@
 
 from mustardward.components.ledger.models import OwnerRecord
 from mustardward.components.ownership.const import (
-    JITTER_SECONDS,
-    SILENCE_SECONDS,
-    SMALL_DELAY_SECONDS,
+    CLAIM_JITTER_SECONDS,
+    OWNER_TIMEOUT_SECONDS,
+    SLOW_INSTANCE_DELAY_SECONDS,
 )
 from mustardward.components.ownership.election import (
     Election,
     should_hand_over,
 )
 
-LONGEST = SILENCE_SECONDS + JITTER_SECONDS
+LONGEST = OWNER_TIMEOUT_SECONDS + CLAIM_JITTER_SECONDS
 
 
-def an_election(owner: OwnerRecord, share: float = 0.5) -> Election:
-    election = Election("me", share)
-    election.see(owner, 100.0)
+def an_election(owner: OwnerRecord, jitter_position: float = 0.5) -> Election:
+    election = Election("me", jitter_position)
+    election.observe(owner, 100.0)
     return election
 
 
@@ -26,33 +26,33 @@
     election = an_election(OwnerRecord(1, "c", "other", 0))
     for beat in range(1, 20):
         now = 100.0 + 0.5 * beat
-        election.see(OwnerRecord(1, "c", "other", beat), now)
-        assert not election.due(now)
+        election.observe(OwnerRecord(1, "c", "other", beat), now)
+        assert not election.should_claim(now)
 
 
 def test_a_silent_owner_is_replaced() -> None:
     election = an_election(OwnerRecord(1, "c", "other", 0))
-    assert not election.due(100.0 + SILENCE_SECONDS)
-    assert election.due(100.0 + LONGEST)
+    assert not election.should_claim(100.0 + OWNER_TIMEOUT_SECONDS)
+    assert election.should_claim(100.0 + LONGEST)
 
 
 def test_equal_entries_claim_at_different_times() -> None:
     owner = OwnerRecord(1, "c", "other", 0)
-    first = an_election(owner, share=0.0)
-    last = an_election(owner, share=1.0)
-    now = 100.0 + SILENCE_SECONDS + JITTER_SECONDS / 2
-    assert first.due(now)
-    assert not last.due(now)
+    first = an_election(owner, jitter_position=0.0)
+    last = an_election(owner, jitter_position=1.0)
+    now = 100.0 + OWNER_TIMEOUT_SECONDS + CLAIM_JITTER_SECONDS / 2
+    assert first.should_claim(now)
+    assert not last.should_claim(now)
 
 
 def test_a_released_shard_is_claimed_at_once() -> None:
     election = an_election(OwnerRecord(1, "c", "", 7))
-    assert election.due(100.1)
+    assert election.should_claim(100.1)
 
 
 def test_the_owners_own_new_process_claims_at_once() -> None:
     election = an_election(OwnerRecord(1, "c", "me", 7))
-    assert election.due(100.0)
+    assert election.should_claim(100.0)
 
 
 def test_an_outage_of_the_log_is_not_the_owners_silence() -> None:
@@ -65,9 +65,9 @@
     Cause: silence was counted while nobody could have heard anything.
     """
     election = an_election(OwnerRecord(1, "c", "other", 0))
-    election.excuse(104.0)
-    assert not election.due(104.0 + SILENCE_SECONDS)
-    assert election.due(104.0 + LONGEST)
+    election.restart_timeout(104.0)
+    assert not election.should_claim(104.0 + OWNER_TIMEOUT_SECONDS)
+    assert election.should_claim(104.0 + LONGEST)
 
 
 def test_large_instances_claim_before_small_ones_whatever_their_chance() -> None:
@@ -77,12 +77,12 @@
     were renewed too late, and lapsed.
     """
     for owner in (OwnerRecord(1, "c", "other", 0), OwnerRecord(1, "c", "", 7)):
-        large = an_election(owner, share=1.0)
-        small = an_election(owner, share=0.0)
-        small.small = True
-        claimed = next(s for s in range(300) if large.due(100.0 + s / 100))
-        assert not small.due(100.0 + claimed / 100)
-        assert small.due(100.0 + LONGEST + SMALL_DELAY_SECONDS)
+        fast = an_election(owner, jitter_position=1.0)
+        slow = an_election(owner, jitter_position=0.0)
+        slow.is_slow = True
+        claimed = next(s for s in range(300) if fast.should_claim(100.0 + s / 100))
+        assert not slow.should_claim(100.0 + claimed / 100)
+        assert slow.should_claim(100.0 + LONGEST + SLOW_INSTANCE_DELAY_SECONDS)
 
 
 def test_an_owner_gives_way_only_to_a_much_faster_instance() -> None:
--- a/tests/components/ownership/test_load.py
+++ b/tests/components/ownership/test_load.py
@@ -9,7 +9,7 @@
 from mustardward.cli.report import command
 from mustardward.components.dispatch.lanes import CallQueue
 from mustardward.components.dispatch.window import INITIAL_STARTS, StartWindow
-from mustardward.components.ownership.const import WATCH_OWN_SECONDS
+from mustardward.components.ownership.const import SELF_CHECK_SECONDS
 from mustardward.components.ownership.load import OwnerLoad
 from mustardward.components.reports.day_lines import read_day
 from mustardward.components.reports.stories import OwnerLook
@@ -28,13 +28,13 @@
         caplog.set_level("INFO", "absl")
         lines = RunLines()
         load = OwnerLoad("n-1", CallQueue(tasks), StartWindow(), lines)
-        load.look(10.0)
-        load.tell(10.0)
+        load.sample(10.0)
+        load.log(10.0)
         lines.started_count = 300
         lines.ended_count = 100
-        load.look(10.0 + WATCH_OWN_SECONDS + 0.7)
-        load.look(10.0 + 2 * WATCH_OWN_SECONDS + 0.7)
-        load.tell(12.0)
+        load.sample(10.0 + SELF_CHECK_SECONDS + 0.7)
+        load.sample(10.0 + 2 * SELF_CHECK_SECONDS + 0.7)
+        load.log(12.0)
     text = caplog.text
     assert "event=owner_load" in text
     for pair in ("lag_seconds=0.7", "starts_a_second=150", "ends_a_second=50"):
--- a/tests/components/ownership/test_log_walks.py
+++ b/tests/components/ownership/test_log_walks.py
@@ -52,7 +52,7 @@
             self.ledger.keys,
             0.1,
         )
-        parts = OwnerDependencies(
+        dependencies = OwnerDependencies(
             node,
             store,  # type: ignore[arg-type]
             HttpCaller(),
@@ -63,7 +63,7 @@
             BootBounds(),
             EndsAhead(),
         )
-        self.ownership = Ownership(parts, share)
+        self.ownership = Ownership(dependencies, share)
 
     def run(self, tasks: TaskGroup) -> None:
         """Follow the log, and take part in the shard's ownership."""
--- a/tests/components/ownership/test_renewals.py
+++ b/tests/components/ownership/test_renewals.py
@@ -11,7 +11,7 @@
 from mustardward.components.ledger.const import TOPIC
 from mustardward.components.ledger.ledger import Ledger
 from mustardward.components.ledger.models import OwnerRecord
-from mustardward.components.ownership.const import BEAT_SECONDS
+from mustardward.components.ownership.const import RENEWAL_INTERVAL_SECONDS
 from mustardward.components.ownership.renewals import Renewals
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.standin.estate.store import MemoryStore
@@ -52,10 +52,10 @@
 
 async def test_a_renewal_goes_with_other_records_or_when_it_is_due() -> None:
     async with a_bench() as bench:
-        assert len(bench.renewals.due(with_others=True)) == 1
-        assert bench.renewals.due(with_others=False) == []
-        bench.timers.pause(BEAT_SECONDS)
-        assert len(bench.renewals.due(with_others=False)) == 1
+        assert len(bench.renewals.due_records(with_others=True)) == 1
+        assert bench.renewals.due_records(with_others=False) == []
+        bench.timers.pause(RENEWAL_INTERVAL_SECONDS)
+        assert len(bench.renewals.due_records(with_others=False)) == 1
 
 
 async def test_nothing_is_said_behind_a_release() -> None:
@@ -67,7 +67,7 @@
     """
     async with a_bench() as bench:
         await bench.renewals.async_release(settled=True)
-        assert bench.renewals.due(with_others=True) == []
+        assert bench.renewals.due_records(with_others=True) == []
         assert not await bench.renewals.async_announce("m-1")
         assert bench.owner().node == ""
 
--- a/tests/components/ownership/test_takeover.py
+++ b/tests/components/ownership/test_takeover.py
@@ -46,7 +46,7 @@
 
     def look(self) -> bool:
         """Look once, and return whether what was held may start."""
-        self.takeover.release()
+        self.takeover.try_release()
         return self.board.held_until == 0.0
 
 
