--- a/tests/components/ownership/test_authority.py
+++ b/tests/components/ownership/test_authority.py
@@ -1,4 +1,4 @@
-"""Test how long an owner may give orders."""
+"""Test how long an owner may send commands."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from mustardward.components.ownership.const import PAUSE_THRESHOLD_SECONDS
 
 
-class _Clock:
-    """Show the time that the test sets."""
+class _FakeClock:
+    """Return the time that the test sets."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -18,7 +18,7 @@
 
 
 def test_authority_ends_without_stored_renewals() -> None:
-    clock = _Clock()
+    clock = _FakeClock()
     authority = Authority(clock)
     for _ in range(round(AUTHORITY_SECONDS / 0.5) - 1):
         clock.now += 0.5
@@ -29,9 +29,9 @@
     assert not authority.is_valid()
 
 
-def test_a_renewal_counts_from_when_it_was_sent() -> None:
-    """What another entry may wait for begins with the renewal, not with its answer."""
-    clock = _Clock()
+def test_renewal_counts_from_its_send_time() -> None:
+    """Check that the wait of a new owner covers the authority of the previous one."""
+    clock = _FakeClock()
     authority = Authority(clock)
     clock.now += 3.0
     authority.tick()
@@ -41,14 +41,13 @@
     assert not authority.is_valid()
 
 
-def test_a_process_that_was_paused_has_none_until_it_looked() -> None:
-    """A paused owner gives no order before it has read who owns the shard.
+def test_paused_process_has_no_authority_before_its_next_check() -> None:
+    """Guard against a suspended owner that starts tasks in parallel to its successor.
 
-    Symptom: an owner that had been suspended started tasks beside its successor's.
-    Sequence: the process stood still for four seconds and went on where it was.
-    Cause: nothing in it told that time had passed.
+    The process is suspended for four seconds and continues where it was. It must read
+    who owns the shard before it sends a command.
     """
-    clock = _Clock()
+    clock = _FakeClock()
     authority = Authority(clock)
     clock.now += PAUSE_THRESHOLD_SECONDS + 0.1
     assert authority.pause_seconds() > 0
--- a/tests/components/ownership/test_barred_instances.py
+++ b/tests/components/ownership/test_barred_instances.py
@@ -1,4 +1,4 @@
-"""Test which instances a new owner leaves alone."""
+"""Test which instances a new owner may not order yet."""
 
 from __future__ import annotations
 
@@ -8,42 +8,40 @@
 from mustardward.components.ledger.models import OwnerRecord
 from mustardward.components.ownership.renewals import blocked_until
 
-LEASE = 3.0
+LEASE_SECONDS = 3.0
 NOW = 50.0
 
 
-def an_owner(wall: float) -> OwnerRecord:
-    """Return the newest renewal of an owner that had ordered two instances."""
+def a_previous_owner(wall: float) -> OwnerRecord:
+    """Return the last renewal of an owner that ordered two instances."""
     return OwnerRecord(1, "c", "n", 9, wall, ["m-1", "m-2"])
 
 
-def test_the_first_owner_leaves_nothing_alone() -> None:
-    assert blocked_until(NO_OWNER, NOW, 1000.0, LEASE) == {}
+def test_first_owner_has_no_blocked_instances() -> None:
+    assert blocked_until(NO_OWNER, NOW, 1000.0, LEASE_SECONDS) == {}
 
 
-def test_what_the_owner_before_ordered_is_left_alone_for_a_lease() -> None:
-    """No instance is ordered by two owners within a lease.
+def test_instances_ordered_by_previous_owner_are_blocked_for_a_lease() -> None:
+    """Guard against two owners that order the same instance within three seconds.
 
-    Symptom: two holders took turns at one instance within three seconds.
-    Sequence: the owner ordered an instance to move and was killed; the next owner
-    ordered the same instance elsewhere two seconds later.
-    Cause: the next owner did not know what had been ordered.
+    An owner orders an instance to move and is killed. Two seconds later the next owner,
+    which does not know of the order, orders the same instance to move elsewhere.
     """
-    barred = blocked_until(an_owner(998.0), NOW, 1000.0, LEASE)
-    assert barred == {"m-1": pytest.approx(51.0), "m-2": pytest.approx(51.0)}
+    blocked = blocked_until(a_previous_owner(998.0), NOW, 1000.0, LEASE_SECONDS)
+    assert blocked == {"m-1": pytest.approx(51.0), "m-2": pytest.approx(51.0)}
 
 
-def test_a_clock_that_jumped_back_adds_no_more_than_a_lease() -> None:
-    barred = blocked_until(an_owner(1005.0), NOW, 1000.0, LEASE)
-    assert barred["m-1"] == NOW + LEASE
+def test_clock_that_went_back_blocks_for_one_lease_at_most() -> None:
+    blocked = blocked_until(a_previous_owner(1005.0), NOW, 1000.0, LEASE_SECONDS)
+    assert blocked["m-1"] == NOW + LEASE_SECONDS
 
 
-def test_an_owner_lost_long_ago_is_not_waited_for() -> None:
-    """After all entries were down, instances move as soon as somebody owns them.
+def test_instances_of_owner_lost_long_ago_are_not_blocked() -> None:
+    """Guard against queues that wait 5 s for idle instances after a total power loss.
 
-    Symptom: after a loss of power everywhere, queues in their turn waited 5 s for
-    instances that stood idle.
-    Cause: each new owner waited a whole lease, though the one before it had been
-    silent for most of that time.
+    Each new owner would wait for a whole lease, although the previous owner was lost
+    most of that time ago.
     """
-    assert blocked_until(an_owner(996.0), NOW, 1000.0, LEASE)["m-1"] == NOW
+    assert (
+        blocked_until(a_previous_owner(996.0), NOW, 1000.0, LEASE_SECONDS)["m-1"] == NOW
+    )
--- a/tests/components/ownership/test_directory.py
+++ b/tests/components/ownership/test_directory.py
@@ -1,4 +1,4 @@
-"""Test what the directory of workers makes of entries by another writer."""
+"""Test how the directory of workers handles entries by another writer."""
 
 from __future__ import annotations
 
@@ -14,40 +14,42 @@
 
 
 @dataclass
-class _Seen:
-    """Note what the directory tells."""
+class _CallbackRecorder:
+    """Record the callbacks of the directory."""
 
-    told: list[tuple[str, str]] = field(default_factory=list)
+    calls: list[tuple[str, str]] = field(default_factory=list)
 
     def entry(self, worker: str, entry: WorkerEntry) -> None:
-        self.told.append(("entry", worker))
+        self.calls.append(("entry", worker))
 
-    def gone(self, worker: str) -> None:
-        self.told.append(("gone", worker))
+    def removed(self, worker: str) -> None:
+        self.calls.append(("gone", worker))
 
     def unusable(self, worker: str) -> None:
-        self.told.append(("unusable", worker))
+        self.calls.append(("unusable", worker))
 
 
-def a_directory() -> tuple[WorkerDirectory, _Seen]:
-    seen = _Seen()
-    return WorkerDirectory(seen.entry, seen.gone, seen.unusable), seen
+def a_directory() -> tuple[WorkerDirectory, _CallbackRecorder]:
+    recorder = _CallbackRecorder()
+    return WorkerDirectory(
+        recorder.entry, recorder.removed, recorder.unusable
+    ), recorder
 
 
-def test_an_unreadable_entry_takes_a_good_ones_place() -> None:
-    """Use no worker whose newest entry can't be read, and use it once it can again.
+def test_unreadable_entry_replaces_a_valid_one() -> None:
+    """Guard against tasks that are sent to an address without a worker.
 
-    Symptom: tasks go to an address that nobody answers at. Sequence: a worker's good
-    entry is followed by one of another writer. Cause: the older entry stayed in use.
+    A worker's valid entry is followed by one of another writer. The older entry must
+    not stay in use, and the worker is used again once its entry can be read.
     """
-    directory, seen = a_directory()
+    directory, recorder = a_directory()
     good = msgspec.json.encode(GOOD)
     directory.apply(KeyedRecord(1, "w-1", good))
     directory.apply(KeyedRecord(2, "w-2", good))
     directory.apply(KeyedRecord(3, "w-1", msgspec.json.encode({**GOOD, "state": "?"})))
     assert list(directory.entries) == ["w-2"]
     directory.apply(KeyedRecord(4, "w-1", good))
-    assert seen.told == [
+    assert recorder.calls == [
         ("entry", "w-1"),
         ("entry", "w-2"),
         ("unusable", "w-1"),
@@ -55,9 +57,9 @@
     ]
 
 
-def test_an_unreadable_entry_of_an_unknown_worker_leaves_the_others() -> None:
-    directory, seen = a_directory()
+def test_unreadable_entry_of_unknown_worker_does_not_affect_others() -> None:
+    directory, recorder = a_directory()
     directory.apply(KeyedRecord(1, "w-9", b"\x00"))
     directory.apply(KeyedRecord(2, "w-1", msgspec.json.encode(GOOD)))
     assert list(directory.entries) == ["w-1"]
-    assert ("entry", "w-1") in seen.told
+    assert ("entry", "w-1") in recorder.calls
--- a/tests/components/ownership/test_load.py
+++ b/tests/components/ownership/test_load.py
@@ -1,4 +1,4 @@
-"""Test the lines that tell how busy an owner is."""
+"""Test the log lines about an owner's load."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_the_worst_of_each_second_is_told(
+async def test_maximum_load_of_each_interval_is_logged(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """Symptom: jobs wait though there is room, and no line says why."""
+    """Guard against jobs that wait despite free capacity without an explaining log."""
     async with anyio.create_task_group() as tasks:
         caplog.set_level("INFO", "absl")
         lines = RunLines()
@@ -42,8 +42,8 @@
     assert f"start_window={INITIAL_STARTS}" in text
 
 
-def test_the_report_of_a_day_has_the_owners_worst() -> None:
-    told = [
+def test_day_report_includes_the_owners_maximum_load() -> None:
+    lines = [
         line(
             at,
             "owner_load",
@@ -56,9 +56,11 @@
         )
         for at, lag in ((1, 0.2), (2, 0.9))
     ]
-    day = read_day(told)
+    day = read_day(lines)
     assert day.owners[0] == OwnerLook(1.0, "n-1", 0.2, 20, 1, 5)
-    result = CliRunner().invoke(command, ["day", "-"], input="".join([*a_day(), *told]))
+    result = CliRunner().invoke(
+        command, ["day", "-"], input="".join([*a_day(), *lines])
+    )
     assert "owners=n-1,n-2 lag_seconds=0.900 calls_under_way=20" in result.output
     assert "submit to first start: half within 0.100 s" in result.output
     assert "takeover_seconds=3.00" in result.output
--- a/tests/components/ownership/test_log_walks.py
+++ b/tests/components/ownership/test_log_walks.py
@@ -1,8 +1,8 @@
-"""Check that each accepted job comes to the owner and is stored as taken in.
+"""Check that each accepted job reaches the owner and that its progress is stored.
 
-Two entries follow one log in driven time and own the shard in turn, while the store
-refuses, falls silent, loses answers, and drops its history. Then all is well: whoever
-owns the shard holds each job, may start it, and has it in the log.
+Two entries follow one log in simulated time and own the shard in turn, while the store
+refuses calls, does not answer, loses answers, and truncates its history. After the
+faults end, the owner has each job, may start it, and has its progress in the log.
 """
 
 from __future__ import annotations
@@ -32,16 +32,20 @@
 pytestmark = pytest.mark.anyio
 
 STEP_SECONDS = 0.02
-CALM_SECONDS = 6.0
-EVENTS = 30
-MOST_JOBS = 60
+RECOVERY_SECONDS = 6.0
+EVENT_COUNT = 30
+MAX_JOBS = 60
 
 
 class LogEntry:
-    """Hold one entry that may own the shard."""
+    """Provide one entry that may own the shard."""
 
     def __init__(
-        self, node: str, store: MemoryStore, timers: DrivenTimerService, share: float
+        self,
+        node: str,
+        store: MemoryStore,
+        timers: DrivenTimerService,
+        jitter_position: float,
     ) -> None:
         self.ledger = Ledger()
         self.follower = TopicFollower(
@@ -63,16 +67,16 @@
             BootBounds(),
             EndsAhead(),
         )
-        self.ownership = Ownership(dependencies, share)
+        self.ownership = Ownership(dependencies, jitter_position)
 
     def run(self, tasks: TaskGroup) -> None:
-        """Follow the log, and take part in the shard's ownership."""
+        """Follow the log and take part in the election of the owner."""
         tasks.start_soon(self.follower.async_run)
         tasks.start_soon(self.ownership.async_run)
 
 
 class LogWalk:
-    """Drive two entries on one store."""
+    """Provide two entries on one store and the faults to inject."""
 
     def __init__(self, seed: int, tasks: TaskGroup) -> None:
         self.random = random.Random(seed)
@@ -89,38 +93,38 @@
             entry.run(tasks)
 
     def accept(self) -> None:
-        """Store jobs as an entry does that accepts them."""
+        """Append jobs to the log as an accepting entry does."""
         for _ in range(self.random.randint(1, 3)):
-            if len(self.jobs) < MOST_JOBS:
+            if len(self.jobs) < MAX_JOBS:
                 name = f"{len(self.jobs):016x}"
                 self.jobs.append(name)
                 wall = self.timers.wall()
                 record = a_job(job=name, accepted_at=wall).record
                 self.store.append(TOPIC, [(PREFIX_JOB + name, encode(record))])
 
-    def set_mood(self) -> None:
-        """Let the store treat calls in some way from now on."""
+    def choose_store_mood(self) -> None:
+        """Choose how the store handles calls from now on."""
         self.store.mood = self.random.choice([Mood.SERVING, *Mood])
 
-    def forget(self) -> None:
-        """Let the store drop its history; the newest of each key stays."""
+    def truncate_history(self) -> None:
+        """Truncate the store's history; the newest record of each key stays."""
         end = self.store.topic_end(TOPIC)
         self.store.forget(TOPIC, self.random.choice([end, max(0, end - 3)]))
 
-    def give_up(self) -> None:
-        """Let whoever owns the shard give it up."""
+    def release(self) -> None:
+        """Let the current owner release the shard."""
         for entry in self.entries:
             if entry.ownership.owner is not None:
                 self.tasks.start_soon(entry.ownership.owner.async_release)
 
     def depose(self) -> None:
-        """Let an owner take itself for deposed."""
+        """Depose the current owner."""
         for entry in self.entries:
             if entry.ownership.owner is not None:
                 entry.ownership.owner.depose()
 
-    async def async_pass(self, seconds: float) -> None:
-        """Let time pass."""
+    async def async_advance_time(self, seconds: float) -> None:
+        """Advance the simulated time."""
         for _ in range(round(seconds / STEP_SECONDS)):
             await anyio.wait_all_tasks_blocked()
             await self.timers.async_advance(STEP_SECONDS)
@@ -129,8 +133,8 @@
                     self.owners.add(entry.ownership.owner.epoch)
         await anyio.wait_all_tasks_blocked()
 
-    def held(self) -> list[str]:
-        """Return the jobs that the owner lacks, may not start, or has not stored."""
+    def unsettled_jobs(self) -> list[str]:
+        """Return the jobs that the owner lacks, may not start or has not stored."""
         owners = [e.ownership.owner for e in self.entries if e.ownership.owner]
         if len(owners) != 1:
             return [f"owners={len(owners)}"]
@@ -146,44 +150,50 @@
 
 
 async def async_walk(seed: int) -> tuple[list[str], int]:
-    """Walk into trouble and out of it; return what is held, and the owners seen."""
+    """Inject random faults and end them; return unsettled jobs and owner count."""
     async with anyio.create_task_group() as tasks:
         walk = LogWalk(seed, tasks)
         draw = walk.random
         events: list[Callable[[], None]] = [
             walk.accept,
             walk.accept,
-            walk.set_mood,
-            walk.set_mood,
-            walk.forget,
-            walk.give_up,
+            walk.choose_store_mood,
+            walk.choose_store_mood,
+            walk.truncate_history,
+            walk.release,
             walk.depose,
         ]
-        await walk.async_pass(1.0)
-        for _ in range(EVENTS):
+        await walk.async_advance_time(1.0)
+        for _ in range(EVENT_COUNT):
             draw.choice(events)()
-            await walk.async_pass(draw.choice([0.02, 0.06, 0.2, 0.6]))
+            await walk.async_advance_time(draw.choice([0.02, 0.06, 0.2, 0.6]))
         walk.store.mood = Mood.SERVING
-        await walk.async_pass(CALM_SECONDS)
+        await walk.async_advance_time(RECOVERY_SECONDS)
         walk.accept()
-        await walk.async_pass(0.5)
-        held = walk.held()
+        await walk.async_advance_time(0.5)
+        unsettled_jobs = walk.unsettled_jobs()
         tasks.cancel_scope.cancel()
-    return held, len(walk.owners)
+    return unsettled_jobs, len(walk.owners)
 
 
-@pytest.mark.parametrize("first", [0, 5])
-async def test_each_accepted_job_comes_to_the_owner_and_is_stored(first: int) -> None:
-    """A job that was accepted is never begun, as long as its owner lives."""
-    walks = {seed: await async_walk(seed) for seed in range(first, first + 5)}
-    assert not {seed: held for seed, (held, _) in walks.items() if held}
+@pytest.mark.parametrize("first_seed", [0, 5])
+async def test_each_accepted_job_reaches_the_owner_and_is_stored(
+    first_seed: int,
+) -> None:
+    """Guard against an accepted job that does not start until the owner changes."""
+    walks = {seed: await async_walk(seed) for seed in range(first_seed, first_seed + 5)}
+    assert not {
+        seed: unsettled_jobs
+        for seed, (unsettled_jobs, _) in walks.items()
+        if unsettled_jobs
+    }
     assert sum(owners for _, owners in walks.values()) > 10
 
 
-async def test_a_job_that_is_not_handed_on_is_found(
+async def test_walk_detects_jobs_that_do_not_reach_the_owner(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a walk that finds nothing."""
+    """Guard against a walk that can't detect a fault."""
     monkeypatch.setattr(Owner, "_add_job", lambda owner, job: None)
-    held, _ = await async_walk(0)
-    assert held
+    unsettled_jobs, _ = await async_walk(0)
+    assert unsettled_jobs
--- a/tests/components/ownership/test_renewals.py
+++ b/tests/components/ownership/test_renewals.py
@@ -1,4 +1,4 @@
-"""Test what an owner's renewals say, and that none follows a release."""
+"""Test the content of an owner's renewals, and that none follows a release."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 pytestmark = pytest.mark.anyio
 
 
-class _Bench:
-    """Hold an owner's renewals on a store in memory."""
+class _RenewalsHarness:
+    """Provide an owner's renewals on an in-memory store."""
 
     def __init__(self) -> None:
         self.store = MemoryStore()
@@ -36,7 +36,7 @@
         self.renewals = Renewals(3, "claim", "me", self.timers, self.appender, 3.0)
 
     def owner(self) -> OwnerRecord:
-        """Return the owner as every entry folds it."""
+        """Return the owner as every entry reads it from the log."""
         ledger = Ledger()
         for record in self.store.records_from(TOPIC, 0):
             ledger.apply(record)
@@ -44,38 +44,37 @@
 
 
 @asynccontextmanager
-async def a_bench() -> AsyncIterator[_Bench]:
-    bench = _Bench()
-    async with async_appending(bench.appender):
-        yield bench
+async def a_harness() -> AsyncIterator[_RenewalsHarness]:
+    harness = _RenewalsHarness()
+    async with async_appending(harness.appender):
+        yield harness
 
 
-async def test_a_renewal_goes_with_other_records_or_when_it_is_due() -> None:
-    async with a_bench() as bench:
-        assert len(bench.renewals.due_records(with_others=True)) == 1
-        assert bench.renewals.due_records(with_others=False) == []
-        bench.timers.pause(RENEWAL_INTERVAL_SECONDS)
-        assert len(bench.renewals.due_records(with_others=False)) == 1
+async def test_renewal_is_due_with_other_records_or_after_its_interval() -> None:
+    async with a_harness() as harness:
+        assert len(harness.renewals.due_records(with_others=True)) == 1
+        assert harness.renewals.due_records(with_others=False) == []
+        harness.timers.pause(RENEWAL_INTERVAL_SECONDS)
+        assert len(harness.renewals.due_records(with_others=False)) == 1
 
 
-async def test_nothing_is_said_behind_a_release() -> None:
-    """A renewal does not take a release back.
+async def test_no_renewal_follows_a_release() -> None:
+    """Guard against rolling restarts that each leave the shard unowned for two seconds.
 
-    Symptom: each restart in turn cost two seconds until another entry was the owner.
-    Sequence: the owner gave the shard up, and its next renewal stood behind that in the
-    log; the others waited as for an owner that died.
+    The owner releases the shard, and its next renewal follows in the log, so that the
+    other entries wait for the timeout of a lost owner.
     """
-    async with a_bench() as bench:
-        await bench.renewals.async_release(settled=True)
-        assert bench.renewals.due_records(with_others=True) == []
-        assert not await bench.renewals.async_announce("m-1")
-        assert bench.owner().node == ""
-
-
-async def test_an_instance_is_named_before_it_is_ordered_and_for_a_lease() -> None:
-    async with a_bench() as bench:
-        assert await bench.renewals.async_announce("m-1")
-        assert bench.owner().ordered == ["m-1"]
-        bench.timers.pause(3.5)
-        assert await bench.renewals.async_announce("m-2")
-        assert bench.owner().ordered == ["m-2"]
+    async with a_harness() as harness:
+        await harness.renewals.async_release(settled=True)
+        assert harness.renewals.due_records(with_others=True) == []
+        assert not await harness.renewals.async_announce("m-1")
+        assert harness.owner().node == ""
+
+
+async def test_ordered_instance_is_named_before_the_order_and_for_a_lease() -> None:
+    async with a_harness() as harness:
+        assert await harness.renewals.async_announce("m-1")
+        assert harness.owner().ordered == ["m-1"]
+        harness.timers.pause(3.5)
+        assert await harness.renewals.async_announce("m-2")
+        assert harness.owner().ordered == ["m-2"]
--- a/tests/components/ownership/test_takeover.py
+++ b/tests/components/ownership/test_takeover.py
@@ -1,4 +1,4 @@
-"""Test which pools a new owner starts again, and when."""
+"""Test when a new owner releases the jobs held after a takeover."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 from mustardward.helpers.timer import DrivenTimerService
 from tests.components.scheduling.builders import POOL, SchedulerBench, a_job, an_entry
 
-OTHER = "pool-b"
+OTHER_POOL = "pool-b"
 NOW = 1000.0
 
 
-class TakeoverBench:
-    """Hold a takeover of two pools with a worker each; none has answered."""
+class TakeoverHarness:
+    """Provide a takeover of two pools with one worker each, none of which answered."""
 
     def __init__(self, listed: dict[str, str] | None) -> None:
-        self.bench = SchedulerBench(epoch=2)
-        self.board = self.bench.scheduler.board
+        self.harness = SchedulerBench(epoch=2)
+        self.board = self.harness.scheduler.board
         self.unconfirmed_workers = ["w1", "w2"]
         self.listed = listed
-        self.woken = 0
-        for name, pool in (("w1", POOL), ("w2", OTHER)):
+        self.plan_requests = 0
+        for name, pool in (("w1", POOL), ("w2", OTHER_POOL)):
             entry = an_entry(service=pool)
-            self.bench.scheduler.see_worker(name, entry, self.bench.now)
-        for number, pool in enumerate((POOL, OTHER)):
-            self.bench.add(a_job(job=f"{number:016x}", service=pool))
+            self.harness.scheduler.see_worker(name, entry, self.harness.now)
+        for number, pool in enumerate((POOL, OTHER_POOL)):
+            self.harness.add(a_job(job=f"{number:016x}", service=pool))
             job = self.board.jobs[f"{number:016x}"]
             job.policy = SimpleNamespace(service=pool)  # type: ignore[assignment]
         sessions = {"w1": None, "w2": None}
@@ -37,47 +37,54 @@
         )
         fleet: Any = SimpleNamespace(listed_workers=lambda: self.listed)
         self.takeover = Takeover(
-            2, self.board, dispatcher, DrivenTimerService(), self._wake, fleet
+            2,
+            self.board,
+            dispatcher,
+            DrivenTimerService(),
+            self._count_plan_request,
+            fleet,
+        )
+        hold_previous_runs(
+            self.board, OwnerRecord(1, "c", "node-1", 5), self.harness.now
         )
-        hold_previous_runs(self.board, OwnerRecord(1, "c", "node-1", 5), self.bench.now)
 
-    def _wake(self) -> None:
-        self.woken += 1
+    def _count_plan_request(self) -> None:
+        self.plan_requests += 1
 
-    def look(self) -> bool:
-        """Look once, and return whether what was held may start."""
+    def try_release(self) -> bool:
+        """Check once; return whether held jobs may start."""
         self.takeover.try_release()
         return self.board.held_until == 0.0
 
 
-def test_all_pools_wait_until_every_worker_was_heard_of() -> None:
-    """A silent worker of one pool holds up the others too.
+def test_all_pools_wait_until_every_worker_has_reported() -> None:
+    """Check that an unconfirmed worker of one pool also delays the others.
 
-    A worker that is cut off may be in neither entries nor list; what tells of the cut
-    is that others are silent.
+    A disconnected worker may be missing from both entries and list. Only other
+    unresponsive workers then indicate the network partition.
     """
-    bench = TakeoverBench({"w1": POOL, "w2": OTHER})
-    assert not bench.look()
-    bench.unconfirmed_workers = ["w2"]
-    assert not bench.look()
-    bench.unconfirmed_workers = []
-    assert bench.look()
+    harness = TakeoverHarness({"w1": POOL, "w2": OTHER_POOL})
+    assert not harness.try_release()
+    harness.unconfirmed_workers = ["w2"]
+    assert not harness.try_release()
+    harness.unconfirmed_workers = []
+    assert harness.try_release()
 
 
-def test_a_worker_that_only_the_list_names_holds_all_up() -> None:
-    """Its entry may have lapsed while the store was away, and it may run something."""
-    bench = TakeoverBench({"w1": POOL, "w2": OTHER, "w9": POOL})
-    bench.unconfirmed_workers = []
-    assert not bench.look()
+def test_worker_that_only_the_list_names_delays_the_release() -> None:
+    """Check for an entry that expired while the store was away; its runs may go on."""
+    harness = TakeoverHarness({"w1": POOL, "w2": OTHER_POOL, "w9": POOL})
+    harness.unconfirmed_workers = []
+    assert not harness.try_release()
 
 
-def test_nothing_is_released_before_the_list_was_read() -> None:
-    bench = TakeoverBench(None)
-    bench.unconfirmed_workers = []
-    assert not bench.look()
+def test_nothing_is_released_before_the_list_is_read() -> None:
+    harness = TakeoverHarness(None)
+    harness.unconfirmed_workers = []
+    assert not harness.try_release()
 
 
-def test_an_owner_that_gave_the_shard_up_gives_no_more_orders() -> None:
+def test_release_by_settled_owner_shortens_the_hold() -> None:
     board = SchedulerBench().scheduler.board
     hold_previous_runs(board, OwnerRecord(1, "c", "", 5, settled=True), NOW)
     assert board.held_until == latest_lease_end(NOW)
@@ -85,50 +92,52 @@
     assert board.held_until == latest_lease_end(NOW) + AUTHORITY_SECONDS
 
 
-def test_an_owner_that_gives_up_before_it_heard_of_all_workers_says_so() -> None:
-    """The authority of an owner that was cut off outlives the one after it.
+def test_release_by_unsettled_owner_does_not_shorten_the_hold() -> None:
+    """Guard against long-running tasks that run twice after two changes of owner.
 
-    Symptom: 15 lasting tasks ran twice. Sequence: a data centre was cut off with the
-    owner, which went on renewing leases there for 4 s; a small entry claimed the shard,
-    and gave way to a larger one a second later; that one waited for a lease only.
-    Cause: whoever gave the shard up was taken for the only one that may give orders.
+    A data centre is disconnected together with the owner, which keeps renewing leases
+    there for 4 s. A slow entry claims the shard and hands over to a faster one a second
+    later. If that one waits only for a lease, it ignores that the first owner may still
+    send commands.
     """
     board = SchedulerBench().scheduler.board
     hold_previous_runs(board, OwnerRecord(2, "c", "", 5, settled=False), NOW)
     assert board.held_until == latest_lease_end(NOW) + AUTHORITY_SECONDS
 
 
-def with_zones(listed: dict[str, str] | None) -> TakeoverBench:
-    """Return a takeover whose workers stand in two data centres; w1 has answered."""
-    bench = TakeoverBench(listed)
+def a_takeover_of_two_zones(listed: dict[str, str] | None) -> TakeoverHarness:
+    """Return a takeover with workers in two data centres, of which w1 has answered."""
+    harness = TakeoverHarness(listed)
     for name, zone in (("w1", "z1"), ("w2", "z2")):
-        bench.board.workers[name].zone = zone
-    bench.board.workers["w1"].confirmed = True
-    bench.unconfirmed_workers = ["w2"]
-    bench.look()
-    return bench
+        harness.board.workers[name].zone = zone
+    harness.board.workers["w1"].confirmed = True
+    harness.unconfirmed_workers = ["w2"]
+    harness.try_release()
+    return harness
 
 
-def test_a_data_centre_is_accounted_for_once_all_its_workers_were_heard_of() -> None:
-    bench = with_zones({"w1": "z1", "w2": "z2"})
-    assert bench.board.accounted == {"z1"}
-    assert bench.woken == 1
-    assert bench.board.held_until > 0
+def test_data_centre_is_reconciled_once_all_its_workers_reported() -> None:
+    harness = a_takeover_of_two_zones({"w1": "z1", "w2": "z2"})
+    assert harness.board.accounted == {"z1"}
+    assert harness.plan_requests == 1
+    assert harness.board.held_until > 0
 
 
-def test_a_worker_that_only_the_list_names_keeps_its_data_centre_open() -> None:
-    assert with_zones({"w1": "z1", "w9": "z1"}).board.accounted == frozenset()
+def test_worker_that_only_the_list_names_keeps_data_centre_unreconciled() -> None:
+    assert (
+        a_takeover_of_two_zones({"w1": "z1", "w9": "z1"}).board.accounted == frozenset()
+    )
 
 
-def test_no_data_centre_is_accounted_for_before_the_list_was_read() -> None:
-    assert with_zones(None).board.accounted == frozenset()
+def test_no_data_centre_is_reconciled_before_the_list_is_read() -> None:
+    assert a_takeover_of_two_zones(None).board.accounted == frozenset()
 
 
-def test_a_data_centre_of_which_nobody_was_heard_is_not_accounted_for() -> None:
-    """Its workers may have lapsed from entries and list, and run on behind a cut."""
-    bench = with_zones({"w1": "z1"})
-    del bench.board.workers["w2"]
-    bench.unconfirmed_workers = []
-    bench.listed = {"w1": "z1", "w8": "z3"}
-    bench.look()
-    assert bench.board.accounted == {"z1"}
+def test_data_centre_without_reports_is_not_reconciled() -> None:
+    """Check for workers that expired from entries and list and are disconnected."""
+    harness = a_takeover_of_two_zones({"w1": "z1"})
+    del harness.board.workers["w2"]
+    harness.unconfirmed_workers = []
+    harness.listed = {"w1": "z1", "w8": "z3"}
+    harness.try_release()
+    assert harness.board.accounted == {"z1"}
