--- a/mustardward/components/dispatch/orders.py
+++ b/mustardward/components/dispatch/command_executor.py
@@ -24,10 +24,10 @@
 from ..scheduling.losses import LossCause
 from ..scheduling.models import Phase, Task
 from ..scheduling.scheduler import Scheduler
+from .call_queue import CallQueue
 from .const import START_MAX_AGE_SECONDS, STOP_RETRY_SECONDS
-from .lanes import CallQueue
 from .session import WorkerSession
-from .window import StartWindow
+from .start_window import StartWindow
 
 _LOGGER = get_logger(__name__)
 
--- a/mustardward/components/dispatch/dispatcher.py
+++ b/mustardward/components/dispatch/dispatcher.py
@@ -16,11 +16,11 @@
 from ..scheduling.incarnations import is_other
 from ..scheduling.losses import LossCause
 from ..scheduling.scheduler import Scheduler
-from .closed import LostIncarnations
+from .command_executor import CommandExecutor
 from .const import LEASE_SECONDS, latest_lease_end
-from .contacts import ContactLimiter
+from .contact_limiter import ContactLimiter
 from .lease import Lease
-from .orders import CommandExecutor
+from .lost_incarnations import LostIncarnations
 from .session import WorkerSession
 
 
--- a/mustardward/components/dispatch/session.py
+++ b/mustardward/components/dispatch/session.py
@@ -29,10 +29,10 @@
     POLL_RETRY_SECONDS,
     UNSTORED_POLL_DELAY_SECONDS,
 )
-from .contacts import ContactLimiter
+from .contact_limiter import ContactLimiter
 from .lease import Lease, WorkerClock
-from .looks import choose_wait_ms
-from .proof import Liveness
+from .liveness import Liveness
+from .poll_wait import choose_wait_ms
 
 _LOGGER = get_logger(__name__)
 
--- a/mustardward/components/ownership/load.py
+++ b/mustardward/components/ownership/load.py
@@ -6,8 +6,8 @@
 
 from ...helpers.instruments import CALLS_UNDER_WAY, LOOP_LAG_SECONDS
 from ...helpers.logging import get_logger
-from ..dispatch.lanes import CallQueue
-from ..dispatch.window import StartWindow
+from ..dispatch.call_queue import CallQueue
+from ..dispatch.start_window import StartWindow
 from ..scheduling.run_lines import RunLines
 from .const import SELF_CHECK_SECONDS
 
--- a/mustardward/components/ownership/owner.py
+++ b/mustardward/components/ownership/owner.py
@@ -42,8 +42,8 @@
 from .directory import WorkerDirectory
 from .load import OwnerLoad
 from .models import OwnerDependencies
+from .progress_writer import ProgressWriter
 from .renewals import Renewals, blocked_until
-from .storing import ProgressWriter
 from .takeover import Takeover, hold_previous_runs
 
 _LOGGER = get_logger(__name__)
--- a/tests/components/dispatch/test_held_up.py
+++ b/tests/components/dispatch/test_blocked_loop.py
@@ -10,14 +10,14 @@
 import anyio.lowlevel
 import pytest
 
-from mustardward.components.dispatch.dispatcher import Dispatcher
-from mustardward.components.dispatch.lanes import (
+from mustardward.components.dispatch.call_queue import (
     MAX_CALLS,
     MAX_CALLS_PER_WORKER,
     CallQueue,
 )
-from mustardward.components.dispatch.orders import CommandExecutor
-from mustardward.components.dispatch.window import INITIAL_STARTS
+from mustardward.components.dispatch.command_executor import CommandExecutor
+from mustardward.components.dispatch.dispatcher import Dispatcher
+from mustardward.components.dispatch.start_window import INITIAL_STARTS
 from mustardward.components.scheduling.commands import Command, Start, Stop
 from mustardward.components.scheduling.models import Phase, QueuePolicy
 from mustardward.components.scheduling.scheduler import Scheduler
--- a/tests/components/dispatch/test_contacts.py
+++ b/tests/components/dispatch/test_contact_limiter.py
@@ -6,7 +6,7 @@
 import anyio.lowlevel
 import pytest
 
-from mustardward.components.dispatch.contacts import ContactLimiter
+from mustardward.components.dispatch.contact_limiter import ContactLimiter
 
 pytestmark = pytest.mark.anyio
 
--- a/tests/components/dispatch/test_leases.py
+++ b/tests/components/dispatch/test_leases.py
@@ -14,7 +14,7 @@
 from mustardward.platform.workers import HoldAnswer, StartAnswer, StartOrder
 
 from ..scheduling.builders import a_step
-from .test_reborn import FakeWorker, RestartHarness
+from .test_restarts import FakeWorker, RestartHarness
 
 pytestmark = pytest.mark.anyio
 
--- a/tests/components/dispatch/test_holds.py
+++ b/tests/components/dispatch/test_recovery.py
@@ -23,7 +23,7 @@
 
 from ...platform.test_entries import GOOD
 from ..scheduling.builders import POOL, a_job, a_step
-from .test_reborn import ROOM, STARTED_AT_MS, WORKER, RestartHarness, UnansweredClient
+from .test_restarts import ROOM, STARTED_AT_MS, WORKER, RestartHarness, UnansweredClient
 
 pytestmark = pytest.mark.anyio
 
--- a/tests/components/dispatch/test_window.py
+++ b/tests/components/dispatch/test_start_window.py
@@ -7,7 +7,7 @@
 import pytest
 
 from mustardward.components.dispatch.const import START_MAX_AGE_SECONDS
-from mustardward.components.dispatch.window import StartWindow
+from mustardward.components.dispatch.start_window import StartWindow
 from mustardward.components.scheduling.commands import Start
 from mustardward.components.scheduling.models import QueuePolicy
 from mustardward.platform.models import Room
--- a/tests/components/ownership/test_load.py
+++ b/tests/components/ownership/test_load.py
@@ -7,8 +7,8 @@
 from click.testing import CliRunner
 
 from mustardward.cli.report import command
-from mustardward.components.dispatch.lanes import CallQueue
-from mustardward.components.dispatch.window import INITIAL_STARTS, StartWindow
+from mustardward.components.dispatch.call_queue import CallQueue
+from mustardward.components.dispatch.start_window import INITIAL_STARTS, StartWindow
 from mustardward.components.ownership.const import SELF_CHECK_SECONDS
 from mustardward.components.ownership.load import OwnerLoad
 from mustardward.components.reports.day_lines import read_day
--- a/tests/components/scheduling/liveness_mutants.py
+++ b/tests/components/scheduling/liveness_mutants.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from mustardward.components.dispatch.orders import CommandExecutor
+from mustardward.components.dispatch.command_executor import CommandExecutor
 from mustardward.components.dispatch.session import WorkerSession
 from mustardward.components.scheduling import health, planner, reports
 from mustardward.components.scheduling.board import Board
