--- a/mustardward/components/dispatch/dispatcher.py
+++ b/mustardward/components/dispatch/dispatcher.py
@@ -13,7 +13,7 @@
 from ...platform.http import HttpCaller
 from ...platform.models import WorkerEntry
 from ...platform.workers import WorkerClient
-from ..scheduling.incarnations import is_other
+from ..scheduling.incarnations import is_other_incarnation
 from ..scheduling.losses import LossCause
 from ..scheduling.scheduler import Scheduler
 from .command_executor import CommandExecutor
@@ -35,7 +35,7 @@
     :param max_lease_seconds: the longest lease that workers accept, whatever deadline
         they are sent.
     :param renewal_age_seconds: age of the newest stored renewal of the ownership.
-    :param reconciled_workers: lost workers, on which nothing of an earlier owner runs.
+    :param lost_workers: lost workers, on which nothing of a previous owner runs.
     """
 
     http: HttpCaller
@@ -51,7 +51,7 @@
     renewal_age_seconds: Callable[[], float] = lambda: 0.0
     executor: CommandExecutor = field(init=False)
     sessions: dict[str, WorkerSession] = field(default_factory=dict)
-    reconciled_workers: set[str] = field(default_factory=set)
+    lost_workers: set[str] = field(default_factory=set)
     _entries: dict[str, WorkerEntry] = field(default_factory=dict)
     _lost_incarnations: LostIncarnations = field(default_factory=LostIncarnations)
     _contact_limiter: ContactLimiter = field(default_factory=ContactLimiter)
@@ -66,11 +66,11 @@
             self.on_fenced,
             self.on_report,
             self.authorised,
-            self.lose_worker,
+            self.remove_worker,
             self.advice,
         )
 
-    def see_worker(self, worker_id: str, entry: WorkerEntry) -> None:
+    def update_worker(self, worker_id: str, entry: WorkerEntry) -> None:
         """Apply a worker's entry; open a session if it is new or has restarted."""
         now = self.timers.monotonic()
         self._entries[worker_id] = entry
@@ -80,15 +80,17 @@
         if session is not None and not session.closed:
             if session.started_at_ms and entry.born > session.started_at_ms:
                 self._replace_session(session, entry.born)
-            elif is_other(entry.born, session.started_at_ms):
+            elif is_other_incarnation(entry.born, session.started_at_ms):
                 # The entry is outdated or the worker's wall clock went back; only the
                 # worker itself can tell.
                 session.request_identity()
-            self.scheduler.see_worker(worker_id, entry, now)
+            self.scheduler.update_worker(worker_id, entry, now)
             return
-        self.scheduler.see_worker(worker_id, entry, now)
+        self.scheduler.update_worker(worker_id, entry, now)
         # The previous owner may have renewed the lease until its authority ended.
-        lease_ends_at = max(latest_lease_end(now), self.scheduler.board.held_until)
+        lease_ends_at = max(
+            latest_lease_end(now), self.scheduler.state.takeover_hold_until
+        )
         self._open_session(worker_id, entry, entry.born, lease_ends_at)
 
     def _open_session(
@@ -133,7 +135,7 @@
         now = self.timers.monotonic()
         session.closed = True
         session.wake()
-        self.reconciled_workers.discard(worker_id)
+        self.lost_workers.discard(worker_id)
         entry = self._entries[worker_id]
         self.scheduler.replace_worker(worker_id, started_at_ms, entry, now)
         # A command in flight carries a deadline on the previous incarnation's clock.
@@ -157,9 +159,7 @@
             worker_id
             for worker_id, session in self.sessions.items()
             if not (
-                session.has_answered
-                or session.closed
-                or worker_id in self.reconciled_workers
+                session.has_answered or session.closed or worker_id in self.lost_workers
             )
         ]
 
@@ -171,9 +171,9 @@
         finally:
             session.closed = True
 
-    def lose_worker(self, worker_id: str, cause: LossCause) -> None:
+    def remove_worker(self, worker_id: str, cause: LossCause) -> None:
         """Close the session of a worker whose incarnation is known to be over."""
-        self.reconciled_workers.add(worker_id)
+        self.lost_workers.add(worker_id)
         # Its entry stays in the store for some seconds and must not reopen a session.
         now = self.timers.monotonic()
         session = self.sessions.get(worker_id)
@@ -182,4 +182,4 @@
         if session is not None:
             session.closed = True
             session.wake()
-        self.scheduler.lose_worker(worker_id, cause, now)
+        self.scheduler.remove_worker(worker_id, cause, now)
--- a/mustardward/components/dispatch/session.py
+++ b/mustardward/components/dispatch/session.py
@@ -16,7 +16,7 @@
     WrongIncarnationError,
 )
 from ...platform.workers import HoldAnswer, StartAnswer, StartOrder, WorkerClient
-from ..scheduling.incarnations import is_other
+from ..scheduling.incarnations import is_other_incarnation
 from ..scheduling.losses import LossCause
 from ..scheduling.models import Task
 from ..scheduling.scheduler import Scheduler
@@ -111,7 +111,7 @@
     async def async_run(self) -> None:
         """Poll the worker until its incarnation is known to be over."""
         while not self.closed:
-            worker = self.scheduler.board.workers.get(self.worker_id)
+            worker = self.scheduler.state.workers.get(self.worker_id)
             if worker is None:
                 return
             if self._is_idle(worker):
@@ -195,7 +195,7 @@
 
     def _is_other_incarnation(self, answer: HoldAnswer) -> bool:
         """Return whether another incarnation answered, by start time or clock."""
-        if is_other(answer.born, self.started_at_ms):
+        if is_other_incarnation(answer.born, self.started_at_ms):
             return True
         return self.clock.has_reset(answer.clock_ms)
 
@@ -254,7 +254,7 @@
             if not self.closed:
                 self.closed = True
                 now = self.timers.monotonic()
-                self.scheduler.lose_worker(self.worker_id, LossCause.REPLACED, now)
+                self.scheduler.remove_worker(self.worker_id, LossCause.REPLACED, now)
                 self.on_report()
             return 0.0
         except (CallRefusedError, CallUnknownError) as error:
@@ -280,7 +280,7 @@
                 ENDS.labels(ended.how).inc()
         self.received_upto = max(numbers, default=self.received_upto)
         self._stored = anyio.Event()
-        self.scheduler.hold_worker(self.worker_id, answer, sent_at, now)
+        self.scheduler.apply_worker_report(self.worker_id, answer, sent_at, now)
         self.on_report()
         if not renewed and worker.has_runs:
             # The lease may be about to expire.
@@ -320,7 +320,7 @@
         if self.ownership_confirmed_until() > self.lease_ends_at:
             # The leases have expired even on the slowest clock possible, and no other
             # owner can have renewed them, so nothing runs on the worker.
-            self.scheduler.lose_worker(self.worker_id, LossCause.LEASES_OVER, now)
+            self.scheduler.remove_worker(self.worker_id, LossCause.LEASES_EXPIRED, now)
             self.closed = True
             self.on_report()
             return 0.0
--- a/mustardward/components/fleet/services.py
+++ b/mustardward/components/fleet/services.py
@@ -20,7 +20,7 @@
 from ..ledger.ledger import Ledger, encode
 from ..ledger.models import WaveRecord
 from ..scheduling.demand import measure
-from ..scheduling.incarnations import is_other
+from ..scheduling.incarnations import is_other_incarnation
 from ..scheduling.losses import LossCause
 from ..scheduling.scheduler import Scheduler
 from ..scheduling.worker_state import WorkerState
@@ -109,10 +109,10 @@
         now = self.timers.monotonic()
         barred = self._barred()
         view = self._view()
-        self.scheduler.board.unusable = view.unusable
+        self.scheduler.state.unusable_workers = view.unusable
         taken = self.planner.taken() | barred
         for move in self.pools.decide(
-            view, measure(self.scheduler.board, now), taken, now
+            view, measure(self.scheduler.state, now), taken, now
         ):
             self.tasks.start_soon(self._async_move, move)
         view = replace(
@@ -127,8 +127,10 @@
                 self.tasks.start_soon(self._async_maintain, decision)
         # Before a call is sent: a task that were placed until then would end.
         self._settle_leaving()
-        self.scheduler.board.coming = self._coming()
-        self.scheduler.set_due({self._worker_of(machine) for machine in view.due})
+        self.scheduler.state.incoming_cpu = self._coming()
+        self.scheduler.set_maintenance_due(
+            {self._worker_of(machine) for machine in view.due}
+        )
         for number in self.telling.tell(view, now):
             self._store_wave(self.planner.runs[number])
 
@@ -172,7 +174,7 @@
             if read_at > since:
                 cause = self._hosts.why_unlisted(worker_id, self._instances, ordered)
                 _LOGGER.info("silent_worker_gone", worker=worker_id, cause=cause.value)
-                self.dispatcher.lose_worker(worker_id, cause)
+                self.dispatcher.remove_worker(worker_id, cause)
         alive = {name for name, session in sessions.items() if not session.closed}
         self._hosts.read(self._instances, alive)
 
@@ -204,10 +206,10 @@
         """Lose the worker that an order was decided for, and none that came since."""
         if not order.worker:
             return
-        worker = self.scheduler.board.workers.get(order.worker)
-        if worker is not None and is_other(worker.born, order.born):
+        worker = self.scheduler.state.workers.get(order.worker)
+        if worker is not None and is_other_incarnation(worker.born, order.born):
             return
-        self.dispatcher.lose_worker(order.worker, LossCause.ORDERED)
+        self.dispatcher.remove_worker(order.worker, LossCause.ORDERED)
 
     def _worker_of(self, machine: str) -> str:
         instance = self._instances.get(machine)
@@ -224,20 +226,20 @@
 
     def _look_for_unusable(self, standby: frozenset[str]) -> frozenset[str]:
         """Return the workers that nothing can be started on for a while."""
-        board = self.scheduler.board
+        state = self.scheduler.state
         counted = (
             instance
             for instance in self._instances.values()
             if instance.state == INSTANCE_UP and instance.pool not in standby
         )
         now = self.timers.monotonic()
-        return self._unusable.look(counted, board.workers, board.taken_over_at, now)
+        return self._unusable.look(counted, state.workers, state.taken_over_at, now)
 
     def _settle_leaving(self) -> None:
         """Let those workers leave, and no others, that are about to be taken."""
         now = self.timers.monotonic()
         leaving = find_leaving(self.planner.runs.values(), self.pools.orders.values())
-        for worker in self.scheduler.board.workers.values():
+        for worker in self.scheduler.state.workers.values():
             leaves = is_leaving(worker, leaving)
             if worker.leaving != leaves:
                 self.scheduler.set_leaving(worker.id, leaves, now)
@@ -257,7 +259,7 @@
     def _view(self) -> FleetView:
         loads = {
             worker.id: _load_of(worker)
-            for worker in self.scheduler.board.workers.values()
+            for worker in self.scheduler.state.workers.values()
             if worker.confirmed and not worker.stale
         }
         standby = frozenset(self.configuration.standby_pools())
@@ -272,7 +274,7 @@
             complete=self._complete,
             unusable=self._look_for_unusable(standby),
             due=frozenset(self.planner.due()),
-            rooms={w.id: w.capacity for w in self.scheduler.board.workers.values()},
+            rooms={w.id: w.capacity for w in self.scheduler.state.workers.values()},
         )
 
     def _store_wave(self, run: WaveRun) -> None:
--- a/mustardward/components/ownership/load.py
+++ b/mustardward/components/ownership/load.py
@@ -8,7 +8,7 @@
 from ...helpers.logging import get_logger
 from ..dispatch.call_queue import CallQueue
 from ..dispatch.start_window import StartWindow
-from ..scheduling.run_lines import RunLines
+from ..scheduling.run_logger import RunLogger
 from .const import SELF_CHECK_SECONDS
 
 _LOGGER = get_logger(__name__)
@@ -26,7 +26,7 @@
     node: str
     calls: CallQueue
     window: StartWindow
-    lines: RunLines
+    lines: RunLogger
     _sampled_at: float | None = None
     _logged_at: float | None = None
     _max_lag_seconds: float = 0.0
--- a/mustardward/components/ownership/owner.py
+++ b/mustardward/components/ownership/owner.py
@@ -152,7 +152,7 @@
             directory = WorkerDirectory(
                 self._update_worker,
                 self._mark_worker_missing,
-                self.scheduler.bar_worker,
+                self.scheduler.mark_worker_absent,
             )
             follower = TopicFollower(
                 dependencies.store,
@@ -169,14 +169,14 @@
             tasks.start_soon(self._progress_writer.async_run, dispatcher.sessions)
             tasks.start_soon(self._async_plan)
             executor = dispatcher.executor
-            lines = self.scheduler.reports.lines
+            lines = self.scheduler.reports.run_logger
             load = OwnerLoad(dependencies.node, executor.calls, executor.window, lines)
             tasks.start_soon(self._async_monitor, directory, load)
             if dependencies.fleet is not None:
                 self._start_fleet(dependencies.fleet, dispatcher, tasks)
             takeover = Takeover(
                 self._epoch,
-                self.scheduler.board,
+                self.scheduler.state,
                 dispatcher,
                 dependencies.timers,
                 self._request_plan,
@@ -190,8 +190,8 @@
 
     async def async_release(self) -> None:
         """Release the shard, so that another entry claims it at once."""
-        board = self.scheduler.board
-        settled = self._dependencies.timers.monotonic() >= board.held_until
+        state = self.scheduler.state
+        settled = self._dependencies.timers.monotonic() >= state.takeover_hold_until
         await self._renewals.async_release(settled)
         self.depose()
 
@@ -240,8 +240,8 @@
         dependencies = self._dependencies
         now = dependencies.timers.monotonic()
         wall = dependencies.timers.wall()
-        board = self.scheduler.board
-        hold_previous_runs(board, self._previous, now)
+        state = self.scheduler.state
+        hold_previous_runs(state, self._previous, now)
         for job in sorted(
             dependencies.ledger.jobs.values(), key=lambda job: job.record.accepted_at
         ):
@@ -250,13 +250,13 @@
         dependencies.ledger.on_job = self._add_job
         dependencies.ledger.on_cancel = lambda job: self._cancel_job(job.record.id)
         dependencies.ledger.on_told = lambda job: self._end_reported_job(job.record.id)
-        dependencies.ahead.owner_knows = self.scheduler.has_ended
+        dependencies.ahead.owner_knows = self.scheduler.is_job_done
         dependencies.configuration.on_change = self._apply_configuration
         _LOGGER.info(
             "owner_started",
             node=dependencies.node,
             epoch=self._epoch,
-            jobs=len(board.jobs),
+            jobs=len(state.jobs),
         )
 
     def _unsubscribe(self) -> None:
@@ -277,7 +277,7 @@
         self.request_work()
 
     def _end_reported_job(self, job_id: str) -> None:
-        self.scheduler.end_told(job_id)
+        self.scheduler.end_reported_job(job_id)
         self.request_work()
 
     def _apply_configuration(self) -> None:
@@ -286,11 +286,13 @@
 
     def _update_worker(self, worker_id: str, entry: WorkerEntry) -> None:
         if self.dispatcher is not None:
-            self.dispatcher.see_worker(worker_id, entry)
+            self.dispatcher.update_worker(worker_id, entry)
             self._plan_requested.set()
 
     def _mark_worker_missing(self, worker_id: str) -> None:
-        self.scheduler.miss_worker(worker_id, self._dependencies.timers.monotonic())
+        self.scheduler.mark_worker_missing(
+            worker_id, self._dependencies.timers.monotonic()
+        )
 
     async def _async_plan(self) -> None:
         timers = self._dependencies.timers
@@ -306,7 +308,7 @@
                     self.dispatcher.executor.available_starts(),
                 )
                 self.dispatcher.executor.execute(commands)
-                if self.scheduler.board.dirty:
+                if self.scheduler.state.dirty:
                     self._progress_writer.request_write()
             elapsed = timers.monotonic() - started_at
             await timers.async_sleep(_PLANNING.pause(elapsed))
@@ -331,8 +333,8 @@
             load.sample(now)
             if now - logged_at > LOAD_LOG_INTERVAL_SECONDS:
                 logged_at = now
-                log_loads(self.scheduler.board, now)
-                self.scheduler.waits.tell(now)
+                log_loads(self.scheduler.state, now)
+                self.scheduler.wait_logger.log_due(now)
                 load.log(now)
             if now - cleaned_up_at > JOB_CLEANUP_INTERVAL_SECONDS:
                 cleaned_up_at = now
@@ -347,7 +349,7 @@
         for worker_id, entry in directory.entries.items():
             session = self.dispatcher.sessions.get(worker_id)
             if session is None or session.closed:
-                self.dispatcher.see_worker(worker_id, entry)
+                self.dispatcher.update_worker(worker_id, entry)
 
     async def _async_call_append(
         self, records: list[Record], producer: Producer
--- a/mustardward/components/ownership/progress_writer.py
+++ b/mustardward/components/ownership/progress_writer.py
@@ -96,7 +96,7 @@
         if outcome is not Outcome.STORED:
             return False
         self.authority.record_renewal(sent_at)
-        self.scheduler.note_stored(job_ids)
+        self.scheduler.mark_stored(job_ids)
         self.on_stored()
         return True
 
--- a/mustardward/components/ownership/takeover.py
+++ b/mustardward/components/ownership/takeover.py
@@ -12,7 +12,7 @@
 from ..fleet.services import Fleet
 from ..ledger.follower import TopicFollower
 from ..ledger.models import OwnerRecord
-from ..scheduling.board import Board
+from ..scheduling.scheduler_state import SchedulerState
 from .const import TAKEOVER_CHECK_SECONDS
 
 _LOGGER = get_logger(__name__)
@@ -30,7 +30,7 @@
     """
 
     epoch: int
-    board: Board
+    state: SchedulerState
     dispatcher: Dispatcher
     timers: TimerService
     request_plan: Callable[[], None]
@@ -42,25 +42,25 @@
         :param directory: reads the workers' entries; no worker is known before that.
         """
         await directory.async_wait_loaded()
-        while self.timers.monotonic() < self.board.held_until:
+        while self.timers.monotonic() < self.state.takeover_hold_until:
             self.try_release()
             await self.timers.async_sleep(TAKEOVER_CHECK_SECONDS)
         self.request_plan()
 
     def try_release(self) -> None:
         """Release held jobs if every worker that may run their tasks has reported."""
-        reconciled = self._reconciled_zones()
-        if reconciled != self.board.accounted:
-            self.board.accounted = reconciled
-            zones = ",".join(sorted(reconciled))
-            _LOGGER.info("zones_reconciled", epoch=self.epoch, zones=zones)
+        accounted = self._accounted_zones()
+        if accounted != self.state.accounted_zones:
+            self.state.accounted_zones = accounted
+            zones = ",".join(sorted(accounted))
+            _LOGGER.info("zones_accounted", epoch=self.epoch, zones=zones)
             self.request_plan()
         if not self._all_workers_reported():
             return
-        self.board.held_until = 0.0
+        self.state.takeover_hold_until = 0.0
         _LOGGER.info("takeover_complete", epoch=self.epoch)
 
-    def _reconciled_zones(self) -> frozenset[str]:
+    def _accounted_zones(self) -> frozenset[str]:
         """Return the data centres all of whose workers have reported their runs.
 
         A data centre without any report is not included: its workers may be missing
@@ -69,7 +69,7 @@
         listed = self.fleet.listed_workers() if self.fleet is not None else {}
         if listed is None:
             return frozenset()
-        workers = self.board.workers
+        workers = self.state.workers
         confirmed = {worker.zone for worker in workers.values() if worker.confirmed}
         unconfirmed = {
             workers[name].zone
@@ -101,7 +101,9 @@
         return all(name in self.dispatcher.sessions for name in listed)
 
 
-def hold_previous_runs(board: Board, previous: OwnerRecord, now: float) -> None:
+def hold_previous_runs(
+    state: SchedulerState, previous: OwnerRecord, now: float
+) -> None:
     """Hold tasks that previous owners may have started for as long as they may run.
 
     An owner that released the shard sends no more commands; one that was lost may, for
@@ -112,5 +114,5 @@
     """
     authority_ended = not previous.node and previous.settled
     authority = 0.0 if authority_ended else AUTHORITY_SECONDS
-    board.held_until = latest_lease_end(now) + authority
-    board.taken_over_at = now
+    state.takeover_hold_until = latest_lease_end(now) + authority
+    state.taken_over_at = now
--- a/mustardward/components/scheduling/models.py
+++ b/mustardward/components/scheduling/models.py
@@ -60,9 +60,9 @@
         that is not known may still be on its way.
     :param sent: whether the order to start was given to the worker.
     :param crashes: the incarnations of workers that crashed under the task.
-    :param judged_at: when it is known what crashed together with the last of them, or 0
-        if that was looked at.
-    :param calm_runs: how many runs ended by themselves since, under no crash.
+    :param evaluation_due_at: when it is known what crashed together with the last of
+        them, or 0 if that was looked at.
+    :param runs_since_crash: how many runs ended by themselves since, under no crash.
     """
 
     step: StepRun
@@ -79,14 +79,14 @@
     pace: int = 100
     missed_holds: int = 0
     stop_acknowledged_at: float | None = None
-    avoid: set[str] = field(default_factory=set)
+    avoided_workers: set[str] = field(default_factory=set)
     ready_since: float = 0.0
     seen_running: bool = False
     percent_at_ms: float = -1.0
     sent: bool = False
     crashes: tuple[str, ...] = ()
-    judged_at: float = 0.0
-    calm_runs: int = 0
+    evaluation_due_at: float = 0.0
+    runs_since_crash: int = 0
 
     @property
     def name(self) -> TaskName:
@@ -95,7 +95,7 @@
         return TaskName(step.job.record.id, step.occurrence, step.number, self.index)
 
     @property
-    def at_work(self) -> bool:
+    def is_serving(self) -> bool:
         """Return whether a lasting task serves, as far as is known.
 
         What a worker reported last says nothing once it has fallen silent.
@@ -116,7 +116,7 @@
             return 0.0
         if self.percent_at_ms >= 0:
             return (self.worker.clock_ms - self.percent_at_ms) / 1000
-        return self.worker.heard_at - self.percent_since
+        return self.worker.reported_at - self.percent_since
 
 
 @dataclass(slots=True, eq=False)
@@ -124,8 +124,8 @@
     """Hold one step of one occurrence of a job.
 
     :param open: whether all tasks of the steps before it are done.
-    :param asked_about: the workers of which advice was asked last.
-    :param asked: what one task asks for, by which its organisation's quota counts.
+    :param advice_requested_for: the workers of which advice was asked last.
+    :param requested: what one task asks for, by which its organisation's quota counts.
     :param room: what one task takes of a worker. A step that fills takes what others
         leave unused, so its processor share is not counted. Held, since each plan asks
         it of every task that runs.
@@ -142,16 +142,16 @@
     open: bool = False
     on_worker: Counter[str] = field(default_factory=Counter)
     tickets: dict[str, str] = field(default_factory=dict)
-    tickets_until: float = 0.0
-    asked_until: float = 0.0
-    asked_about: frozenset[str] = frozenset()
-    asked: Room = field(init=False)
+    tickets_valid_until: float = 0.0
+    advice_requested_until: float = 0.0
+    advice_requested_for: frozenset[str] = frozenset()
+    requested: Room = field(init=False)
     room: Room = field(init=False)
 
     def __post_init__(self) -> None:
         """Work out what one task takes."""
         spec = self.spec
-        self.asked = spec.asked
+        self.requested = spec.asked
         self.room = Room(0 if spec.fills else spec.cpu, spec.mem_mb, spec.gpu)
 
     @property
@@ -161,7 +161,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class FailureDomain:
     """Name a failure domain: a data centre and a rack there."""
 
     zone: str
@@ -175,17 +175,19 @@
     :param objective_at: until when it earns in full; steady seconds.
     :param stored: whether the log shows that an owner has taken it in. Nothing of it
         starts before, so that the next owner knows which jobs nobody can have started.
-    :param held: whether an owner before had taken it in, and may have started it.
-    :param home: where its short tasks go while there is room: a job is done once all of
+    :param from_previous_owner: whether an owner before had taken it in, and may have
+        started it.
+    :param home_rack: where its short tasks go while there is room: a job is done once
+        all of
         them are, so that a loss should take all tasks of few jobs, not some of most.
     :param zones: the data centres in which it is to start, or None for any.
-    :param open_zones: those of which the log is known to have been told: it starts
+    :param stored_zones: those of which the log is known to have been told: it starts
         nowhere else.
-    :param sent_zones: those that the record on its way to the log names.
-    :param beyond: whether it lies beyond its organisation's rate.
+    :param pending_zones: those that the record on its way to the log names.
+    :param over_rate: whether it lies beyond its organisation's rate.
     :param suspicion: most workers that crashed under one of its tasks.
-    :param crashes_noted: how many crashes this owner noted under its tasks.
-    :param crashes_sent: how many of them its newest record for the log has.
+    :param crashes_counted: how many crashes this owner noted under its tasks.
+    :param crashes_in_record: how many of them its newest record for the log has.
     """
 
     record: JobRecord
@@ -197,15 +199,15 @@
     next_occurrence: int = 0
     state: JobState = JobState.QUEUED
     stored: bool = False
-    held: bool = False
-    home: Place | None = None
+    from_previous_owner: bool = False
+    home_rack: FailureDomain | None = None
     zones: frozenset[str] | None = None
-    open_zones: frozenset[str] | None = None
-    sent_zones: frozenset[str] | None = None
-    beyond: bool = False
+    stored_zones: frozenset[str] | None = None
+    pending_zones: frozenset[str] | None = None
+    over_rate: bool = False
     suspicion: int = 0
-    crashes_noted: int = 0
-    crashes_sent: int = 0
+    crashes_counted: int = 0
+    crashes_in_record: int = 0
 
     @property
     def organisation(self) -> str:
--- a/mustardward/components/scheduling/planner.py
+++ b/mustardward/components/scheduling/planner.py
@@ -7,175 +7,184 @@
 from dataclasses import dataclass, field
 
 from ...platform.models import Room
-from .advice import seek_advice
-from .board import Board
+from .advice import check_advice
+from .candidates import Candidates
 from .crashes import (
-    awaits_judgement,
-    is_free_for,
-    take_suspects,
-    trial_workers,
-    workers_apart,
+    all_isolation_workers,
+    awaits_evaluation,
+    can_isolate,
+    isolation_workers,
+    take_isolated_tasks,
 )
+from .isolation import put_overdue_isolation_first, seconds_to_empty
+from .job_order import Capacity, JobOrder, capacity_of, order_steps
 from .models import StepRun, Task
-from .offers import Offers
-from .order import Capacity, Order, capacity_of, prioritise
 from .placement import (
-    GangPlaces,
-    Shortlist,
+    GangPlacement,
+    RankedWorkers,
     choose_gang,
-    choose_home,
-    usable,
+    choose_home_rack,
+    is_usable,
 )
-from .quota_waits import QuotaWaits
-from .trials import put_trials_first, seconds_to_empty
-from .waits import Reason, Waits, reason_elsewhere
+from .quota_wait_logger import QuotaWaitLogger
+from .scheduler_state import SchedulerState
+from .wait_tracker import Reason, WaitTracker, reason_elsewhere
 from .worker_state import WorkerState
-from .zones import Zones, promised_room
+from .zone_chooser import ZoneChooser, promised_room
 
 
 @dataclass(slots=True, eq=False)
 class Planner:
     """Place what is ready, the most urgent first."""
 
-    board: Board
-    zones: Zones
-    order: Order | None = None
-    quota_waits: QuotaWaits = field(default_factory=QuotaWaits)
-    waits: Waits = field(default_factory=Waits)
-    _starts_left: int = 0
-    _turn: int = 0
+    state: SchedulerState
+    zone_chooser: ZoneChooser
+    order: JobOrder | None = None
+    quota_wait_logger: QuotaWaitLogger = field(default_factory=QuotaWaitLogger)
+    wait_tracker: WaitTracker = field(default_factory=WaitTracker)
+    _remaining_starts: int = 0
+    _rotation: int = 0
 
-    def run(self, now: float, most_starts: int) -> None:
+    def run(self, now: float, max_starts: int) -> None:
         """Give the starts that are possible, up to a number of them."""
-        self._starts_left = most_starts
-        self.waits.begin(now, most_starts)
-        self.board.quotas.set_unseen(self._unseen(now))
+        self._remaining_starts = max_starts
+        self.wait_tracker.begin_plan(now, max_starts)
+        self.state.quotas.set_unconfirmed(self._unconfirmed_runs(now))
         by_service: dict[str, list[StepRun]] = {}
-        for step in self.board.ready.values():
+        for step in self.state.ready.values():
             if step.waiting and not step.job.stored:
-                self.waits.note(step, Reason.NOT_STORED)
+                self.wait_tracker.record(step, Reason.NOT_STORED)
             elif step.waiting:
                 by_service.setdefault(step.job.policy.service, []).append(step)
-        for service in self._in_turn(sorted(by_service)):
+        for service in self._rotate(sorted(by_service)):
             workers = [
                 worker
-                for worker in self.board.workers.values()
-                if worker.service == service and usable(worker, now)
+                for worker in self.state.workers.values()
+                if worker.service == service and is_usable(worker, now)
             ]
             if workers:
-                self._place(workers, by_service[service], now)
+                self._place_pool(workers, by_service[service], now)
             else:
-                self.waits.note_all(by_service[service], Reason.NO_USABLE_WORKER)
-        self.quota_waits.flush(self.board.quotas, now)
+                self.wait_tracker.record_all(
+                    by_service[service], Reason.NO_USABLE_WORKER
+                )
+        self.quota_wait_logger.flush(self.state.quotas, now)
 
-    def _in_turn(self, services: list[str]) -> list[str]:
+    def _rotate(self, services: list[str]) -> list[str]:
         """Return the pools, another one first each time.
 
         Where few starts may be decided, the first pool would else have all of them.
         """
-        self._turn += 1
-        first = self._turn % max(1, len(services))
+        self._rotation += 1
+        first = self._rotation % max(1, len(services))
         return services[first:] + services[:first]
 
-    def _unseen(self, now: float) -> Iterator[tuple[str, Room, int]]:
+    def _unconfirmed_runs(self, now: float) -> Iterator[tuple[str, Room, int]]:
         """Yield the tasks that an owner before may have started, and that may run."""
-        if now >= self.board.held_until:
+        if now >= self.state.takeover_hold_until:
             return
-        for job in self.board.jobs.values():
-            if job.organisation and self.board.is_held(job, now):
+        for job in self.state.jobs.values():
+            if job.organisation and self.state.is_held_after_takeover(job, now):
                 for step in job.steps.values():
                     count = len(step.tasks) - step.done - step.active
-                    yield job.organisation, step.asked, count
+                    yield job.organisation, step.requested, count
 
-    def _place(
+    def _place_pool(
         self, workers: list[WorkerState], steps: list[StepRun], now: float
     ) -> None:
-        ranked = prioritise(
-            steps, now, self.board.estimates, self._capacity(workers, now), self.order
+        ordered = order_steps(
+            steps, now, self.state.estimates, self._capacity(workers, now), self.order
         )
-        apart = workers_apart(self.board.suspects.values())
-        offers = Offers([worker for worker in workers if worker.id not in apart], apart)
-        if len(offers.workers) == len(workers):
+        isolation_ids = all_isolation_workers(self.state.suspects.values())
+        candidates = Candidates(
+            [worker for worker in workers if worker.id not in isolation_ids],
+            isolation_ids,
+        )
+        if len(candidates.workers) == len(workers):
             # One trial at a time goes before what ranks first.
-            ranked = put_trials_first(ranked, now)
+            ordered = put_overdue_isolation_first(ordered, now)
         promised = promised_room(steps)
-        for number, step in enumerate(ranked):
-            if self._starts_left <= 0:
-                self.waits.note_all(ranked[number:], Reason.STARTS_USED_UP)
+        for number, step in enumerate(ordered):
+            if self._remaining_starts <= 0:
+                self.wait_tracker.record_all(ordered[number:], Reason.STARTS_USED_UP)
                 return
-            if self.board.is_held(step.job, now):
-                self.waits.note(step, Reason.HELD_AFTER_TAKEOVER)
+            if self.state.is_held_after_takeover(step.job, now):
+                self.wait_tracker.record(step, Reason.HELD_AFTER_TAKEOVER)
                 continue
-            if awaits_judgement(step.job):
-                self.waits.note(step, Reason.AWAITS_JUDGEMENT)
+            if awaits_evaluation(step.job):
+                self.wait_tracker.record(step, Reason.AWAITS_EVALUATION)
                 continue
-            suspects = take_suspects(step)
+            suspects = take_isolated_tasks(step)
             if suspects:
-                self._place_apart(step, suspects, workers, offers, now)
+                self._place_isolated(step, suspects, workers, candidates, now)
             if step.waiting:
-                self._place_among_others(step, offers, promised, now)
+                self._place_shared(step, candidates, promised, now)
             if suspects:
-                self.board.put_back(step, suspects)
+                self.state.return_to_queue(step, suspects)
 
-    def _place_among_others(
-        self, step: StepRun, offers: Offers, promised: Counter[str], now: float
+    def _place_shared(
+        self, step: StepRun, candidates: Candidates, promised: Counter[str], now: float
     ) -> None:
-        if not offers.workers:
-            self.waits.note(step, Reason.KEPT_FOR_OTHERS, offers)
+        if not candidates.workers:
+            self.wait_tracker.record(step, Reason.RESERVED_FOR_OTHERS, candidates)
             return
-        if offers.fits_nowhere(step):
-            self.waits.note(step, Reason.FITS_NOWHERE, offers)
+        if candidates.is_oversized(step):
+            self.wait_tracker.record(step, Reason.FITS_NOWHERE, candidates)
             return
-        allowed = offers.of(step.job.open_zones)
+        allowed = candidates.in_zones(step.job.stored_zones)
         if not self._may_start(step, allowed, now):
             return
         if step.spec.gang:
             self._place_gang(step, allowed, now)
             return
-        if offers.may_fit(step) and self._place_tasks(step, allowed, now):
+        if candidates.may_fit(step) and self._place_tasks(step, allowed, now):
             return
         if step.spec.long_running:
             # A task that lasts would wait for ever while shorter ones take each hole.
-            offers.keep_for_lasting(step, self.board.estimates.left_at(now))
-            self.waits.note(step, Reason.NO_ROOM, offers)
+            candidates.reserve_for_long_running(
+                step, self.state.estimates.remaining_seconds_at(now)
+            )
+            self.wait_tracker.record(step, Reason.NO_ROOM, candidates)
             return
-        elsewhere = self.zones.widen(step, offers.by_zone, promised)
-        self.waits.note(step, reason_elsewhere(step, elsewhere), offers, promised)
+        elsewhere = self.zone_chooser.add_zone(step, candidates.by_zone, promised)
+        self.wait_tracker.record(
+            step, reason_elsewhere(step, elsewhere), candidates, promised
+        )
         if not _restricted(step):
-            offers.note_full(step, everywhere=not elsewhere)
+            candidates.record_full(step, everywhere=not elsewhere)
 
-    def _place_apart(
+    def _place_isolated(
         self,
         step: StepRun,
         suspects: list[Task],
         workers: list[WorkerState],
-        offers: Offers,
+        candidates: Candidates,
         now: float,
     ) -> None:
         """Place suspected tasks where a crash ends no other job's."""
         if not self._may_start(step, workers, now):
             return
-        free = [w for w in workers if is_free_for(w, suspects, now)]
-        at_trial = trial_workers(step.job)
+        free = [w for w in workers if can_isolate(w, suspects, now)]
+        isolating = isolation_workers(step.job)
         one_worker = not (step.spec.long_running or step.spec.gang)
         if step.spec.gang:
             placed = choose_gang(free, step, suspects)
             self._start_gang(placed, now)
             all_fit = placed is not None
         else:
-            if one_worker and at_trial:
-                free = [worker for worker in free if worker.id in at_trial]
+            if one_worker and isolating:
+                free = [worker for worker in free if worker.id in isolating]
             all_fit = self._place_each(step, suspects, free, one_worker, now)
-        used = trial_workers(step.job)
+        used = isolation_workers(step.job)
         if used:
-            offers.leave_out([w for w in free if w.id in used], step)
+            candidates.exclude([w for w in free if w.id in used], step)
         if all_fit:
             return
-        self.waits.note(step, Reason.SUSPECTS_WAIT)
+        self.wait_tracker.record(step, Reason.SUSPECTS_WAIT)
         if not (one_worker and used):
-            job, left = step.job, self.board.estimates.left_at(now)
-            offers.keep_to_empty(
-                step, suspects, free, lambda w: seconds_to_empty(w, job, left, now)
+            job, remaining = step.job, self.state.estimates.remaining_seconds_at(now)
+            candidates.reserve_emptying_worker(
+                step, suspects, free, lambda w: seconds_to_empty(w, job, remaining, now)
             )
 
     def _place_each(
@@ -191,44 +200,44 @@
         :param one_worker: whether all go to one, so that no more of them crash at once.
         """
         for task in suspects:
-            if not self._has_starts(step) or not self._within_quota(step):
+            if not self._can_start_more(step) or not self._within_quota(step):
                 return True
-            worker = Shortlist(workers, step, task.avoid).best()
+            worker = RankedWorkers(workers, step, task.avoided_workers).best()
             if worker is None:
                 return False
-            self._starts_left -= 1
-            self.board.assign(task, worker, self.board.next_run(), now)
+            self._remaining_starts -= 1
+            self.state.assign(task, worker, self.state.next_run_number(), now)
             if one_worker:
                 workers = [worker]
         return True
 
     def _capacity(self, workers: list[WorkerState], now: float) -> Capacity:
-        coming = self.board.coming.get(workers[0].service, 0)
-        return capacity_of(workers, coming, self.board.estimates, now)
+        incoming = self.state.incoming_cpu.get(workers[0].service, 0)
+        return capacity_of(workers, incoming, self.state.estimates, now)
 
     def _place_tasks(
         self, step: StepRun, workers: list[WorkerState], now: float
     ) -> bool:
         """Return whether no task of a step lacks room on a worker."""
-        if step.job.home is None and workers:
-            step.job.home = choose_home(workers)
-        shortlist: Shortlist | None = None
+        if step.job.home_rack is None and workers:
+            step.job.home_rack = choose_home_rack(workers)
+        ranked_workers: RankedWorkers | None = None
         avoided: Set[str] = frozenset()
         while step.waiting:
-            if not self._has_starts(step) or not self._within_quota(step):
+            if not self._can_start_more(step) or not self._within_quota(step):
                 return True
             task = step.waiting[0]
-            if shortlist is None or task.avoid != avoided:
-                avoided = task.avoid
-                shortlist = Shortlist(workers, step, avoided)
-            worker = shortlist.best()
+            if ranked_workers is None or task.avoided_workers != avoided:
+                avoided = task.avoided_workers
+                ranked_workers = RankedWorkers(workers, step, avoided)
+            worker = ranked_workers.best()
             if worker is None:
                 return False
             step.waiting.popleft()
-            self._starts_left -= 1
-            self.board.assign(task, worker, self.board.next_run(), now)
-            shortlist.renew()
-        self.board.ready.pop(id(step), None)
+            self._remaining_starts -= 1
+            self.state.assign(task, worker, self.state.next_run_number(), now)
+            ranked_workers.update_best()
+        self.state.ready.pop(id(step), None)
         return True
 
     def _may_start(self, step: StepRun, workers: list[WorkerState], now: float) -> bool:
@@ -237,11 +246,11 @@
             return False
         return self._within_quota(step)
 
-    def _has_starts(self, step: StepRun) -> bool:
+    def _can_start_more(self, step: StepRun) -> bool:
         """Return whether this plan may still start something."""
-        if self._starts_left > 0:
+        if self._remaining_starts > 0:
             return True
-        self.waits.note(step, Reason.STARTS_USED_UP)
+        self.wait_tracker.record(step, Reason.STARTS_USED_UP)
         return False
 
     def _within_quota(self, step: StepRun) -> bool:
@@ -249,40 +258,40 @@
         # All members of a suspected gang were taken off its queue.
         count = (len(step.waiting) or len(step.tasks)) if step.spec.gang else 1
         organisation = step.job.organisation
-        if self.board.quotas.allows(organisation, step.asked, count):
+        if self.state.quotas.allows(organisation, step.requested, count):
             return True
-        self.quota_waits.note(organisation, max(count, len(step.waiting)))
-        self.waits.note(step, Reason.QUOTA)
+        self.quota_wait_logger.record(organisation, max(count, len(step.waiting)))
+        self.wait_tracker.record(step, Reason.QUOTA)
         return False
 
     def _place_gang(
         self, step: StepRun, workers: list[WorkerState], now: float
     ) -> None:
         if step.active or len(step.waiting) != len(step.tasks):
-            self.waits.note(step, Reason.GANG_INCOMPLETE)
+            self.wait_tracker.record(step, Reason.GANG_INCOMPLETE)
             return
         placed = choose_gang(workers, step, step.waiting)
         if placed is None:
-            self.waits.note(step, Reason.GANG_HAS_NO_ROOM)
+            self.wait_tracker.record(step, Reason.GANG_HAS_NO_ROOM)
         else:
             step.waiting.clear()
         self._start_gang(placed, now)
 
-    def _start_gang(self, placed: GangPlaces | None, now: float) -> None:
+    def _start_gang(self, placed: GangPlacement | None, now: float) -> None:
         if placed is None:
             return
         # Members wait for each other on their workers, so that all go or none.
-        run = self.board.next_run()
+        run = self.state.next_run_number()
         for task, worker in placed:
-            self._starts_left -= 1
-            self.board.assign(task, worker, run, now)
+            self._remaining_starts -= 1
+            self.state.assign(task, worker, run, now)
 
     def _has_advice(
         self, step: StepRun, workers: list[WorkerState], now: float
     ) -> bool:
-        if seek_advice(self.board, step, workers, now):
+        if check_advice(self.state, step, workers, now):
             return True
-        self.waits.note(step, Reason.ADVICE_UNANSWERED)
+        self.wait_tracker.record(step, Reason.ADVICE_UNANSWERED)
         return False
 
 
--- a/mustardward/components/scheduling/scheduler.py
+++ b/mustardward/components/scheduling/scheduler.py
@@ -12,35 +12,35 @@
 from ...platform.workers import HoldAnswer
 from ..ledger.ledger import LedgerJob
 from ..ledger.models import JobState, Progress
-from .board import Board, PolicyLookup
 from .commands import Command
 from .const import (
-    LOOK_SECONDS,
+    CHECK_INTERVAL_SECONDS,
     STUCK_FACTOR,
     STUCK_SECONDS,
 )
-from .crashes import Crashes, suspects_of
-from .entries import Entries
+from .crashes import CrashTracker, suspects_of
 from .evacuation import Evacuation
-from .health import Health
+from .health import WorkerHealth
 from .incarnations import make_worker
 from .intake import Intake
-from .losses import LossCause, tell_lost
+from .job_order import ORDERS
+from .losses import LossCause, log_worker_lost
 from .models import Job, Phase, StepRun, Task
-from .order import ORDERS
 from .pacing import Pacing
 from .planner import Planner
 from .progress import progress_of
-from .quotas import QuotaLookup, Quotas, no_quota
+from .quotas import QuotaLookup, Quotas, unlimited_quota
+from .rate_shares import RateLookup, RateShares, unlimited_rate
 from .reports import Reports
-from .shares import RateLookup, Shares, no_rate
-from .wait_lines import WaitLines
-from .zones import Zones
+from .scheduler_state import PolicyLookup, SchedulerState
+from .wait_logger import WaitLogger
+from .worker_entries import WorkerEntries
+from .zone_chooser import ZoneChooser
 
 _LOGGER = get_logger(__name__)
 
 
-def _stop_nothing(scheduler: Scheduler, /, now: float) -> None:
+def _never_stop_stuck(scheduler: Scheduler, /, now: float) -> None:
     """Let runs that stand still keep their room."""
 
 
@@ -59,60 +59,60 @@
         epoch: int,
         policy_of: PolicyLookup,
         order: str = "",
-        quota_of: QuotaLookup = no_quota,
-        rate_of: RateLookup = no_rate,
+        quota_of: QuotaLookup = unlimited_quota,
+        rate_of: RateLookup = unlimited_rate,
     ) -> None:
-        self.board = Board(epoch, policy_of, quotas=Quotas(quota_of))
-        self.entries = Entries(self.board)
-        self._zones = Zones(self.board)
-        self.intake = Intake(self.board, self._zones, Shares(rate_of))
-        self.health = Health(self.board)
-        self.reports = Reports(self.board, self.intake, self.health)
-        self.pacing = Pacing(self.board)
-        self._crashes = Crashes(self.board)
-        self._evacuation = Evacuation(self.board)
-        self._planner = Planner(self.board, self._zones, ORDERS.get(order))
-        self.waits = WaitLines(self.board, self._planner.waits)
+        self.state = SchedulerState(epoch, policy_of, quotas=Quotas(quota_of))
+        self.entries = WorkerEntries(self.state)
+        self._zone_chooser = ZoneChooser(self.state)
+        self.intake = Intake(self.state, self._zone_chooser, RateShares(rate_of))
+        self.health = WorkerHealth(self.state)
+        self.reports = Reports(self.state, self.intake, self.health)
+        self.pacing = Pacing(self.state)
+        self._crash_tracker = CrashTracker(self.state)
+        self._evacuation = Evacuation(self.state)
+        self._planner = Planner(self.state, self._zone_chooser, ORDERS.get(order))
+        self.wait_logger = WaitLogger(self.state, self._planner.wait_tracker)
         self._ending: dict[str, Job] = {}
-        self._look_at = -math.inf
+        self._next_check_at = -math.inf
 
     def add_job(self, job: LedgerJob, now: float, wall: float) -> None:
         """Take an accepted job in."""
         self.intake.add(job, now, wall)
 
-    def note_stored(self, job_ids: Iterable[str]) -> None:
+    def mark_stored(self, job_ids: Iterable[str]) -> None:
         """Take in that the log shows these jobs as taken in; they may start now."""
         for job_id in job_ids:
-            job = self.board.jobs.get(job_id)
+            job = self.state.jobs.get(job_id)
             if job is not None:
-                job.stored |= job.crashes_sent == job.crashes_noted
-                job.open_zones = job.sent_zones
+                job.stored |= job.crashes_in_record == job.crashes_counted
+                job.stored_zones = job.pending_zones
 
     def cancel_job(self, job_id: str) -> None:
         """End a job that a caller cancelled."""
         self.intake.cancel(job_id)
 
-    def has_ended(self, job_id: str) -> bool:
+    def is_job_done(self, job_id: str) -> bool:
         """Return whether a job is done, stored or not."""
-        job = self.board.jobs.get(job_id)
+        job = self.state.jobs.get(job_id)
         return job is not None and job.state is JobState.DONE
 
-    def end_told(self, job_id: str) -> None:
+    def end_reported_job(self, job_id: str) -> None:
         """End a job that a caller was told as done by an owner before."""
-        job = self.board.jobs.get(job_id)
+        job = self.state.jobs.get(job_id)
         if job is not None and not job.state.final:
-            self.board.end_job(job, JobState.DONE)
+            self.state.end_job(job, JobState.DONE)
 
     def update_policies(self) -> None:
         """Apply a new configuration to the jobs at hand."""
-        for job in self.board.jobs.values():
-            policy = self.board.policy_of(job.record.queue)
+        for job in self.state.jobs.values():
+            policy = self.state.policy_of(job.record.queue)
             if policy is not None:
                 job.policy = policy
 
-    def see_worker(self, worker_id: str, entry: WorkerEntry, now: float) -> bool:
+    def update_worker(self, worker_id: str, entry: WorkerEntry, now: float) -> bool:
         """Take in a worker's entry; return whether the worker is new."""
-        return self.entries.see(worker_id, entry, now)
+        return self.entries.update(worker_id, entry, now)
 
     def replace_worker(
         self, worker_id: str, born: int, entry: WorkerEntry, now: float
@@ -122,7 +122,7 @@
         :param entry: the newest one that is known; it may be of the incarnation before,
             and the worker gets nothing then until its own is read.
         """
-        old = self.board.workers.get(worker_id)
+        old = self.state.workers.get(worker_id)
         new = make_worker(worker_id, entry)
         new.born = born
         new.described = entry.born == born
@@ -135,90 +135,90 @@
             described=new.described,
         )
         if old is None:
-            self.board.workers[worker_id] = new
+            self.state.workers[worker_id] = new
         else:
-            tell_lost(old, LossCause.REBORN, now)
+            log_worker_lost(old, LossCause.RESTARTED, now)
             suspects = suspects_of(old, now)
-            self.board.replace_worker(old, new, now)
-            self._crashes.note(old, LossCause.REBORN, suspects, now)
+            self.state.replace_worker(old, new, now)
+            self._crash_tracker.record_loss(old, LossCause.RESTARTED, suspects, now)
 
-    def miss_worker(self, worker_id: str, now: float) -> None:
+    def mark_worker_missing(self, worker_id: str, now: float) -> None:
         """Take in that a worker's entry is gone; what runs there may go on."""
-        self.entries.miss(worker_id, now)
+        self.entries.mark_missing(worker_id, now)
 
-    def bar_worker(self, worker_id: str) -> None:
+    def mark_worker_absent(self, worker_id: str) -> None:
         """Give a worker no new tasks until a good entry names it again."""
-        self.entries.bar(worker_id)
+        self.entries.mark_absent(worker_id)
 
-    def lose_worker(self, worker_id: str, cause: LossCause, now: float) -> None:
+    def remove_worker(self, worker_id: str, cause: LossCause, now: float) -> None:
         """Take in that nothing runs on a worker any more."""
-        worker = self.board.workers.get(worker_id)
+        worker = self.state.workers.get(worker_id)
         if worker is not None:
-            tell_lost(worker, cause, now)
+            log_worker_lost(worker, cause, now)
             suspects = suspects_of(worker, now)
-            self.board.drop_worker(worker, now)
-            self._crashes.note(worker, cause, suspects, now)
+            self.state.drop_worker(worker, now)
+            self._crash_tracker.record_loss(worker, cause, suspects, now)
 
-    def hold_worker(
+    def apply_worker_report(
         self, worker_id: str, answer: HoldAnswer, sent_at: float, now: float
     ) -> None:
         """Take in what runs and has ended on a worker."""
-        worker = self.board.workers.get(worker_id)
+        worker = self.state.workers.get(worker_id)
         if worker is not None:
-            self.reports.held(worker, answer, sent_at, now)
+            self.reports.apply_hold(worker, answer, sent_at, now)
 
     def set_leaving(self, worker_id: str, leaving: bool, now: float) -> None:
         """Give a worker no new tasks and empty it, or take that back."""
-        worker = self.board.workers.get(worker_id)
+        worker = self.state.workers.get(worker_id)
         if worker is not None and worker.leaving != leaving:
             worker.leaving = leaving
             worker.leaving_since = now
 
-    def set_due(self, worker_ids: set[str]) -> None:
+    def set_maintenance_due(self, worker_ids: set[str]) -> None:
         """Say on which workers nothing stays for long, since maintenance comes."""
-        for worker in self.board.workers.values():
-            worker.due = worker.id in worker_ids
+        for worker in self.state.workers.values():
+            worker.maintenance_due = worker.id in worker_ids
 
-    def give_tickets(
+    def set_tickets(
         self, step: StepRun, tickets: dict[str, str], valid_until: float
     ) -> None:
         """Take in the advice on a step."""
         step.tickets = tickets
-        step.tickets_until = valid_until
-        step.asked_until = 0.0
+        step.tickets_valid_until = valid_until
+        step.advice_requested_until = 0.0
 
     def plan(
-        self, now: float, wall: float, most_starts: int = sys.maxsize
+        self, now: float, wall: float, max_starts: int = sys.maxsize
     ) -> list[Command]:
         """Return the commands that are due.
 
-        :param most_starts: starts that can be carried out soon; no more are decided.
+        :param max_starts: starts that can be carried out soon; no more are decided.
         """
         self.intake.open_due(now, wall)
-        self.entries.run(now)
+        self.entries.check(now)
         self._evacuation.run(now)
-        if now >= self._look_at:
-            self._look_at = now + LOOK_SECONDS
+        if now >= self._next_check_at:
+            self._next_check_at = now + CHECK_INTERVAL_SECONDS
             self._stop_stuck(now)
-            self._crashes.judge(now)
+            self._crash_tracker.evaluate(now)
             self.pacing.run(now)
-        self._planner.run(now, most_starts)
+        self._planner.run(now, max_starts)
         self._forget_ended()
-        self.reports.lines.flush()
-        return self.board.take_commands()
+        self.reports.run_logger.flush()
+        return self.state.take_commands()
 
     def take_dirty(self, now: float, wall: float) -> list[tuple[str, Progress]]:
         """Return what has to be stored, and forget the jobs that are over."""
-        dirty = self.board.dirty
-        self.board.dirty = {}
+        dirty = self.state.dirty
+        self.state.dirty = {}
         records = [(job_id, progress_of(job, wall)) for job_id, job in dirty.items()]
         for job_id, job in dirty.items():
-            job.sent_zones = job.zones
-            job.crashes_sent = job.crashes_noted
-            self.waits.sent(job_id, now)
+            job.pending_zones = job.zones
+            job.crashes_in_record = job.crashes_counted
+            self.wait_logger.record_sent(job_id, now)
             if job.state.final and job_id not in self._ending:
                 self._ending[job_id] = job
-                self._zones.forget(job)
+                self._zone_chooser.remove_work(job)
                 _LOGGER.info(
                     "job_ended",
                     job=job_id,
@@ -226,7 +226,7 @@
                     seconds=now - job.accepted_at,
                     objective_seconds=job.objective_at - job.accepted_at,
                     organisation=job.organisation,
-                    beyond=job.beyond,
+                    beyond=job.over_rate,
                 )
         return records
 
@@ -237,22 +237,22 @@
             if any(step.active for step in job.steps.values()):
                 continue
             del self._ending[job_id]
-            self.board.jobs.pop(job_id, None)
+            self.state.jobs.pop(job_id, None)
             for step in job.steps.values():
-                self.board.ready.pop(id(step), None)
+                self.state.ready.pop(id(step), None)
 
     @switchable(
         "stuck-runs",
         "a run that stands still is stopped and done elsewhere",
-        without=_stop_nothing,
+        without=_never_stop_stuck,
     )
     def _stop_stuck(self, now: float) -> None:
-        for worker in self.board.workers.values():
+        for worker in self.state.workers.values():
             for task in list(worker.tasks.values()):
                 if self._is_stuck(task):
-                    task.avoid.add(worker.id)
-                    self.health.note_failed(worker, task, now)
-                    self.board.stop(task, "stuck")
+                    task.avoided_workers.add(worker.id)
+                    self.health.record_failure(worker, task, now)
+                    self.state.stop(task, "stuck")
 
     def _is_stuck(self, task: Task) -> bool:
         if task.phase is not Phase.RUNNING or task.percent >= 100:
@@ -260,5 +260,5 @@
         if task.worker is None or task.worker.stale:
             # Nothing is known of it, neither that it works nor that it stands still.
             return False
-        expected = STUCK_FACTOR * self.board.estimates.seconds(task.step)
+        expected = STUCK_FACTOR * self.state.estimates.seconds(task.step)
         return task.seconds_without_progress > max(STUCK_SECONDS, expected)
--- a/tests/components/dispatch/test_blocked_loop.py
+++ b/tests/components/dispatch/test_blocked_loop.py
@@ -72,8 +72,8 @@
         for name, worker in self.estate.workers.items():
             address = self.estate.address_of(name)
             entry = WorkerEntry(POOL, address, capacity=worker.room)
-            self.dispatcher.see_worker(name, entry)
-        workers = self.scheduler.board.workers.values()
+            self.dispatcher.update_worker(name, entry)
+        workers = self.scheduler.state.workers.values()
         await async_until(lambda: all(worker.confirmed for worker in workers))
 
     def plan(self) -> None:
@@ -107,14 +107,14 @@
         await owner.async_open_sessions()
         step = a_step(count=TASKS, cpu=100, mem_mb=1, long_running=True)
         owner.scheduler.add_job(a_job(step), owner.timers.monotonic(), 0.0)
-        owner.scheduler.note_stored([JOB])
+        owner.scheduler.mark_stored([JOB])
         owner.plan()
         for _ in range(4):
             await anyio.lowlevel.checkpoint()
         time.sleep(BLOCKED_SECONDS)  # noqa: ASYNC251 - blocks the event loop
         await owner.async_keep_planning(2.0)
         assert not [c for c in owner.commands if isinstance(c, Stop)]
-        job = owner.scheduler.board.jobs[JOB]
+        job = owner.scheduler.state.jobs[JOB]
         assert {task.phase for task in job.steps[(0, 0)].tasks} == {Phase.RUNNING}
         starts = Counter(
             task for worker in estate.workers.values() for task, _ in worker.starts
@@ -140,10 +140,10 @@
         )
         now = timers.monotonic()
         scheduler.add_job(a_job(a_step(count=1)), now, 0.0)
-        scheduler.note_stored([JOB])
+        scheduler.mark_stored([JOB])
         entry = WorkerEntry(POOL, "127.0.0.1:9", capacity=Room(8000, 8000))
-        scheduler.see_worker("w", entry, now)
-        worker = scheduler.board.workers["w"]
+        scheduler.update_worker("w", entry, now)
+        worker = scheduler.state.workers["w"]
         worker.confirmed = True
         (start,) = [c for c in scheduler.plan(now - 2.0, 0.0) if isinstance(c, Start)]
         dispatcher.executor.execute([start])
--- a/tests/components/dispatch/test_lost_workers.py
+++ b/tests/components/dispatch/test_lost_workers.py
@@ -104,7 +104,7 @@
         for name in self.workers:
             rack = "r1" if name in RACK_WORKERS else "r2"
             entry = an_entry(labels=["a", rack], zone="z")
-            self.dispatcher.see_worker(name, entry)
+            self.dispatcher.update_worker(name, entry)
             session = self.dispatcher.sessions[name]
             session.client = self.workers[name]  # type: ignore[assignment]
 
@@ -112,7 +112,7 @@
         """Submit a job that may start at once."""
         job = a_job(a_step(count=count))
         self.scheduler.add_job(job, self.timers.monotonic(), 0.0)
-        self.scheduler.note_stored([JOB])
+        self.scheduler.mark_stored([JOB])
 
     def lose_rack(self, failure: Exception) -> None:
         """Make all calls to the workers of the rack fail."""
@@ -120,7 +120,7 @@
             self.workers[name].failure = failure
 
     def task(self) -> Task:
-        found = self.scheduler.board.find(TaskName(JOB, 0, 0, 0))
+        found = self.scheduler.state.find_task(TaskName(JOB, 0, 0, 0))
         assert found is not None
         return found
 
@@ -129,7 +129,7 @@
         for _ in range(round(seconds / 0.05)):
             now = self.timers.monotonic()
             commands = self.scheduler.plan(now, 0.0)
-            self.scheduler.note_stored(
+            self.scheduler.mark_stored(
                 job_id for job_id, _ in self.scheduler.take_dirty(now, 0.0)
             )
             self.dispatcher.executor.execute(commands)
@@ -141,7 +141,7 @@
                 if session.closed or since is None:
                     continue
                 if self.timers.monotonic() - since > UNLISTED_SECONDS:
-                    self.dispatcher.lose_worker(name, LossCause.UNLISTED)
+                    self.dispatcher.remove_worker(name, LossCause.UNLISTED)
 
 
 @asynccontextmanager
@@ -167,7 +167,7 @@
         harness.lose_rack(failure)
         harness.add()
         await harness.async_advance_time(6.0)
-        assert harness.scheduler.board.jobs[JOB].state is JobState.RUNNING
+        assert harness.scheduler.state.jobs[JOB].state is JobState.RUNNING
         assert harness.task().phase is Phase.RUNNING
         assert harness.task().crashes == ()
 
@@ -215,7 +215,7 @@
         harness.lose_rack(failure)
         harness.add()
         await harness.async_advance_time(6.0)
-        assert harness.scheduler.board.jobs[JOB].state is JobState.RUNNING
+        assert harness.scheduler.state.jobs[JOB].state is JobState.RUNNING
         assert len(harness.task().crashes) <= 1
 
 
--- a/tests/components/dispatch/test_recovery.py
+++ b/tests/components/dispatch/test_recovery.py
@@ -61,8 +61,8 @@
     assert not harness.worker.process.runs
     harness.add(FULL_SIZE_STEP)
     await harness.async_advance_time(12.0)
-    worker = harness.scheduler.board.workers[WORKER]
-    assert (worker.unknown_runs, worker.strays) == (False, [])
+    worker = harness.scheduler.state.workers[WORKER]
+    assert (worker.unknown_runs, worker.orphan_steps) == (False, [])
     assert (worker.free_cpu, harness.task().phase) == (0, Phase.RUNNING)
 
 
@@ -111,7 +111,7 @@
         harness.update_entry()
         harness.add(a_step(count=1, long_running=True))
         await harness.async_advance_time(12.0)
-        worker = harness.scheduler.board.workers[WORKER]
+        worker = harness.scheduler.state.workers[WORKER]
         tasks.cancel_scope.cancel()
     assert (worker.absent, worker.service) == (False, POOL)
     assert harness.task().phase is Phase.RUNNING
@@ -124,16 +124,16 @@
         harness.update_entry()
         await harness.async_advance_time(0.3)
         directory = WorkerDirectory(
-            harness.dispatcher.see_worker,
-            lambda name: harness.scheduler.miss_worker(
+            harness.dispatcher.update_worker,
+            lambda name: harness.scheduler.mark_worker_missing(
                 name, harness.timers.monotonic()
             ),
-            harness.scheduler.bar_worker,
+            harness.scheduler.mark_worker_absent,
         )
         good = {**GOOD, "service": POOL, "born": STARTED_AT_MS}
         for entry in (good, {**good, "state": "?"}, good):
             directory.apply(KeyedRecord(1, WORKER, msgspec.json.encode(entry)))
-            worker = harness.scheduler.board.workers[WORKER]
+            worker = harness.scheduler.state.workers[WORKER]
             assert worker.absent == (entry["state"] == "?")
         directory.apply(KeyedRecord(1, WORKER, b""))
         await harness.async_advance_time(4.0)
@@ -192,10 +192,10 @@
             await harness.async_advance_time(0.5)
             harness.update_entry()
             await harness.async_advance_time(0.5)
-        worker = harness.scheduler.board.workers[WORKER]
+        worker = harness.scheduler.state.workers[WORKER]
         assert (worker.absent, worker.service) == (False, POOL)
         harness.update_entry(service="no-such-service")
-        harness.scheduler.bar_worker(WORKER)
+        harness.scheduler.mark_worker_absent(WORKER)
         await harness.async_advance_time(4.0)
         assert (worker.absent, worker.service) == (True, POOL)
         tasks.cancel_scope.cancel()
@@ -211,7 +211,7 @@
         await harness.async_advance_time(0.3)
         assert harness.task().phase is Phase.RUNNING
         harness.update_entry(service="no-such-service")
-        worker = harness.scheduler.board.workers[WORKER]
+        worker = harness.scheduler.state.workers[WORKER]
         for _ in range(120):
             await harness.async_advance_time(0.1)
             harness.worker.process.advance(harness.worker.clock_ms())
--- a/tests/components/dispatch/test_recovery_walks.py
+++ b/tests/components/dispatch/test_recovery_walks.py
@@ -184,18 +184,18 @@
         entry = an_entry(born=worker.started_at_ms, capacity=worker.room)
         if self.entries.get(name) != entry:
             self.entries[name] = entry
-            self.dispatcher.see_worker(name, entry)
+            self.dispatcher.update_worker(name, entry)
             self._set_clients()
 
     def expire_entry(self, name: str) -> None:
         """Let a worker's entry expire."""
         if self.entries.pop(name, None) is not None:
-            self.scheduler.miss_worker(name, self.timers.monotonic())
+            self.scheduler.mark_worker_missing(name, self.timers.monotonic())
 
     def write_unusable_entry(self, name: str) -> None:
         """Apply an entry that describes no usable worker."""
         self.entries.pop(name, None)
-        self.scheduler.bar_worker(name)
+        self.scheduler.mark_worker_absent(name)
 
     def submit(self) -> None:
         """Submit a random job."""
@@ -246,7 +246,7 @@
         session = self.dispatcher.sessions.get(name)
         if session is not None and not session.closed:
             self.workers[name].restart()
-            self.dispatcher.lose_worker(name, LossCause.UNLISTED)
+            self.dispatcher.remove_worker(name, LossCause.UNLISTED)
 
     def resize(self, name: str) -> None:
         """Change the capacity of a worker."""
@@ -270,14 +270,14 @@
             for name, entry in self.entries.items():
                 session = self.dispatcher.sessions.get(name)
                 if session is None or session.closed:
-                    self.dispatcher.see_worker(name, entry)
+                    self.dispatcher.update_worker(name, entry)
             self._set_clients()
             if self.authorised:
                 room = self.dispatcher.executor.available_starts()
                 commands = self.scheduler.plan(now, 0.0, room)
                 self.dispatcher.executor.execute(commands)
             stored = [name for name, _ in self.scheduler.take_dirty(now, 0.0)]
-            self.scheduler.note_stored(stored)
+            self.scheduler.mark_stored(stored)
             for session in self.dispatcher.sessions.values():
                 session.acknowledge(session.received_upto)
             await anyio.wait_all_tasks_blocked()
@@ -326,13 +326,13 @@
 
 def unstarted_tasks(walk: RecoveryWalk, job: str) -> list[str]:
     """Return a job's tasks that do not run, with the state of the workers."""
-    steps = walk.scheduler.board.jobs[job].steps
+    steps = walk.scheduler.state.jobs[job].steps
     tasks = steps[(0, 0)].tasks
     unstarted = [
         f"{t.index}:{t.phase.value}" for t in tasks if t.phase is not Phase.RUNNING
     ]
     if unstarted:
-        unstarted += [describe(w) for w in walk.scheduler.board.workers.values()]
+        unstarted += [describe(w) for w in walk.scheduler.state.workers.values()]
     return unstarted
 
 
@@ -340,7 +340,7 @@
     """Describe a worker's state."""
     flags = ("confirmed", "stale", "absent", "draining", "leaving", "unknown_runs")
     on = [flag for flag in flags if getattr(worker, flag)]
-    return f"{worker.id} {on} free={worker.free_cpu} strays={len(worker.strays)}"
+    return f"{worker.id} {on} free={worker.free_cpu} orphans={len(worker.orphan_steps)}"
 
 
 @pytest.mark.parametrize("first_seed", [0, 5, 10])
--- a/tests/components/dispatch/test_restarts.py
+++ b/tests/components/dispatch/test_restarts.py
@@ -153,17 +153,17 @@
         entry = an_entry(
             **{"capacity": ROOM, "born": self.worker.started_at_ms, **changes}
         )
-        self.dispatcher.see_worker(WORKER, entry)
+        self.dispatcher.update_worker(WORKER, entry)
         self._set_clients()
 
     def add(self, step: SubmittedStep) -> None:
         """Submit a job that may start at once."""
         now = self.timers.monotonic()
         self.scheduler.add_job(a_job(step), now, 0.0)
-        self.scheduler.note_stored([JOB])
+        self.scheduler.mark_stored([JOB])
 
     def task(self, index: int = 0) -> Task:
-        found = self.scheduler.board.find(TaskName(JOB, 0, 0, index))
+        found = self.scheduler.state.find_task(TaskName(JOB, 0, 0, index))
         assert found is not None
         return found
 
@@ -210,7 +210,7 @@
         harness.worker.process.advance(600.0)
         assert harness.worker.process.has_news(0)
         harness.worker.acknowledged.clear()
-        harness.scheduler.board.workers[WORKER].stale = True
+        harness.scheduler.state.workers[WORKER].stale = True
         harness.session.wake()
         await harness.async_advance_time(0.3, plan=False)
         assert harness.worker.acknowledged and set(harness.worker.acknowledged) == {0}
@@ -317,7 +317,7 @@
         released.set()
         await anyio.wait_all_tasks_blocked()
         assert harness.task().phase is Phase.WAITING
-        assert not harness.scheduler.board.workers[WORKER].confirmed
+        assert not harness.scheduler.state.workers[WORKER].confirmed
 
 
 async def test_refusal_by_previous_incarnation_does_not_close_new_session() -> None:
@@ -328,7 +328,7 @@
         await harness.async_advance_time(0.3)
         harness.dispatcher.executor._report_restart(previous)
         assert not harness.session.closed
-        assert WORKER in harness.scheduler.board.workers
+        assert WORKER in harness.scheduler.state.workers
 
 
 async def test_entry_of_previous_incarnation_is_ignored() -> None:
@@ -340,7 +340,7 @@
         session = harness.session
         harness.update_entry(born=first, service="pool-b", state="draining")
         assert harness.session is session
-        worker = harness.scheduler.board.workers[WORKER]
+        worker = harness.scheduler.state.workers[WORKER]
         assert (worker.service, worker.draining, worker.absent) == (POOL, False, False)
 
 
@@ -350,7 +350,7 @@
         harness.worker.restart()
         room = Room(4000, 2000)
         harness.update_entry(service="pool-b", labels=["b", "r2"], capacity=room)
-        worker = harness.scheduler.board.workers[WORKER]
+        worker = harness.scheduler.state.workers[WORKER]
         assert (worker.service, worker.labels) == ("pool-b", ("b", "r2"))
         assert (worker.free_cpu, worker.free_mem, worker.absent) == (4000, 2000, False)
 
@@ -358,14 +358,14 @@
 async def test_same_incarnation_in_another_pool_makes_worker_absent() -> None:
     async with a_harness() as harness:
         harness.update_entry(service="pool-b")
-        assert harness.scheduler.board.workers[WORKER].absent
+        assert harness.scheduler.state.workers[WORKER].absent
 
 
 async def test_restarted_worker_gets_no_task_before_its_entry_names_its_pool() -> None:
     """Guard against a task that starts in a pool that its queue does not name."""
     async with a_harness() as harness:
         harness.worker.restart()
-        harness.scheduler.board.workers[WORKER].stale = True
+        harness.scheduler.state.workers[WORKER].stale = True
         harness.session.wake()
         await harness.async_advance_time(0.3)
         assert harness.session.started_at_ms == harness.worker.started_at_ms
@@ -401,23 +401,23 @@
 async def test_restarted_worker_is_used_at_once_after_a_loss() -> None:
     """Check that only an entry of a new incarnation opens a session after a loss."""
     async with a_harness() as harness:
-        harness.dispatcher.lose_worker(WORKER, LossCause.UNLISTED)
+        harness.dispatcher.remove_worker(WORKER, LossCause.UNLISTED)
         harness.update_entry()
-        assert WORKER not in harness.scheduler.board.workers
+        assert WORKER not in harness.scheduler.state.workers
         harness.worker.restart()
         harness.update_entry()
-        assert WORKER in harness.scheduler.board.workers
+        assert WORKER in harness.scheduler.state.workers
         assert not harness.session.closed
 
 
 async def test_quarantine_and_speed_are_reset_on_restart() -> None:
     async with a_harness() as harness:
-        worker = harness.scheduler.board.workers[WORKER]
+        worker = harness.scheduler.state.workers[WORKER]
         worker.quarantined_until = 1e9
         worker.speed = 0.2
         harness.worker.restart()
         harness.update_entry()
-        worker = harness.scheduler.board.workers[WORKER]
+        worker = harness.scheduler.state.workers[WORKER]
         assert (worker.quarantined_until, worker.speed) == (0.0, 1.0)
 
 
@@ -434,20 +434,20 @@
         harness.add(a_step(count=1, long_running=True))
         await harness.async_advance_time(0.3)
         previous = harness.session
-        harness.scheduler.board.stop(harness.task(), "test")
-        commands = harness.scheduler.board.take_commands()
+        harness.scheduler.state.stop(harness.task(), "test")
+        commands = harness.scheduler.state.take_commands()
         previous.client = _OtherIncarnation()  # type: ignore[assignment]
         harness.dispatcher.executor.execute(commands)
         await anyio.wait_all_tasks_blocked()
         assert not harness.session.closed
-        assert WORKER in harness.scheduler.board.workers
+        assert WORKER in harness.scheduler.state.workers
 
 
 async def test_restart_without_reported_start_time_is_detected_by_clock() -> None:
     """Rely on a clock that resets with each start and never goes back in between."""
     async with a_harness() as harness:
         harness.worker.reports_start_time = False
-        harness.dispatcher.lose_worker(WORKER, LossCause.UNLISTED)
+        harness.dispatcher.remove_worker(WORKER, LossCause.UNLISTED)
         await harness.async_advance_time(6.0)
         harness.update_entry(born=0)
         harness.add(a_step(count=1, long_running=True))
--- a/tests/components/dispatch/test_session.py
+++ b/tests/components/dispatch/test_session.py
@@ -64,7 +64,7 @@
 
     def update_entry(self) -> None:
         """Apply the worker's entry and replace the client of its session."""
-        self.dispatcher.see_worker(WORKER, an_entry())
+        self.dispatcher.update_worker(WORKER, an_entry())
         session = self.dispatcher.sessions[WORKER]
         session.client = self.client  # type: ignore[assignment]
 
@@ -92,7 +92,7 @@
         assert harness.dispatcher.unconfirmed_workers()
         await harness.async_advance_time(0.1)
         assert not harness.dispatcher.unconfirmed_workers()
-        assert harness.scheduler.board.workers[WORKER].confirmed
+        assert harness.scheduler.state.workers[WORKER].confirmed
 
 
 async def test_unresponsive_worker_is_lost_when_its_longest_lease_ends() -> None:
@@ -100,9 +100,9 @@
         harness.client.failure = CallUnknownError("timeout")
         harness.update_entry()
         await harness.async_advance_time(LEASE_SECONDS - 0.5)
-        assert WORKER in harness.scheduler.board.workers
+        assert WORKER in harness.scheduler.state.workers
         await harness.async_advance_time(1.5)
-        assert WORKER not in harness.scheduler.board.workers
+        assert WORKER not in harness.scheduler.state.workers
 
 
 async def test_new_owner_waits_for_leases_that_the_previous_one_may_renew() -> None:
@@ -114,8 +114,8 @@
     that time, and the tasks start elsewhere too soon.
     """
     async with a_harness() as harness:
-        held_until = latest_lease_end(harness.timers.monotonic()) + 4.0
-        harness.scheduler.board.held_until = held_until
+        takeover_hold_until = latest_lease_end(harness.timers.monotonic()) + 4.0
+        harness.scheduler.state.takeover_hold_until = takeover_hold_until
         harness.client.failure = CallUnknownError("cut off")
         harness.update_entry()
         await harness.async_advance_time(LEASE_SECONDS + 2.0)
@@ -129,7 +129,7 @@
         harness.client.failure = WrongIncarnationError("other")
         harness.update_entry()
         await harness.async_advance_time(0.1)
-        assert WORKER not in harness.scheduler.board.workers
+        assert WORKER not in harness.scheduler.state.workers
         assert not harness.dispatcher.unconfirmed_workers()
 
 
@@ -143,7 +143,7 @@
         await harness.async_advance_time(1.0)
         assert set(harness.client.acknowledged) == {0}
         session.acknowledge(7)
-        harness.scheduler.board.workers[WORKER].stale = True
+        harness.scheduler.state.workers[WORKER].stale = True
         session.wake()
         await harness.async_advance_time(1.0)
         assert harness.client.acknowledged[-1] == 7
@@ -153,7 +153,7 @@
     async with a_harness() as harness:
         harness.update_entry()
         await harness.async_advance_time(0.1)
-        harness.scheduler.board.workers[WORKER].stale = True
+        harness.scheduler.state.workers[WORKER].stale = True
         harness.dispatcher.sessions[WORKER].wake()
         await harness.async_advance_time(0.2)
         assert harness.client.deadlines[0] is None
--- a/tests/components/ownership/test_load.py
+++ b/tests/components/ownership/test_load.py
@@ -13,7 +13,7 @@
 from mustardward.components.ownership.load import OwnerLoad
 from mustardward.components.reports.day_lines import read_day
 from mustardward.components.reports.stories import OwnerLook
-from mustardward.components.scheduling.run_lines import RunLines
+from mustardward.components.scheduling.run_logger import RunLogger
 
 from ..reports.test_day import a_day, line
 
@@ -26,7 +26,7 @@
     """Guard against jobs that wait despite free capacity without an explaining log."""
     async with anyio.create_task_group() as tasks:
         caplog.set_level("INFO", "absl")
-        lines = RunLines()
+        lines = RunLogger()
         load = OwnerLoad("n-1", CallQueue(tasks), StartWindow(), lines)
         load.sample(10.0)
         load.log(10.0)
--- a/tests/components/ownership/test_takeover.py
+++ b/tests/components/ownership/test_takeover.py
@@ -20,16 +20,16 @@
 
     def __init__(self, listed: dict[str, str] | None) -> None:
         self.harness = SchedulerBench(epoch=2)
-        self.board = self.harness.scheduler.board
+        self.state = self.harness.scheduler.state
         self.unconfirmed_workers = ["w1", "w2"]
         self.listed = listed
         self.plan_requests = 0
         for name, pool in (("w1", POOL), ("w2", OTHER_POOL)):
             entry = an_entry(service=pool)
-            self.harness.scheduler.see_worker(name, entry, self.harness.now)
+            self.harness.scheduler.update_worker(name, entry, self.harness.now)
         for number, pool in enumerate((POOL, OTHER_POOL)):
             self.harness.add(a_job(job=f"{number:016x}", service=pool))
-            job = self.board.jobs[f"{number:016x}"]
+            job = self.state.jobs[f"{number:016x}"]
             job.policy = SimpleNamespace(service=pool)  # type: ignore[assignment]
         sessions = {"w1": None, "w2": None}
         dispatcher: Any = SimpleNamespace(
@@ -38,14 +38,14 @@
         fleet: Any = SimpleNamespace(listed_workers=lambda: self.listed)
         self.takeover = Takeover(
             2,
-            self.board,
+            self.state,
             dispatcher,
             DrivenTimerService(),
             self._count_plan_request,
             fleet,
         )
         hold_previous_runs(
-            self.board, OwnerRecord(1, "c", "node-1", 5), self.harness.now
+            self.state, OwnerRecord(1, "c", "node-1", 5), self.harness.now
         )
 
     def _count_plan_request(self) -> None:
@@ -54,7 +54,7 @@
     def try_release(self) -> bool:
         """Check once; return whether held jobs may start."""
         self.takeover.try_release()
-        return self.board.held_until == 0.0
+        return self.state.takeover_hold_until == 0.0
 
 
 def test_all_pools_wait_until_every_worker_has_reported() -> None:
@@ -85,11 +85,11 @@
 
 
 def test_release_by_settled_owner_shortens_the_hold() -> None:
-    board = SchedulerBench().scheduler.board
-    hold_previous_runs(board, OwnerRecord(1, "c", "", 5, settled=True), NOW)
-    assert board.held_until == latest_lease_end(NOW)
-    hold_previous_runs(board, OwnerRecord(1, "c", "node-1", 5), NOW)
-    assert board.held_until == latest_lease_end(NOW) + AUTHORITY_SECONDS
+    state = SchedulerBench().scheduler.state
+    hold_previous_runs(state, OwnerRecord(1, "c", "", 5, settled=True), NOW)
+    assert state.takeover_hold_until == latest_lease_end(NOW)
+    hold_previous_runs(state, OwnerRecord(1, "c", "node-1", 5), NOW)
+    assert state.takeover_hold_until == latest_lease_end(NOW) + AUTHORITY_SECONDS
 
 
 def test_release_by_unsettled_owner_does_not_shorten_the_hold() -> None:
@@ -100,44 +100,45 @@
     later. If that one waits only for a lease, it ignores that the first owner may still
     send commands.
     """
-    board = SchedulerBench().scheduler.board
-    hold_previous_runs(board, OwnerRecord(2, "c", "", 5, settled=False), NOW)
-    assert board.held_until == latest_lease_end(NOW) + AUTHORITY_SECONDS
+    state = SchedulerBench().scheduler.state
+    hold_previous_runs(state, OwnerRecord(2, "c", "", 5, settled=False), NOW)
+    assert state.takeover_hold_until == latest_lease_end(NOW) + AUTHORITY_SECONDS
 
 
 def a_takeover_of_two_zones(listed: dict[str, str] | None) -> TakeoverHarness:
     """Return a takeover with workers in two data centres, of which w1 has answered."""
     harness = TakeoverHarness(listed)
     for name, zone in (("w1", "z1"), ("w2", "z2")):
-        harness.board.workers[name].zone = zone
-    harness.board.workers["w1"].confirmed = True
+        harness.state.workers[name].zone = zone
+    harness.state.workers["w1"].confirmed = True
     harness.unconfirmed_workers = ["w2"]
     harness.try_release()
     return harness
 
 
-def test_data_centre_is_reconciled_once_all_its_workers_reported() -> None:
+def test_data_centre_is_accounted_for_once_all_its_workers_reported() -> None:
     harness = a_takeover_of_two_zones({"w1": "z1", "w2": "z2"})
-    assert harness.board.accounted == {"z1"}
+    assert harness.state.accounted_zones == {"z1"}
     assert harness.plan_requests == 1
-    assert harness.board.held_until > 0
+    assert harness.state.takeover_hold_until > 0
 
 
-def test_worker_that_only_the_list_names_keeps_data_centre_unreconciled() -> None:
+def test_worker_that_only_the_list_names_keeps_data_centre_unaccounted() -> None:
     assert (
-        a_takeover_of_two_zones({"w1": "z1", "w9": "z1"}).board.accounted == frozenset()
+        a_takeover_of_two_zones({"w1": "z1", "w9": "z1"}).state.accounted_zones
+        == frozenset()
     )
 
 
-def test_no_data_centre_is_reconciled_before_the_list_is_read() -> None:
-    assert a_takeover_of_two_zones(None).board.accounted == frozenset()
+def test_no_data_centre_is_accounted_for_before_the_list_is_read() -> None:
+    assert a_takeover_of_two_zones(None).state.accounted_zones == frozenset()
 
 
-def test_data_centre_without_reports_is_not_reconciled() -> None:
+def test_data_centre_without_reports_is_not_accounted_for() -> None:
     """Check for workers that expired from entries and list and are disconnected."""
     harness = a_takeover_of_two_zones({"w1": "z1"})
-    del harness.board.workers["w2"]
+    del harness.state.workers["w2"]
     harness.unconfirmed_workers = []
     harness.listed = {"w1": "z1", "w8": "z3"}
     harness.try_release()
-    assert harness.board.accounted == {"z1"}
+    assert harness.state.accounted_zones == {"z1"}
--- a/tests/components/scheduling/test_crashes.py
+++ b/tests/components/scheduling/test_crashes.py
@@ -7,12 +7,12 @@
 from mustardward.components.ledger.models import JobState, Progress, TaskMark
 from mustardward.components.scheduling.commands import Start
 from mustardward.components.scheduling.const import (
-    APART_WAIT_SECONDS,
-    ENOUGH_CRASHES,
-    MOST_CRASHES,
-    SOUND_SECONDS,
-    TOGETHER_SECONDS,
-    TRIAL_RUNS,
+    CLEARED_AFTER_RUNS,
+    CLEARED_AFTER_SECONDS,
+    COMMON_CAUSE_SECONDS,
+    CONCLUSIVE_CRASHES,
+    ISOLATION_WAIT_SECONDS,
+    MAX_CRASHES,
 )
 from mustardward.components.scheduling.demand import measure
 from mustardward.components.scheduling.losses import LossCause
@@ -25,7 +25,7 @@
 
 def crash(bench: SchedulerBench, worker: str) -> None:
     """End a worker without a sign."""
-    bench.scheduler.lose_worker(worker, LossCause.UNLISTED, bench.now)
+    bench.scheduler.remove_worker(worker, LossCause.UNLISTED, bench.now)
 
 
 def crash_under_job(bench: SchedulerBench, rounds: int, job: str = JOB) -> int:
@@ -50,7 +50,7 @@
         bench.worker(f"w{number}")
         bench.now += 0.5
         for worker in {start.worker for start in bench.plan_starts()}:
-            bench.scheduler.lose_worker(worker, LossCause.UNLISTED, bench.now)
+            bench.scheduler.remove_worker(worker, LossCause.UNLISTED, bench.now)
             crashed += 1
         bench.now += 0.5
         bench.store()
@@ -69,7 +69,7 @@
     """Guards against tasks that are started anew however many workers they crash."""
     bench = SchedulerBench()
     bench.add(a_job(a_step(count=3)))
-    assert crash_all_that_start(bench, rounds=10) <= ENOUGH_CRASHES
+    assert crash_all_that_start(bench, rounds=10) <= CONCLUSIVE_CRASHES
     assert bench.stored[JOB].state is JobState.FAILED
 
 
@@ -112,10 +112,10 @@
     assert successor.stored[JOB].state is JobState.FAILED
 
 
-def test_a_job_that_the_owner_before_had_not_judged_is_given_up() -> None:
+def test_job_that_the_previous_owner_had_not_evaluated_is_given_up() -> None:
     """Guards against a change of owner between the last crash and what follows."""
     bench = SchedulerBench(epoch=2)
-    suspected(bench, crashes=MOST_CRASHES)
+    suspected(bench, crashes=MAX_CRASHES)
     bench.worker("w1")
     assert bench.plan_starts() == []
     bench.store()
@@ -136,13 +136,13 @@
     assert len(bench.plan_starts()) == 1
 
 
-def test_what_ran_for_long_beside_it_is_not_suspected() -> None:
+def test_long_running_neighbour_is_not_suspected() -> None:
     """Guards against sound tasks that are given up with the one that crashes."""
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=1, long_running=True), job=OTHER))
     (lasting,) = bench.plan_starts()
-    bench.now += SOUND_SECONDS
+    bench.now += CLEARED_AFTER_SECONDS
     bench.add(a_job(a_step(count=1)))
     (started,) = bench.plan_starts()
     crash(bench, "w1")
@@ -155,42 +155,42 @@
     bench = SchedulerBench()
     bench.add(a_job(a_step(count=1, estimate_ms=20_000)))
     crashed = 0
-    for number in range(2 * MOST_CRASHES):
+    for number in range(2 * MAX_CRASHES):
         bench.worker(f"w{number}")
         for start in bench.plan_starts():
             for _ in range(4):
-                bench.now += SOUND_SECONDS / 2
+                bench.now += CLEARED_AFTER_SECONDS / 2
                 bench.hold(start.worker, [a_row(start.task, 10.0)])
                 bench.plan()
             crash(bench, start.worker)
             crashed += 1
         bench.store()
         bench.now += 1.0
-    assert crashed == ENOUGH_CRASHES
+    assert crashed == CONCLUSIVE_CRASHES
 
 
-def test_a_lasting_task_may_have_bad_luck_once_more() -> None:
+def test_long_running_task_is_allowed_one_more_crash() -> None:
     """Guards against a lasting job that is given up for crashes by chance."""
     bench = SchedulerBench()
     bench.add(a_job(a_step(count=1, long_running=True)))
-    assert crash_all_that_start(bench, rounds=10) == MOST_CRASHES
+    assert crash_all_that_start(bench, rounds=10) == MAX_CRASHES
     assert bench.stored[JOB].state is JobState.FAILED
 
 
-def test_a_lasting_task_outlives_the_job_that_crashes_its_workers() -> None:
+def test_a_long_running_task_outlives_the_job_that_crashes_its_workers() -> None:
     """Guards against giving up a neighbour that was on all workers that crashed."""
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=1, long_running=True), job=OTHER))
     bench.plan_starts()
     bench.add(a_job(a_step(count=3)))
-    assert crash_under_job(bench, rounds=12) <= MOST_CRASHES
+    assert crash_under_job(bench, rounds=12) <= MAX_CRASHES
     assert bench.stored[JOB].state is JobState.FAILED
     assert bench.task(0, job=OTHER).phase is Phase.RUNNING
 
 
 @pytest.mark.parametrize("how", ["draining", "leaving", "ordered", "leases"])
-def test_an_end_that_was_asked_for_is_no_crash(how: str) -> None:
+def test_requested_end_is_no_crash(how: str) -> None:
     """Guards against sound tasks that are given up in a rolling replacement."""
     bench = SchedulerBench()
     worker = bench.worker("w1")
@@ -198,22 +198,22 @@
     (start,) = bench.plan_starts()
     worker.draining = how == "draining"
     worker.leaving = how == "leaving"
-    causes = {"ordered": LossCause.ORDERED, "leases": LossCause.LEASES_OVER}
+    causes = {"ordered": LossCause.ORDERED, "leases": LossCause.LEASES_EXPIRED}
     cause = causes.get(how, LossCause.UNLISTED)
-    bench.scheduler.lose_worker("w1", cause, bench.now)
+    bench.scheduler.remove_worker("w1", cause, bench.now)
     assert start.task.crashes == ()
 
 
 def test_each_start_after_enough_crashes_counts_however_it_ended() -> None:
     """Guards against starts without a bound while other causes end the runs."""
     bench = SchedulerBench()
-    suspected(bench, crashes=MOST_CRASHES - 1)
+    suspected(bench, crashes=MAX_CRASHES - 1)
     starts = 0
     for number in range(5):
         bench.worker(f"w{number}")
         for start in bench.plan_starts():
             starts += 1
-            bench.scheduler.lose_worker(start.worker, LossCause.ORDERED, bench.now)
+            bench.scheduler.remove_worker(start.worker, LossCause.ORDERED, bench.now)
         bench.now += 1.0
         bench.store()
     assert starts == 1
@@ -229,11 +229,11 @@
     starts = bench.plan_starts()
     bench.add(a_job(a_step(count=4), job="00000000000000cc"))
     starts += bench.plan_starts()
-    apart = {s.worker for s in starts if s.task.step.job.record.id == JOB}
+    isolated = {s.worker for s in starts if s.task.step.job.record.id == JOB}
     others = {s.worker for s in starts if s.task.step.job.record.id != JOB}
     assert len(starts) == 9
-    assert len(apart) == 1
-    assert not apart & others
+    assert len(isolated) == 1
+    assert not isolated & others
 
 
 def test_a_suspected_job_waits_for_an_empty_worker_and_asks_for_one() -> None:
@@ -244,19 +244,19 @@
     bench.plan_starts()
     suspected(bench)
     assert bench.plan_starts() == []
-    assert measure(bench.scheduler.board, bench.now)[POOL].apart == 1
+    assert measure(bench.scheduler.state, bench.now)[POOL].isolation_workers == 1
 
 
-def test_a_suspected_job_runs_beside_what_is_not_suspected_in_the_end() -> None:
+def test_suspected_job_shares_a_worker_after_a_long_wait() -> None:
     """Guards against a job that waits for ever where each worker has a lasting task."""
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=1, long_running=True), job=OTHER))
     bench.plan_starts()
     suspected(bench)
-    bench.now += APART_WAIT_SECONDS + 0.1
+    bench.now += ISOLATION_WAIT_SECONDS + 0.1
     assert bench.plan_starts() == []
-    bench.now += SOUND_SECONDS
+    bench.now += CLEARED_AFTER_SECONDS
     assert len(bench.plan_starts()) == 1
 
 
@@ -264,19 +264,19 @@
     """Guards against lasting tasks that are given up for crashes far apart."""
     bench = SchedulerBench()
     bench.add(a_job(a_step(count=1, long_running=True)))
-    for number in range(2 * MOST_CRASHES):
+    for number in range(2 * MAX_CRASHES):
         bench.worker(f"w{number}")
         (start,) = bench.plan_starts()
-        bench.now += SOUND_SECONDS
+        bench.now += CLEARED_AFTER_SECONDS
         bench.hold(f"w{number}", running=[a_row(start.task, 100.0)])
         bench.plan()
         assert start.task.crashes == ()
         crash(bench, f"w{number}")
         bench.store()
-    assert bench.scheduler.board.jobs[JOB].state is JobState.RUNNING
+    assert bench.scheduler.state.jobs[JOB].state is JobState.RUNNING
 
 
-def test_only_runs_that_nobody_stopped_clear_a_lasting_suspect() -> None:
+def test_only_runs_that_were_not_stopped_clear_a_long_running_suspect() -> None:
     """Guards against a suspect that is cleared by ends which others asked for."""
     bench = SchedulerBench()
     job = a_job(a_step(count=1, long_running=True))
@@ -284,26 +284,26 @@
     job.progress = Progress(JobState.RUNNING, tasks=marks)
     bench.add(job)
     bench.worker("w1")
-    for number in range(2 * TRIAL_RUNS):
+    for number in range(2 * CLEARED_AFTER_RUNS):
         bench.now += 1.0
         (start,) = bench.plan_starts()
-        if number < TRIAL_RUNS:
-            bench.scheduler.board.stop(start.task, "test")
+        if number < CLEARED_AFTER_RUNS:
+            bench.scheduler.state.stop(start.task, "test")
         assert start.task.crashes == ("old-0", "old-1")
-        bench.end(start.task, "stopped" if number < TRIAL_RUNS else "failed")
+        bench.end(start.task, "stopped" if number < CLEARED_AFTER_RUNS else "failed")
     bench.now += 1.0
     (start,) = bench.plan_starts()
     assert start.task.crashes == ()
 
 
-def test_a_crash_counts_the_runs_of_a_lasting_suspect_anew() -> None:
+def test_crash_resets_the_run_count_of_a_long_running_suspect() -> None:
     """Guards against a suspect that is cleared by runs from before its last crash."""
     bench = SchedulerBench()
     job = a_job(a_step(count=1, long_running=True))
     marks = [TaskMark(0, 0, 0, (), "", ("old-0",))]
     job.progress = Progress(JobState.RUNNING, tasks=marks)
     bench.add(job)
-    for _ in range(TRIAL_RUNS - 1):
+    for _ in range(CLEARED_AFTER_RUNS - 1):
         bench.worker("w1")
         bench.now += 1.0
         (start,) = bench.plan_starts()
@@ -327,7 +327,7 @@
     bench.worker("w1")
     (start,) = bench.plan_starts()
     bench.end(start.task, "done")
-    assert not bench.scheduler.board.suspects
+    assert not bench.scheduler.state.suspects
 
 
 def test_workers_that_crash_together_give_no_job_up_at_once() -> None:
@@ -338,11 +338,11 @@
     bench.worker("w2")
     (start,) = bench.plan_starts()
     crash(bench, "w1")
-    bench.now += TOGETHER_SECONDS / 2
+    bench.now += COMMON_CAUSE_SECONDS / 2
     crash(bench, "w2")
-    bench.now += TOGETHER_SECONDS
+    bench.now += COMMON_CAUSE_SECONDS
     bench.plan()
-    assert len(start.task.crashes) == MOST_CRASHES - 1
+    assert len(start.task.crashes) == MAX_CRASHES - 1
     assert not start.task.step.job.state.final
 
 
@@ -358,7 +358,7 @@
         bench.worker(f"w{number}")
     for start in bench.plan_starts():
         crash(bench, start.worker)
-    bench.now += 2 * TOGETHER_SECONDS
+    bench.now += 2 * COMMON_CAUSE_SECONDS
     bench.plan()
     bench.store()
     assert bench.stored[JOB].state is JobState.FAILED
--- a/tests/components/scheduling/test_demand.py
+++ b/tests/components/scheduling/test_demand.py
@@ -6,7 +6,7 @@
 
 from mustardward.components.scheduling.demand import measure
 from mustardward.components.scheduling.inflow import (
-    GAP_JOBS,
+    MAX_JOBS_PER_GAP,
     RECENT_SECONDS,
     WINDOW_SECONDS,
 )
@@ -19,17 +19,17 @@
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=5, max_per_server=2, long_running=True)))
-    assert measure(bench.scheduler.board, bench.now)[POOL].spread == 3
+    assert measure(bench.scheduler.state, bench.now)[POOL].spread_workers == 3
     assert len(bench.plan_starts()) == 2
-    assert measure(bench.scheduler.board, bench.now)[POOL].spread == 3
+    assert measure(bench.scheduler.state, bench.now)[POOL].spread_workers == 3
 
 
-def test_what_runs_and_what_waits_is_told_apart() -> None:
+def test_running_and_waiting_work_are_counted_separately() -> None:
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=12, cpu=1000, mem_mb=100, estimate_ms=2000)))
     bench.plan_starts()
-    load = measure(bench.scheduler.board, bench.now)[POOL]
+    load = measure(bench.scheduler.state, bench.now)[POOL]
     assert (load.running.cpu, load.waiting.cpu) == (8000, 4000)
     assert load.backlog.cpu == 8000
     assert load.backlog.mem_mb == 800
@@ -39,8 +39,8 @@
     bench = SchedulerBench()
     bench.worker("w1")
     bench.worker("w2")
-    bench.scheduler.board.unusable = frozenset({"w2"})
-    load = measure(bench.scheduler.board, bench.now)[POOL]
+    bench.scheduler.state.unusable_workers = frozenset({"w2"})
+    load = measure(bench.scheduler.state, bench.now)[POOL]
     assert (load.workers, load.capacity, load.memory) == (1, 8000, 8000)
 
 
@@ -53,10 +53,10 @@
 
 def inflow_of(bench: SchedulerBench) -> float:
     """Return what keeps up with the last arrivals, in thousandths of a core."""
-    return measure(bench.scheduler.board, bench.now)[POOL].inflow.cpu
+    return measure(bench.scheduler.state, bench.now)[POOL].inflow.cpu
 
 
-def test_the_first_arrivals_of_a_turn_tell_its_need() -> None:
+def test_first_arrivals_of_a_burst_forecast_its_demand() -> None:
     """Load: a queue that was silent has 16 jobs in three quarters of a second."""
     bench = SchedulerBench()
     bench.worker("w1")
@@ -64,12 +64,12 @@
     gap = WINDOW_SECONDS / 16
     assert inflow_of(bench) == pytest.approx(15 * 2000 / (WINDOW_SECONDS - gap))
     bench.now += WINDOW_SECONDS
-    assert inflow_of(bench) <= GAP_JOBS / WINDOW_SECONDS * 2000
+    assert inflow_of(bench) <= MAX_JOBS_PER_GAP / WINDOW_SECONDS * 2000
     bench.now += RECENT_SECONDS
     assert inflow_of(bench) == 0
 
 
-def test_a_turn_is_told_by_its_first_third_of_a_second() -> None:
+def test_burst_is_forecast_from_its_first_third_of_a_second() -> None:
     """Load: sixteen jobs a second from now on; instances take 1.5 s to come."""
     bench = SchedulerBench()
     bench.worker("w1")
@@ -77,7 +77,7 @@
     assert inflow_of(bench) >= 0.75 * 16 * 2000
 
 
-def test_a_large_job_does_not_make_a_turn_look_larger() -> None:
+def test_large_job_does_not_inflate_the_forecast_of_a_burst() -> None:
     """Weigh the rate by what jobs ask for in the mean.
 
     Symptom: eighteen instances come for a turn whose work takes eight. Load: four jobs
@@ -94,16 +94,16 @@
     assert inflow_of(bench) == pytest.approx(4 * mean * 1000, rel=0.15)
 
 
-def test_a_single_job_tells_nothing_of_a_rate() -> None:
+def test_single_job_gives_no_arrival_rate() -> None:
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=100)))
-    assert measure(bench.scheduler.board, bench.now)[POOL].inflow.cpu == 0
+    assert measure(bench.scheduler.state, bench.now)[POOL].inflow.cpu == 0
 
 
-def test_what_an_owner_before_took_in_long_ago_is_no_arrival() -> None:
+def test_old_job_of_the_previous_owner_is_no_arrival() -> None:
     bench = SchedulerBench()
-    bench.scheduler.board.taken_over_at = bench.now
+    bench.scheduler.state.taken_over_at = bench.now
     bench.worker("w1")
     for number in range(16):
         accepted_at = bench.now - RECENT_SECONDS - 0.1
@@ -111,7 +111,7 @@
     assert inflow_of(bench) == 0
 
 
-def test_a_turn_goes_on_under_a_new_owner() -> None:
+def test_burst_forecast_continues_under_a_new_owner() -> None:
     """Know the last arrivals of an owner before, each at its time.
 
     Symptom: after a change of owner in a turn its instances come 1.5 s later than the
@@ -119,7 +119,7 @@
     only what arrived under the new owner counted.
     """
     bench = SchedulerBench()
-    bench.scheduler.board.taken_over_at = bench.now
+    bench.scheduler.state.taken_over_at = bench.now
     bench.worker("w1")
     for number in range(16):
         accepted_at = bench.now - 0.8 + number * 0.05
--- a/tests/components/scheduling/test_shortlist.py
+++ b/tests/components/scheduling/test_ranked_workers.py
@@ -1,4 +1,4 @@
-"""Test that the shortlist places tasks where a look at each worker would."""
+"""Test that the ranked_workers places tasks where a look at each worker would."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 from mustardward.components.scheduling.models import Task
 from mustardward.components.scheduling.placement import (
-    Shortlist,
-    choose_home,
+    RankedWorkers,
+    choose_home_rack,
     fits,
     may_run,
-    score,
+    placement_score,
 )
 from mustardward.components.scheduling.worker_state import WorkerState
 
@@ -38,11 +38,13 @@
     """Return the first of the workers that suit a task best."""
     step = task.step
     able = [w for w in workers if fits(w, step.room) and may_run(w, step)]
-    return min(able, key=lambda w: score(w, step, task.avoid), default=None)
+    return min(
+        able, key=lambda w: placement_score(w, step, task.avoided_workers), default=None
+    )
 
 
 @given(st.lists(ROOMS, max_size=8), STEPS, st.lists(st.integers(0, 9), max_size=6))
-def test_each_task_goes_where_a_look_at_each_worker_would_put_it(
+def test_ranking_chooses_the_same_worker_as_a_full_scan(
     rooms: list[tuple[int, int, float]], step: dict[str, object], avoiding: list[int]
 ) -> None:
     bench = SchedulerBench()
@@ -51,22 +53,22 @@
         worker.free_cpu = 1000 * cores
         worker.speed = speed
     bench.add(a_job(a_step(**step)), stored=False)
-    board = bench.scheduler.board
-    run = board.jobs[JOB].steps[(0, 0)]
+    state = bench.scheduler.state
+    run = state.jobs[JOB].steps[(0, 0)]
     for index, worker_number in enumerate(avoiding):
         if index < len(run.tasks):
-            run.tasks[index].avoid.add(f"w{worker_number}")
-    workers = list(board.workers.values())
-    run.job.home = choose_home(workers)
+            run.tasks[index].avoided_workers.add(f"w{worker_number}")
+    workers = list(state.workers.values())
+    run.job.home_rack = choose_home_rack(workers)
     for task in list(run.waiting):
-        shortlist = Shortlist(workers, run, task.avoid)
+        ranked_workers = RankedWorkers(workers, run, task.avoided_workers)
         expected = by_looking_at_each(workers, task)
-        assert shortlist.best() is expected
+        assert ranked_workers.best() is expected
         if expected is None:
             break
         run.waiting.remove(task)
-        board.assign(task, expected, board.next_run(), bench.now)
-        shortlist.renew()
+        state.assign(task, expected, state.next_run_number(), bench.now)
+        ranked_workers.update_best()
         following = next(iter(run.waiting), None)
-        if following is not None and following.avoid == task.avoid:
-            assert shortlist.best() is by_looking_at_each(workers, following)
+        if following is not None and following.avoided_workers == task.avoided_workers:
+            assert ranked_workers.best() is by_looking_at_each(workers, following)
