--- a/mustardward/components/fleet/pool_planner.py
+++ b/mustardward/components/fleet/pool_planner.py
@@ -125,7 +125,7 @@
         self.orders.pop(machine, None)
 
     def _finish_orders(self, view: FleetView, now: float) -> None:
-        """Drop the orders that are listed as done or timed out, or lost their instance."""
+        """Drop the orders that are done, timed out or without an instance."""
         for machine, order in list(self.orders.items()):
             if order.accepted_at is None:
                 continue
--- a/mustardward/components/fleet/services.py
+++ b/mustardward/components/fleet/services.py
@@ -96,7 +96,9 @@
         now = self.timers.monotonic()
         active = any(not run.done for run in self.wave_planner.runs.values())
         active = (
-            active or bool(self.pool_planner.orders) or self.dispatcher.any_silent()
+            active
+            or bool(self.pool_planner.orders)
+            or self.dispatcher.has_unresponsive_workers()
         )
         interval = ACTIVE_LIST_INTERVAL_SECONDS if active else LIST_INTERVAL_SECONDS
         if now - self._read_at >= self.list_reader.interval(interval):
@@ -173,8 +175,8 @@
             | self.wave_planner.held_machines()
         )
         for worker_id, session in list(sessions.items()):
-            unresponsive_since = session.silent_since
-            if session.gone or unresponsive_since is None or worker_id in listed:
+            unresponsive_since = session.unresponsive_since
+            if session.closed or unresponsive_since is None or worker_id in listed:
                 continue
             if read_at > unresponsive_since:
                 cause = self._worker_hosts.loss_cause(
@@ -184,7 +186,7 @@
                     "unlisted_worker_removed", worker=worker_id, cause=cause.value
                 )
                 self.dispatcher.remove_worker(worker_id, cause)
-        alive = {name for name, session in sessions.items() if not session.gone}
+        alive = {name for name, session in sessions.items() if not session.closed}
         self._worker_hosts.update(self._instances, alive)
 
     def _blocked_machines(self) -> set[str]:
--- a/tests/components/fleet/test_instance_list.py
+++ b/tests/components/fleet/test_instance_list.py
@@ -69,18 +69,18 @@
     """
     timers = DrivenTimerService()
     pages, reader = a_reader(timers)
-    began = timers.monotonic()
+    started_at = timers.monotonic()
     for _ in range(100):
-        read = await reader.async_read()
-        if read is not None:
+        listing = await reader.async_read()
+        if listing is not None:
             break
         await timers.async_advance(TICK_SECONDS)
-    assert read is not None
-    assert read.started_at == began
-    assert len(read.instances) == PAGES
-    assert read.complete
+    assert listing is not None
+    assert listing.started_at == started_at
+    assert len(listing.instances) == PAGES
+    assert listing.complete
     assert pages.served_reads == PAGES
-    assert timers.monotonic() - began < PAGES / READS_PER_SECOND
+    assert timers.monotonic() - started_at < PAGES / READS_PER_SECOND
 
 
 async def test_the_poll_interval_of_a_long_list_respects_the_read_limit() -> None:
@@ -96,9 +96,9 @@
     timers = DrivenTimerService()
     pages, reader = a_reader(timers)
     pages.unreadable_page = 3
-    while (read := await reader.async_read()) is None:
+    while (listing := await reader.async_read()) is None:
         await timers.async_advance(TICK_SECONDS)
-    assert not read.complete
+    assert not listing.complete
 
 
 async def test_an_interrupted_listing_starts_over_once_its_pages_are_old() -> None:
@@ -106,8 +106,8 @@
     _, reader = a_reader(timers)
     assert await reader.async_read() is None
     await timers.async_advance(MAX_LISTING_SECONDS + 0.1)
-    began = timers.monotonic()
-    while (read := await reader.async_read()) is None:
+    started_at = timers.monotonic()
+    while (listing := await reader.async_read()) is None:
         await timers.async_advance(TICK_SECONDS)
-    assert read.started_at >= began
-    assert len(read.instances) == PAGES
+    assert listing.started_at >= started_at
+    assert len(listing.instances) == PAGES
