--- a/mustardward/components/dispatch/__init__.py
+++ b/mustardward/components/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""Carry the scheduler's commands to workers, and their reports back."""
+"""Send the scheduler's commands to workers and read their reports."""
--- a/mustardward/components/ownership/load.py
+++ b/mustardward/components/ownership/load.py
@@ -26,7 +26,7 @@
     node: str
     calls: CallQueue
     window: StartWindow
-    lines: RunLogger
+    run_logger: RunLogger
     _sampled_at: float | None = None
     _logged_at: float | None = None
     _max_lag_seconds: float = 0.0
@@ -58,13 +58,15 @@
                 waiting=self._max_waiting,
                 start_window=self.window.size,
                 starts_a_second=round(
-                    (self.lines.started_count - self._started) / seconds
+                    (self.run_logger.started_count - self._started) / seconds
+                ),
+                ends_a_second=round(
+                    (self.run_logger.ended_count - self._ended) / seconds
                 ),
-                ends_a_second=round((self.lines.ended_count - self._ended) / seconds),
             )
         self._logged_at = now
         self._max_lag_seconds = 0.0
         self._max_in_progress = 0
         self._max_waiting = 0
-        self._started = self.lines.started_count
-        self._ended = self.lines.ended_count
+        self._started = self.run_logger.started_count
+        self._ended = self.run_logger.ended_count
--- a/mustardward/components/ownership/owner.py
+++ b/mustardward/components/ownership/owner.py
@@ -169,8 +169,10 @@
             tasks.start_soon(self._progress_writer.async_run, dispatcher.sessions)
             tasks.start_soon(self._async_plan)
             executor = dispatcher.executor
-            lines = self.scheduler.reports.run_logger
-            load = OwnerLoad(dependencies.node, executor.calls, executor.window, lines)
+            run_logger = self.scheduler.reports.run_logger
+            load = OwnerLoad(
+                dependencies.node, executor.calls, executor.window, run_logger
+            )
             tasks.start_soon(self._async_monitor, directory, load)
             if dependencies.fleet is not None:
                 self._start_fleet(dependencies.fleet, dispatcher, tasks)
--- a/tests/components/ownership/test_directory.py
+++ b/tests/components/ownership/test_directory.py
@@ -23,7 +23,7 @@
         self.calls.append(("entry", worker))
 
     def removed(self, worker: str) -> None:
-        self.calls.append(("gone", worker))
+        self.calls.append(("removed", worker))
 
     def unusable(self, worker: str) -> None:
         self.calls.append(("unusable", worker))
--- a/tests/components/ownership/test_load.py
+++ b/tests/components/ownership/test_load.py
@@ -26,12 +26,12 @@
     """Guard against jobs that wait despite free capacity without an explaining log."""
     async with anyio.create_task_group() as tasks:
         caplog.set_level("INFO", "absl")
-        lines = RunLogger()
-        load = OwnerLoad("n-1", CallQueue(tasks), StartWindow(), lines)
+        run_logger = RunLogger()
+        load = OwnerLoad("n-1", CallQueue(tasks), StartWindow(), run_logger)
         load.sample(10.0)
         load.log(10.0)
-        lines.started_count = 300
-        lines.ended_count = 100
+        run_logger.started_count = 300
+        run_logger.ended_count = 100
         load.sample(10.0 + SELF_CHECK_SECONDS + 0.7)
         load.sample(10.0 + 2 * SELF_CHECK_SECONDS + 0.7)
         load.log(12.0)
