--- a/tests/components/dispatch/__init__.py
+++ b/tests/components/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""Test talking to workers."""
+"""Test the dispatch component."""
