--- a/tests/components/scheduling/builders.py
+++ b/tests/components/scheduling/builders.py
@@ -1,4 +1,4 @@
-"""Build jobs, workers and reports for the scheduler's tests."""
+"""Provide builders of jobs, workers and reports for the scheduler's tests."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 def an_entry(**changes: object) -> WorkerEntry:
-    """Return the entry of a ready worker of eight cores."""
+    """Return the registry entry of a ready worker with eight cores."""
     values: dict[str, object] = {
         "service": POOL,
         "address": "127.0.0.1:1",
@@ -60,11 +60,12 @@
 
 @dataclass(slots=True)
 class SchedulerBench:
-    """Drive a scheduler, playing workers that do as they are told.
+    """Drive a scheduler with simulated workers that carry out all commands.
 
-    :param now: steady and wall clock, in seconds.
-    :param quotas: what each organisation may have running.
-    :param stored: the newest progress of each job that ``store`` took.
+    :param now: the monotonic and the wall clock, in seconds.
+    :param clock_ms: the clock of the workers, in milliseconds.
+    :param quotas: the quota of each organisation.
+    :param stored: the newest progress of each job that ``store`` saved.
     """
 
     policy: QueuePolicy = QueuePolicy(service=POOL, target_seconds=1.0)
@@ -77,7 +78,7 @@
     _numbers: dict[str, int] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Make the scheduler."""
+        """Create the scheduler."""
         self.scheduler = Scheduler(
             self.epoch,
             lambda queue: self.policy,
@@ -85,29 +86,29 @@
         )
 
     def worker(self, name: str, **changes: object) -> WorkerState:
-        """Add a worker that answered its first hold."""
+        """Add a worker that has sent its first report."""
         self.scheduler.update_worker(name, an_entry(**changes), self.now)
         self.hold(name)
         return self.scheduler.state.workers[name]
 
     def add(self, job: LedgerJob, stored: bool = True) -> None:
-        """Hand a job in, and store that it was taken in."""
+        """Submit a job, and by default mark it as stored."""
         self.scheduler.add_job(job, self.now, self.now)
         if stored:
             self.scheduler.mark_stored([job.record.id])
 
     def store(self) -> None:
-        """Store the progress that is due."""
+        """Save the progress that is due, and mark it as stored."""
         records = dict(self.scheduler.take_dirty(self.now, self.now))
         self.stored.update(records)
         self.scheduler.mark_stored(records)
 
     def plan(self) -> list[Command]:
-        """Return what the scheduler orders now."""
+        """Return the commands of a new plan."""
         return self.scheduler.plan(self.now, self.now)
 
     def plan_starts(self) -> list[Start]:
-        """Plan, answer every start with success, and return the starts."""
+        """Plan, respond to every start with success, and return the starts."""
         starts = [c for c in self.plan() if isinstance(c, Start)]
         for start in starts:
             self.accept(start)
@@ -118,7 +119,7 @@
         return [c for c in self.plan() if isinstance(c, Stop)]
 
     def accept(self, start: Start) -> None:
-        """Answer a start with success."""
+        """Respond to a start with success."""
         self.scheduler.reports.start_answered(start.task, start.run, "", self.now)
 
     def hold(
@@ -127,12 +128,12 @@
         running: list[RunningTask] | None = None,
         ended: list[EndedTask] | None = None,
     ) -> None:
-        """Let a worker report."""
+        """Apply a worker's report of its running and ended tasks."""
         answer = HoldAnswer(self.clock_ms, running or [], ended or [])
         self.scheduler.apply_worker_report(name, answer, self.now, self.now)
 
     def report_serving(self, task: Task) -> None:
-        """Let the worker of a lasting task report it at work, beside its others."""
+        """Apply a report of a worker on which a long-running task serves."""
         assert task.worker is not None
         rows = [
             a_row(other, 100.0 if other is task or other.is_serving else other.percent)
@@ -141,7 +142,7 @@
         self.hold(task.worker.id, running=rows)
 
     def end(self, task: Task, how: str, checkpoint: str = "") -> None:
-        """Let a task's worker list its end, beside what else runs there."""
+        """Apply a report in which a task has ended, with its worker's other runs."""
         worker = task.worker
         assert worker is not None
         number = self._numbers.get(worker.id, 0) + 1
@@ -160,5 +161,5 @@
 
 
 def a_row(task: Task, percent: float, checkpoint: str = "") -> RunningTask:
-    """Return the row of a task that runs."""
+    """Return a report's row of a running task."""
     return RunningTask(task.name, task.run, checkpoint, percent, task.figure)
--- a/tests/components/scheduling/test_crash_walks.py
+++ b/tests/components/scheduling/test_crash_walks.py
@@ -1,12 +1,11 @@
-"""Check crashes over any order of events, against what really crashed.
-
-The model holds what runs on each worker and which crashed under which task, whatever
-the owner knows: starts are answered or not, workers crash by a task, by themselves,
-drain, fall silent until their leases are over, or start again under their ids; owners
-change, with or without the last of what they had to store. Protections are taken out
-one by one, and each must be missed. Walks are drawn from seeds, so that they are the
-same each time; ``python -m tests.components.scheduling.test_crash_walks FIRST LAST``
-walks others.
+"""Check crash handling in random walks against a model of the actual crashes.
+
+The model tracks the runs on each worker and the tasks under which workers crashed,
+independently of the owner. Starts may get no response; workers crash because of a task
+or by themselves, drain, become unreachable until their leases expire, or restart under
+their ids; owners change, with or without storing their last progress. Protections are
+disabled one by one, and the walks must detect each. Walks are drawn from fixed seeds;
+``python -m tests.components.scheduling.test_crash_walks FIRST LAST`` runs others.
 """
 
 from __future__ import annotations
@@ -37,22 +36,26 @@
 STEPS = 140
 TASK_SECONDS = 0.8
 REGRESSION_SEEDS = (2246,)
-"""Walks beyond the first ones that broke a rule."""
+"""Seeds of further walks that cover known violations."""
 
-MOST_CRASHES_FOR_CAUSE = 2
-"""Crashes under one task after which its job may be shown as failed."""
+MIN_CRASHES_TO_GIVE_UP = 2
+"""Fewest crashes under one task after which its job may fail."""
 
-MOST_STARTS_AFTER_THREE = 2
+MAX_STARTS_AFTER_THREE = 2
 SETTLE_SECONDS = 40.0
 
 
-class BrokenRuleError(AssertionError):
-    """Report a rule that a walk has broken."""
+class RuleViolationError(AssertionError):
+    """Raised when a walk violates a rule."""
 
 
 @dataclass
 class _Worker:
-    """Hold what really runs on a worker, by task: the run and when it began."""
+    """Model a worker.
+
+    :param runs: run number and start time of each task that runs there.
+    :param ends: number of runs that have ended.
+    """
 
     id: str
     born: int
@@ -63,14 +66,14 @@
 
 
 class CrashWalk:
-    """Walk through events drawn from a seed.
+    """Walk through random events drawn from a seed.
 
-    :param unlucky: whether workers crash by themselves.
+    :param crashes_randomly: whether workers also crash by themselves.
     """
 
-    def __init__(self, seed: int, unlucky: bool) -> None:
+    def __init__(self, seed: int, crashes_randomly: bool) -> None:
         self._rng = random.Random(seed)
-        self._unlucky = unlucky
+        self._crashes_randomly = crashes_randomly
         self.now = 1000.0
         self._epoch = 0
         self._born = 1
@@ -81,7 +84,7 @@
         self._crashing: set[TaskName] = set()
         self.crashed_under: Counter[TaskName] = Counter()
         self._after_three: Counter[TaskName] = Counter()
-        self._hidden: Counter[TaskName] = Counter()
+        self._uncounted: Counter[TaskName] = Counter()
         self._submitted = 0
         self._start_owner()
         for number in range(4):
@@ -91,7 +94,7 @@
             self._add_job(crashing=False, long_running=number == 0)
 
     def walk(self) -> None:
-        """Take steps, then let everything settle, checking all the while."""
+        """Apply random events, then let everything settle; check after each event."""
         events: list[tuple[Callable[[], None], int]] = [
             (self._tick, 60),
             (self._drain, 3),
@@ -100,7 +103,7 @@
             (self._change_owner, 1),
             (self._add_healthy_job, 4),
         ]
-        if self._unlucky:
+        if self._crashes_randomly:
             events.append((self._crash_one, 2))
         choices = [event for event, weight in events for _ in range(weight)]
         for _ in range(STEPS):
@@ -111,7 +114,7 @@
         self._check_settled()
 
     def _start_owner(self) -> None:
-        """Let a new owner begin, by what is stored and what workers tell."""
+        """Start a new owner from the stored progress and the workers' reports."""
         self._epoch += 1
         self._scheduler = Scheduler(self._epoch, lambda queue: self._policy)
         for job_id, job in self._jobs.items():
@@ -187,8 +190,8 @@
         worker.runs[name] = (start.run, self.now)
         if name in self._crashing and self.crashed_under[name] >= 3:
             self._after_three[name] += 1
-            if self._after_three[name] > MOST_STARTS_AFTER_THREE + self._hidden[name]:
-                raise BrokenRuleError(f"{name} started once more")
+            if self._after_three[name] > MAX_STARTS_AFTER_THREE + self._uncounted[name]:
+                raise RuleViolationError(f"{name} started once more")
         if self._rng.random() < 0.3:
             reports.start_unknown(start.task, start.run)
         else:
@@ -232,14 +235,14 @@
         self._crash(worker)
 
     def _crash(self, worker: _Worker) -> None:
-        """Let a worker end without a sign, and its owner learn of it."""
+        """Crash a worker, which either restarts under its id or is replaced."""
         for name in worker.runs:
             self.crashed_under[name] += 1
             if worker.draining:
-                # Not told from the end that was announced.
-                self._hidden[name] += 1
-        again = self._rng.random() < 0.5
-        if again:
+                # Indistinguishable from the announced end of a draining worker.
+                self._uncounted[name] += 1
+        restarts = self._rng.random() < 0.5
+        if restarts:
             self._born += 1
             new = _Worker(worker.id, self._born)
             self._workers[worker.id] = new
@@ -255,7 +258,7 @@
         self._start_worker(f"w{self._born}")
 
     def _drain(self) -> None:
-        """Let a worker announce its end, and end while something runs there."""
+        """Drain a worker, which ends while tasks still run there."""
         worker = self._rng.choice(list(self._workers.values()))
         worker.draining = True
         entry = self._entry(worker)
@@ -263,22 +266,22 @@
         self._end(worker, LossCause.UNLISTED)
 
     def _cut_off(self) -> None:
-        """Let a worker's leases run out behind a cut."""
+        """Let a worker's leases expire behind a network partition."""
         worker = self._rng.choice(list(self._workers.values()))
         self._end(worker, LossCause.LEASES_EXPIRED)
 
     def _restart(self) -> None:
-        """Let the fleet maintain a worker."""
+        """End a worker for maintenance by the fleet."""
         worker = self._rng.choice(list(self._workers.values()))
         self._end(worker, LossCause.ORDERED)
 
     def _change_owner(self) -> None:
-        """Let an owner end with what it has not stored yet."""
+        """Replace the owner, losing the progress that it has not stored."""
         for job in self._scheduler.state.dirty.values():
             for step in job.steps.values():
                 for task in step.tasks:
                     if task.crashes and task.crashes != self._known_crashes(task.name):
-                        self._hidden[task.name] += 1
+                        self._uncounted[task.name] += 1
         self._start_owner()
 
     def _known_crashes(self, name: TaskName) -> tuple[str, ...]:
@@ -288,48 +291,48 @@
         return found[0] if found else ()
 
     def _check_cause(self, job_id: str) -> None:
-        """Check that a job shown as failed had a task under which workers crashed."""
-        most = max(
+        """Check that a failed job had a task under which workers crashed."""
+        crash_count = max(
             (n for name, n in self.crashed_under.items() if name.job == job_id),
             default=0,
         )
-        if most < MOST_CRASHES_FOR_CAUSE:
-            raise BrokenRuleError(f"{job_id} given up after {most} crashes")
+        if crash_count < MIN_CRASHES_TO_GIVE_UP:
+            raise RuleViolationError(f"{job_id} given up after {crash_count} crashes")
         crashing = any(name.job == job_id for name in self._crashing)
-        if not crashing and not self._unlucky:
-            raise BrokenRuleError(f"{job_id} given up, and it is sound")
+        if not crashing and not self._crashes_randomly:
+            raise RuleViolationError(f"{job_id} given up without a crashing task")
 
     def _check_settled(self) -> None:
         for name in self._crashing:
             if name.job in self._jobs:
-                raise BrokenRuleError(f"{name} was not given up")
+                raise RuleViolationError(f"{name} was not given up")
         for job_id, job in self._jobs.items():
             if not job.record.steps[0].long_running:
-                raise BrokenRuleError(f"{job_id} was not done")
+                raise RuleViolationError(f"{job_id} was not done")
 
 
 def walks(first: int, last: int) -> None:
-    """Walk from each seed, half of them among crashes that nothing has caused.
+    """Run a walk from each seed, half of them with crashes that no task causes.
 
-    :raises BrokenRuleError: with the seed, if a walk breaks a rule.
+    :raises RuleViolationError: with the seed, if a walk violates a rule.
     """
     for seed in range(first, last):
         try:
-            CrashWalk(seed, unlucky=bool(seed % 2)).walk()
-        except BrokenRuleError as error:
-            raise BrokenRuleError(f"seed={seed} {error}") from error
+            CrashWalk(seed, crashes_randomly=bool(seed % 2)).walk()
+        except RuleViolationError as error:
+            raise RuleViolationError(f"seed={seed} {error}") from error
 
 
-def test_no_order_of_events_breaks_a_rule() -> None:
+def test_no_order_of_events_violates_a_rule() -> None:
     walks(0, WALKS)
 
 
 @pytest.mark.parametrize("seed", REGRESSION_SEEDS)
-def test_seeds_that_once_broke_a_rule_pass(seed: int) -> None:
+def test_regression_seeds_pass(seed: int) -> None:
     walks(seed, seed + 1)
 
 
-def _without_marks(job: Job, wall: float) -> Progress:
+def _without_task_progress(job: Job, wall: float) -> Progress:
     progress = progress_of(job, wall)
     return Progress(progress.state, progress.steps, [], progress.ended_at)
 
@@ -351,25 +354,25 @@
 
 
 MUTANTS: dict[str, tuple[object, str, object]] = {
-    "crashes-forgotten-at-a-takeover": (scheduler, "progress_of", _without_marks),
+    "crashes-lost-at-a-takeover": (scheduler, "progress_of", _without_task_progress),
     "everything-is-a-crash": (crashes, "is_crash", _everything_is_a_crash),
     "a-drain-is-a-crash": (crashes, "is_crash", _drains_are_crashes),
     "nothing-is-a-crash": (crashes, "is_crash", _nothing_is_a_crash),
-    "a-rebirth-is-no-crash": (crashes, "is_crash", _no_restart_is_a_crash),
+    "a-restart-is-no-crash": (crashes, "is_crash", _no_restart_is_a_crash),
     "counted-by-id": (
         WorkerState,
         "incarnation",
         property(lambda worker: worker.id),
     ),
-    "an-order-without-answer-does-not-count": (
+    "an-unanswered-start-does-not-count": (
         crashes,
         "may_have_started",
         lambda task: task.seen_running,
     ),
-    "neighbours-are-convicted": (crashes, "needs_isolation", lambda task: False),
-    "a-suspect-waits-for-ever": (planner, "can_isolate", lambda *_: False),
+    "suspects-are-not-isolated": (crashes, "needs_isolation", lambda task: False),
+    "a-suspect-waits-forever": (planner, "can_isolate", lambda *_: False),
     "never-given-up": (crashes, "should_give_up", lambda *_: False),
-    "given-up-at-the-first": (crashes, "should_give_up", lambda *_: True),
+    "given-up-at-the-first-crash": (crashes, "should_give_up", lambda *_: True),
 }
 
 
@@ -379,7 +382,7 @@
 ) -> None:
     owner, name, other = MUTANTS[mutant]
     monkeypatch.setattr(owner, name, other)
-    with pytest.raises(BrokenRuleError):
+    with pytest.raises(RuleViolationError):
         walks(0, WALKS)
 
 
--- a/tests/components/scheduling/test_crashes.py
+++ b/tests/components/scheduling/test_crashes.py
@@ -1,4 +1,4 @@
-"""Test what becomes of tasks whose workers crash."""
+"""Test the handling of tasks whose workers crash."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def crash(bench: SchedulerBench, worker: str) -> None:
-    """End a worker without a sign."""
+    """Crash a worker."""
     bench.scheduler.remove_worker(worker, LossCause.UNLISTED, bench.now)
 
 
@@ -58,7 +58,7 @@
 
 
 def suspected(bench: SchedulerBench, crashes: int = 2) -> None:
-    """Hand a job in under whose only task workers crashed."""
+    """Submit a job with one task under which workers have crashed."""
     job = a_job(a_step(count=1))
     marks = tuple(f"old-{number}" for number in range(crashes))
     job.progress = Progress(JobState.RUNNING, tasks=[TaskMark(0, 0, 0, (), "", marks)])
@@ -66,15 +66,15 @@
 
 
 def test_a_job_whose_tasks_crash_their_workers_is_given_up() -> None:
-    """Guards against tasks that are started anew however many workers they crash."""
+    """Guards against restarting tasks however many workers they crash."""
     bench = SchedulerBench()
     bench.add(a_job(a_step(count=3)))
     assert crash_all_that_start(bench, rounds=10) <= CONCLUSIVE_CRASHES
     assert bench.stored[JOB].state is JobState.FAILED
 
 
-def test_an_order_without_an_answer_counts_when_its_worker_crashes() -> None:
-    """Guards against a crash that came before the answer and counts for nothing."""
+def test_a_start_without_a_response_counts_when_its_worker_crashes() -> None:
+    """Guards against ignoring a crash that occurs before the start's response."""
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=2)))
@@ -86,7 +86,7 @@
 
 
 def test_a_run_that_was_stopped_before_the_crash_is_not_suspected() -> None:
-    """Guards against a sound job that is given up for crashes it was not there for."""
+    """Guards against giving up a sound job for crashes after its run was stopped."""
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=1)))
@@ -99,8 +99,8 @@
     assert start.task.crashes == ()
 
 
-def test_crashes_count_on_after_a_takeover() -> None:
-    """Guards against an owner that starts to count anew."""
+def test_crashes_are_counted_across_a_takeover() -> None:
+    """Guards against a new owner that starts the count from zero."""
     bench = SchedulerBench()
     bench.add(a_job(a_step(count=1)))
     assert crash_under_job(bench, rounds=2) == 2
@@ -113,7 +113,7 @@
 
 
 def test_job_that_the_previous_owner_had_not_evaluated_is_given_up() -> None:
-    """Guards against a change of owner between the last crash and what follows."""
+    """Guards against losing an evaluation if the owner changes after the last crash."""
     bench = SchedulerBench(epoch=2)
     suspected(bench, crashes=MAX_CRASHES)
     bench.worker("w1")
@@ -123,7 +123,7 @@
 
 
 def test_a_suspected_job_starts_again_only_once_its_crashes_are_stored() -> None:
-    """Guards against a crash that the next owner does not know of."""
+    """Guards against a crash that the next owner does not know about."""
     bench = SchedulerBench()
     suspected(bench, crashes=1)
     bench.worker("w1")
@@ -137,21 +137,21 @@
 
 
 def test_long_running_neighbour_is_not_suspected() -> None:
-    """Guards against sound tasks that are given up with the one that crashes."""
+    """Guards against giving up sound tasks along with the crashing one."""
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=1, long_running=True), job=OTHER))
-    (lasting,) = bench.plan_starts()
+    (long_running,) = bench.plan_starts()
     bench.now += CLEARED_AFTER_SECONDS
     bench.add(a_job(a_step(count=1)))
     (started,) = bench.plan_starts()
     crash(bench, "w1")
     assert started.task.crashes == ("w1",)
-    assert lasting.task.crashes == ()
+    assert long_running.task.crashes == ()
 
 
 def test_a_task_that_crashes_its_workers_late_is_given_up() -> None:
-    """Guards against long tasks that are started anew since they ran for a while."""
+    """Guards against clearing a long task, not a long-running one, by its run time."""
     bench = SchedulerBench()
     bench.add(a_job(a_step(count=1, estimate_ms=20_000)))
     crashed = 0
@@ -170,7 +170,7 @@
 
 
 def test_long_running_task_is_allowed_one_more_crash() -> None:
-    """Guards against a lasting job that is given up for crashes by chance."""
+    """Guards against giving up a long-running job for crashes by coincidence."""
     bench = SchedulerBench()
     bench.add(a_job(a_step(count=1, long_running=True)))
     assert crash_all_that_start(bench, rounds=10) == MAX_CRASHES
@@ -178,7 +178,7 @@
 
 
 def test_a_long_running_task_outlives_the_job_that_crashes_its_workers() -> None:
-    """Guards against giving up a neighbour that was on all workers that crashed."""
+    """Guards against giving up a sound task that was on all workers that crashed."""
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=1, long_running=True), job=OTHER))
@@ -191,7 +191,7 @@
 
 @pytest.mark.parametrize("how", ["draining", "leaving", "ordered", "leases"])
 def test_requested_end_is_no_crash(how: str) -> None:
-    """Guards against sound tasks that are given up in a rolling replacement."""
+    """Guards against giving up sound tasks in a rolling replacement of workers."""
     bench = SchedulerBench()
     worker = bench.worker("w1")
     bench.add(a_job(a_step(count=1)))
@@ -205,7 +205,7 @@
 
 
 def test_each_start_after_enough_crashes_counts_however_it_ended() -> None:
-    """Guards against starts without a bound while other causes end the runs."""
+    """Guards against unbounded starts while the runs end for other causes."""
     bench = SchedulerBench()
     suspected(bench, crashes=MAX_CRASHES - 1)
     starts = 0
@@ -220,7 +220,7 @@
 
 
 def test_a_suspected_job_shares_no_worker() -> None:
-    """Guards against a crash that ends other jobs' work, and has many suspects."""
+    """Guards against a crash that ends other jobs' tasks and has many suspects."""
     bench = SchedulerBench()
     bench.worker("w1")
     bench.worker("w2")
@@ -236,8 +236,8 @@
     assert not isolated & others
 
 
-def test_a_suspected_job_waits_for_an_empty_worker_and_asks_for_one() -> None:
-    """Guards against a wait that no instance ends."""
+def test_a_suspected_job_waits_for_an_empty_worker_and_requests_one() -> None:
+    """Guards against a wait for an instance that is never ordered."""
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=1, long_running=True), job=OTHER))
@@ -248,7 +248,7 @@
 
 
 def test_suspected_job_shares_a_worker_after_a_long_wait() -> None:
-    """Guards against a job that waits for ever where each worker has a lasting task."""
+    """Guards against waiting forever where each worker has a long-running task."""
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=1, long_running=True), job=OTHER))
@@ -260,8 +260,8 @@
     assert len(bench.plan_starts()) == 1
 
 
-def test_a_task_that_runs_on_is_cleared() -> None:
-    """Guards against lasting tasks that are given up for crashes far apart."""
+def test_a_long_running_task_that_keeps_running_is_cleared() -> None:
+    """Guards against giving up long-running tasks for crashes far apart."""
     bench = SchedulerBench()
     bench.add(a_job(a_step(count=1, long_running=True)))
     for number in range(2 * MAX_CRASHES):
@@ -277,7 +277,7 @@
 
 
 def test_only_runs_that_were_not_stopped_clear_a_long_running_suspect() -> None:
-    """Guards against a suspect that is cleared by ends which others asked for."""
+    """Guards against clearing a suspect by runs that were stopped on request."""
     bench = SchedulerBench()
     job = a_job(a_step(count=1, long_running=True))
     marks = [TaskMark(0, 0, 0, (), "", ("old-0", "old-1"))]
@@ -297,7 +297,7 @@
 
 
 def test_crash_resets_the_run_count_of_a_long_running_suspect() -> None:
-    """Guards against a suspect that is cleared by runs from before its last crash."""
+    """Guards against clearing a suspect by runs from before its last crash."""
     bench = SchedulerBench()
     job = a_job(a_step(count=1, long_running=True))
     marks = [TaskMark(0, 0, 0, (), "", ("old-0",))]
@@ -330,8 +330,8 @@
     assert not bench.scheduler.state.suspects
 
 
-def test_workers_that_crash_together_give_no_job_up_at_once() -> None:
-    """Guards against sound jobs that are given up when a rack or a pool goes."""
+def test_a_job_is_not_given_up_at_once_when_workers_crash_together() -> None:
+    """Guards against giving up sound jobs when a rack or a pool fails."""
     bench = SchedulerBench()
     suspected(bench)
     bench.worker("w1")
@@ -347,7 +347,7 @@
 
 
 def test_two_jobs_that_crash_their_workers_at_once_are_both_given_up() -> None:
-    """Guards against jobs that excuse each other, and are started once more each."""
+    """Guards against taking two crashing jobs for a common cause of each other."""
     bench = SchedulerBench()
     suspected(bench)
     other = a_job(a_step(count=1), job=OTHER)
--- a/tests/components/scheduling/test_evacuation.py
+++ b/tests/components/scheduling/test_evacuation.py
@@ -1,4 +1,4 @@
-"""Test that emptying workers never takes too many tasks of one step."""
+"""Test that evacuating workers never stops too many tasks of one step."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def long_running_on_three_workers() -> tuple[SchedulerBench, list[Task]]:
-    """Return three lasting tasks of one step at work, one a worker; one may miss."""
+    """Return three serving tasks of a step on three workers; one may be missing."""
     bench = SchedulerBench()
     for name in ("w1", "w2", "w3"):
         bench.worker(name)
@@ -43,13 +43,12 @@
     assert len(bench.plan_stops()) == 1
 
 
-def test_tasks_of_a_silent_worker_count_as_missing() -> None:
-    """No task is stopped beside those of a worker that fell silent.
+def test_tasks_of_an_unresponsive_worker_count_as_missing() -> None:
+    """Guards against maintenance that stops a second task when one may be missing.
 
-    Symptom: maintenance ended a second task of a step that may miss one.
-    Sequence: a worker crashed without a sign; its lease, and so its tasks, counted
-    for five seconds more; meanwhile another worker of the step was emptied.
-    Cause: a task's last report said that it was at work, however old the report was.
+    A crashed worker's tasks stay assigned until its lease expires five seconds later.
+    They must not count as serving by its last report while another worker of the step
+    is evacuated.
     """
     bench, tasks = long_running_on_three_workers()
     bench.scheduler.state.workers["w1"].stale = True
@@ -57,14 +56,12 @@
     assert bench.plan_stops() == []
 
 
-def test_task_on_a_silent_leaving_worker_counts_as_serving() -> None:
-    """A leaving worker's silence does not let its tasks be stopped together.
+def test_tasks_on_an_unresponsive_cordoned_worker_are_not_stopped_together() -> None:
+    """Guards against stopping a second task of a step when one may be missing.
 
-    Symptom: a second task of a step that may miss one was stopped on a worker that
-    was being emptied.
-    Sequence: the worker left one call unanswered while the first stop was under way.
-    Cause: a task that is not known to be at work was stopped without a look at the
-    others of its step.
+    The cordoned worker fails to respond to one call while the first stop is in flight.
+    A task that is not known to be serving must not be stopped without checking the
+    other tasks of its step.
     """
     bench = SchedulerBench()
     bench.worker("w1")
@@ -78,10 +75,10 @@
 
 
 def test_old_reports_do_not_let_a_task_be_stopped() -> None:
-    """An owner that reads late stops nothing on what it read long ago.
+    """Guards against stopping tasks based on outdated reports.
 
-    Symptom: on an entry with half a core, tasks of one step were stopped beside others
-    that had been gone for seconds.
+    An owner on an entry node with half a core may read reports seconds late, when other
+    tasks of the step are already lost.
     """
     bench, tasks = long_running_on_three_workers()
     bench.now += 3.0
@@ -93,7 +90,7 @@
 
 
 def test_two_tasks_that_may_have_started_serving_are_not_stopped_together() -> None:
-    """Two tasks at work were ended at once, since neither was at its last report."""
+    """Guards against stopping two serving tasks that last reported not to serve."""
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=2, long_running=True, may_miss=1)))
--- a/tests/components/scheduling/test_losses.py
+++ b/tests/components/scheduling/test_losses.py
@@ -1,4 +1,4 @@
-"""Test what is told of workers that were lost."""
+"""Test the log lines of lost workers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 def test_lost_worker_is_logged_with_its_runs_and_cause(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a loss whose runs and cause no line names."""
+    """Guards against a lost worker whose runs and cause are not logged."""
     lines: list[dict[str, object]] = []
     monkeypatch.setattr(
         losses._LOGGER, "info", lambda event, **fields: lines.append(fields)
--- a/tests/components/scheduling/test_run_logger.py
+++ b/tests/components/scheduling/test_run_logger.py
@@ -1,4 +1,4 @@
-"""Test that the log tells of each run of a turn without a line for each."""
+"""Test that each run of a demand peak is logged without a line of its own."""
 
 from __future__ import annotations
 
@@ -19,14 +19,13 @@
     return [r.getMessage() for r in caplog.records if f"event={event} " in r.message]
 
 
-def test_all_runs_of_a_burst_are_logged_within_the_limit_of_a_second(
+def test_all_runs_of_a_burst_are_logged_within_the_rate_limit(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """Follow each task of each job by the log, also in a peak.
+    """Guards against missing log lines of a job's tasks in a demand peak.
 
-    Symptom: an on-call engineer finds no line of a job's tasks. Sequence: 60 jobs of
-    eight tasks each begin and end within a second. Cause: a line for each start and
-    end, of which the log keeps 160 of a kind a second.
+    60 jobs of eight tasks each start and end within a second, and the log keeps only
+    160 lines of a kind per second.
     """
     caplog.set_level("INFO", "absl")
     bench = SchedulerBench()
@@ -37,8 +36,8 @@
     starts = bench.plan_starts()
     bench.plan()
     started = lines_of(caplog, "runs_started")
-    told = [match for line in started for match in RUN.findall(line)]
-    assert len(told) == len(starts) == 480
+    logged_runs = [match for line in started for match in RUN.findall(line)]
+    assert len(logged_runs) == len(starts) == 480
     assert len(started) == 60 <= LINES_A_SECOND * 0.4
     for start in starts:
         bench.end(start.task, "done")
