--- a/mustardward/components/scheduling/candidates.py
+++ b/mustardward/components/scheduling/candidates.py
@@ -178,6 +178,8 @@
 
 def _covers(too_large: list[Room], room: Room) -> bool:
     return any(
-        seen.cpu <= room.cpu and seen.mem_mb <= room.mem_mb and seen.gpu <= room.gpu
-        for seen in too_large
+        rejected.cpu <= room.cpu
+        and rejected.mem_mb <= room.mem_mb
+        and rejected.gpu <= room.gpu
+        for rejected in too_large
     )
--- a/mustardward/components/scheduling/const.py
+++ b/mustardward/components/scheduling/const.py
@@ -74,7 +74,7 @@
 """Time for which a missing registry entry is tolerated. An entry that expired during a
 store outage is back within 2 s of the store's return if the worker is alive."""
 
-MISSED_HOLDS_LIMIT: Final = 2
+MAX_MISSED_REPORTS: Final = 2
 """Consecutive reports without a run after which it counts as lost."""
 
 EVACUATION_GRACE_SECONDS: Final = 1.5
--- a/mustardward/components/scheduling/crashes.py
+++ b/mustardward/components/scheduling/crashes.py
@@ -189,8 +189,8 @@
             "task_suspected",
             task=encode_task(task.name),
             crashes=",".join(task.crashes),
-            together=common_cause,
-            apart=needs_isolation(task),
+            common_cause=common_cause,
+            isolated=needs_isolation(task),
             given_up=give_up,
         )
         if give_up:
--- a/mustardward/components/scheduling/demand.py
+++ b/mustardward/components/scheduling/demand.py
@@ -65,7 +65,7 @@
             left=load.remaining.cpu,
             inflow=load.inflow.cpu,
             spread=load.spread_workers,
-            apart=load.isolation_workers,
+            isolation_workers=load.isolation_workers,
         )
 
 
--- a/mustardward/components/scheduling/intake.py
+++ b/mustardward/components/scheduling/intake.py
@@ -61,7 +61,7 @@
         if job is not None and not job.state.final:
             self.state.end_job(job, JobState.CANCELLED)
 
-    def open_due(self, now: float, wall: float) -> None:
+    def open_due_occurrences(self, now: float, wall: float) -> None:
         """Open the occurrences whose time has come."""
         for job in self.state.jobs.values():
             record = job.record
@@ -75,7 +75,7 @@
                 self._open_occurrence(job, job.next_occurrence, now)
                 job.next_occurrence += 1
 
-    def step_of(self, job: Job, occurrence: int, number: int) -> StepRun | None:
+    def get_step(self, job: Job, occurrence: int, number: int) -> StepRun | None:
         """Return a step, or None if the job has no such step.
 
         Creates the steps of an occurrence that a previous owner started and that is not
@@ -87,7 +87,7 @@
             self._make_steps(job, occurrence)
         return job.steps[(occurrence, number)]
 
-    def task_done(self, task: Task, now: float) -> None:
+    def handle_task_done(self, task: Task, now: float) -> None:
         """Mark a task as done, and open the steps that depend on it."""
         step = task.step
         if step.spec.gang:
@@ -100,7 +100,7 @@
             self.state.ready.pop(id(step), None)
             self._advance(step.job, now)
 
-    def task_failed(self, task: Task) -> None:
+    def handle_task_failed(self, task: Task) -> None:
         """End a job whose task, or gang, has failed too often."""
         step = task.step
         if step.spec.long_running:
@@ -167,24 +167,24 @@
             self.state.mark_dirty(job)
 
     def _restore(self, job: Job, progress: Progress) -> None:
-        for mark in progress.steps:
-            self._restore_done(job, mark)
-        for task_mark in progress.tasks:
-            step = self.step_of(job, task_mark.occurrence, task_mark.step)
-            if step is None or task_mark.index >= len(step.tasks):
+        for step_progress in progress.steps:
+            self._restore_done(job, step_progress)
+        for task_progress in progress.tasks:
+            step = self.get_step(job, task_progress.occurrence, task_progress.step)
+            if step is None or task_progress.index >= len(step.tasks):
                 continue
-            task = step.tasks[task_mark.index]
-            task.failed_runs = task_mark.failed_runs
-            task.checkpoint = task_mark.checkpoint
-            task.crashes = task_mark.crashes
+            task = step.tasks[task_progress.index]
+            task.failed_runs = task_progress.failed_runs
+            task.checkpoint = task_progress.checkpoint
+            task.crashes = task_progress.crashes
         self.state.update_suspicion(job)
         self._make_started_occurrences(job)
 
-    def _restore_done(self, job: Job, mark: StepMark) -> None:
-        step = self.step_of(job, mark.occurrence, mark.step)
+    def _restore_done(self, job: Job, step_progress: StepMark) -> None:
+        step = self.get_step(job, step_progress.occurrence, step_progress.step)
         if step is None:
             return
-        for index in unpack(mark.done):
+        for index in unpack(step_progress.done):
             if index >= len(step.tasks):
                 return
             task = step.tasks[index]
--- a/mustardward/components/scheduling/isolation.py
+++ b/mustardward/components/scheduling/isolation.py
@@ -9,9 +9,9 @@
 from .models import Job, StepRun, Task
 from .placement import (
     RemainingSeconds,
-    choose_gang,
     count_fitting,
     may_run,
+    place_gang,
     room_after_short_tasks,
 )
 from .worker_state import WorkerState
@@ -70,7 +70,7 @@
     best = min(soon, key=lambda worker: (has_long_running(worker), seconds(worker)))
     if not step.spec.gang:
         return [best]
-    if choose_gang(able, step, suspects, room_after_short_tasks) is None:
+    if place_gang(able, step, suspects, room_after_short_tasks) is None:
         return []
     return [best, *(worker for worker in able if worker in free)]
 
--- a/mustardward/components/scheduling/job_order.py
+++ b/mustardward/components/scheduling/job_order.py
@@ -93,13 +93,13 @@
 class Capacity:
     """Hold a pool's processing capacity, in cores.
 
-    :param now: cores of its present workers.
+    :param available: cores of its present workers.
     :param begun: remaining work of the tasks that run, in core seconds.
     :param incoming: cores of instances that were ordered for it.
     :param incoming_after_seconds: expected time until these accept work.
     """
 
-    now: float
+    available: float
     begun: float = 0.0
     incoming: float = 0.0
     incoming_after_seconds: float = 0.0
@@ -108,7 +108,9 @@
         """Return the core seconds available for new work within a time."""
         incoming_seconds = max(0.0, seconds - self.incoming_after_seconds)
         return (
-            self.now * max(0.0, seconds) + self.incoming * incoming_seconds - self.begun
+            self.available * max(0.0, seconds)
+            + self.incoming * incoming_seconds
+            - self.begun
         )
 
 
--- a/mustardward/components/scheduling/models.py
+++ b/mustardward/components/scheduling/models.py
@@ -78,7 +78,7 @@
     percent_since: float = 0.0
     figure: float = 0.0
     pace: int = 100
-    missed_holds: int = 0
+    missed_reports: int = 0
     stop_acknowledged_at: float | None = None
     avoided_workers: set[str] = field(default_factory=set)
     ready_since: float = 0.0
--- a/mustardward/components/scheduling/pacing.py
+++ b/mustardward/components/scheduling/pacing.py
@@ -10,7 +10,7 @@
 from .scheduler_state import SchedulerState
 from .worker_state import WorkerState
 
-HARMED_SHARE = 0.9
+SLOWED_SHARE = 0.9
 """Share of its target latency above which a serving task counts as slowed. The figure
 that it reports is approximate and covers the last half second."""
 
@@ -70,7 +70,7 @@
         serving = [task for task in worker.tasks.values() if _is_serving(task)]
         worst = max((t.figure / t.step.spec.target_ms for t in serving), default=0.0)
         since = now - throttle.changed_at
-        if worst > HARMED_SHARE and since >= CHANGE_SECONDS:
+        if worst > SLOWED_SHARE and since >= CHANGE_SECONDS:
             half = throttle.percent // 2
             throttle.percent = half if half >= MIN_PERCENT else 0
             throttle.changed_at = now
--- a/mustardward/components/scheduling/placement.py
+++ b/mustardward/components/scheduling/placement.py
@@ -233,7 +233,7 @@
         return fits(worker, self._step.room) and may_run(worker, self._step)
 
 
-def choose_gang(
+def place_gang(
     workers: list[WorkerState],
     step: StepRun,
     tasks: Iterable[Task],
--- a/mustardward/components/scheduling/planner.py
+++ b/mustardward/components/scheduling/planner.py
@@ -22,9 +22,9 @@
 from .placement import (
     GangPlacement,
     RankedWorkers,
-    choose_gang,
     choose_home_rack,
     is_usable,
+    place_gang,
 )
 from .quota_wait_logger import QuotaWaitLogger
 from .scheduler_state import SchedulerState
@@ -151,7 +151,7 @@
         self.wait_tracker.record(
             step, reason_elsewhere(step, elsewhere), candidates, promised
         )
-        if not _restricted(step):
+        if not _has_constraints(step):
             candidates.record_full(step, everywhere=not elsewhere)
 
     def _place_isolated(
@@ -169,7 +169,7 @@
         isolating = isolation_workers(step.job)
         one_worker = not (step.spec.long_running or step.spec.gang)
         if step.spec.gang:
-            placed = choose_gang(free, step, suspects)
+            placed = place_gang(free, step, suspects)
             self._start_gang(placed, now)
             all_fit = placed is not None
         else:
@@ -271,7 +271,7 @@
         if step.active or len(step.waiting) != len(step.tasks):
             self.wait_tracker.record(step, Reason.GANG_INCOMPLETE)
             return
-        placed = choose_gang(workers, step, step.waiting)
+        placed = place_gang(workers, step, step.waiting)
         if placed is None:
             self.wait_tracker.record(step, Reason.GANG_HAS_NO_ROOM)
         else:
@@ -296,6 +296,6 @@
         return False
 
 
-def _restricted(step: StepRun) -> bool:
+def _has_constraints(step: StepRun) -> bool:
     spec = step.spec
     return bool(spec.required_label or spec.max_per_server or step.job.policy.advice)
--- a/mustardward/components/scheduling/reports.py
+++ b/mustardward/components/scheduling/reports.py
@@ -16,7 +16,7 @@
     TaskName,
 )
 from .commands import Stop
-from .const import MISSED_HOLDS_LIMIT
+from .const import MAX_MISSED_REPORTS
 from .health import WorkerHealth
 from .intake import Intake
 from .models import ACTIVE, Phase, Task
@@ -40,7 +40,7 @@
     health: WorkerHealth
     run_logger: RunLogger = field(default_factory=RunLogger)
 
-    def apply_hold(
+    def apply_report(
         self, worker: WorkerState, answer: HoldAnswer, sent_at: float, now: float
     ) -> None:
         """Apply a worker's lists of running and ended tasks.
@@ -146,7 +146,7 @@
             task.runs_since_crash += task.phase is not Phase.STOPPING
             self.state.end_run(task, now)
         if ended.how == ENDED_FAILED:
-            self.intake.task_failed(task)
+            self.intake.handle_task_failed(task)
 
     def _handle_done(
         self, worker: WorkerState, task: Task, is_current: bool, now: float
@@ -159,7 +159,7 @@
         elif task.phase in ACTIVE and task.worker is not None:
             self.state.add_command(Stop(task.name, task.worker.id, task.run, None))
         if not task.step.job.state.final:
-            self.intake.task_done(task, now)
+            self.intake.handle_task_done(task, now)
         elif is_current:
             self.state.end_run(task, now)
 
@@ -181,7 +181,7 @@
         elif task.phase is Phase.STARTING:
             task.phase = Phase.RUNNING
         task.seen_running = True
-        task.missed_holds = 0
+        task.missed_reports = 0
         task.figure = row.figure
         if row.checkpoint:
             task.checkpoint = row.checkpoint
@@ -205,7 +205,7 @@
         job = self.state.jobs.get(name.job)
         if job is None:
             return None
-        step = self.intake.step_of(job, name.occurrence, name.step)
+        step = self.intake.get_step(job, name.occurrence, name.step)
         if step is None or name.index >= len(step.tasks):
             return None
         return step.tasks[name.index]
@@ -225,7 +225,7 @@
                 if at is not None and at <= sent_at:
                     self.state.end_run(task, now)
             elif task.phase is Phase.RUNNING and task.started_at <= sent_at:
-                task.missed_holds += 1
-                if task.missed_holds >= MISSED_HOLDS_LIMIT:
-                    _LOGGER.warning("run_vanished", worker=worker.id, run=task.run)
+                task.missed_reports += 1
+                if task.missed_reports >= MAX_MISSED_REPORTS:
+                    _LOGGER.warning("run_lost", worker=worker.id, run=task.run)
                     self.state.end_run(task, now)
--- a/mustardward/components/scheduling/scheduler.py
+++ b/mustardward/components/scheduling/scheduler.py
@@ -167,7 +167,7 @@
         """Apply a worker's report of running and ended tasks."""
         worker = self.state.workers.get(worker_id)
         if worker is not None:
-            self.reports.apply_hold(worker, answer, sent_at, now)
+            self.reports.apply_report(worker, answer, sent_at, now)
 
     def set_leaving(self, worker_id: str, leaving: bool, now: float) -> None:
         """Cordon a worker, which also evacuates it, or uncordon it."""
@@ -196,7 +196,7 @@
 
         :param max_starts: the most starts to decide on, as many as can be sent soon.
         """
-        self.intake.open_due(now, wall)
+        self.intake.open_due_occurrences(now, wall)
         self.entries.check(now)
         self._evacuation.run(now)
         if now >= self._next_check_at:
--- a/mustardward/components/scheduling/scheduler_state.py
+++ b/mustardward/components/scheduling/scheduler_state.py
@@ -148,7 +148,7 @@
             return
         task.phase = Phase.UNCERTAIN
         task.stop_acknowledged_at = None
-        task.worker.unanswered.append((task.name, task.run))
+        task.worker.unanswered_starts.append((task.name, task.run))
         self.add_command(Stop(task.name, task.worker.id, task.run, task))
 
     def requeue(self, task: Task, now: float) -> None:
@@ -275,8 +275,8 @@
         task continues once the stop is acknowledged. This includes starts whose task
         has moved elsewhere since, because only the old incarnation knew of their stop.
         """
-        for name, run in old.unanswered:
-            new.unanswered.append((name, run))
+        for name, run in old.unanswered_starts:
+            new.unanswered_starts.append((name, run))
             self.add_command(Stop(name, new.id, run, None))
         for task in list(old.tasks.values()):
             if task.seen_running:
@@ -310,7 +310,7 @@
         step.on_worker[worker.id] += 1
         task.worker = worker
         task.run = run
-        task.missed_holds = 0
+        task.missed_reports = 0
         task.stop_acknowledged_at = None
 
     def _release(self, task: Task) -> None:
--- a/mustardward/components/scheduling/wait_logger.py
+++ b/mustardward/components/scheduling/wait_logger.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Order:
+class _PendingCommand:
     """Represent a start or stop command whose outcome is not known yet."""
 
     task: Task
@@ -57,7 +57,7 @@
     reason: Reason
     seconds: float
     decision: WaitDecision | None
-    order: _Order | None
+    command: _PendingCommand | None
 
 
 @dataclass(frozen=True, slots=True)
@@ -120,21 +120,21 @@
 
     def _find_waiting(self, now: float) -> Iterator[_WaitingStep]:
         pools = self._free_rooms_by_pool()
-        orders = self._overdue_orders(now)
+        commands = self._overdue_commands(now)
         for job in self.state.jobs.values():
             for step in job.steps.values():
-                order = orders.get(step)
-                if order is None and not (step.open and _has_room(pools, step)):
+                command = commands.get(step)
+                if command is None and not (step.open and _has_room(pools, step)):
                     continue
                 waited = _waited(job, step, now)
                 if waited > WAIT_LOG_AFTER_SECONDS and _has_room(pools, step):
                     decision = self.wait_tracker.get(step)
                     reason = self._reason(step, decision, now)
-                    yield _WaitingStep(step, reason, waited, decision, order)
-                elif order is not None:
-                    seconds = now - order.since
+                    yield _WaitingStep(step, reason, waited, decision, command)
+                elif command is not None:
+                    seconds = now - command.since
                     yield _WaitingStep(
-                        step, Reason.UNFINISHED_ORDER, seconds, None, order
+                        step, Reason.COMMAND_UNFINISHED, seconds, None, command
                     )
 
     def _reason(
@@ -158,11 +158,11 @@
                 pools.setdefault(worker.service, []).append(worker)
         return {service: _largest_rooms(workers) for service, workers in pools.items()}
 
-    def _overdue_orders(self, now: float) -> dict[StepRun, _Order]:
+    def _overdue_commands(self, now: float) -> dict[StepRun, _PendingCommand]:
         """Return the longest overdue command of each step."""
         previous = self._phase_since
         self._phase_since = {}
-        oldest: dict[StepRun, _Order] = {}
+        oldest: dict[StepRun, _PendingCommand] = {}
         for task in self._tasks_in_transition():
             phase, run, since = previous.get(task, (None, 0, 0.0))
             if phase is not task.phase or run != task.run:
@@ -172,7 +172,7 @@
                 continue
             known = oldest.get(task.step)
             if known is None or since < known.since:
-                oldest[task.step] = _Order(task, since)
+                oldest[task.step] = _PendingCommand(task, since)
         return oldest
 
     def _tasks_in_transition(self) -> Iterator[Task]:
@@ -227,7 +227,7 @@
             able=len(wait.able),
             allowed=len(wait.allowed),
             **inputs_of(wait, reason),
-            **_order_fields(item.order, now),
+            **_command_fields(item.command, now),
         )
         return len(wait.workers)
 
@@ -261,17 +261,17 @@
     )
 
 
-def _order_fields(order: _Order | None, now: float) -> dict[str, LogValue]:
+def _command_fields(command: _PendingCommand | None, now: float) -> dict[str, LogValue]:
     """Return the log fields of an overdue command."""
-    if order is None:
+    if command is None:
         return {}
-    task = order.task
+    task = command.task
     worker = task.worker
     stopped_at = task.stop_acknowledged_at
     return {
         "order_task": encode_task(task.name),
         "order_phase": task.phase.value,
-        "order_seconds": now - order.since,
+        "order_seconds": now - command.since,
         "order_run": task.run,
         "order_worker": worker.id if worker is not None else None,
         "order_sent": task.sent,
--- a/mustardward/components/scheduling/wait_tracker.py
+++ b/mustardward/components/scheduling/wait_tracker.py
@@ -38,7 +38,7 @@
     NOT_PLANNED = "no-plan-was-made"
     NOT_READY = "not-among-the-ready-steps"
     OFF_QUEUE = "task-off-its-queue"
-    UNFINISHED_ORDER = "order-unfinished"
+    COMMAND_UNFINISHED = "order-unfinished"
     NOT_RECORDED = "not-noted"
 
 
--- a/mustardward/components/scheduling/worker_entries.py
+++ b/mustardward/components/scheduling/worker_entries.py
@@ -57,7 +57,7 @@
             self.mark_absent(worker_id)
             self._disputes[worker_id] = _Dispute(worker, entry, now)
             return False
-        self._use(worker, entry, now)
+        self._apply(worker, entry, now)
         return is_new
 
     def mark_missing(self, worker_id: str, now: float) -> None:
@@ -83,7 +83,7 @@
         for dispute in list(self._disputes.values()):
             self._resolve(dispute, now)
 
-    def _use(self, worker: WorkerState, entry: WorkerEntry, now: float) -> None:
+    def _apply(self, worker: WorkerState, entry: WorkerEntry, now: float) -> None:
         self._disputes.pop(worker.id, None)
         if worker.described and entry.capacity != worker.capacity:
             worker.resize(entry.capacity)
@@ -104,4 +104,4 @@
             return
         if worker.confirmed and not worker.stale:
             worker.describe(dispute.entry)
-            self._use(worker, dispute.entry, now)
+            self._apply(worker, dispute.entry, now)
--- a/mustardward/components/scheduling/worker_state.py
+++ b/mustardward/components/scheduling/worker_state.py
@@ -37,7 +37,7 @@
         pool, labels and capacity are those of the previous incarnation.
     :param orphan_steps: the steps of its orphan runs, which no task owns.
     :param unknown_runs: whether it lists a run of an unknown job.
-    :param unanswered: the last starts without a response, by task and run.
+    :param unanswered_starts: the last starts without a response, by task and run.
     """
 
     id: str
@@ -68,7 +68,7 @@
     described: bool = True
     orphan_steps: list[StepRun] = field(default_factory=list)
     unknown_runs: bool = False
-    unanswered: deque[tuple[TaskName, int]] = field(
+    unanswered_starts: deque[tuple[TaskName, int]] = field(
         default_factory=lambda: deque(maxlen=MAX_UNANSWERED_STARTS)
     )
 
--- a/tests/components/scheduling/liveness_mutants.py
+++ b/tests/components/scheduling/liveness_mutants.py
@@ -96,14 +96,14 @@
 
 
 def _stay_stale(patch: pytest.MonkeyPatch) -> None:
-    apply_hold = Reports.apply_hold
+    apply_report = Reports.apply_report
 
     def stay(own: Reports, worker: Any, *others: Any) -> None:
         stale = worker.stale
-        apply_hold(own, worker, *others)
+        apply_report(own, worker, *others)
         worker.stale = stale
 
-    patch.setattr(Reports, "apply_hold", stay)
+    patch.setattr(Reports, "apply_report", stay)
 
 
 def _count_twice(patch: pytest.MonkeyPatch) -> None:
--- a/tests/components/scheduling/test_wait_tracker.py
+++ b/tests/components/scheduling/test_wait_tracker.py
@@ -332,7 +332,7 @@
     return bench, {"ready": "0", "off_queue": "2"}
 
 
-@SCENARIOS.register(Reason.UNFINISHED_ORDER)
+@SCENARIOS.register(Reason.COMMAND_UNFINISHED)
 def unfinished_order() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1")
@@ -557,7 +557,7 @@
         bench.scheduler.reports.stop_answered(first.task, first.run, bench.now)
     wait_on(bench)
     (line,) = logged_waits(bench, caplog)
-    assert line["reason"] == Reason.UNFINISHED_ORDER.value
+    assert line["reason"] == Reason.COMMAND_UNFINISHED.value
     assert line["order_phase"] == phase.value
     assert (line["running"], line[phase.value]) == ("2", "1")
     assert line["order_sent"] == "true"
@@ -577,7 +577,7 @@
     logged_waits(bench, caplog)
     wait_on(bench)
     (line,) = logged_waits(bench, caplog)
-    assert line["reason"] == Reason.UNFINISHED_ORDER.value
+    assert line["reason"] == Reason.COMMAND_UNFINISHED.value
 
 
 def test_a_step_waits_for_its_order_too_where_its_pool_is_full(
@@ -591,7 +591,7 @@
         bench.accept(start)
     wait_on(bench)
     (line,) = logged_waits(bench, caplog)
-    assert line["reason"] == Reason.UNFINISHED_ORDER.value
+    assert line["reason"] == Reason.COMMAND_UNFINISHED.value
     assert (line["ready"], line["starting"], line["running"]) == ("1", "1", "7")
 
 
--- a/tests/helpers/test_policies.py
+++ b/tests/helpers/test_policies.py
@@ -35,7 +35,7 @@
 
 
 def test_a_policy_that_is_off_gives_way_to_what_stands_in_for_it() -> None:
-    overload = (1000.0, Capacity(now=1.0))
+    overload = (1000.0, Capacity(available=1.0))
     assert choose_order(*overload) is by_work
     assert spare(5, 2) == 3
     switch_off(["order-by-load", "lending"])
