--- a/mustardward/components/scheduling/const.py
+++ b/mustardward/components/scheduling/const.py
@@ -71,7 +71,7 @@
 """Largest share of a pool in quarantine; more failing workers point to the jobs."""
 
 MISSING_GRACE_SECONDS: Final = 2.5
-"""Time for which a missing registry entry is tolerated. An entry that expired during a
+"""Time for which a missing worker entry is tolerated. An entry that expired during a
 store outage is back within 2 s of the store's return if the worker is alive."""
 
 MAX_MISSED_REPORTS: Final = 2
--- a/mustardward/components/scheduling/health.py
+++ b/mustardward/components/scheduling/health.py
@@ -1,7 +1,7 @@
 """Track the health of workers by the outcome of their runs.
 
-A worker that fails all its runs at once always has free capacity, and would attract all
-work of its pool.
+A worker that fails everything it starts looks idle, and would attract all work of its
+pool.
 """
 
 from __future__ import annotations
--- a/mustardward/components/scheduling/incarnations.py
+++ b/mustardward/components/scheduling/incarnations.py
@@ -12,7 +12,7 @@
 
 
 def make_worker(worker_id: str, entry: WorkerEntry) -> WorkerState:
-    """Return a worker's state as its registry entry describes it."""
+    """Return a worker's state as its entry describes it."""
     room = entry.capacity
     return WorkerState(
         worker_id,
--- a/mustardward/components/scheduling/job_order.py
+++ b/mustardward/components/scheduling/job_order.py
@@ -79,7 +79,7 @@
 
 @register("chain")
 def by_critical_path(job: Job, remaining: RemainingWork) -> float:
-    """Return the shortest time in which a job can complete."""
+    """Return the shortest remaining time in which a job can complete."""
     return remaining.critical_path
 
 
--- a/mustardward/components/scheduling/rate_shares.py
+++ b/mustardward/components/scheduling/rate_shares.py
@@ -3,7 +3,8 @@
 When one organisation submits many times its usual load and jobs are ordered by arrival
 or slack, its jobs rank before those of all others, and one job in four is late whoever
 submitted it. Jobs within the organisation's rate keep their rank; jobs over the rate go
-after all jobs of others that can still meet their objective.
+after all jobs of others that can still meet their objective, and use the room that is
+left.
 """
 
 from __future__ import annotations
--- a/mustardward/components/scheduling/scheduler.py
+++ b/mustardward/components/scheduling/scheduler.py
@@ -113,7 +113,7 @@
                 job.policy = policy
 
     def update_worker(self, worker_id: str, entry: WorkerEntry, now: float) -> bool:
-        """Apply a worker's registry entry; return whether the worker is new."""
+        """Apply a worker's entry; return whether the worker is new."""
         return self.entries.update(worker_id, entry, now)
 
     def replace_worker(
--- a/mustardward/components/scheduling/wait_logger.py
+++ b/mustardward/components/scheduling/wait_logger.py
@@ -151,7 +151,7 @@
         return Reason.NOT_RECORDED
 
     def _free_rooms_by_pool(self) -> dict[str, list[Room]]:
-        """Return the largest free rooms by pool, of workers with a registry entry."""
+        """Return the largest free rooms by pool, of workers that have an entry."""
         pools: dict[str, list[WorkerState]] = {}
         for worker in self.state.workers.values():
             if worker.missing_since is None:
--- a/mustardward/components/scheduling/worker_entries.py
+++ b/mustardward/components/scheduling/worker_entries.py
@@ -1,4 +1,4 @@
-"""Apply workers' registry entries, and reject entries that are not their own."""
+"""Apply workers' entries, and reject entries that are not their own."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, eq=False)
 class WorkerEntries:
-    """Keep the workers up to date with their registry entries."""
+    """Keep the workers up to date with their entries in the store."""
 
     state: SchedulerState
     _disputes: dict[str, _Dispute] = field(default_factory=dict)
--- a/mustardward/components/scheduling/worker_state.py
+++ b/mustardward/components/scheduling/worker_state.py
@@ -23,7 +23,7 @@
     """Hold the state of one incarnation of a worker.
 
     :param confirmed: whether its runs have been read under this owner's fencing token.
-    :param missing_since: when its registry entry was first missing, or None.
+    :param missing_since: when its entry in the store was first missing, or None.
     :param absent: whether its entry is invalid or has been missing for too long, so
         that it gets no tasks until a valid entry appears.
     :param leaving: whether the fleet has cordoned it.
--- a/tests/components/scheduling/builders.py
+++ b/tests/components/scheduling/builders.py
@@ -47,7 +47,7 @@
 
 
 def an_entry(**changes: object) -> WorkerEntry:
-    """Return the registry entry of a ready worker with eight cores."""
+    """Return the entry of a ready worker with eight cores."""
     values: dict[str, object] = {
         "service": POOL,
         "address": "127.0.0.1:1",
--- a/tests/components/scheduling/test_hold_walks.py
+++ b/tests/components/scheduling/test_hold_walks.py
@@ -85,7 +85,7 @@
         self.update_worker(name)
 
     def update_worker(self, name: str) -> None:
-        """Apply a worker's registry entry."""
+        """Apply a worker's entry."""
         zone = self.workers[name].zone
         entry = an_entry(zone=zone, labels=["a", f"r-{zone}"])
         self.bench.scheduler.update_worker(name, entry, self.bench.now)
