--- a/tests/components/scheduling/test_room_walks.py
+++ b/tests/components/scheduling/test_accounting_walks.py
@@ -24,7 +24,7 @@
 UNKNOWN = TaskName("ffffffffffffffff", 0, 0, 0)
 
 
-class RoomWalk(QuotaWalk):
+class AccountingWalk(QuotaWalk):
     """Drive an owner, and check only its resource accounting."""
 
     def __init__(self, seed: int) -> None:
@@ -132,9 +132,9 @@
                 assert +step.on_worker == here, "on worker"
 
 
-def walk_once(seed: int, steps: int = 160) -> RoomWalk:
+def walk_once(seed: int, steps: int = 160) -> AccountingWalk:
     """Run a walk, and check the accounting after each event."""
-    walk = RoomWalk(seed)
+    walk = AccountingWalk(seed)
     rng = walk.random
     events: list[Callable[[], None]] = [
         lambda: walk.submit(rng.choice(ORGANISATIONS), rng.randint(1, 4)),
