--- a/tests/components/scheduling/test_starvation.py
+++ b/tests/components/scheduling/test_starvation.py
@@ -174,19 +174,19 @@
     assert bench.stored[JOB].state is JobState.FAILED
 
 
-HOPELESS = {
+UNSATISFIABLE = {
     "label": {"required_label": "nowhere"},
     "processor": {"cpu": 9000},
     "memory": {"mem_mb": 9000},
 }
 
 
-@pytest.mark.parametrize("reason", HOPELESS)
+@pytest.mark.parametrize("reason", UNSATISFIABLE)
 def test_a_long_running_task_that_no_worker_can_run_reserves_none(reason: str) -> None:
     """Guards against a pool that is blocked by a task that it can never run."""
     bench = SchedulerBench()
     bench.worker("w1")
-    bench.add(a_job(a_step(count=1, long_running=True, **HOPELESS[reason]), job=OTHER))
+    bench.add(a_job(a_step(count=1, long_running=True, **UNSATISFIABLE[reason]), job=OTHER))
     bench.add(a_job())
     assert Simulation(bench).run(RECOVERY_SECONDS) == [JOB, JOB]
 
