--- a/mustardward/components/scheduling/scheduler.py
+++ b/mustardward/components/scheduling/scheduler.py
@@ -65,7 +65,7 @@
         rate_of: RateLookup = unlimited_rate,
     ) -> None:
         self.state = SchedulerState(epoch, policy_of, quotas=Quotas(quota_of))
-        self.entries = WorkerEntries(self.state)
+        self.worker_entries = WorkerEntries(self.state)
         self._zone_chooser = ZoneChooser(self.state)
         self.intake = Intake(self.state, self._zone_chooser, RateShares(rate_of))
         self.health = WorkerHealth(self.state)
@@ -114,7 +114,7 @@
 
     def update_worker(self, worker_id: str, entry: WorkerEntry, now: float) -> bool:
         """Apply a worker's entry; return whether the worker is new."""
-        return self.entries.update(worker_id, entry, now)
+        return self.worker_entries.update(worker_id, entry, now)
 
     def replace_worker(
         self, worker_id: str, born: int, entry: WorkerEntry, now: float
@@ -146,11 +146,11 @@
 
     def mark_worker_missing(self, worker_id: str, now: float) -> None:
         """Record that a worker's entry is missing; its runs may continue."""
-        self.entries.mark_missing(worker_id, now)
+        self.worker_entries.mark_missing(worker_id, now)
 
     def mark_worker_absent(self, worker_id: str) -> None:
         """Assign no new tasks to a worker until it has a valid entry again."""
-        self.entries.mark_absent(worker_id)
+        self.worker_entries.mark_absent(worker_id)
 
     def remove_worker(self, worker_id: str, cause: LossCause, now: float) -> None:
         """Remove a lost worker on which nothing runs any more."""
@@ -197,7 +197,7 @@
         :param max_starts: the most starts to decide on, as many as can be sent soon.
         """
         self.intake.open_due_occurrences(now, wall)
-        self.entries.check(now)
+        self.worker_entries.check(now)
         self._evacuation.run(now)
         if now >= self._next_check_at:
             self._next_check_at = now + CHECK_INTERVAL_SECONDS
