--- a/tests/components/scheduling/test_starvation.py
+++ b/tests/components/scheduling/test_starvation.py
@@ -186,7 +186,9 @@
     """Guards against a pool that is blocked by a task that it can never run."""
     bench = SchedulerBench()
     bench.worker("w1")
-    bench.add(a_job(a_step(count=1, long_running=True, **UNSATISFIABLE[reason]), job=OTHER))
+    bench.add(
+        a_job(a_step(count=1, long_running=True, **UNSATISFIABLE[reason]), job=OTHER)
+    )
     bench.add(a_job())
     assert Simulation(bench).run(RECOVERY_SECONDS) == [JOB, JOB]
 
