--- a/mustardward/components/ownership/takeover.py
+++ b/mustardward/components/ownership/takeover.py
@@ -50,8 +50,8 @@
     def try_release(self) -> None:
         """Release held jobs if every worker that may run their tasks has reported."""
         accounted = self._accounted_zones()
-        if accounted != self.state.accounted_zones:
-            self.state.accounted_zones = accounted
+        if accounted != self.state.reconciled_zones:
+            self.state.reconciled_zones = accounted
             zones = ",".join(sorted(accounted))
             _LOGGER.info("zones_accounted", epoch=self.epoch, zones=zones)
             self.request_plan()
--- a/mustardward/components/scheduling/scheduler_state.py
+++ b/mustardward/components/scheduling/scheduler_state.py
@@ -33,7 +33,7 @@
         previous owner started.
     :param incoming_cpu: processors of instances ordered for each pool, in millicores.
     :param unusable_workers: ids of workers that have been unusable for a while.
-    :param accounted_zones: data centres whose workers have all reported their runs.
+    :param reconciled_zones: data centres whose workers have all reported their runs.
     :param suspects: the jobs with tasks under which workers crashed, by id.
     """
 
@@ -46,7 +46,7 @@
     dirty: dict[str, Job] = field(default_factory=dict)
     ready: dict[int, StepRun] = field(default_factory=dict)
     takeover_hold_until: float = 0.0
-    accounted_zones: frozenset[str] = frozenset()
+    reconciled_zones: frozenset[str] = frozenset()
     incoming_cpu: dict[str, int] = field(default_factory=dict)
     unusable_workers: frozenset[str] = frozenset()
     taken_over_at: float = 0.0
@@ -84,7 +84,7 @@
         """Return whether unknown runs of a job may exist from a previous owner."""
         if not job.from_previous_owner or now >= self.takeover_hold_until:
             return False
-        return job.stored_zones is None or not job.stored_zones <= self.accounted_zones
+        return job.stored_zones is None or not job.stored_zones <= self.reconciled_zones
 
     def mark_dirty(self, job: Job) -> None:
         """Mark a job whose progress has to be stored."""
--- a/mustardward/components/scheduling/wait_inputs.py
+++ b/mustardward/components/scheduling/wait_inputs.py
@@ -83,7 +83,7 @@
         "held_seconds_left": state.takeover_hold_until - wait.now,
         "taken_over_seconds": wait.now - state.taken_over_at,
         "open_zones": _join_names(where),
-        "unaccounted": _join_names(zones - state.accounted_zones),
+        "unaccounted": _join_names(zones - state.reconciled_zones),
     }
 
 
--- a/tests/components/ownership/test_takeover.py
+++ b/tests/components/ownership/test_takeover.py
@@ -118,20 +118,20 @@
 
 def test_data_centre_is_accounted_for_once_all_its_workers_reported() -> None:
     harness = a_takeover_of_two_zones({"w1": "z1", "w2": "z2"})
-    assert harness.state.accounted_zones == {"z1"}
+    assert harness.state.reconciled_zones == {"z1"}
     assert harness.plan_requests == 1
     assert harness.state.takeover_hold_until > 0
 
 
 def test_worker_that_only_the_list_names_keeps_data_centre_unaccounted() -> None:
     assert (
-        a_takeover_of_two_zones({"w1": "z1", "w9": "z1"}).state.accounted_zones
+        a_takeover_of_two_zones({"w1": "z1", "w9": "z1"}).state.reconciled_zones
         == frozenset()
     )
 
 
 def test_no_data_centre_is_accounted_for_before_the_list_is_read() -> None:
-    assert a_takeover_of_two_zones(None).state.accounted_zones == frozenset()
+    assert a_takeover_of_two_zones(None).state.reconciled_zones == frozenset()
 
 
 def test_data_centre_without_reports_is_not_accounted_for() -> None:
@@ -141,4 +141,4 @@
     harness.unconfirmed_workers = []
     harness.listed = {"w1": "z1", "w8": "z3"}
     harness.try_release()
-    assert harness.state.accounted_zones == {"z1"}
+    assert harness.state.reconciled_zones == {"z1"}
--- a/tests/components/scheduling/test_wait_tracker.py
+++ b/tests/components/scheduling/test_wait_tracker.py
@@ -115,7 +115,7 @@
     state = bench.scheduler.state
     state.taken_over_at = bench.now
     state.takeover_hold_until = bench.now + 9.0
-    state.accounted_zones = frozenset({"z1"})
+    state.reconciled_zones = frozenset({"z1"})
     bench.worker("w1", zone="z1")
     job = a_job()
     job.progress = Progress(JobState.RUNNING, zones=["z1", "z2"])
--- a/tests/components/scheduling/test_zone_chooser.py
+++ b/tests/components/scheduling/test_zone_chooser.py
@@ -123,7 +123,7 @@
     for number, zones in enumerate((["z1"], ["z3"], ["z1", "z3"], [])):
         bench.add(stored_job(*zones, job=f"{number:016x}"))
     assert bench.plan_starts() == []
-    state.accounted_zones = frozenset({"z1", "z2"})
+    state.reconciled_zones = frozenset({"z1", "z2"})
     starts = bench.plan_starts()
     assert {start.task.step.job.record.id for start in starts} == {f"{0:016x}"}
     bench.now += 9.0
