--- a/mustardward/components/ownership/takeover.py
+++ b/mustardward/components/ownership/takeover.py
@@ -49,18 +49,18 @@
 
     def try_release(self) -> None:
         """Release held jobs if every worker that may run their tasks has reported."""
-        accounted = self._accounted_zones()
-        if accounted != self.state.reconciled_zones:
-            self.state.reconciled_zones = accounted
-            zones = ",".join(sorted(accounted))
-            _LOGGER.info("zones_accounted", epoch=self.epoch, zones=zones)
+        reconciled = self._reconciled_zones()
+        if reconciled != self.state.reconciled_zones:
+            self.state.reconciled_zones = reconciled
+            zones = ",".join(sorted(reconciled))
+            _LOGGER.info("zones_reconciled", epoch=self.epoch, zones=zones)
             self.request_plan()
         if not self._all_workers_reported():
             return
         self.state.takeover_hold_until = 0.0
         _LOGGER.info("takeover_complete", epoch=self.epoch)
 
-    def _accounted_zones(self) -> frozenset[str]:
+    def _reconciled_zones(self) -> frozenset[str]:
         """Return the data centres all of whose workers have reported their runs.
 
         A data centre without any report is not included: its workers may be missing
--- a/tests/components/ownership/test_takeover.py
+++ b/tests/components/ownership/test_takeover.py
@@ -116,25 +116,25 @@
     return harness
 
 
-def test_data_centre_is_accounted_for_once_all_its_workers_reported() -> None:
+def test_data_centre_is_reconciled_once_all_its_workers_reported() -> None:
     harness = a_takeover_of_two_zones({"w1": "z1", "w2": "z2"})
     assert harness.state.reconciled_zones == {"z1"}
     assert harness.plan_requests == 1
     assert harness.state.takeover_hold_until > 0
 
 
-def test_worker_that_only_the_list_names_keeps_data_centre_unaccounted() -> None:
+def test_worker_that_only_the_list_names_keeps_data_centre_unreconciled() -> None:
     assert (
         a_takeover_of_two_zones({"w1": "z1", "w9": "z1"}).state.reconciled_zones
         == frozenset()
     )
 
 
-def test_no_data_centre_is_accounted_for_before_the_list_is_read() -> None:
+def test_no_data_centre_is_reconciled_before_the_list_is_read() -> None:
     assert a_takeover_of_two_zones(None).state.reconciled_zones == frozenset()
 
 
-def test_data_centre_without_reports_is_not_accounted_for() -> None:
+def test_data_centre_without_reports_is_not_reconciled() -> None:
     """Check for workers that expired from entries and list and are disconnected."""
     harness = a_takeover_of_two_zones({"w1": "z1"})
     del harness.state.workers["w2"]
