--- a/mustardward/components/forwarding/models.py
+++ b/mustardward/components/forwarding/models.py
@@ -5,10 +5,10 @@
 import msgspec
 
 
-class AskedRequest(msgspec.Struct, frozen=True):
+class PeerRequest(msgspec.Struct, frozen=True):
     """Hold a caller's request.
 
-    :param patience: what is left to answer, in seconds.
+    :param timeout_seconds: what is left to answer, in seconds.
     :param version: the newest configuration that the asker knows of; one that is behind
         it must not answer.
     :param key: the secret that the caller shows; it is never logged.
@@ -18,7 +18,7 @@
     host: str
     path: str
     body: bytes
-    patience: float
+    timeout_seconds: float = msgspec.field(name="patience")
     version: int = 0
     key: str = ""
 
@@ -47,7 +47,7 @@
         return self.body is None
 
 
-class AskedReply(msgspec.Struct, frozen=True):
+class PeerReply(msgspec.Struct, frozen=True):
     """Hold a peer's answer to a caller's request.
 
     :param confirmed: whether the peer could read and write the log itself.
--- a/mustardward/components/forwarding/peers.py
+++ b/mustardward/components/forwarding/peers.py
@@ -4,11 +4,11 @@
 
 from dataclasses import dataclass, field
 
-from .const import SHUN_SECONDS
+from .const import PEER_BACKOFF_SECONDS
 
 
 @dataclass(slots=True, eq=False)
-class PeerBook:
+class PeerSelector:
     """Know the other entries and which of them did not answer lately.
 
     :param node: this entry's name.
@@ -18,11 +18,11 @@
 
     node: str
     zone: str
-    shun_seconds: float = SHUN_SECONDS
-    _shunned: dict[str, float] = field(default_factory=dict)
+    backoff_seconds: float = PEER_BACKOFF_SECONDS
+    _backoff_until: dict[str, float] = field(default_factory=dict)
     _turn: int = 0
 
-    def candidates(
+    def ranked_peers(
         self, nodes: dict[str, tuple[str, str]], now: float
     ) -> list[tuple[str, str]]:
         """Return names and addresses in the order to ask.
@@ -38,10 +38,10 @@
             return []
         start = self._turn % len(names)
         names = names[start:] + names[:start]
-        names = [n for n in names if self._shunned.get(n, 0.0) <= now]
+        names = [n for n in names if self._backoff_until.get(n, 0.0) <= now]
         names.sort(key=lambda name: nodes[name][1] == self.zone)
         return [(name, nodes[name][0]) for name in names]
 
-    def shun(self, name: str, now: float) -> None:
+    def back_off(self, name: str, now: float) -> None:
         """Leave a peer out for a while."""
-        self._shunned[name] = now + self.shun_seconds
+        self._backoff_until[name] = now + self.backoff_seconds
--- a/mustardward/components/forwarding/relay.py
+++ b/mustardward/components/forwarding/relay.py
@@ -21,18 +21,18 @@
 from ...platform.exceptions import CallRefusedError, CallUnknownError
 from ...platform.http import HttpCaller
 from .const import (
-    MOST_RELAYED,
-    PROBE_SECONDS,
+    MAX_RELAYED_CALLS,
+    PROBE_INTERVAL_SECONDS,
     RELAY_METHOD,
-    RELAY_PATIENCE_SECONDS,
     RELAY_PAUSE_SECONDS,
+    RELAY_TIMEOUT_SECONDS,
 )
-from .models import AskedReply, AskedRequest, RelayedCall
+from .models import PeerReply, PeerRequest, RelayedCall
 from .services import Forwarder
 
 _LOGGER = get_logger(__name__)
 
-_TURNED_AWAY = (429, 500, 502, 503)
+_UNAVAILABLE_STATUSES = (429, 500, 502, 503)
 _FAILURES = (CallRefusedError, CallUnknownError)
 
 
@@ -62,8 +62,8 @@
     timers: TimerService
     async_probe: Callable[[], Awaitable[bool]]
     _relaying: bool = False
-    _quiet_until: float = 0.0
-    _for_peers: int = 0
+    _peers_retry_at: float = 0.0
+    _peer_calls_in_flight: int = 0
 
     @property
     def relaying(self) -> bool:
@@ -97,43 +97,43 @@
                 return answer
             self._set_relaying(False)
         answer, error = await self._async_try(self.http, call)
-        if answer is not None and answer.status not in _TURNED_AWAY:
+        if answer is not None and answer.status not in _UNAVAILABLE_STATUSES:
             return answer
-        if self.timers.monotonic() >= self._quiet_until:
+        if self.timers.monotonic() >= self._peers_retry_at:
             relayed, effect = await self._async_relay(call)
             if relayed is not None:
                 self._set_relaying(True)
                 return relayed
             may_have_effect = may_have_effect or effect
             # The store is away for all: peers are not asked again with each retry.
-            self._quiet_until = self.timers.monotonic() + RELAY_PAUSE_SECONDS
+            self._peers_retry_at = self.timers.monotonic() + RELAY_PAUSE_SECONDS
         if may_have_effect:
             raise CallUnknownError("relayed call unanswered")
         if answer is None:
             raise error or CallUnknownError("no answer")
         return answer
 
-    async def async_answer_peer(self, asked: AskedRequest) -> AskedReply:
+    async def async_answer_peer(self, asked: PeerRequest) -> PeerReply:
         """Make a peer's call on the direct way, if there is one."""
-        if self._relaying or self._for_peers >= MOST_RELAYED:
-            return AskedReply(503, b"", confirmed=False)
+        if self._relaying or self._peer_calls_in_flight >= MAX_RELAYED_CALLS:
+            return PeerReply(503, b"", confirmed=False)
         call = msgspec.msgpack.decode(asked.body, type=RelayedCall)
-        self._for_peers += 1
+        self._peer_calls_in_flight += 1
         try:
             answer, error = await self._async_try(self.peers_http, call)
         finally:
-            self._for_peers -= 1
+            self._peer_calls_in_flight -= 1
         if answer is None:
             # The peer must not take an append that may be done for one that is not.
             unknown = isinstance(error, CallUnknownError) and not call.is_read
-            return AskedReply(504 if unknown else 503, b"", confirmed=False)
-        confirmed = answer.status not in _TURNED_AWAY
-        return AskedReply(answer.status, answer.body, confirmed=confirmed)
+            return PeerReply(504 if unknown else 503, b"", confirmed=False)
+        confirmed = answer.status not in _UNAVAILABLE_STATUSES
+        return PeerReply(answer.status, answer.body, confirmed=confirmed)
 
     async def async_run(self) -> None:
         """Go back to the direct way once it is open."""
         while True:
-            await self.timers.async_sleep(PROBE_SECONDS)
+            await self.timers.async_sleep(PROBE_INTERVAL_SECONDS)
             if self._relaying and await self.async_probe():
                 self._set_relaying(False)
 
@@ -165,11 +165,11 @@
     )
     async def _async_relay(self, call: RelayedCall) -> Relayed:
         """Return a peer's answer or None, and whether the call may have its effect."""
-        limit = RELAY_PATIENCE_SECONDS
+        limit = RELAY_TIMEOUT_SECONDS
         if call.is_read:
             limit += call.silence_seconds or 0.0
-        asked = AskedRequest(RELAY_METHOD, "", "", msgspec.msgpack.encode(call), limit)
-        outcome = await self.forwarder.async_ask(asked, limit)
+        asked = PeerRequest(RELAY_METHOD, "", "", msgspec.msgpack.encode(call), limit)
+        outcome = await self.forwarder.async_forward(asked, limit)
         RELAYED_CALLS.labels(str(outcome.reply is not None).lower()).inc()
         if outcome.reply is None:
             return None, outcome.may_have_effect and not call.is_read
--- a/mustardward/components/forwarding/services.py
+++ b/mustardward/components/forwarding/services.py
@@ -19,17 +19,17 @@
 from ...helpers.timer import TimerService
 from ..ledger.ledger import Ledger
 from .const import (
-    ASK_PATH,
-    ASK_SECONDS,
     CHECK_METHOD,
-    CHECK_SECONDS,
-    CHECKED_SECONDS,
-    MOST_ASKED,
-    OUTCOME_UNKNOWN,
-    RETRY_LISTEN_SECONDS,
+    CHECK_TIMEOUT_SECONDS,
+    CHECK_VALID_SECONDS,
+    LISTEN_RETRY_DELAY_SECONDS,
+    MAX_PEERS_ASKED,
+    OUTCOME_UNKNOWN_STATUS,
+    PEER_RPC_PATH,
+    PEER_TIMEOUT_SECONDS,
 )
-from .models import AskedReply, AskedRequest
-from .peers import PeerBook
+from .models import PeerReply, PeerRequest
+from .peers import PeerSelector
 
 _LOGGER = get_logger(__name__)
 
@@ -42,18 +42,18 @@
     OSError,
 )
 
-AnswerAsked = Callable[[AskedRequest], Awaitable[AskedReply]]
+PeerRequestHandler = Callable[[PeerRequest], Awaitable[PeerReply]]
 
 
 @dataclass(frozen=True, slots=True)
-class AskOutcome:
+class PeerOutcome:
     """Hold what asking came to.
 
     :param reply: the answer of a peer that has the log, or None.
     :param may_have_effect: whether a peer was asked and its answer is not known.
     """
 
-    reply: AskedReply | None
+    reply: PeerReply | None
     may_have_effect: bool
 
 
@@ -67,9 +67,9 @@
 
     ledger: Ledger
     timers: TimerService
-    book: PeerBook
-    check_seconds: float = CHECK_SECONDS
-    most_asked: int = MOST_ASKED
+    book: PeerSelector
+    check_seconds: float = CHECK_TIMEOUT_SECONDS
+    most_asked: int = MAX_PEERS_ASKED
     pool: ChannelPool = field(init=False)
     last_answer_at: float = -1.0
     _answered_at: dict[str, float] = field(default_factory=dict)
@@ -82,61 +82,63 @@
         """
         self.pool = ChannelPool(self.timers.monotonic, None, self.check_seconds)
 
-    async def async_ask(
-        self, request: AskedRequest, longest_seconds: float = ASK_SECONDS
-    ) -> AskOutcome:
+    async def async_forward(
+        self, request: PeerRequest, longest_seconds: float = PEER_TIMEOUT_SECONDS
+    ) -> PeerOutcome:
         """Return the answer of the first peer that has the log.
 
         :param longest_seconds: longest wait for one peer's answer.
         """
         may_have_effect = False
-        deadline = self.timers.monotonic() + request.patience
-        for name, address in self.candidates()[: self.most_asked]:
+        deadline = self.timers.monotonic() + request.timeout_seconds
+        for name, address in self.ranked_peers()[: self.most_asked]:
             left = deadline - self.timers.monotonic()
             if left <= 0:
                 break
             try:
                 has_log = await self._async_check(name, address)
             except _FAILURES as error:
-                self._shun(name, type(error).__name__)
+                self._back_off(name, type(error).__name__)
                 continue
             if not has_log:
                 # Asked all the same, it would call the store in vain, and what it may
                 # have appended could not be told as refused any more.
-                self._shun(name, "cut off too")
+                self._back_off(name, "cut off too")
                 continue
             try:
-                reply = await self._async_ask_one(
+                reply = await self._async_call(
                     address, request, min(left, longest_seconds)
                 )
             except _FAILURES as error:
                 may_have_effect = True
-                self._shun(name, type(error).__name__)
+                self._back_off(name, type(error).__name__)
                 continue
             if reply.confirmed:
                 self.last_answer_at = self.timers.monotonic()
                 self._answered_at[name] = self.last_answer_at
-                return AskOutcome(reply, may_have_effect)
-            may_have_effect = may_have_effect or reply.status == OUTCOME_UNKNOWN
-            self._shun(name, "cut off too")
-        return AskOutcome(None, may_have_effect)
+                return PeerOutcome(reply, may_have_effect)
+            may_have_effect = may_have_effect or reply.status == OUTCOME_UNKNOWN_STATUS
+            self._back_off(name, "cut off too")
+        return PeerOutcome(None, may_have_effect)
 
-    def candidates(self) -> list[tuple[str, str]]:
+    def ranked_peers(self) -> list[tuple[str, str]]:
         """Return names and addresses of the entries to ask, the best first."""
         nodes = {
             name: (node.address, node.zone) for name, node in self.ledger.nodes.items()
         }
-        return self.book.candidates(nodes, self.timers.monotonic())
+        return self.book.ranked_peers(nodes, self.timers.monotonic())
 
-    async def async_ask_node(
-        self, name: str, request: AskedRequest
-    ) -> AskedReply | None:
+    async def async_send_to_node(
+        self, name: str, request: PeerRequest
+    ) -> PeerReply | None:
         """Return one entry's answer to a question without effect, or None."""
         node = self.ledger.nodes.get(name)
         if node is None:
             return None
         try:
-            return await self._async_ask_one(node.address, request, request.patience)
+            return await self._async_call(
+                node.address, request, request.timeout_seconds
+            )
         except _FAILURES as error:
             _LOGGER.info("node_not_asked", peer=name, detail=type(error).__name__)
             return None
@@ -148,22 +150,22 @@
         then be told nothing sure; a check that is cut off costs nothing.
         """
         now = self.timers.monotonic()
-        if now - self._answered_at.get(name, -math.inf) < CHECKED_SECONDS:
+        if now - self._answered_at.get(name, -math.inf) < CHECK_VALID_SECONDS:
             return True
-        check = AskedRequest(CHECK_METHOD, "", "", b"", self.check_seconds)
-        reply = await self._async_ask_one(address, check, self.check_seconds)
+        check = PeerRequest(CHECK_METHOD, "", "", b"", self.check_seconds)
+        reply = await self._async_call(address, check, self.check_seconds)
         if reply.status != 200:
             return False
         self._answered_at[name] = self.timers.monotonic()
         return True
 
-    async def _async_ask_one(
-        self, address: str, request: AskedRequest, left: float
-    ) -> AskedReply:
+    async def _async_call(
+        self, address: str, request: PeerRequest, left: float
+    ) -> PeerReply:
         lease = await self.pool.async_take(address, Purpose.CONTROL)
-        method = UnaryUnaryMethod(lease.channel, ASK_PATH, AskedRequest, AskedReply)
+        method = UnaryUnaryMethod(lease.channel, PEER_RPC_PATH, PeerRequest, PeerReply)
         try:
-            reply: AskedReply = await method(request, timeout=left)
+            reply: PeerReply = await method(request, timeout=left)
         except _FAILURES:
             lease.retire()
             raise
@@ -171,32 +173,32 @@
             lease.release()
         return reply
 
-    def _shun(self, name: str, detail: str) -> None:
-        self.book.shun(name, self.timers.monotonic())
+    def _back_off(self, name: str, detail: str) -> None:
+        self.book.back_off(name, self.timers.monotonic())
         _LOGGER.info("peer_shunned", peer=name, detail=detail)
 
 
 class _EntryService:
     """Map the call that peers make; grpclib asks for this shape."""
 
-    def __init__(self, answer: AnswerAsked) -> None:
+    def __init__(self, answer: PeerRequestHandler) -> None:
         self._answer = answer
 
     def __mapping__(self) -> dict[str, Handler]:
         return {
-            ASK_PATH: Handler(
-                self._async_ask, Cardinality.UNARY_UNARY, AskedRequest, AskedReply
+            PEER_RPC_PATH: Handler(
+                self._async_handle, Cardinality.UNARY_UNARY, PeerRequest, PeerReply
             )
         }
 
-    async def _async_ask(self, stream: Any) -> None:
-        request: AskedRequest = await stream.recv_message()
-        with anyio.move_on_after(max(0.0, request.patience)):
+    async def _async_handle(self, stream: Any) -> None:
+        request: PeerRequest = await stream.recv_message()
+        with anyio.move_on_after(max(0.0, request.timeout_seconds)):
             await stream.send_message(await self._answer(request))
 
 
 async def async_serve_peers(
-    address: str, answer: AnswerAsked, timers: TimerService
+    address: str, answer: PeerRequestHandler, timers: TimerService
 ) -> None:
     """Answer peers until cancelled."""
     host, _, port = address.rpartition(":")
@@ -209,4 +211,4 @@
             _LOGGER.error("peers_not_served", address=address, detail=str(error))
         finally:
             server.close()
-        await timers.async_sleep(RETRY_LISTEN_SECONDS)
+        await timers.async_sleep(LISTEN_RETRY_DELAY_SECONDS)
--- a/mustardward/components/front/admission.py
+++ b/mustardward/components/front/admission.py
@@ -12,9 +12,9 @@
 from ..ledger.follower import TopicFollower
 from ..organisations.access import identify
 from ..organisations.models import Caller
-from .const import CONFIG_FRESH_SECONDS
+from .const import MAX_CONFIG_AGE_SECONDS
 from .models import Admitted, Reply, Request, error_reply
-from .refusing import Refusing
+from .refusing import Refusals
 
 _LOGGER = get_logger(__name__)
 
@@ -33,8 +33,8 @@
     timers: TimerService
     configuration: Configuration
     follower: TopicFollower
-    refusing: Refusing
-    oldest_keys_seconds: float | None = None
+    refusals: Refusals
+    max_key_age_seconds: float | None = None
 
     async def async_admit(self, request: Request) -> Admitted | Reply:
         """Return who calls which queue, or the refusal.
@@ -44,17 +44,17 @@
         connection to the store is silent answers by what it last read.
         """
         if self.configuration.config is None:
-            return self._refused(request, "no-configuration", "it is not read yet")
+            return self._reject(request, "no-configuration", "it is not read yet")
         found = self.find(request)
-        if isinstance(found, Reply) and self._age() > CONFIG_FRESH_SECONDS:
+        if isinstance(found, Reply) and self._age() > MAX_CONFIG_AGE_SECONDS:
             detail = f"age={self._age():.1f}"
-            if not await self.follower.async_confirm():
-                return self._refused(request, "configuration-old", detail)
+            if not await self.follower.async_catch_up():
+                return self._reject(request, "configuration-old", detail)
             found = self.find(request)
         if isinstance(found, Reply) and found.status == UNAUTHORISED:
             self._log_unknown_key(request)
         if isinstance(found, Admitted) and not await self._async_trusts(found.queue):
-            return self._refused(request, "configuration-old", "keys may be gone")
+            return self._reject(request, "configuration-old", "keys may be gone")
         return found
 
     def find(self, request: Request) -> Admitted | Reply:
@@ -72,17 +72,17 @@
         return identify(self.configuration.keys_in_force, queue, request.key)
 
     def _age(self) -> float:
-        return self.timers.monotonic() - self.follower.fresh_at
+        return self.timers.monotonic() - self.follower.up_to_date_at
 
     async def _async_trusts(self, queue: Queue) -> bool:
         """Return whether the keys in force are as young as the deployment asks."""
-        oldest = self.oldest_keys_seconds
+        oldest = self.max_key_age_seconds
         if queue.public or oldest is None or self._age() <= oldest:
             return True
-        return await self.follower.async_confirm()
+        return await self.follower.async_catch_up()
 
-    def _refused(self, request: Request, code: str, detail: str) -> Reply:
-        return self.refusing.refused(request.path, code, detail)
+    def _reject(self, request: Request, code: str, detail: str) -> Reply:
+        return self.refusals.reject(request.path, code, detail)
 
     def _log_unknown_key(self, request: Request) -> None:
         config = self.configuration.config
--- a/mustardward/components/front/const.py
+++ b/mustardward/components/front/const.py
@@ -9,28 +9,28 @@
 """An answer leaves this long before its caller's deadline: it has some milliseconds to
 go. A caller that comes back late in its time is served in what is left of it."""
 
-LEAST_APPEND_SECONDS: Final = 0.05
+MIN_APPEND_TIMEOUT_SECONDS: Final = 0.05
 """An append is waited for at least so long, though its caller's time is short."""
 
-FRESH_SECONDS: Final = 0.1
+MAX_JOB_STATE_AGE_SECONDS: Final = 0.1
 """A job's state may be this old; older, and the log's end is read first."""
 
-CONFIG_FRESH_SECONDS: Final = 0.5
+MAX_CONFIG_AGE_SECONDS: Final = 0.5
 """Beyond this a queue that is not there may only not be known yet, so that the log's
 end is read before anybody is told so."""
 
-RETRY_AFTER_SECONDS: Final = 1
+MIN_RETRY_AFTER_SECONDS: Final = 1
 """Least time after which a refused caller should come back."""
 
-LONGEST_RETRY_AFTER_SECONDS: Final = 5
+MAX_RETRY_AFTER_SECONDS: Final = 5
 """Most of it: an outage that lasted long may still end soon."""
-JSON: Final = "application/json"
+JSON_CONTENT_TYPE: Final = "application/json"
 """Content type of all answers."""
 
-CLOSE_QUIET_SECONDS: Final = 0.25
+CLOSE_IDLE_SECONDS: Final = 0.25
 """An entry that leaves closes its connections once nothing came on them for so long;
 it answers each request with the word that its connection ends, so few are left."""
 
-CLOSE_LOOK_SECONDS: Final = 0.02
-CLOSE_REST_SECONDS: Final = 0.3
+CLOSE_POLL_SECONDS: Final = 0.02
+SHUTDOWN_TIMEOUT_SECONDS: Final = 0.3
 """Time for what comes in the very moment of closing."""
--- a/mustardward/components/front/refusing.py
+++ b/mustardward/components/front/refusing.py
@@ -8,21 +8,21 @@
 from ...helpers.timer import TimerService
 from ...platform import callers
 from ..ledger.follower import TopicFollower
-from .const import LONGEST_RETRY_AFTER_SECONDS, RETRY_AFTER_SECONDS
+from .const import MAX_RETRY_AFTER_SECONDS, MIN_RETRY_AFTER_SECONDS
 from .models import Reply
 
 _LOGGER = get_logger(__name__)
 
 
 @dataclass(slots=True, eq=False)
-class Refusing:
+class Refusals:
     """Refuse requests by how long the log has been out of reach."""
 
     timers: TimerService
     follower: TopicFollower
     config_follower: TopicFollower
 
-    def refused(self, what: str, code: str, detail: str) -> Reply:
+    def reject(self, what: str, code: str, detail: str) -> Reply:
         """Return a refusal that is true: nothing of the request was kept."""
         outage = longest_outage(
             self.timers.monotonic(),
@@ -54,5 +54,5 @@
     and still ends soon after a short one.
     """
     return int(
-        min(LONGEST_RETRY_AFTER_SECONDS, max(RETRY_AFTER_SECONDS, outage_seconds))
+        min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, outage_seconds))
     )
--- a/mustardward/components/front/server.py
+++ b/mustardward/components/front/server.py
@@ -12,13 +12,13 @@
 from ...helpers.logging import get_logger
 from ...helpers.timer import TimerService
 from ...platform import callers
-from ..forwarding.answering import Answering
+from ..forwarding.answering import FailoverHandler
 from .const import (
-    CLOSE_LOOK_SECONDS,
-    CLOSE_QUIET_SECONDS,
-    CLOSE_REST_SECONDS,
+    CLOSE_IDLE_SECONDS,
+    CLOSE_POLL_SECONDS,
     DEFAULT_DEADLINE_SECONDS,
-    JSON,
+    JSON_CONTENT_TYPE,
+    SHUTDOWN_TIMEOUT_SECONDS,
 )
 from .models import Reply, Request
 
@@ -35,18 +35,18 @@
     :param is_ready: whether new callers should come here.
     """
 
-    answering: Answering
+    failover: FailoverHandler
     timers: TimerService
     is_ready: Callable[[], bool]
     _runners: list[web.ServerRunner] = field(default_factory=list)
-    _in_work: int = 0
-    _quiet_since: float = -math.inf
-    _leave_at: float = math.inf
+    _in_flight: int = 0
+    _idle_since: float = -math.inf
+    _drain_deadline: float = math.inf
 
     @property
-    def leaving(self) -> bool:
+    def draining(self) -> bool:
         """Return whether callers are sent elsewhere."""
-        return self._leave_at < math.inf
+        return self._drain_deadline < math.inf
 
     @property
     def addresses(self) -> list[str]:
@@ -54,16 +54,16 @@
         names = [name for runner in self._runners for name in runner.addresses]
         return [f"{name[0]}:{name[1]}" for name in names]
 
-    def leave_by(self, seconds: float) -> None:
+    def drain_within(self, seconds: float) -> None:
         """Send callers elsewhere, and answer those that still come within a time."""
-        self._leave_at = self.timers.monotonic() + seconds
+        self._drain_deadline = self.timers.monotonic() + seconds
 
     async def async_listen(self, front: str, ready: str) -> None:
         """Begin to listen on both addresses."""
         await self._async_serve(front, self._async_front)
         await self._async_serve(ready, self._async_ready)
 
-    async def async_close(self, patience: float) -> None:
+    async def async_close(self, max_wait_seconds: float) -> None:
         """Stop listening, answer what still comes, and close all connections.
 
         Nothing in work says nothing of what is on its way: a request that was received
@@ -75,22 +75,22 @@
         for runner in self._runners:
             for site in list(runner.sites):
                 await site.stop()
-        until = self.timers.monotonic() + patience
-        while self.timers.monotonic() < until and not self._is_quiet():
-            await self.timers.async_sleep(CLOSE_LOOK_SECONDS)
+        until = self.timers.monotonic() + max_wait_seconds
+        while self.timers.monotonic() < until and not self._is_idle():
+            await self.timers.async_sleep(CLOSE_POLL_SECONDS)
         for runner in self._runners:
             await runner.cleanup()
 
-    def _is_quiet(self) -> bool:
-        quiet = self.timers.monotonic() - self._quiet_since
-        return self._in_work == 0 and quiet >= CLOSE_QUIET_SECONDS
+    def _is_idle(self) -> bool:
+        quiet = self.timers.monotonic() - self._idle_since
+        return self._in_flight == 0 and quiet >= CLOSE_IDLE_SECONDS
 
     async def _async_serve(self, address: str, handler: Handler) -> None:
         server = web.Server(
             handler, access_log=None, keepalive_timeout=15.0, lingering_time=0.5
         )
         runner = web.ServerRunner(
-            server, handle_signals=False, shutdown_timeout=CLOSE_REST_SECONDS
+            server, handle_signals=False, shutdown_timeout=SHUTDOWN_TIMEOUT_SECONDS
         )
         await runner.setup()
         self._runners.append(runner)
@@ -103,13 +103,13 @@
         return web.Response(status=200 if self.is_ready() else 503)
 
     async def _async_front(self, request: web.BaseRequest) -> web.StreamResponse:
-        self._in_work += 1
+        self._in_flight += 1
         began = self.timers.monotonic()
         try:
             reply = await self._async_reply(request)
         finally:
-            self._in_work -= 1
-            self._quiet_since = self.timers.monotonic()
+            self._in_flight -= 1
+            self._idle_since = self.timers.monotonic()
         REQUESTS.labels(request.method, reply.status).inc()
         seconds = self.timers.monotonic() - began
         if request.transport is None or request.transport.is_closing():
@@ -125,16 +125,19 @@
         if reply.retry_after is not None:
             headers["Retry-After"] = str(reply.retry_after)
         response = web.Response(
-            status=reply.status, body=reply.body, content_type=JSON, headers=headers
+            status=reply.status,
+            body=reply.body,
+            content_type=JSON_CONTENT_TYPE,
+            headers=headers,
         )
-        if self.leaving or reply.status in (503, 504):
+        if self.draining or reply.status in (503, 504):
             # The caller's next request then opens a connection to another entry.
             response.force_close()
         return response
 
     async def _async_reply(self, request: web.BaseRequest) -> Reply:
         now = self.timers.monotonic()
-        config = self.answering.front.configuration.config
+        config = self.failover.front.configuration.config
         most = config.limits.max_body_bytes if config else 0
         body = b""
         if request.can_read_body:
@@ -146,8 +149,8 @@
                 detail = f"most={most}"
                 return Reply(413, callers.encode_error("body-too-large", detail))
         host = request.headers.get("Host", "").lower().partition(":")[0]
-        deadline = min(now + _patience(request), self._leave_at)
-        return await self.answering.async_answer(
+        deadline = min(now + _requested_deadline_seconds(request), self._drain_deadline)
+        return await self.failover.async_answer(
             Request(
                 request.method,
                 host,
@@ -175,7 +178,7 @@
         await runner.cleanup()
 
 
-def _patience(request: web.BaseRequest) -> float:
+def _requested_deadline_seconds(request: web.BaseRequest) -> float:
     text = request.headers.get(callers.HEADER_DEADLINE_MS, "")
     try:
         return max(0.0, float(text) / 1000)
--- a/mustardward/components/front/services.py
+++ b/mustardward/components/front/services.py
@@ -19,9 +19,13 @@
 from ..ledger.models import CancelRecord, JobRecord, JobState
 from ..organisations.access import may_see
 from .admission import Admission
-from .const import ANSWER_MARGIN_SECONDS, FRESH_SECONDS, LEAST_APPEND_SECONDS
+from .const import (
+    ANSWER_MARGIN_SECONDS,
+    MAX_JOB_STATE_AGE_SECONDS,
+    MIN_APPEND_TIMEOUT_SECONDS,
+)
 from .models import Admitted, Reply, Request, error_reply
-from .refusing import Refusing
+from .refusing import Refusals
 
 _LOGGER = get_logger(__name__)
 
@@ -38,7 +42,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Front:
+class FrontService:
     """Answer callers.
 
     :param appender: stores what is accepted here, under this process's own name.
@@ -51,19 +55,19 @@
     ledger: Ledger
     follower: TopicFollower
     appender: GroupAppender
-    oldest_keys_seconds: float | None = None
+    max_key_age_seconds: float | None = None
     admission: Admission = field(init=False)
-    refusing: Refusing = field(init=False)
+    refusals: Refusals = field(init=False)
 
     def __post_init__(self) -> None:
         """Make what admits and what refuses callers."""
-        self.refusing = Refusing(self.timers, self.follower, self.config_follower)
+        self.refusals = Refusals(self.timers, self.follower, self.config_follower)
         self.admission = Admission(
             self.timers,
             self.configuration,
             self.config_follower,
-            self.refusing,
-            self.oldest_keys_seconds,
+            self.refusals,
+            self.max_key_age_seconds,
         )
 
     async def async_answer(self, request: Request) -> Reply:
@@ -86,7 +90,7 @@
         """Return whether the last read of the log failed."""
         return self.follower.failing_since is not None
 
-    def open_job(self, request: Request) -> str | None:
+    def unfinished_job_id(self, request: Request) -> str | None:
         """Return the job that a request names, unless it is known to be over.
 
         Nor is one returned that the caller may not ask for.
@@ -103,7 +107,7 @@
             return None if self.configuration.keys_in_force.in_use else name
         return None if job.state.final or not _may_see(admitted, job) else name
 
-    def tell_done(self) -> Reply:
+    def done_reply(self) -> Reply:
         """Return the answer that a job is done."""
         return Reply(200, callers.encode_state(callers.STATE_DONE))
 
@@ -172,13 +176,13 @@
 
     async def _async_tell(self, name: str, visible: VisibleJob) -> Reply:
         job = visible()
-        age = self.timers.monotonic() - self.follower.fresh_at
-        if job is None or (not job.state.final and age > FRESH_SECONDS):
+        age = self.timers.monotonic() - self.follower.up_to_date_at
+        if job is None or (not job.state.final and age > MAX_JOB_STATE_AGE_SECONDS):
             # A job may have been accepted by another entry a moment ago.
-            confirmed = await self.follower.async_confirm()
+            confirmed = await self.follower.async_catch_up()
             job = visible()
             if job is None and not confirmed:
-                return self.refusing.refused(name, "state-old", f"age={age:.1f}")
+                return self.refusals.reject(name, "state-old", f"age={age:.1f}")
         if job is None:
             return error_reply(410, "no-such-job", "no job has this id")
         return Reply(200, callers.encode_state(_STATES[job.state]))
@@ -186,8 +190,8 @@
     async def _async_cancel(
         self, request: Request, name: str, visible: VisibleJob
     ) -> Reply:
-        if visible() is None and not await self.follower.async_confirm():
-            return self.refusing.refused(name, "state-old", "the log can't be read")
+        if visible() is None and not await self.follower.async_catch_up():
+            return self.refusals.reject(name, "state-old", "the log can't be read")
         job = visible()
         if job is None:
             return error_reply(410, "no-such-job", "no job has this id")
@@ -201,17 +205,17 @@
                 return self._not_stored(name, outcome)
         return Reply(200, callers.encode_state(callers.STATE_CANCELLED))
 
-    def refuse_cut_off(self, request: Request) -> Reply:
+    def unreachable_reply(self, request: Request) -> Reply:
         """Return the refusal of what can't be stored from here, nothing of it kept."""
-        return self.refusing.refused(request.path, "cut-off", "no log, no peer")
+        return self.refusals.reject(request.path, "cut-off", "no log, no peer")
 
     def _append_until(self, request: Request) -> float:
-        least = self.timers.monotonic() + LEAST_APPEND_SECONDS
+        least = self.timers.monotonic() + MIN_APPEND_TIMEOUT_SECONDS
         return max(least, request.deadline - ANSWER_MARGIN_SECONDS)
 
     def _not_stored(self, name: str, outcome: Outcome) -> Reply:
         if outcome is Outcome.NOT_STORED:
-            return self.refusing.refused(name, "not-stored", "the log did not take it")
+            return self.refusals.reject(name, "not-stored", "the log did not take it")
         # It may be stored, now or later: to call it refused would be a guess.
         _LOGGER.warning("outcome_unknown", request=name, outcome=outcome.value)
         return error_reply(504, "outcome-unknown", "ask again with the same id")
@@ -219,9 +223,9 @@
     async def _async_count(self, request: Request, queue: Queue) -> Reply:
         if request.method != "GET":
             return error_reply(405, "method-not-allowed", request.method)
-        age = self.timers.monotonic() - self.follower.fresh_at
+        age = self.timers.monotonic() - self.follower.up_to_date_at
         if age > 1.0:
-            await self.follower.async_confirm()
+            await self.follower.async_catch_up()
         count = self.ledger.count_pending(queue_key(queue))
         return Reply(200, callers.encode_pending(count))
 
--- a/mustardward/components/ledger/ahead.py
+++ b/mustardward/components/ledger/ahead.py
@@ -14,36 +14,36 @@
 
 
 @dataclass(slots=True, eq=False)
-class EndsAhead:
+class UnloggedCompletions:
     """Hold the jobs that are done and not yet stored as done.
 
     :param owner_knows: whether this entry's own ownership, if any, knows a job as done.
     """
 
-    owner_knows: Callable[[str], bool] | None = None
+    completed_at_owner: Callable[[str], bool] | None = None
     _held: set[str] = field(default_factory=set)
     _told: set[str] = field(default_factory=set)
 
-    def hold(self, job_id: str) -> None:
+    def add(self, job_id: str) -> None:
         """Take in that a job is done."""
         self._held.add(job_id)
 
-    def tell(self, job_id: str) -> None:
+    def mark_reported(self, job_id: str) -> None:
         """Take in that a caller was told that a job is done."""
         self._held.add(job_id)
         self._told.add(job_id)
 
-    def was_told(self, job_id: str) -> bool:
+    def was_reported(self, job_id: str) -> bool:
         """Return whether this entry holds that a caller was told of a job."""
         return job_id in self._told
 
-    def knows(self, job_id: str) -> bool:
+    def contains(self, job_id: str) -> bool:
         """Return whether a job is known here as done."""
         if job_id in self._held:
             return True
-        return self.owner_knows is not None and self.owner_knows(job_id)
+        return self.completed_at_owner is not None and self.completed_at_owner(job_id)
 
-    def to_bring(self, is_stored: Callable[[str], bool]) -> list[str]:
+    def unlogged_reports(self, is_stored: Callable[[str], bool]) -> list[str]:
         """Return the jobs that a caller was told of and that the log lacks.
 
         :param is_stored: whether the log says that a job is over; such are forgotten.
--- a/mustardward/components/ledger/appender.py
+++ b/mustardward/components/ledger/appender.py
@@ -22,21 +22,21 @@
     SequenceError,
 )
 from ...platform.store import Producer
-from .const import FIRST_RETRY_SECONDS, RETRY_SECONDS
-from .sighting import Sighting, async_or_seen
+from .const import INITIAL_RETRY_DELAY_SECONDS, RETRY_DELAY_SECONDS
+from .sighting import AppendWatcher, async_call_or_observe
 
 _LOGGER = get_logger(__name__)
 
-MOST_BYTES: Final = 900_000
+MAX_APPEND_BYTES: Final = 900_000
 """Stays below the store's limit for one call with room for lengths and keys."""
 
-FIRST_PATIENCE_SECONDS: Final = 0.15
+INITIAL_ANSWER_TIMEOUT_SECONDS: Final = 0.15
 """Time without an answer after which a try that the log does not show is repeated. A
 store may leave an append for seconds and then carry it out; most repeats are carried
 out at once, and the log drops the one of the two that comes second."""
 
-PATIENCE_GROWTH: Final = 1.5
-LONGEST_PATIENCE_SECONDS: Final = 0.28
+ANSWER_TIMEOUT_GROWTH: Final = 1.5
+MAX_ANSWER_TIMEOUT_SECONDS: Final = 0.28
 """Each try is waited for longer than the one before, up to this, so that a partition
 that is short of time is not asked by all entries at once; what was sent into an outage
 is repeated this soon after its end."""
@@ -63,39 +63,39 @@
     "an append that the log does not show is soon repeated under its number",
     without=_wait_for_the_call,
 )
-def choose_patience() -> float:
+def initial_answer_timeout() -> float:
     """Return how long the first try of an append is waited for."""
-    return FIRST_PATIENCE_SECONDS
+    return INITIAL_ANSWER_TIMEOUT_SECONDS
 
 
-def longer(patience: float) -> float:
+def next_answer_timeout(answer_timeout: float) -> float:
     """Return how long the next try is waited for."""
-    if patience == math.inf:
-        return patience
-    return min(LONGEST_PATIENCE_SECONDS, patience * PATIENCE_GROWTH)
+    if answer_timeout == math.inf:
+        return answer_timeout
+    return min(MAX_ANSWER_TIMEOUT_SECONDS, answer_timeout * ANSWER_TIMEOUT_GROWTH)
 
 
-def size_of(records: list[Record]) -> int:
+def encoded_size(records: list[Record]) -> int:
     """Return how many bytes records take in a call."""
     return sum(len(key) + len(value) + 5 for key, value in records)
 
 
-def part(records: list[Record]) -> list[list[Record]]:
+def split_records(records: list[Record]) -> list[list[Record]]:
     """Return records in pieces that a call takes, in their order.
 
     Neighbours of one job stay together: without its end, a job that is only a stub
     could not be carried on.
     """
-    if size_of(records) <= MOST_BYTES:
+    if encoded_size(records) <= MAX_APPEND_BYTES:
         return [records]
     pieces: list[list[Record]] = [[]]
     size = 0
     for _, neighbours in groupby(records, lambda record: record[0][2:]):
         group = list(neighbours)
-        size += size_of(group)
-        if pieces[-1] and size > MOST_BYTES:
+        size += encoded_size(group)
+        if pieces[-1] and size > MAX_APPEND_BYTES:
             pieces.append([])
-            size = size_of(group)
+            size = encoded_size(group)
         pieces[-1].extend(group)
     return pieces
 
@@ -108,7 +108,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Entry:
+class _PendingAppend:
     """Hold records that wait, and who waits for them."""
 
     records: list[Record]
@@ -134,10 +134,10 @@
     producer: str
     epoch: int
     sequence: int = 0
-    sighting: Sighting | None = None
+    sighting: AppendWatcher | None = None
     fenced: bool = False
     failing_since: float | None = None
-    _waiting: list[_Entry] = field(default_factory=list)
+    _waiting: list[_PendingAppend] = field(default_factory=list)
     _wake: anyio.Event = field(default_factory=anyio.Event)
 
     async def async_append(self, records: list[Record], deadline: float) -> Outcome:
@@ -162,9 +162,9 @@
         """Append records that nobody waits for."""
         self._put(records, self.timers.monotonic() + 1.0)
 
-    def _put(self, records: list[Record], deadline: float) -> list[_Entry]:
+    def _put(self, records: list[Record], deadline: float) -> list[_PendingAppend]:
         """Let records wait, in pieces that one call takes, behind all that waits."""
-        entries = [_Entry(piece, deadline) for piece in part(records)]
+        entries = [_PendingAppend(piece, deadline) for piece in split_records(records)]
         self._waiting.extend(entries)
         self._wake.set()
         return entries
@@ -182,26 +182,26 @@
             self._finish(entry, Outcome.FENCED)
         self._waiting.clear()
 
-    def _take_batch(self) -> list[_Entry]:
+    def _take_batch(self) -> list[_PendingAppend]:
         size = 0
-        batch: list[_Entry] = []
+        batch: list[_PendingAppend] = []
         for entry in self._waiting:
-            size += size_of(entry.records)
-            if batch and size > MOST_BYTES:
+            size += encoded_size(entry.records)
+            if batch and size > MAX_APPEND_BYTES:
                 break
             batch.append(entry)
         del self._waiting[: len(batch)]
         return batch
 
-    async def _async_settle(self, batch: list[_Entry]) -> None:
+    async def _async_settle(self, batch: list[_PendingAppend]) -> None:
         records = [record for entry in batch for record in entry.records]
         may_be_stored = False
-        pause = FIRST_RETRY_SECONDS
-        patience = choose_patience()
+        pause = INITIAL_RETRY_DELAY_SECONDS
+        answer_timeout = initial_answer_timeout()
         if self.sighting is not None:
             self.sighting.expect(records)
         while True:
-            outcome = await self._async_try_or_see(records, patience)
+            outcome = await self._async_try_or_see(records, answer_timeout)
             if outcome is Outcome.STORED:
                 self._stored(batch)
                 return
@@ -215,31 +215,31 @@
             elif not may_be_stored and self._give_up_late(batch):
                 return
             await self.timers.async_sleep(pause)
-            pause = min(RETRY_SECONDS, pause * 2)
-            patience = longer(patience)
+            pause = min(RETRY_DELAY_SECONDS, pause * 2)
+            answer_timeout = next_answer_timeout(answer_timeout)
 
     async def _async_try_or_see(
-        self, records: list[Record], patience: float
+        self, records: list[Record], answer_timeout: float
     ) -> Outcome:
         """Make one call; what the log shows meanwhile is as good as its answer."""
         sighting = self.sighting
-        if sighting is None or not sighting.possible:
+        if sighting is None or not sighting.can_detect:
             return await self._async_try(records)
-        if sighting.seen:
+        if sighting.observed:
             return Outcome.STORED
         try:
-            outcome = await async_or_seen(
+            outcome = await async_call_or_observe(
                 self.timers,
                 lambda: self._async_try(records),
-                sighting.look,
-                lambda: sighting.seen,
-                patience,
+                sighting.read_log,
+                lambda: sighting.observed,
+                answer_timeout,
             )
         except CallUnknownError:
             outcome = Outcome.UNKNOWN
         if outcome is Outcome.UNKNOWN:
-            await sighting.look()
-        if outcome is None or (outcome is Outcome.UNKNOWN and sighting.seen):
+            await sighting.read_log()
+        if outcome is None or (outcome is Outcome.UNKNOWN and sighting.observed):
             _LOGGER.info("append_seen", producer=self.producer, records=len(records))
             return Outcome.STORED
         return outcome
@@ -267,7 +267,7 @@
             # The log is past this number: the repeat found its first try stored.
         return Outcome.STORED
 
-    def _give_up_late(self, batch: list[_Entry]) -> bool:
+    def _give_up_late(self, batch: list[_PendingAppend]) -> bool:
         """Return whether nobody waits any more for a batch that is surely not stored.
 
         A batch is given up as a whole: its number may be used again only with all of
@@ -280,13 +280,13 @@
             self._finish(entry, Outcome.NOT_STORED)
         return True
 
-    def _stored(self, batch: list[_Entry]) -> None:
+    def _stored(self, batch: list[_PendingAppend]) -> None:
         self.sequence += 1
         self.failing_since = None
         for entry in batch:
             self._finish(entry, Outcome.STORED)
 
-    def _finish(self, entry: _Entry, outcome: Outcome) -> None:
+    def _finish(self, entry: _PendingAppend, outcome: Outcome) -> None:
         APPENDS.labels(outcome.value).inc()
         entry.outcome = outcome
         entry.done.set()
--- a/mustardward/components/ledger/follower.py
+++ b/mustardward/components/ledger/follower.py
@@ -12,10 +12,10 @@
 from ...platform.exceptions import CallRefusedError, CallUnknownError, OffsetGoneError
 from ...platform.store import KeyedRecord, Page, StoreClient
 from .const import (
-    LONG_POLL_MILLISECONDS,
-    LONGEST_POLL_MILLISECONDS,
-    READS_A_SECOND,
-    RETRY_SECONDS,
+    MAX_POLL_MS,
+    MAX_READS_PER_SECOND,
+    MIN_POLL_MS,
+    RETRY_DELAY_SECONDS,
 )
 
 _LOGGER = get_logger(__name__)
@@ -23,24 +23,24 @@
 _READ_FAILURES = (CallRefusedError, CallUnknownError)
 
 
-def idle_gap(least: float, entries: int) -> float:
+def idle_poll_interval(least: float, entries: int) -> float:
     """Return the time between two reads of an entry that only has to keep up.
 
     Load pattern: a topic that changes all the time answers each read at once, and 97
     entries made 35 reads for each job, of which callers saw nothing: who asks for a
     job that is not over has the log's end read for it.
     """
-    return max(least, entries / READS_A_SECOND)
+    return max(least, entries / MAX_READS_PER_SECOND)
 
 
-def poll_milliseconds(entries: int) -> int:
+def poll_timeout_ms(entries: int) -> int:
     """Return how long a read waits for the next record.
 
     The shorter, the sooner a cut is noticed; but all entries poll, and share what the
     store answers.
     """
-    shared = int(1000 * entries / READS_A_SECOND)
-    return min(LONGEST_POLL_MILLISECONDS, max(LONG_POLL_MILLISECONDS, shared))
+    shared = int(1000 * entries / MAX_READS_PER_SECOND)
+    return min(MAX_POLL_MS, max(MIN_POLL_MS, shared))
 
 
 @dataclass(slots=True)
@@ -78,15 +78,15 @@
     topic: str
     apply: Callable[[KeyedRecord], None]
     keys: Callable[[], Iterable[str]]
-    gap_seconds: float
+    interval_seconds: float
     entries: Callable[[], int] = lambda: 1
     node: str = ""
-    paced: bool = False
+    scale_interval: bool = False
     offset: int = -1
-    fresh_at: float = -1.0
+    up_to_date_at: float = -1.0
     failing_since: float | None = None
     on_change: Callable[[], None] | None = None
-    watchers: list[Callable[[KeyedRecord], None]] = field(default_factory=list)
+    record_listeners: list[Callable[[KeyedRecord], None]] = field(default_factory=list)
     _hurry_gap: float | None = None
     _loaded: anyio.Event = field(default_factory=anyio.Event)
     _confirming: anyio.Lock = field(default_factory=anyio.Lock)
@@ -96,11 +96,11 @@
     @property
     def loaded(self) -> bool:
         """Return whether the fold was complete once."""
-        return self.fresh_at >= 0
+        return self.up_to_date_at >= 0
 
-    def hurry(self, gap_seconds: float | None) -> None:
+    def override_interval(self, interval_seconds: float | None) -> None:
         """Read with this gap, however many entries do; None ends the hurry."""
-        self._hurry_gap = gap_seconds
+        self._hurry_gap = interval_seconds
 
     async def async_wait_loaded(self) -> None:
         """Wait until the fold was complete once."""
@@ -116,7 +116,7 @@
                 else:
                     # A long poll that is sent into an outage hangs on when it is over.
                     failing = self.failing_since is not None
-                    wait_ms = 0 if failing else poll_milliseconds(self.entries())
+                    wait_ms = 0 if failing else poll_timeout_ms(self.entries())
                     await self._async_read(wait_ms)
             except OffsetGoneError as error:
                 _LOGGER.warning("history_gone", topic=self.topic, first=error.first)
@@ -124,23 +124,25 @@
                 continue
             except _READ_FAILURES as error:
                 self._failed(error.detail, sent_at)
-                await self.timers.async_sleep(RETRY_SECONDS)
+                await self.timers.async_sleep(RETRY_DELAY_SECONDS)
                 continue
             await self.timers.async_sleep(self._gap())
 
     def _gap(self) -> float:
         if self._hurry_gap is not None:
             return self._hurry_gap
-        return idle_gap(self.gap_seconds, self.entries() if self.paced else 0)
+        return idle_poll_interval(
+            self.interval_seconds, self.entries() if self.scale_interval else 0
+        )
 
-    async def async_confirm(self) -> bool:
+    async def async_catch_up(self) -> bool:
         """Read up to the present end; return whether that was possible.
 
         Calls that come while one is under way share the next one.
         """
         asked_at = self.timers.monotonic()
         async with self._confirming:
-            if self.fresh_at > asked_at:
+            if self.up_to_date_at > asked_at:
                 return True
             sent_at = self.timers.monotonic()
             try:
@@ -201,7 +203,7 @@
         fresh = [record for record in page.records if record.offset >= self.offset]
         for record in fresh:
             self.apply(record)
-            for watch in self.watchers:
+            for watch in self.record_listeners:
                 watch(record)
         self.offset = max(self.offset, page.next_offset)
         if fresh and self.on_change is not None:
@@ -214,7 +216,7 @@
                 "topic_regained", node=self.node, topic=self.topic, lost_seconds=lost
             )
             self.failing_since = None
-        self.fresh_at = max(self.fresh_at, sent_at)
+        self.up_to_date_at = max(self.up_to_date_at, sent_at)
         self._loaded.set()
 
     def _failed(self, detail: str, sent_at: float) -> None:
--- a/mustardward/components/ledger/ledger.py
+++ b/mustardward/components/ledger/ledger.py
@@ -18,7 +18,7 @@
     PREFIX_JOB,
     PREFIX_NODE,
     PREFIX_PROGRESS,
-    PREFIX_TOLD,
+    PREFIX_REPORTED,
     PREFIX_WAVE,
 )
 from .models import (
@@ -28,14 +28,14 @@
     NodeRecord,
     OwnerRecord,
     Progress,
-    ToldRecord,
+    ReportedRecord,
     WaveRecord,
 )
 
 _JOB: Final = msgspec.msgpack.Decoder(JobRecord)
 _PROGRESS: Final = msgspec.msgpack.Decoder(Progress)
 _CANCEL: Final = msgspec.msgpack.Decoder(CancelRecord)
-_TOLD: Final = msgspec.msgpack.Decoder(ToldRecord)
+_TOLD: Final = msgspec.msgpack.Decoder(ReportedRecord)
 _OWNER: Final = msgspec.msgpack.Decoder(OwnerRecord)
 _WAVE: Final = msgspec.msgpack.Decoder(WaveRecord)
 _NODE: Final = msgspec.msgpack.Decoder(NodeRecord)
@@ -48,7 +48,7 @@
     record: JobRecord
     | Progress
     | CancelRecord
-    | ToldRecord
+    | ReportedRecord
     | OwnerRecord
     | WaveRecord
     | NodeRecord,
@@ -120,7 +120,7 @@
             PREFIX_JOB: self._apply_job,
             PREFIX_PROGRESS: self._apply_progress,
             PREFIX_CANCEL: self._apply_cancel,
-            PREFIX_TOLD: self._apply_told,
+            PREFIX_REPORTED: self._apply_told,
             PREFIX_WAVE: self._apply_wave,
             PREFIX_NODE: self._apply_node,
             KEY_OWNER: self._apply_owner,
@@ -152,13 +152,13 @@
             if job.cancelled_at:
                 yield PREFIX_CANCEL + job.record.id
             if job.told_at:
-                yield PREFIX_TOLD + job.record.id
+                yield PREFIX_REPORTED + job.record.id
         for name in self._early_progress:
             yield PREFIX_PROGRESS + name
         for name in self._early_cancels:
             yield PREFIX_CANCEL + name
         for name in self._early_told:
-            yield PREFIX_TOLD + name
+            yield PREFIX_REPORTED + name
         for name in self.waves:
             yield PREFIX_WAVE + name
         for name in self.nodes:
--- a/mustardward/components/ledger/marks.py
+++ b/mustardward/components/ledger/marks.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Iterator
 
 
-def pack(indices: Iterable[int]) -> bytes:
+def pack_indices(indices: Iterable[int]) -> bytes:
     """Return numbers as a set of bits, the lowest first."""
     bits = 0
     for index in indices:
@@ -18,7 +18,7 @@
     return bits.to_bytes((bits.bit_length() + 7) // 8, "little")
 
 
-def unpack(packed: bytes) -> Iterator[int]:
+def unpack_indices(packed: bytes) -> Iterator[int]:
     """Yield the numbers of a set of bits, the lowest first."""
     bits = int.from_bytes(packed, "little")
     index = 0
--- a/mustardward/components/ledger/models.py
+++ b/mustardward/components/ledger/models.py
@@ -64,7 +64,7 @@
         )
 
 
-class StepMark(msgspec.Struct, frozen=True, array_like=True):
+class StepProgress(msgspec.Struct, frozen=True, array_like=True):
     """Hold which tasks of a step are done, as a set of bits."""
 
     occurrence: int
@@ -72,7 +72,7 @@
     done: bytes
 
 
-class TaskMark(msgspec.Struct, frozen=True, array_like=True):
+class TaskProgress(msgspec.Struct, frozen=True, array_like=True):
     """Hold what is stored of one task that is not done.
 
     :param failed_runs: the numbers of the runs that ended failed. Ends are listed
@@ -97,8 +97,8 @@
     """
 
     state: JobState
-    steps: list[StepMark] = []
-    tasks: list[TaskMark] = []
+    steps: list[StepProgress] = []
+    tasks: list[TaskProgress] = []
     ended_at: float = 0.0
     zones: list[str] = []
 
@@ -109,8 +109,8 @@
     :param epoch: rises with each owner; it is the fencing token of all its orders.
     :param claim: names the one claim that won, since a node may claim twice.
     :param node: empty once the owner has given the shard up.
-    :param beat: counts renewals.
-    :param wall: the owner's wall clock at the renewal, in seconds; tells a successor
+    :param renewal: number of the renewal within the epoch.
+    :param renewed_at: the owner's wall clock at the renewal, in seconds; tells a successor
         how long ago it was, where a jump of the clock may mislead it.
     :param settled: whether the owner had heard of all that an owner before it may have
         left running; without it, an owner before it may still renew leases.
@@ -121,8 +121,8 @@
     epoch: int
     claim: str
     node: str
-    beat: int
-    wall: float = 0.0
+    renewal: int = msgspec.field(name="beat")
+    renewed_at: float = msgspec.field(default=0.0, name="wall")
     ordered: list[str] = []
     settled: bool = False
 
@@ -146,7 +146,7 @@
     speed: float = 1.0
 
 
-class ToldRecord(msgspec.Struct, frozen=True, array_like=True):
+class ReportedRecord(msgspec.Struct, frozen=True, array_like=True):
     """Hold that a caller was told that a job is done, at this wall clock in seconds."""
 
     at: float
--- a/mustardward/components/ledger/sighting.py
+++ b/mustardward/components/ledger/sighting.py
@@ -22,17 +22,17 @@
 
 T = TypeVar("T")
 
-LOOK_SECONDS: Final = 0.15
+LOG_POLL_SECONDS: Final = 0.15
 """Time after which an answer is overdue, and between two reads for what it would say:
 an answer takes some 6 ms, so a store that is slow or away is asked little more."""
 
 
-async def async_or_seen(
+async def async_call_or_observe(
     timers: TimerService,
     call: Callable[[], Awaitable[T]],
-    look: Callable[[], Awaitable[bool]],
-    is_seen: Callable[[], bool],
-    patience: float = math.inf,
+    read_log: Callable[[], Awaitable[bool]],
+    is_observed: Callable[[], bool],
+    answer_timeout: float = math.inf,
 ) -> T | None:
     """Make a call; return None as soon as the log shows that it was carried out.
 
@@ -58,11 +58,11 @@
             tasks.cancel_scope.cancel()
 
         async def async_watch() -> None:
-            give_up_at = timers.monotonic() + patience
-            while not is_seen():
-                await timers.async_sleep(LOOK_SECONDS)
+            give_up_at = timers.monotonic() + answer_timeout
+            while not is_observed():
+                await timers.async_sleep(LOG_POLL_SECONDS)
                 began = timers.monotonic()
-                if not is_seen() and await look() and began >= give_up_at:
+                if not is_observed() and await read_log() and began >= give_up_at:
                     break
             tasks.cancel_scope.cancel()
 
@@ -72,13 +72,13 @@
         raise errors[0]
     if answers:
         return answers[0]
-    if not is_seen():
+    if not is_observed():
         raise CallUnknownError("neither answered nor seen")
     return None
 
 
 @dataclass(slots=True, eq=False)
-class Sighting:
+class AppendWatcher:
     """Watch the records that are read for one of an append that is under way.
 
     An append is stored as a whole or not at all, so that one of its records shows all.
@@ -88,23 +88,23 @@
         other append has the same key and value.
     """
 
-    look: Callable[[], Awaitable[bool]]
-    marking: tuple[str, ...]
+    read_log: Callable[[], Awaitable[bool]]
+    unique_prefixes: tuple[str, ...]
     _marker: tuple[str, bytes] | None = None
-    seen: bool = field(default=False, init=False)
+    observed: bool = field(default=False, init=False)
 
     def expect(self, records: list[tuple[str, bytes]]) -> None:
         """Watch for an append that is about to be sent for the first time."""
-        self.seen = False
-        marks = [r for r in records if r[1] and r[0].startswith(self.marking)]
+        self.observed = False
+        marks = [r for r in records if r[1] and r[0].startswith(self.unique_prefixes)]
         self._marker = marks[0] if marks else None
 
-    def see(self, record: KeyedRecord) -> None:
+    def observe(self, record: KeyedRecord) -> None:
         """Take in a record that was read."""
         if self._marker is not None and record.key == self._marker[0]:
-            self.seen = self.seen or record.value == self._marker[1]
+            self.observed = self.observed or record.value == self._marker[1]
 
     @property
-    def possible(self) -> bool:
+    def can_detect(self) -> bool:
         """Return whether a record of the append would show it."""
         return self._marker is not None
--- a/mustardward/components/ownership/models.py
+++ b/mustardward/components/ownership/models.py
@@ -11,7 +11,7 @@
 from ...platform.http import HttpCaller
 from ...platform.store import StoreClient
 from ..configuration.services import Configuration
-from ..ledger.ahead import EndsAhead
+from ..ledger.ahead import UnloggedCompletions
 from ..ledger.follower import TopicFollower
 from ..ledger.ledger import Ledger
 
@@ -31,7 +31,7 @@
     follower: TopicFollower
     configuration: Configuration
     bounds: BootBounds
-    ahead: EndsAhead
+    unlogged: UnloggedCompletions
     speed: float = 1.0
     advice: AdviceClient | None = None
     fleet: FleetClient | None = None
--- a/mustardward/components/ownership/owner.py
+++ b/mustardward/components/ownership/owner.py
@@ -21,11 +21,11 @@
 from ..fleet.telling import WaveTelling
 from ..fleet.waves import WavePlanner
 from ..ledger.appender import GroupAppender, Record
-from ..ledger.const import MARKS_OF_OWNERS, SHARD, TOPIC
+from ..ledger.const import SHARD, TOPIC, UNIQUE_OWNER_PREFIXES
 from ..ledger.follower import TopicFollower
 from ..ledger.ledger import LedgerJob
 from ..ledger.models import OwnerRecord
-from ..ledger.sighting import Sighting
+from ..ledger.sighting import AppendWatcher
 from ..scheduling.demand import log_loads
 from ..scheduling.scheduler import Scheduler
 from .authority import Authority
@@ -81,8 +81,10 @@
         self.appender = GroupAppender(
             self._async_call_append, parts.timers, f"owner/{SHARD}", epoch, sequence=1
         )
-        self._sighting = Sighting(parts.follower.async_confirm, MARKS_OF_OWNERS)
-        self.appender.sighting = self._sighting
+        self._append_watcher = AppendWatcher(
+            parts.follower.async_catch_up, UNIQUE_OWNER_PREFIXES
+        )
+        self.appender.sighting = self._append_watcher
         self._renewals = Renewals(
             epoch,
             claim,
@@ -231,22 +233,22 @@
             parts.ledger.jobs.values(), key=lambda job: job.record.accepted_at
         ):
             self.scheduler.add_job(job, now, wall)
-        parts.follower.watchers.append(self._sighting.see)
+        parts.follower.record_listeners.append(self._append_watcher.observe)
         parts.ledger.on_job = self._add_job
         parts.ledger.on_cancel = lambda job: self._cancel_job(job.record.id)
         parts.ledger.on_told = lambda job: self._end_told(job.record.id)
-        parts.ahead.owner_knows = self.scheduler.has_ended
+        parts.unlogged.completed_at_owner = self.scheduler.has_ended
         parts.configuration.on_change = self._configured
         _LOGGER.info(
             "owner_started", node=parts.node, epoch=self._epoch, jobs=len(board.jobs)
         )
 
     def _unsubscribe(self) -> None:
-        self._parts.follower.watchers.remove(self._sighting.see)
+        self._parts.follower.record_listeners.remove(self._append_watcher.observe)
         self._parts.ledger.on_job = None
         self._parts.ledger.on_cancel = None
         self._parts.ledger.on_told = None
-        self._parts.ahead.owner_knows = None
+        self._parts.unlogged.completed_at_owner = None
         self._parts.configuration.on_change = None
 
     def _add_job(self, job: LedgerJob) -> None:
@@ -302,7 +304,7 @@
             lost = self._authority.paused_for()
             if lost:
                 _LOGGER.warning("owner_paused", lost_seconds=lost)
-                while not await parts.follower.async_confirm():
+                while not await parts.follower.async_catch_up():
                     await parts.timers.async_sleep(CONFIRM_RETRY_SECONDS)
             owner = parts.ledger.owner
             if owner.epoch > self._epoch or owner.claim != self._claim:
--- a/mustardward/components/ownership/renewals.py
+++ b/mustardward/components/ownership/renewals.py
@@ -21,7 +21,7 @@
     Two holders that order the same instance within a lease look like two owners that
     take turns. An owner's renewals name what it ordered lately, before it does.
     """
-    passed = max(0.0, wall - before.wall)
+    passed = max(0.0, wall - before.renewed_at)
     until = now + max(0.0, lease_seconds - passed)
     return dict.fromkeys(before.ordered, until)
 
--- a/mustardward/components/ownership/services.py
+++ b/mustardward/components/ownership/services.py
@@ -17,10 +17,10 @@
     SequenceError,
 )
 from ...platform.store import Producer
-from ..ledger.const import KEY_OWNER, RETRY_SECONDS, SHARD, TOPIC
+from ..ledger.const import KEY_OWNER, RETRY_DELAY_SECONDS, SHARD, TOPIC
 from ..ledger.ledger import encode
 from ..ledger.models import OwnerRecord
-from ..ledger.sighting import async_or_seen
+from ..ledger.sighting import async_call_or_observe
 from .const import (
     HANDOVER_AFTER_SECONDS,
     HANDOVER_AGAIN_SECONDS,
@@ -91,8 +91,8 @@
     async def _async_still_due(self) -> bool:
         """Return whether the log's present end shows no renewal either."""
         parts = self._parts
-        if not await parts.follower.async_confirm():
-            await parts.timers.async_sleep(RETRY_SECONDS)
+        if not await parts.follower.async_catch_up():
+            await parts.timers.async_sleep(RETRY_DELAY_SECONDS)
             return False
         now = parts.timers.monotonic()
         self._election.see(parts.ledger.owner, now)
@@ -112,8 +112,8 @@
         if not await self._async_append(record):
             return None
         while parts.ledger.owner.epoch < epoch:
-            if not await parts.follower.async_confirm():
-                await parts.timers.async_sleep(RETRY_SECONDS)
+            if not await parts.follower.async_catch_up():
+                await parts.timers.async_sleep(RETRY_DELAY_SECONDS)
         won = parts.ledger.owner.claim == claim
         _LOGGER.info("shard_claimed", epoch=epoch, won=won)
         return Owner(parts, epoch, claim, before) if won else None
@@ -123,7 +123,7 @@
         producer = Producer(f"owner/{SHARD}", record.epoch, 0)
         while parts.ledger.owner.epoch < record.epoch:
             try:
-                await async_or_seen(
+                await async_call_or_observe(
                     parts.timers,
                     partial(
                         parts.store.async_append,
@@ -131,22 +131,22 @@
                         [(KEY_OWNER, encode(record))],
                         producer,
                     ),
-                    parts.follower.async_confirm,
+                    parts.follower.async_catch_up,
                     lambda: parts.ledger.owner.epoch >= record.epoch,
                 )
                 return True
             except (FencedError, SequenceError):
-                await parts.follower.async_confirm()
+                await parts.follower.async_catch_up()
                 return False
             except (CallRefusedError, CallUnknownError) as error:
                 _LOGGER.warning("claim_unanswered", detail=error.detail)
-                await parts.timers.async_sleep(RETRY_SECONDS)
+                await parts.timers.async_sleep(RETRY_DELAY_SECONDS)
         return True
 
     async def _async_own(self, owner: Owner) -> None:
         self.owner = owner
         OWNED_EPOCH.set(owner.epoch)
-        self._parts.follower.hurry(OWNER_GAP_SECONDS)
+        self._parts.follower.override_interval(OWNER_GAP_SECONDS)
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._async_give_way, owner)
@@ -156,4 +156,4 @@
             self.owner = None
             OWNED_EPOCH.set(0)
             OLDEST_WAIT_SECONDS.set(0)
-            self._parts.follower.hurry(None)
+            self._parts.follower.override_interval(None)
--- a/mustardward/components/ownership/storing.py
+++ b/mustardward/components/ownership/storing.py
@@ -14,7 +14,7 @@
     PREFIX_CANCEL,
     PREFIX_JOB,
     PREFIX_PROGRESS,
-    PREFIX_TOLD,
+    PREFIX_REPORTED,
 )
 from ..ledger.ledger import encode
 from ..ledger.models import JobState
@@ -76,7 +76,7 @@
             if job.cancelled_at:
                 old.append((PREFIX_CANCEL + job_id, b""))
             if job.told_at:
-                old.append((PREFIX_TOLD + job_id, b""))
+                old.append((PREFIX_REPORTED + job_id, b""))
         if old:
             self.appender.post(old)
 
@@ -101,7 +101,7 @@
             records.append((PREFIX_PROGRESS + job_id, encode(progress)))
             if progress.state is JobState.DONE:
                 # The scheduler may forget it before the append is through.
-                self.parts.ahead.hold(job_id)
+                self.parts.unlogged.add(job_id)
             job = self.parts.ledger.jobs.get(job_id)
             if progress.state.final and job is not None and not job.record.is_stub:
                 records.append((PREFIX_JOB + job_id, encode(job.record.as_stub())))
--- a/mustardward/components/scheduling/intake.py
+++ b/mustardward/components/scheduling/intake.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 
 from ..ledger.ledger import LedgerJob
-from ..ledger.marks import unpack
-from ..ledger.models import JobState, Progress, StepMark
+from ..ledger.marks import unpack_indices
+from ..ledger.models import JobState, Progress, StepProgress
 from .board import Board
 from .const import LATE_FACTOR
 from .inflow import RECENT_SECONDS, Amount
@@ -175,11 +175,11 @@
         self.board.update_suspicion(job)
         self._make_begun(job)
 
-    def _restore_done(self, job: Job, mark: StepMark) -> None:
+    def _restore_done(self, job: Job, mark: StepProgress) -> None:
         step = self.step_of(job, mark.occurrence, mark.step)
         if step is None:
             return
-        for index in unpack(mark.done):
+        for index in unpack_indices(mark.done):
             if index >= len(step.tasks):
                 return
             task = step.tasks[index]
--- a/mustardward/components/scheduling/progress.py
+++ b/mustardward/components/scheduling/progress.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from ..ledger.marks import pack
-from ..ledger.models import Progress, StepMark, TaskMark
+from ..ledger.marks import pack_indices
+from ..ledger.models import Progress, StepProgress, TaskProgress
 from .models import Job, Phase
 
 
@@ -12,16 +12,16 @@
     if job.state.final:
         return Progress(job.state, ended_at=wall)
     steps = [
-        StepMark(
+        StepProgress(
             step.occurrence,
             step.number,
-            pack(t.index for t in step.tasks if t.phase is Phase.DONE),
+            pack_indices(t.index for t in step.tasks if t.phase is Phase.DONE),
         )
         for step in job.steps.values()
         if step.done
     ]
     tasks = [
-        TaskMark(
+        TaskProgress(
             step.occurrence,
             step.number,
             task.index,
--- a/mustardward/node/app.py
+++ b/mustardward/node/app.py
@@ -9,26 +9,26 @@
 from anyio.abc import TaskGroup
 
 from ..components.configuration.services import Configuration
-from ..components.forwarding.answering import Answering
+from ..components.forwarding.answering import FailoverHandler
 from ..components.forwarding.const import (
-    RELAY_CHECK_SECONDS,
-    RELAY_MOST_ASKED,
-    RELAY_SHUN_SECONDS,
+    RELAY_CHECK_TIMEOUT_SECONDS,
+    RELAY_MAX_PEERS_ASKED,
+    RELAY_PEER_BACKOFF_SECONDS,
 )
-from ..components.forwarding.ends import Ends
-from ..components.forwarding.peers import PeerBook
+from ..components.forwarding.ends import CompletionTracker
+from ..components.forwarding.peers import PeerSelector
 from ..components.forwarding.relay import StoreRelay
 from ..components.forwarding.services import Forwarder, async_serve_peers
 from ..components.front.refusing import longest_outage
 from ..components.front.server import FrontServer, async_serve_metrics
-from ..components.front.services import Front
-from ..components.ledger.ahead import EndsAhead
+from ..components.front.services import FrontService
+from ..components.ledger.ahead import UnloggedCompletions
 from ..components.ledger.appender import GroupAppender
-from ..components.ledger.const import MARKS_OF_ENTRIES, PREFIX_NODE, TOPIC
+from ..components.ledger.const import PREFIX_NODE, TOPIC, UNIQUE_ENTRY_PREFIXES
 from ..components.ledger.follower import TopicFollower
 from ..components.ledger.ledger import Ledger, encode
 from ..components.ledger.models import NodeRecord
-from ..components.ledger.sighting import Sighting
+from ..components.ledger.sighting import AppendWatcher
 from ..components.ownership.const import IDLE_GAP_SECONDS
 from ..components.ownership.models import OwnerParts
 from ..components.ownership.services import Ownership
@@ -96,7 +96,7 @@
             IDLE_GAP_SECONDS,
             entries=self._count_entries,
             node=boot.node,
-            paced=True,
+            scale_interval=True,
         )
         self._appender = GroupAppender(
             lambda records, producer: store.async_append(TOPIC, records, producer),
@@ -104,35 +104,35 @@
             f"{boot.node}/{secrets.token_hex(6)}",
             epoch=1,
         )
-        sighting = Sighting(self._follower.async_confirm, MARKS_OF_ENTRIES)
-        self._follower.watchers.append(sighting.see)
+        sighting = AppendWatcher(self._follower.async_catch_up, UNIQUE_ENTRY_PREFIXES)
+        self._follower.record_listeners.append(sighting.observe)
         self._appender.sighting = sighting
-        front = Front(
+        front = FrontService(
             self._timers,
             self._configuration,
             self._config_follower,
             self._ledger,
             self._follower,
             self._appender,
-            _oldest_keys(boot),
+            _max_key_age_seconds(boot),
         )
         self._forwarder = Forwarder(
-            self._ledger, self._timers, PeerBook(boot.node, boot.zone)
+            self._ledger, self._timers, PeerSelector(boot.node, boot.zone)
         )
-        ahead = EndsAhead()
-        self._ends = Ends(
+        unlogged = UnloggedCompletions()
+        self._completions = CompletionTracker(
             boot.node,
-            ahead,
+            unlogged,
             self._ledger,
             self._follower,
             self._appender,
             self._forwarder,
             self._timers,
         )
-        self._answering = Answering(
-            front, self._forwarder, self._timers, self._ends, self._relay
+        self._failover = FailoverHandler(
+            front, self._forwarder, self._timers, self._completions, self._relay
         )
-        self._server = FrontServer(self._answering, self._timers, self._is_ready)
+        self._server = FrontServer(self._failover, self._timers, self._is_ready)
         advice = AdviceClient(self._http, boot.advice) if boot.advice else None
         address = boot.cloud.address
         fleet = FleetClient(self._http, address, boot.node) if address else None
@@ -146,7 +146,7 @@
                 self._follower,
                 self._configuration,
                 boot.bounds,
-                ahead,
+                unlogged,
                 _speed(boot),
                 advice,
                 fleet,
@@ -165,9 +165,9 @@
         forwarder = Forwarder(
             self._ledger,
             self._timers,
-            PeerBook(boot.node, boot.zone, RELAY_SHUN_SECONDS),
-            RELAY_CHECK_SECONDS,
-            RELAY_MOST_ASKED,
+            PeerSelector(boot.node, boot.zone, RELAY_PEER_BACKOFF_SECONDS),
+            RELAY_CHECK_TIMEOUT_SECONDS,
+            RELAY_MAX_PEERS_ASKED,
         )
         return StoreRelay(
             self._http,
@@ -204,11 +204,11 @@
         self._tasks.start_soon(self._follower.async_run)
         self._tasks.start_soon(self._appender.async_run)
         self._tasks.start_soon(self._ownership.async_run)
-        self._tasks.start_soon(self._ends.async_run)
+        self._tasks.start_soon(self._completions.async_run)
         self._tasks.start_soon(self._relay.async_run)
         address = f"{self._boot.ip}:{self._boot.port_range[0]}"
         self._tasks.start_soon(
-            async_serve_peers, address, self._answering.async_answer_peer, self._timers
+            async_serve_peers, address, self._failover.async_answer_peer, self._timers
         )
         self._tasks.start_soon(self._async_register, address)
 
@@ -233,7 +233,7 @@
         _LOGGER.info("node_leaving", node=self._boot.node)
         grace = self._boot.bounds.grace_s
         began = self._timers.monotonic()
-        self._server.leave_by(grace * ANSWER_SHARE)
+        self._server.drain_within(grace * ANSWER_SHARE)
         await self._ownership.async_leave()
         await self._timers.async_sleep(grace * LEAVE_SHARE)
         left = began + grace * CLOSE_SHARE - self._timers.monotonic()
@@ -248,7 +248,7 @@
         An entry that is cut off from the log answers as long as a peer does; else the
         balancer sends callers elsewhere.
         """
-        if self._server.leaving or self._configuration.config is None:
+        if self._server.draining or self._configuration.config is None:
             return False
         if not self._follower.loaded:
             return False
@@ -263,7 +263,7 @@
         return now - self._forwarder.last_answer_at < PEER_FRESH_SECONDS
 
 
-def _oldest_keys(boot: BootSettings) -> float | None:
+def _max_key_age_seconds(boot: BootSettings) -> float | None:
     """Return the age of a configuration by which keys are still taken, in seconds."""
     return boot.bounds.revoke_ms / 1000 if boot.bounds.strict_revoke else None
 
--- a/tests/components/dispatch/test_holds.py
+++ b/tests/components/dispatch/test_holds.py
@@ -11,8 +11,8 @@
 
 from mustardward.components.dispatch.const import LEASE_SECONDS
 from mustardward.components.ledger.ledger import LedgerJob
-from mustardward.components.ledger.marks import pack
-from mustardward.components.ledger.models import JobState, Progress, StepMark
+from mustardward.components.ledger.marks import pack_indices
+from mustardward.components.ledger.models import JobState, Progress, StepProgress
 from mustardward.components.ownership.directory import WorkerDirectory
 from mustardward.components.scheduling.models import Phase
 from mustardward.platform.bodies import StartBody
@@ -75,7 +75,7 @@
 async def test_a_stray_gives_its_room_back_once_it_ended() -> None:
     """Room that nothing takes is never given, where nothing else runs."""
     half_done = a_job(a_step(count=2, cpu=ROOM.cpu, mem_mb=ROOM.mem_mb), job=OLD_JOB)
-    marks = [StepMark(0, 0, pack([0]))]
+    marks = [StepProgress(0, 0, pack_indices([0]))]
     half_done.progress = Progress(JobState.RUNNING, marks, [])
     async with a_takeover(running=f"{OLD_JOB}.0.0.0", ledger=half_done) as bench:
         bench.scheduler.cancel_job(OLD_JOB)
--- a/tests/components/forwarding/test_keys.py
+++ b/tests/components/forwarding/test_keys.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from mustardward.components.forwarding.models import AskedReply, AskedRequest
-from mustardward.components.forwarding.services import AskOutcome
+from mustardward.components.forwarding.models import PeerReply, PeerRequest
+from mustardward.components.forwarding.services import PeerOutcome
 from mustardward.components.front.models import Reply, Request
 from mustardward.components.ledger.const import KEY_OWNER, TOPIC
 from mustardward.components.ledger.ledger import encode
@@ -13,7 +13,7 @@
 from mustardward.standin.estate.store import Mood
 
 from ..front.builders import BODY, HOST, JOB, PREFIX, a_config
-from .test_answering import AnsweringBench, an_entry
+from .test_answering import FailoverBench, an_entry
 
 pytestmark = pytest.mark.anyio
 
@@ -22,19 +22,19 @@
 KEYS = {"dairy": [DAIRY], "gauges": [GAUGES]}
 
 
-async def _async_ask(bench: AnsweringBench, method: str, key: str) -> Reply:
+async def _async_ask(bench: FailoverBench, method: str, key: str) -> Reply:
     deadline = bench.timers.monotonic() + 2.0
     request = Request(method, HOST, PREFIX + JOB, BODY, deadline, key)
-    return await bench.answering.async_answer(request)
+    return await bench.failover.async_answer(request)
 
 
 async def test_a_peer_is_told_the_key_and_asks_for_it() -> None:
     async with an_entry() as bench:
         await bench.async_publish(a_config(2, organisations=KEYS))
-        asked = AskedRequest("POST", HOST, PREFIX + JOB, BODY, 1.0, key="nobody's")
-        assert (await bench.answering.async_answer_peer(asked)).status == 401
+        asked = PeerRequest("POST", HOST, PREFIX + JOB, BODY, 1.0, key="nobody's")
+        assert (await bench.failover.async_answer_peer(asked)).status == 401
         await bench.async_cut_off()
-        bench.forwarder.outcome = AskOutcome(AskedReply(200, b"{}"), False)
+        bench.forwarder.outcome = PeerOutcome(PeerReply(200, b"{}"), False)
         assert (await _async_ask(bench, "POST", DAIRY)).status == 200
         assert bench.forwarder.asked[-1].key == DAIRY
         assert DAIRY not in repr(bench.forwarder.asked[-1])
@@ -56,9 +56,9 @@
         bench.store.append(TOPIC, [(KEY_OWNER, encode(owner))])
         assert (await _async_ask(bench, "POST", DAIRY)).status == 200
         bench.timers.pause(0.2)
-        assert await bench.follower.async_confirm()
+        assert await bench.follower.async_catch_up()
         await bench.async_cut_off()
-        bench.forwarder.node_reply = AskedReply(200, b"")
+        bench.forwarder.node_reply = PeerReply(200, b"")
         assert b"done" in (await _async_ask(bench, "GET", DAIRY)).body
         for key in (GAUGES, "", "nobody's"):
             assert b"done" not in (await _async_ask(bench, "GET", key)).body
@@ -78,7 +78,7 @@
     async with an_entry() as bench:
         await bench.async_publish(a_config(2, organisations=KEYS))
         bench.store.mood = Mood.SILENT
-        bench.forwarder.outcome = AskOutcome(AskedReply(status, b"{}"), False)
+        bench.forwarder.outcome = PeerOutcome(PeerReply(status, b"{}"), False)
         reply = await _async_ask(bench, "POST", DAIRY)
         assert reply.status == 504
 
@@ -87,6 +87,6 @@
     async with an_entry() as bench:
         await bench.async_publish(a_config(2, organisations=KEYS))
         await bench.async_cut_off()
-        bench.forwarder.outcome = AskOutcome(AskedReply(401, b"{}"), True)
+        bench.forwarder.outcome = PeerOutcome(PeerReply(401, b"{}"), True)
         assert (await _async_ask(bench, "POST", DAIRY)).status == 504
         assert (await _async_ask(bench, "GET", DAIRY)).status == 401
--- a/tests/components/forwarding/test_relay.py
+++ b/tests/components/forwarding/test_relay.py
@@ -10,18 +10,18 @@
 from multidict import CIMultiDict, CIMultiDictProxy
 
 from mustardward.components.forwarding.const import (
-    MOST_RELAYED,
-    PROBE_SECONDS,
+    MAX_RELAYED_CALLS,
+    PROBE_INTERVAL_SECONDS,
     RELAY_METHOD,
     RELAY_PAUSE_SECONDS,
 )
 from mustardward.components.forwarding.models import (
-    AskedReply,
-    AskedRequest,
+    PeerReply,
+    PeerRequest,
     RelayedCall,
 )
 from mustardward.components.forwarding.relay import StoreRelay
-from mustardward.components.forwarding.services import AskOutcome
+from mustardward.components.forwarding.services import PeerOutcome
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.platform.exceptions import CallRefusedError, CallUnknownError
 from mustardward.platform.http import Answer
@@ -54,12 +54,12 @@
 class _Peers:
     """Answer for all peers as the test says."""
 
-    outcome: AskOutcome = field(default_factory=lambda: AskOutcome(None, False))
-    asked: list[AskedRequest] = field(default_factory=list)
+    outcome: PeerOutcome = field(default_factory=lambda: PeerOutcome(None, False))
+    asked: list[PeerRequest] = field(default_factory=list)
 
-    async def async_ask(
-        self, request: AskedRequest, longest_seconds: float
-    ) -> AskOutcome:
+    async def async_forward(
+        self, request: PeerRequest, longest_seconds: float
+    ) -> PeerOutcome:
         self.asked.append(request)
         return self.outcome
 
@@ -99,11 +99,11 @@
         )
 
     def serve_by_peers(self) -> None:
-        self.peers.outcome = AskOutcome(AskedReply(200, b"by peer"), False)
+        self.peers.outcome = PeerOutcome(PeerReply(200, b"by peer"), False)
 
 
-def peer_asks(call: RelayedCall) -> AskedRequest:
-    return AskedRequest(RELAY_METHOD, "", "", msgspec.msgpack.encode(call), 1.0)
+def peer_asks(call: RelayedCall) -> PeerRequest:
+    return PeerRequest(RELAY_METHOD, "", "", msgspec.msgpack.encode(call), 1.0)
 
 
 async def test_with_the_store_no_peer_is_asked() -> None:
@@ -141,11 +141,11 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(bench.relay.async_run)
         await anyio.wait_all_tasks_blocked()
-        await bench.timers.async_advance(PROBE_SECONDS)
+        await bench.timers.async_advance(PROBE_INTERVAL_SECONDS)
         await anyio.wait_all_tasks_blocked()
         assert bench.relay.relaying
         bench.reached = True
-        await bench.timers.async_advance(PROBE_SECONDS)
+        await bench.timers.async_advance(PROBE_INTERVAL_SECONDS)
         await anyio.wait_all_tasks_blocked()
         assert not bench.relay.relaying
         tasks.cancel_scope.cancel()
@@ -163,14 +163,14 @@
 
 async def test_an_append_that_a_peer_may_have_made_is_not_told_as_refused() -> None:
     """Else its caller is told that its job was not taken, though it runs."""
-    bench = RelayBench(_Http(BUSY), peers=_Peers(AskOutcome(None, True)))
+    bench = RelayBench(_Http(BUSY), peers=_Peers(PeerOutcome(None, True)))
     with pytest.raises(CallUnknownError):
         await bench.async_call()
 
 
 async def test_a_read_that_a_peer_left_unanswered_fails_as_it_did_here() -> None:
     bench = RelayBench(
-        _Http(CallRefusedError("cut")), peers=_Peers(AskOutcome(None, True))
+        _Http(CallRefusedError("cut")), peers=_Peers(PeerOutcome(None, True))
     )
     with pytest.raises(CallRefusedError):
         await bench.async_call(READ)
@@ -180,7 +180,7 @@
     bench = RelayBench(_Http(BUSY))
     bench.serve_by_peers()
     await bench.async_call()
-    bench.peers.outcome = AskOutcome(None, False)
+    bench.peers.outcome = PeerOutcome(None, False)
     bench.http.result = SERVED
     assert (await bench.async_call()).body == b"ok"
     assert not bench.relay.relaying
@@ -215,7 +215,7 @@
     bench = RelayBench()
     await bench.relay.async_answer_peer(peer_asks(READ))
     assert bench.http.calls == []
-    bench.relay._for_peers = MOST_RELAYED
+    bench.relay._peer_calls_in_flight = MAX_RELAYED_CALLS
     reply = await bench.relay.async_answer_peer(peer_asks(READ))
     assert not reply.confirmed
     assert len(bench.peers_http.calls) == 1
--- a/tests/components/front/builders.py
+++ b/tests/components/front/builders.py
@@ -9,7 +9,7 @@
 
 from mustardward.components.configuration.services import Configuration
 from mustardward.components.front.models import Reply, Request
-from mustardward.components.front.services import Front
+from mustardward.components.front.services import FrontService
 from mustardward.components.ledger.appender import GroupAppender
 from mustardward.components.ledger.const import TOPIC
 from mustardward.components.ledger.follower import TopicFollower
@@ -76,7 +76,7 @@
             "node/1",
             epoch=1,
         )
-        self.front = Front(
+        self.front = FrontService(
             self.timers,
             self.configuration,
             self.config_follower,
@@ -98,8 +98,8 @@
         """Publish a configuration, and let it be read."""
         self.store.append(TOPIC_OPERATOR, [("config", record)])
         self.timers.pause(0.01)
-        assert await self.config_follower.async_confirm()
-        assert await self.follower.async_confirm()
+        assert await self.config_follower.async_catch_up()
+        assert await self.follower.async_catch_up()
 
     async def async_configure(self, version: int = 1, *prefixes: str) -> None:
         """Publish a configuration, and let it be read."""
@@ -112,7 +112,7 @@
             topic,
             fold.apply,
             fold.keys,
-            gap_seconds=0.1,
+            interval_seconds=0.1,
         )
 
 
--- a/tests/components/front/test_keys.py
+++ b/tests/components/front/test_keys.py
@@ -146,7 +146,7 @@
         await _async_configure(bench, 2, KEYS)
         bench.timers.pause(3.0)
         reads = 0
-        read = bench.config_follower.async_confirm
+        read = bench.config_follower.async_catch_up
 
         async def async_slow_confirm() -> bool:
             nonlocal reads
@@ -156,7 +156,7 @@
             return confirmed
 
         bench.front.admission.follower = _Slow(  # type: ignore[assignment]
-            async_slow_confirm, bench.config_follower.fresh_at
+            async_slow_confirm, bench.config_follower.up_to_date_at
         )
         assert (await bench.async_ask("GET", PREFIX, key="new")).status == 401
         assert reads == 1
@@ -165,9 +165,9 @@
 class _Slow:
     """Play a follower whose every answer is old once it is there."""
 
-    def __init__(self, confirm: object, fresh_at: float) -> None:
-        self.async_confirm = confirm
-        self.fresh_at = fresh_at
+    def __init__(self, confirm: object, up_to_date_at: float) -> None:
+        self.async_catch_up = confirm
+        self.up_to_date_at = up_to_date_at
 
 
 async def test_a_withdrawn_key_never_comes_back_by_an_older_version() -> None:
@@ -198,7 +198,7 @@
     """An entry that can't hear of a key's end serves on, or refuses after a time."""
     async with a_front() as bench:
         await _async_configure(bench, 2, KEYS)
-        bench.front.admission.oldest_keys_seconds = strict
+        bench.front.admission.max_key_age_seconds = strict
         bench.store.mood = Mood.REFUSING
         bench.timers.pause(4.0)
         assert (await bench.async_ask("GET", PREFIX, key=DAIRY)).status == 200
--- a/tests/components/front/test_server.py
+++ b/tests/components/front/test_server.py
@@ -38,10 +38,10 @@
 
 
 @asynccontextmanager
-async def async_serve(answering: Any) -> AsyncIterator[tuple[FrontServer, str]]:
+async def async_serve(failover: Any) -> AsyncIterator[tuple[FrontServer, str]]:
     """Yield a server, and the address that it listens on."""
     async with anyio.create_task_group() as tasks:
-        server = FrontServer(answering, LoopTimerService(tasks), lambda: True)
+        server = FrontServer(failover, LoopTimerService(tasks), lambda: True)
         await server.async_listen("127.0.0.1:0", "127.0.0.1:0")
         yield server, f"http://{server.addresses[0]}"
         await server.async_close(0.0)
@@ -60,7 +60,7 @@
         async with async_serve(SlowAnswering(0.3)) as (server, address):
             async with httpx.AsyncClient() as client:
                 await client.get(address)
-                server.leave_by(GRACE_SECONDS)
+                server.drain_within(GRACE_SECONDS)
                 statuses: list[int] = []
 
                 async def async_ask() -> None:
@@ -76,11 +76,11 @@
 async def test_who_asks_a_leaving_entry_is_answered_before_it_ends() -> None:
     """A caller's patience may reach beyond the end of the process."""
     with anyio.fail_after(MOST_SECONDS):
-        answering = SlowAnswering(0.0)
-        async with async_serve(answering) as (server, address):
+        failover = SlowAnswering(0.0)
+        async with async_serve(failover) as (server, address):
             async with httpx.AsyncClient() as client:
                 before = server.timers.monotonic()
-                server.leave_by(GRACE_SECONDS)
+                server.drain_within(GRACE_SECONDS)
                 response = await client.get(address)
                 assert response.headers["connection"] == "close"
-                assert answering.deadlines[0] <= before + GRACE_SECONDS + 0.1
+                assert failover.deadlines[0] <= before + GRACE_SECONDS + 0.1
--- a/tests/components/ledger/test_appender.py
+++ b/tests/components/ledger/test_appender.py
@@ -9,12 +9,12 @@
 import pytest
 
 from mustardward.components.ledger.appender import (
-    MOST_BYTES,
+    MAX_APPEND_BYTES,
     GroupAppender,
     Outcome,
     Record,
-    part,
-    size_of,
+    encoded_size,
+    split_records,
 )
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.platform.store import Producer
@@ -142,7 +142,7 @@
 
 def test_records_of_one_job_stay_in_one_piece_and_all_keep_their_order() -> None:
     """Guards against a job that is stored as a stub and not as ended."""
-    half = b"x" * (MOST_BYTES // 2 - 20)
+    half = b"x" * (MAX_APPEND_BYTES // 2 - 20)
     records = [
         ("owner", b"renewal"),
         ("p/1", half),
@@ -151,16 +151,16 @@
         ("p/3", half),
         ("p/4", half),
     ]
-    assert size_of(records[:3]) <= MOST_BYTES < size_of(records[:4])
-    pieces = part(records)
+    assert encoded_size(records[:3]) <= MAX_APPEND_BYTES < encoded_size(records[:4])
+    pieces = split_records(records)
     assert pieces == [records[:2], records[2:5], records[5:]]
-    assert max(map(size_of, pieces)) <= MOST_BYTES
+    assert max(map(encoded_size, pieces)) <= MAX_APPEND_BYTES
 
 
 async def test_records_of_which_some_pieces_are_stored_are_told_as_unknown() -> None:
     """Guards against a caller that is told that nothing of them was stored."""
     async with _running() as bench:
-        record = b"x" * (MOST_BYTES - 20)
+        record = b"x" * (MAX_APPEND_BYTES - 20)
         records = [("p/1", record), ("p/2", record)]
         deadline = bench.timers.monotonic() + SOON
         outcomes: list[Outcome] = []
--- a/tests/components/ledger/test_follower.py
+++ b/tests/components/ledger/test_follower.py
@@ -5,7 +5,7 @@
 import anyio
 import pytest
 
-from mustardward.components.ledger.follower import TopicFollower, poll_milliseconds
+from mustardward.components.ledger.follower import TopicFollower, poll_timeout_ms
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.platform.exceptions import CallRefusedError
 from mustardward.platform.store import KeyedRecord, NewestPage, Page
@@ -53,7 +53,7 @@
         TOPIC,
         fold.apply,
         lambda: fold.values,
-        gap_seconds=0.1,
+        interval_seconds=0.1,
     )
     return follower, fold
 
@@ -62,10 +62,10 @@
     store = MemoryStore()
     store.append(TOPIC, [("a", b"1"), ("b", b"1"), ("a", b"2")])
     follower, fold = a_follower(store)
-    assert await follower.async_confirm()
+    assert await follower.async_catch_up()
     assert fold.values == {"a": b"2", "b": b"1"}
     store.append(TOPIC, [("b", b""), ("c", b"3")])
-    assert await follower.async_confirm()
+    assert await follower.async_catch_up()
     assert fold.values == {"a": b"2", "c": b"3"}
 
 
@@ -79,11 +79,11 @@
     store = MemoryStore()
     store.append(TOPIC, [("a", b"1"), ("b", b"1")])
     follower, fold = a_follower(store)
-    await follower.async_confirm()
+    await follower.async_catch_up()
     store.append(TOPIC, [("a", b""), ("c", b"1")])
     store.forget(TOPIC, store.topic_end(TOPIC))
-    assert not await follower.async_confirm()
-    assert await follower.async_confirm()
+    assert not await follower.async_catch_up()
+    assert await follower.async_catch_up()
     assert fold.values == {"b": b"1", "c": b"1"}
 
 
@@ -91,21 +91,21 @@
     store = MemoryStore()
     store.append(TOPIC, [(f"{number:05d}", b"1") for number in range(1203)])
     follower, fold = a_follower(store)
-    assert await follower.async_confirm()
+    assert await follower.async_catch_up()
     assert len(fold.values) == 1203
 
 
 async def test_a_refused_read_confirms_nothing() -> None:
     store = MemoryStore()
     follower, _ = a_follower(store)
-    assert await follower.async_confirm()
-    fresh_at = follower.fresh_at
+    assert await follower.async_catch_up()
+    up_to_date_at = follower.up_to_date_at
     store.mood = Mood.REFUSING
-    assert not await follower.async_confirm()
-    assert follower.fresh_at == fresh_at
+    assert not await follower.async_catch_up()
+    assert follower.up_to_date_at == up_to_date_at
     assert follower.failing_since is not None
     store.mood = Mood.SERVING
-    assert await follower.async_confirm()
+    assert await follower.async_catch_up()
     assert follower.failing_since is None
 
 
@@ -119,7 +119,7 @@
     """
     store = _WaitingStore()
     follower, _ = a_follower(store)
-    await follower.async_confirm()
+    await follower.async_catch_up()
     store.mood = Mood.REFUSING
     waits = store.waits
     waits.clear()
@@ -159,7 +159,7 @@
     follower, _ = a_follower(_SilentStore(timers), timers)
     await follower.async_load()
     sent_at = timers.monotonic()
-    assert not await follower.async_confirm()
+    assert not await follower.async_catch_up()
     assert (follower.failing_since, timers.monotonic()) == (sent_at, sent_at + 1.0)
 
 
@@ -170,7 +170,7 @@
     entries: int, expected: int
 ) -> None:
     """All of them share the reads that the store answers."""
-    assert poll_milliseconds(entries) == expected
+    assert poll_timeout_ms(entries) == expected
 
 
 class _NarrowStore(MemoryStore):
@@ -199,7 +199,7 @@
     store.append(TOPIC, [(f"{number:05d}", b"1") for number in range(1800)])
     follower, fold = a_follower(store)
     tries = 0
-    while not await follower.async_confirm():
+    while not await follower.async_catch_up():
         tries += 1
         assert tries < 10
     assert len(fold.values) == 1800
@@ -211,11 +211,11 @@
     store = _NarrowStore()
     store.append(TOPIC, [(f"{number:05d}", b"1") for number in range(800)])
     follower, fold = a_follower(store)
-    assert not await follower.async_confirm()
+    assert not await follower.async_catch_up()
     store.append(TOPIC, [("00000", b"2"), ("00001", b"")])
-    while not await follower.async_confirm():
+    while not await follower.async_catch_up():
         pass
-    assert await follower.async_confirm()
+    assert await follower.async_catch_up()
     assert fold.values["00000"] == b"2"
     assert "00001" not in fold.values
 
@@ -230,14 +230,14 @@
         return await super().async_read(topic, from_offset, wait_ms, kilobytes)
 
 
-async def async_count_reads(entries: int, hurry: float | None) -> int:
+async def async_count_reads(entries: int, override_interval: float | None) -> int:
     """Return how often one of so many entries reads a busy topic in 7 s."""
     timers = DrivenTimerService()
     store = _BusyStore()
     follower, _ = a_follower(store, timers)
     follower.entries = lambda: entries
-    follower.paced = True
-    follower.hurry(hurry)
+    follower.scale_interval = True
+    follower.override_interval(override_interval)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(follower.async_run)
         for _ in range(700):
--- a/tests/components/ledger/test_sighting.py
+++ b/tests/components/ledger/test_sighting.py
@@ -13,9 +13,9 @@
 from mustardward.components.ledger.appender import GroupAppender, Outcome
 from mustardward.components.ledger.follower import TopicFollower
 from mustardward.components.ledger.sighting import (
-    LOOK_SECONDS,
-    Sighting,
-    async_or_seen,
+    LOG_POLL_SECONDS,
+    AppendWatcher,
+    async_call_or_observe,
 )
 from mustardward.helpers.timer import DrivenTimerService, LoopTimerService
 from mustardward.platform.exceptions import CallUnknownError, FencedError
@@ -47,12 +47,12 @@
             TOPIC,
             lambda record: None,
             lambda: (),
-            gap_seconds=0.7,
+            interval_seconds=0.7,
         )
         self.appender = GroupAppender(self._async_call, self.timers, "node/1", epoch=1)
-        sighting = Sighting(self.follower.async_confirm, ("j/",))
+        sighting = AppendWatcher(self.follower.async_catch_up, ("j/",))
         self.appender.sighting = sighting
-        self.follower.watchers.append(sighting.see)
+        self.follower.record_listeners.append(sighting.observe)
         self.outcomes: dict[str, Outcome] = {}
 
     async def _async_call(
@@ -81,7 +81,7 @@
 @asynccontextmanager
 async def a_silent_store() -> AsyncIterator[tuple[SilentStore, anyio.abc.TaskGroup]]:
     bench = SilentStore()
-    await bench.follower.async_confirm()
+    await bench.follower.async_catch_up()
     async with async_appending(bench.appender), anyio.create_task_group() as tasks:
         yield bench, tasks
         tasks.cancel_scope.cancel()
@@ -97,7 +97,7 @@
     async with a_silent_store() as (bench, tasks):
         for number in range(3):
             tasks.start_soon(bench.async_append, f"j/{number}")
-            await bench.async_pass(2 * LOOK_SECONDS)
+            await bench.async_pass(2 * LOG_POLL_SECONDS)
             assert bench.outcomes[f"j/{number}"] is Outcome.STORED
         assert bench.sequences == [0, 1, 2]
         assert bench.store.topic_end(TOPIC) == 3
@@ -140,7 +140,7 @@
     Cause: that the log does not show an append was not taken as a reason to repeat it.
     """
     bench = LateStore()
-    await bench.follower.async_confirm()
+    await bench.follower.async_catch_up()
     async with async_appending(bench.appender), anyio.create_task_group() as tasks:
         tasks.start_soon(bench.async_append, "j/1")
         await bench.async_pass(0.4)
@@ -190,7 +190,7 @@
         return None
 
     with pytest.raises(FencedError):
-        await async_or_seen(
+        await async_call_or_observe(
             DrivenTimerService(), async_refuse, async_look, lambda: False
         )
 
@@ -207,7 +207,7 @@
     readers: list[asyncio.Task[object]] = []
 
     async def async_call() -> int:
-        await anyio.sleep(2 * LOOK_SECONDS)
+        await anyio.sleep(2 * LOG_POLL_SECONDS)
         for reader in readers:
             reader.cancel()
         return 1
@@ -225,7 +225,9 @@
         readers.clear()
         async with anyio.create_task_group() as tasks:
             timers = LoopTimerService(tasks)
-            answer = await async_or_seen(timers, async_call, async_look, lambda: False)
+            answer = await async_call_or_observe(
+                timers, async_call, async_look, lambda: False
+            )
             await anyio.lowlevel.checkpoint()
         assert answer == 1
         assert not tasks.cancel_scope.cancel_called
@@ -240,6 +242,6 @@
 
     async with anyio.create_task_group() as tasks:
         with pytest.raises(CallUnknownError):
-            await async_or_seen(
+            await async_call_or_observe(
                 LoopTimerService(tasks), async_call, async_look, lambda: False
             )
--- a/tests/components/ownership/test_log_walks.py
+++ b/tests/components/ownership/test_log_walks.py
@@ -15,7 +15,7 @@
 from anyio.abc import TaskGroup
 
 from mustardward.components.configuration.services import Configuration
-from mustardward.components.ledger.ahead import EndsAhead
+from mustardward.components.ledger.ahead import UnloggedCompletions
 from mustardward.components.ledger.const import PREFIX_JOB, PREFIX_PROGRESS, TOPIC
 from mustardward.components.ledger.follower import TopicFollower
 from mustardward.components.ledger.ledger import Ledger, encode
@@ -61,7 +61,7 @@
             self.follower,
             Configuration(),
             BootBounds(),
-            EndsAhead(),
+            UnloggedCompletions(),
         )
         self.ownership = Ownership(parts, share)
 
--- a/tests/components/scheduling/liveness_troubles.py
+++ b/tests/components/scheduling/liveness_troubles.py
@@ -8,7 +8,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from mustardward.components.ledger.marks import unpack
+from mustardward.components.ledger.marks import unpack_indices
 from mustardward.components.ledger.models import OwnerRecord
 from mustardward.platform.models import Room
 from mustardward.platform.workers import TaskName
@@ -260,5 +260,5 @@
             for job_id, job in self.world.jobs.items()
             if job.progress is not None
             for mark in job.progress.steps
-            for index in unpack(mark.done)
+            for index in unpack_indices(mark.done)
         }
--- a/tests/components/scheduling/test_crashes.py
+++ b/tests/components/scheduling/test_crashes.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from mustardward.components.ledger.models import JobState, Progress, TaskMark
+from mustardward.components.ledger.models import JobState, Progress, TaskProgress
 from mustardward.components.scheduling.commands import Start
 from mustardward.components.scheduling.const import (
     APART_WAIT_SECONDS,
@@ -61,7 +61,9 @@
     """Hand a job in under whose only task workers crashed."""
     job = a_job(a_step(count=1))
     marks = tuple(f"old-{number}" for number in range(crashes))
-    job.progress = Progress(JobState.RUNNING, tasks=[TaskMark(0, 0, 0, (), "", marks)])
+    job.progress = Progress(
+        JobState.RUNNING, tasks=[TaskProgress(0, 0, 0, (), "", marks)]
+    )
     bench.add(job)
 
 
@@ -280,7 +282,7 @@
     """Guards against a suspect that is cleared by ends which others asked for."""
     bench = SchedulerBench()
     job = a_job(a_step(count=1, long_running=True))
-    marks = [TaskMark(0, 0, 0, (), "", ("old-0", "old-1"))]
+    marks = [TaskProgress(0, 0, 0, (), "", ("old-0", "old-1"))]
     job.progress = Progress(JobState.RUNNING, tasks=marks)
     bench.add(job)
     bench.worker("w1")
@@ -300,7 +302,7 @@
     """Guards against a suspect that is cleared by runs from before its last crash."""
     bench = SchedulerBench()
     job = a_job(a_step(count=1, long_running=True))
-    marks = [TaskMark(0, 0, 0, (), "", ("old-0",))]
+    marks = [TaskProgress(0, 0, 0, (), "", ("old-0",))]
     job.progress = Progress(JobState.RUNNING, tasks=marks)
     bench.add(job)
     for _ in range(TRIAL_RUNS - 1):
@@ -351,7 +353,7 @@
     bench = SchedulerBench()
     suspected(bench)
     other = a_job(a_step(count=1), job=OTHER)
-    marks = [TaskMark(0, 0, 0, (), "", ("old-0", "old-1"))]
+    marks = [TaskProgress(0, 0, 0, (), "", ("old-0", "old-1"))]
     other.progress = Progress(JobState.RUNNING, tasks=marks)
     bench.add(other)
     for number in range(8):
--- a/tests/components/scheduling/test_holds.py
+++ b/tests/components/scheduling/test_holds.py
@@ -8,8 +8,13 @@
 import pytest
 
 from mustardward.components.ledger.ledger import LedgerJob
-from mustardward.components.ledger.marks import pack
-from mustardward.components.ledger.models import JobState, Progress, StepMark, TaskMark
+from mustardward.components.ledger.marks import pack_indices
+from mustardward.components.ledger.models import (
+    JobState,
+    Progress,
+    StepProgress,
+    TaskProgress,
+)
 from mustardward.components.scheduling.commands import Start
 from mustardward.components.scheduling.const import MOST_CRASHES
 from mustardward.components.scheduling.models import Phase, QueuePolicy, Task
@@ -95,7 +100,7 @@
     """Return a job under whose first task workers crashed."""
     found = a_job(a_step(**{"count": 1, **changes}), job=job)
     marks = tuple(f"old-{number}" for number in range(crashes))
-    task = TaskMark(0, 0, 0, (), "", marks)
+    task = TaskProgress(0, 0, 0, (), "", marks)
     found.progress = Progress(JobState.RUNNING, tasks=[task])
     return found
 
@@ -139,7 +144,7 @@
     assert Play(bench).run(CALM_SECONDS) == [JOB, JOB]
 
 
-def a_timed_job(*marks: StepMark) -> LedgerJob:
+def a_timed_job(*marks: StepProgress) -> LedgerJob:
     """Return a job that is due each second from 990 s on, taken in before."""
     job = a_job(times=3, start_at_ms=990_000.0, interval_ms=1000.0)
     job.progress = Progress(JobState.RUNNING, list(marks))
@@ -391,7 +396,7 @@
     bench = SchedulerBench(epoch=2)
     bench.worker("w1")
     play = Play(bench, {JOB: 1.0})
-    bench.add(a_timed_job(StepMark(1, 0, pack([0]))))
+    bench.add(a_timed_job(StepProgress(1, 0, pack_indices([0]))))
     play.run(CALM_SECONDS)
     runs = {(s.task.name.occurrence, s.task.index) for s in play.started}
     assert runs == {(0, 0), (0, 1), (1, 1), (2, 0), (2, 1)}
@@ -452,7 +457,11 @@
     """Guards against an occurrence whose steps are made but never opened."""
     bench = SchedulerBench(epoch=2)
     bench.worker("w1")
-    bench.add(a_timed_job(StepMark(1, 0, pack([0])), StepMark(2, 0, pack([0]))))
+    bench.add(
+        a_timed_job(
+            StepProgress(1, 0, pack_indices([0])), StepProgress(2, 0, pack_indices([0]))
+        )
+    )
     bench.hold("w1", [RunningTask(TaskName(JOB, 0, 0, 0), 5, "", 10.0, 0.0)])
     Play(bench, {JOB: 1.0}).run(1.0)
     assert bench.task(1, occurrence=0).phase is not Phase.WAITING
@@ -462,8 +471,8 @@
     """Guards against a job that is shown as done once its last occurrences are."""
     bench = SchedulerBench(epoch=2)
     bench.worker("w1")
-    done = pack([0, 1])
-    bench.add(a_timed_job(StepMark(1, 0, done), StepMark(2, 0, done)))
+    done = pack_indices([0, 1])
+    bench.add(a_timed_job(StepProgress(1, 0, done), StepProgress(2, 0, done)))
     assert bench.scheduler.board.jobs[JOB].state is JobState.RUNNING
 
 
--- a/tests/components/scheduling/test_liveness.py
+++ b/tests/components/scheduling/test_liveness.py
@@ -7,12 +7,12 @@
 import anyio
 
 from mustardward.components.ledger.ledger import LedgerJob
-from mustardward.components.ledger.marks import pack
+from mustardward.components.ledger.marks import pack_indices
 from mustardward.components.ledger.models import (
     JobState,
     OwnerRecord,
     Progress,
-    StepMark,
+    StepProgress,
 )
 from mustardward.components.scheduling.commands import AskAdvice
 from mustardward.components.scheduling.losses import LossCause
@@ -110,7 +110,7 @@
     step = a_step(**MOST_OF_A_WORKER)
     after = a_step(**MOST_OF_A_WORKER, after=[0])
     job = a_job(step, after, queue="plain", accepted_at=1e6, **changes)
-    job.progress = Progress(JobState.RUNNING, [StepMark(0, 0, pack([0]))])
+    job.progress = Progress(JobState.RUNNING, [StepProgress(0, 0, pack_indices([0]))])
     return job
 
 
--- a/tests/components/scheduling/test_takeover.py
+++ b/tests/components/scheduling/test_takeover.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from mustardward.components.ledger.ledger import LedgerJob
-from mustardward.components.ledger.models import JobState, Progress, TaskMark
+from mustardward.components.ledger.models import JobState, Progress, TaskProgress
 from mustardward.components.scheduling.commands import Stop
 from mustardward.components.scheduling.models import Phase
 from mustardward.platform.workers import EndedTask, RunningTask, TaskName
@@ -98,7 +98,7 @@
     bench = a_successor()
     bench.scheduler.board.held_until = 0.0
     job = a_job(a_step(count=1))
-    job.progress = Progress(JobState.RUNNING, tasks=[TaskMark(0, 0, 0, (7,))])
+    job.progress = Progress(JobState.RUNNING, tasks=[TaskProgress(0, 0, 0, (7,))])
     bench.add(job)
     bench.scheduler.see_worker("w1", an_entry(), bench.now)
     bench.hold("w1", ended=[EndedTask(1, TaskName(JOB, 0, 0, 0), 7, "failed", "")])
--- a/tests/components/scheduling/test_waits.py
+++ b/tests/components/scheduling/test_waits.py
@@ -9,7 +9,7 @@
 import pytest
 
 from mustardward.components.ledger.ledger import LedgerJob
-from mustardward.components.ledger.models import JobState, Progress, TaskMark
+from mustardward.components.ledger.models import JobState, Progress, TaskProgress
 from mustardward.components.reports.day_lines import read_pairs
 from mustardward.components.scheduling.commands import Start
 from mustardward.components.scheduling.models import Phase, QueuePolicy
@@ -56,7 +56,9 @@
     """Return a job under whose first task workers crashed."""
     job = a_job(a_step(**{"count": 1, **changes}))
     marks = tuple(f"old-{number}" for number in range(crashes))
-    job.progress = Progress(JobState.RUNNING, tasks=[TaskMark(0, 0, 0, (), "", marks)])
+    job.progress = Progress(
+        JobState.RUNNING, tasks=[TaskProgress(0, 0, 0, (), "", marks)]
+    )
     return job
 
 
