--- a/mustardward/components/ledger/__init__.py
+++ b/mustardward/components/ledger/__init__.py
@@ -1,1 +1,1 @@
-"""Keep the jobs of a shard in the platform's store, folded alike by every entry."""
+"""Ledger of a shard: a keyed log that every entry node replays to the same state."""
--- a/mustardward/components/ledger/ahead.py
+++ b/mustardward/components/ledger/ahead.py
@@ -1,10 +1,10 @@
-"""Hold which jobs are done though the log can't say so yet; pure.
+"""Track completed jobs whose completion is not yet in the log; pure.
 
-Symptom without it: a job that ended while the store is away is told as running until
-the store is back, and misses its objective by the whole outage. Its worker keeps the
-end until the store has it, the owner knows it, and so does each entry that told it to a
-caller: it is lost only with all of them. That an entry told it is brought to the log by
-that entry, so that no owner after starts the job again.
+Without this, a job that completes during a store outage is reported as running until
+the store is back, and misses its objective by the length of the outage. A completion is
+held by the job's worker until it is stored, by the owner, and by each entry node that
+reported it to a caller; it is lost only if all of them fail. An entry node also writes
+the completions that it reported to the log, so that no later owner runs the job again.
 """
 
 from __future__ import annotations
@@ -15,40 +15,41 @@
 
 @dataclass(slots=True, eq=False)
 class UnloggedCompletions:
-    """Hold the jobs that are done and not yet stored as done.
+    """Track jobs that are complete but not yet stored as complete.
 
-    :param owner_knows: whether this entry's own ownership, if any, knows a job as done.
+    :param completed_at_owner: returns whether the owner in this process, if any, knows
+        a job to be complete.
     """
 
     completed_at_owner: Callable[[str], bool] | None = None
-    _held: set[str] = field(default_factory=set)
-    _told: set[str] = field(default_factory=set)
+    _completed: set[str] = field(default_factory=set)
+    _reported: set[str] = field(default_factory=set)
 
     def add(self, job_id: str) -> None:
-        """Take in that a job is done."""
-        self._held.add(job_id)
+        """Record that a job is complete."""
+        self._completed.add(job_id)
 
     def mark_reported(self, job_id: str) -> None:
-        """Take in that a caller was told that a job is done."""
-        self._held.add(job_id)
-        self._told.add(job_id)
+        """Record that a caller was told that a job is complete."""
+        self._completed.add(job_id)
+        self._reported.add(job_id)
 
     def was_reported(self, job_id: str) -> bool:
-        """Return whether this entry holds that a caller was told of a job."""
-        return job_id in self._told
+        """Return whether this node recorded that a caller was told of a completion."""
+        return job_id in self._reported
 
     def contains(self, job_id: str) -> bool:
-        """Return whether a job is known here as done."""
-        if job_id in self._held:
+        """Return whether a job is known here to be complete."""
+        if job_id in self._completed:
             return True
         return self.completed_at_owner is not None and self.completed_at_owner(job_id)
 
     def unlogged_reports(self, is_stored: Callable[[str], bool]) -> list[str]:
-        """Return the jobs that a caller was told of and that the log lacks.
+        """Return the jobs reported as complete that the log lacks; drop stored ones.
 
-        :param is_stored: whether the log says that a job is over; such are forgotten.
+        :param is_stored: returns whether the log has a final state for a job.
         """
-        for job_id in [name for name in self._held if is_stored(name)]:
-            self._held.discard(job_id)
-            self._told.discard(job_id)
-        return sorted(self._told)
+        for job_id in [name for name in self._completed if is_stored(name)]:
+            self._completed.discard(job_id)
+            self._reported.discard(job_id)
+        return sorted(self._reported)
--- a/mustardward/components/ledger/appender.py
+++ b/mustardward/components/ledger/appender.py
@@ -1,4 +1,4 @@
-"""Append records in groups, exactly once, and say truly what became of them."""
+"""Append records in batches, exactly once, and report the outcome of each append."""
 
 from __future__ import annotations
 
@@ -28,25 +28,25 @@
 _LOGGER = get_logger(__name__)
 
 MAX_APPEND_BYTES: Final = 900_000
-"""Stays below the store's limit for one call with room for lengths and keys."""
+"""Below the store's limit for one call, with room for lengths and keys."""
 
 INITIAL_ANSWER_TIMEOUT_SECONDS: Final = 0.15
-"""Time without an answer after which a try that the log does not show is repeated. A
-store may leave an append for seconds and then carry it out; most repeats are carried
-out at once, and the log drops the one of the two that comes second."""
+"""Delay after which an unanswered append that the log does not show is repeated. A
+store may delay an append for seconds and then perform it. Most repeats are performed at
+once, and the log drops whichever of the two comes second."""
 
 ANSWER_TIMEOUT_GROWTH: Final = 1.5
 MAX_ANSWER_TIMEOUT_SECONDS: Final = 0.28
-"""Each try is waited for longer than the one before, up to this, so that a partition
-that is short of time is not asked by all entries at once; what was sent into an outage
-is repeated this soon after its end."""
+"""Limit of the answer timeout, which grows with each attempt so that the entry nodes do
+not overload a log partition that is short of processor time. An append sent during an
+outage is repeated this soon after its end."""
 
 Record = tuple[str, bytes]
 AppendCall = Callable[[list[Record], Producer], Awaitable[int]]
 
 
 class Outcome(Enum):
-    """Say what became of records."""
+    """Outcome of an append."""
 
     STORED = "stored"
     NOT_STORED = "not_stored"
@@ -54,62 +54,62 @@
     FENCED = "fenced"
 
 
-def _wait_for_the_call() -> float:
+def _no_answer_timeout() -> float:
     return math.inf
 
 
 @switchable(
     "appends-repeated",
-    "an append that the log does not show is soon repeated under its number",
-    without=_wait_for_the_call,
+    "an append that the log does not show is repeated early, with the same number",
+    without=_no_answer_timeout,
 )
 def initial_answer_timeout() -> float:
-    """Return how long the first try of an append is waited for."""
+    """Return how long the first attempt of an append may take, in seconds."""
     return INITIAL_ANSWER_TIMEOUT_SECONDS
 
 
 def next_answer_timeout(answer_timeout: float) -> float:
-    """Return how long the next try is waited for."""
+    """Return how long the next attempt may take, in seconds."""
     if answer_timeout == math.inf:
         return answer_timeout
     return min(MAX_ANSWER_TIMEOUT_SECONDS, answer_timeout * ANSWER_TIMEOUT_GROWTH)
 
 
 def encoded_size(records: list[Record]) -> int:
-    """Return how many bytes records take in a call."""
+    """Return the size of records in a call, in bytes."""
     return sum(len(key) + len(value) + 5 for key, value in records)
 
 
 def split_records(records: list[Record]) -> list[list[Record]]:
-    """Return records in pieces that a call takes, in their order.
+    """Split records into chunks that fit one call, keeping their order.
 
-    Neighbours of one job stay together: without its end, a job that is only a stub
-    could not be carried on.
+    Adjacent records of one job stay together: a job whose record was reduced to a stub
+    could not continue if its final progress were missing.
     """
     if encoded_size(records) <= MAX_APPEND_BYTES:
         return [records]
-    pieces: list[list[Record]] = [[]]
+    chunks: list[list[Record]] = [[]]
     size = 0
-    for _, neighbours in groupby(records, lambda record: record[0][2:]):
-        group = list(neighbours)
+    for _, adjacent in groupby(records, lambda record: record[0][2:]):
+        group = list(adjacent)
         size += encoded_size(group)
-        if pieces[-1] and size > MAX_APPEND_BYTES:
-            pieces.append([])
+        if chunks[-1] and size > MAX_APPEND_BYTES:
+            chunks.append([])
             size = encoded_size(group)
-        pieces[-1].extend(group)
-    return pieces
+        chunks[-1].extend(group)
+    return chunks
 
 
-def _outcome_of(pieces: set[Outcome]) -> Outcome:
-    """Return what became of records, by what became of their pieces."""
-    if len(pieces) == 1:
-        return pieces.pop()
-    return Outcome.FENCED if Outcome.FENCED in pieces else Outcome.UNKNOWN
+def _combined_outcome(outcomes: set[Outcome]) -> Outcome:
+    """Combine the outcomes of all chunks of one append."""
+    if len(outcomes) == 1:
+        return outcomes.pop()
+    return Outcome.FENCED if Outcome.FENCED in outcomes else Outcome.UNKNOWN
 
 
 @dataclass(slots=True, eq=False)
 class _PendingAppend:
-    """Hold records that wait, and who waits for them."""
+    """Hold records that are queued for an append, and their outcome."""
 
     records: list[Record]
     deadline: float
@@ -119,14 +119,15 @@
 
 @dataclass(slots=True, eq=False)
 class GroupAppender:
-    """Append what waits, one call at a time, under one producer's name.
+    """Append queued records, one call at a time, under one producer name.
 
-    The symptom this prevents is a job that runs though its caller was refused, or runs
-    twice: an append whose answer is lost is repeated under its own number until the log
-    says what became of it, and nothing else is appended before. The log drops the
-    repeat of a number it has seen.
+    An append whose answer is lost is repeated with the same sequence number until its
+    outcome is known, and nothing else is appended before. The log drops a repeated
+    sequence number. Otherwise a job could run although its caller was refused, or run
+    twice.
 
-    :param sighting: shows an append in the log though its answer does not come.
+    :param sighting: detects an append in the log when its answer does not arrive.
+    :param failing_since: steady clock since which calls go unanswered, in seconds.
     """
 
     call: AppendCall
@@ -137,115 +138,119 @@
     sighting: AppendWatcher | None = None
     fenced: bool = False
     failing_since: float | None = None
-    _waiting: list[_PendingAppend] = field(default_factory=list)
+    _queue: list[_PendingAppend] = field(default_factory=list)
     _wake: anyio.Event = field(default_factory=anyio.Event)
 
     async def async_append(self, records: list[Record], deadline: float) -> Outcome:
-        """Append records; return once their fate is known or the deadline is past.
+        """Append records; return once the outcome is known or the deadline has passed.
 
         :param deadline: steady clock, in seconds.
         """
-        entries = self._put(records, deadline)
-        began = self.timers.monotonic()
-        with anyio.move_on_after(max(0.0, deadline - began)):
-            for entry in entries:
-                await entry.done.wait()
-        APPEND_SECONDS.observe(self.timers.monotonic() - began)
-        for entry in entries:
-            if not entry.done.is_set() and entry in self._waiting:
-                # It was never sent, so nothing of it can be stored later.
-                self._waiting.remove(entry)
-                entry.outcome = Outcome.NOT_STORED
-        return _outcome_of({entry.outcome for entry in entries})
+        pending_appends = self._enqueue(records, deadline)
+        started = self.timers.monotonic()
+        with anyio.move_on_after(max(0.0, deadline - started)):
+            for pending in pending_appends:
+                await pending.done.wait()
+        APPEND_SECONDS.observe(self.timers.monotonic() - started)
+        for pending in pending_appends:
+            if not pending.done.is_set() and pending in self._queue:
+                # It was never sent, so it can't be stored later.
+                self._queue.remove(pending)
+                pending.outcome = Outcome.NOT_STORED
+        return _combined_outcome({pending.outcome for pending in pending_appends})
 
     def post(self, records: list[Record]) -> None:
-        """Append records that nobody waits for."""
-        self._put(records, self.timers.monotonic() + 1.0)
-
-    def _put(self, records: list[Record], deadline: float) -> list[_PendingAppend]:
-        """Let records wait, in pieces that one call takes, behind all that waits."""
-        entries = [_PendingAppend(piece, deadline) for piece in split_records(records)]
-        self._waiting.extend(entries)
+        """Queue records for an append without waiting for the outcome."""
+        self._enqueue(records, self.timers.monotonic() + 1.0)
+
+    def _enqueue(self, records: list[Record], deadline: float) -> list[_PendingAppend]:
+        """Queue records, in chunks that fit one call."""
+        pending_appends = [
+            _PendingAppend(chunk, deadline) for chunk in split_records(records)
+        ]
+        self._queue.extend(pending_appends)
         self._wake.set()
-        return entries
+        return pending_appends
 
     async def async_run(self) -> None:
-        """Append for as long as the producer is not fenced."""
+        """Append queued records until the producer is fenced."""
         while not self.fenced:
-            if not self._waiting:
+            if not self._queue:
                 self._wake = anyio.Event()
                 await self._wake.wait()
             batch = self._take_batch()
             if batch:
-                await self._async_settle(batch)
-        for entry in self._waiting:
-            self._finish(entry, Outcome.FENCED)
-        self._waiting.clear()
+                await self._async_append_batch(batch)
+        for pending in self._queue:
+            self._finish(pending, Outcome.FENCED)
+        self._queue.clear()
 
     def _take_batch(self) -> list[_PendingAppend]:
         size = 0
         batch: list[_PendingAppend] = []
-        for entry in self._waiting:
-            size += encoded_size(entry.records)
+        for pending in self._queue:
+            size += encoded_size(pending.records)
             if batch and size > MAX_APPEND_BYTES:
                 break
-            batch.append(entry)
-        del self._waiting[: len(batch)]
+            batch.append(pending)
+        del self._queue[: len(batch)]
         return batch
 
-    async def _async_settle(self, batch: list[_PendingAppend]) -> None:
-        records = [record for entry in batch for record in entry.records]
+    async def _async_append_batch(self, batch: list[_PendingAppend]) -> None:
+        records = [record for pending in batch for record in pending.records]
         may_be_stored = False
-        pause = INITIAL_RETRY_DELAY_SECONDS
+        delay = INITIAL_RETRY_DELAY_SECONDS
         answer_timeout = initial_answer_timeout()
         if self.sighting is not None:
             self.sighting.expect(records)
         while True:
-            outcome = await self._async_try_or_see(records, answer_timeout)
+            outcome = await self._async_attempt_or_observe(records, answer_timeout)
             if outcome is Outcome.STORED:
-                self._stored(batch)
+                self._mark_stored(batch)
                 return
             if outcome is Outcome.FENCED:
                 self.fenced = True
-                for entry in batch:
-                    self._finish(entry, Outcome.FENCED)
+                for pending in batch:
+                    self._finish(pending, Outcome.FENCED)
                 return
             if outcome is Outcome.UNKNOWN:
                 may_be_stored = True
-            elif not may_be_stored and self._give_up_late(batch):
+            elif not may_be_stored and self._drop_expired(batch):
                 return
-            await self.timers.async_sleep(pause)
-            pause = min(RETRY_DELAY_SECONDS, pause * 2)
+            await self.timers.async_sleep(delay)
+            delay = min(RETRY_DELAY_SECONDS, delay * 2)
             answer_timeout = next_answer_timeout(answer_timeout)
 
-    async def _async_try_or_see(
+    async def _async_attempt_or_observe(
         self, records: list[Record], answer_timeout: float
     ) -> Outcome:
-        """Make one call; what the log shows meanwhile is as good as its answer."""
-        sighting = self.sighting
-        if sighting is None or not sighting.can_detect:
-            return await self._async_try(records)
-        if sighting.observed:
+        """Make one call; return its outcome from its answer or from the log."""
+        watcher = self.sighting
+        if watcher is None or not watcher.can_detect:
+            return await self._async_attempt(records)
+        if watcher.observed:
             return Outcome.STORED
         try:
             outcome = await async_call_or_observe(
                 self.timers,
-                lambda: self._async_try(records),
-                sighting.read_log,
-                lambda: sighting.observed,
+                lambda: self._async_attempt(records),
+                watcher.read_log,
+                lambda: watcher.observed,
                 answer_timeout,
             )
         except CallUnknownError:
             outcome = Outcome.UNKNOWN
         if outcome is Outcome.UNKNOWN:
-            await sighting.read_log()
-        if outcome is None or (outcome is Outcome.UNKNOWN and sighting.observed):
-            _LOGGER.info("append_seen", producer=self.producer, records=len(records))
+            await watcher.read_log()
+        if outcome is None or (outcome is Outcome.UNKNOWN and watcher.observed):
+            _LOGGER.info(
+                "append_observed", producer=self.producer, records=len(records)
+            )
             return Outcome.STORED
         return outcome
 
-    async def _async_try(self, records: list[Record]) -> Outcome:
-        """Make one call; return what it alone says of the records."""
+    async def _async_attempt(self, records: list[Record]) -> Outcome:
+        """Make one call; return its outcome from its answer alone."""
         try:
             await self.call(records, Producer(self.producer, self.epoch, self.sequence))
         except CallRefusedError as error:
@@ -264,29 +269,31 @@
         except SequenceError as error:
             if error.expected <= self.sequence:
                 raise
-            # The log is past this number: the repeat found its first try stored.
+            # The log expects a later number: an earlier attempt was stored.
         return Outcome.STORED
 
-    def _give_up_late(self, batch: list[_PendingAppend]) -> bool:
-        """Return whether nobody waits any more for a batch that is surely not stored.
+    def _drop_expired(self, batch: list[_PendingAppend]) -> bool:
+        """Drop a batch known not to be stored if all its deadlines have passed.
+
+        A batch is dropped as a whole: its sequence number may be reused either with all
+        of its records or with none of them.
 
-        A batch is given up as a whole: its number may be used again only with all of
-        its records, or with none of them.
+        :return: whether the batch was dropped.
         """
         now = self.timers.monotonic()
-        if any(entry.deadline > now for entry in batch):
+        if any(pending.deadline > now for pending in batch):
             return False
-        for entry in batch:
-            self._finish(entry, Outcome.NOT_STORED)
+        for pending in batch:
+            self._finish(pending, Outcome.NOT_STORED)
         return True
 
-    def _stored(self, batch: list[_PendingAppend]) -> None:
+    def _mark_stored(self, batch: list[_PendingAppend]) -> None:
         self.sequence += 1
         self.failing_since = None
-        for entry in batch:
-            self._finish(entry, Outcome.STORED)
+        for pending in batch:
+            self._finish(pending, Outcome.STORED)
 
-    def _finish(self, entry: _PendingAppend, outcome: Outcome) -> None:
+    def _finish(self, pending: _PendingAppend, outcome: Outcome) -> None:
         APPENDS.labels(outcome.value).inc()
-        entry.outcome = outcome
-        entry.done.set()
+        pending.outcome = outcome
+        pending.done.set()
--- a/mustardward/components/ledger/const.py
+++ b/mustardward/components/ledger/const.py
@@ -1,4 +1,4 @@
-"""Name the ledger's topic and the kinds of its keys."""
+"""Constants of the ledger: its topic, key prefixes, and polling limits."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from ...platform.store import KEYED_PREFIX
 
 SHARD: Final = "shard-0"
-"""All pools are in one hand: their demand comes by turns, so that one owner at a time
-carries one pool's peak, and lending between pools needs no agreement."""
+"""All pools share one shard: their demand peaks at different times, so that one owner
+carries one pool's peak at a time, and pools can lend workers without coordination."""
 
 TOPIC: Final = f"{KEYED_PREFIX}{SHARD}"
 
@@ -22,20 +22,21 @@
 
 UNIQUE_ENTRY_PREFIXES: Final = (PREFIX_JOB, PREFIX_CANCEL, PREFIX_REPORTED)
 UNIQUE_OWNER_PREFIXES: Final = (KEY_OWNER,)
-"""Keys whose values hold the moment or the renewal that they were written for, so that
-no two appends of their writers have the same."""
+"""Prefixes of keys whose values contain a timestamp or a renewal number, so that no two
+appends of their writers have the same key and value."""
 
 RETRY_DELAY_SECONDS: Final = 0.08
-"""Pause after a refused call; the store's own answers take some 6 ms."""
+"""Delay after a failed call; the store itself answers in about 6 ms."""
 
 INITIAL_RETRY_DELAY_SECONDS: Final = 0.01
+
 MAX_READS_PER_SECOND: Final = 140
-"""Reads of one topic by all entries together, but for their callers' sake: two topics
-make 280 a second, a seventh of what the store answers, however many entries there
-are."""
+"""Limit on the background reads of one topic by all entry nodes together; reads made
+for callers are not counted. Two topics make 280 a second, a seventh of what the store
+can answer, whatever the number of entry nodes."""
 
 MAX_POLL_MS: Final = 1000
 MIN_POLL_MS: Final = 300
-"""A connection that went silent is noticed after this and the slack of a read, by an
-entry that is cut off with its data centre too: its callers are refused from then on,
-and sent elsewhere. An idle entry makes some six reads a second for it."""
+"""A silent connection is detected after this and the read's own slack, also by an entry
+node that is partitioned together with its data centre, which then rejects callers so
+that they retry elsewhere. An idle entry node makes about six reads a second for it."""
--- a/mustardward/components/ledger/ledger.py
+++ b/mustardward/components/ledger/ledger.py
@@ -1,4 +1,4 @@
-"""Fold the records of a shard; pure, and alike on every entry."""
+"""Apply the records of a shard; pure, with the same result on every entry node."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 _JOB: Final = msgspec.msgpack.Decoder(JobRecord)
 _PROGRESS: Final = msgspec.msgpack.Decoder(Progress)
 _CANCEL: Final = msgspec.msgpack.Decoder(CancelRecord)
-_TOLD: Final = msgspec.msgpack.Decoder(ReportedRecord)
+_REPORTED: Final = msgspec.msgpack.Decoder(ReportedRecord)
 _OWNER: Final = msgspec.msgpack.Decoder(OwnerRecord)
 _WAVE: Final = msgspec.msgpack.Decoder(WaveRecord)
 _NODE: Final = msgspec.msgpack.Decoder(NodeRecord)
@@ -53,13 +53,17 @@
     | WaveRecord
     | NodeRecord,
 ) -> bytes:
-    """Return the stored form of a record."""
+    """Return a record in its stored form."""
     return _ENCODER.encode(record)
 
 
 @dataclass(slots=True)
 class LedgerJob:
-    """Hold all that is stored of one job."""
+    """Combine all records of one job.
+
+    :param told_at: wall clock at which a caller was told that the job is done, in
+        seconds, or 0.
+    """
 
     record: JobRecord
     progress: Progress | None = None
@@ -70,8 +74,8 @@
     def state(self) -> JobState:
         """Return the state that callers see.
 
-        What ended before the cancel came stays as it ended, and what a caller was told
-        as done stays done.
+        A cancellation does not change a job that was already finished, and a job that a
+        caller was told is done stays done.
         """
         stored = self.progress.state if self.progress else JobState.QUEUED
         if self.told_at and not stored.final:
@@ -82,7 +86,7 @@
 
     @property
     def ended_at(self) -> float:
-        """Return when the job ended, as wall clock in seconds, or 0."""
+        """Return the wall clock at which the job ended, in seconds, or 0."""
         if self.progress is not None and self.progress.ended_at:
             return self.progress.ended_at
         return self.told_at or self.cancelled_at
@@ -93,11 +97,11 @@
 
 @dataclass(slots=True)
 class Ledger:
-    """Hold the folded state of a shard.
+    """Hold the state of a shard as of the records applied so far.
 
-    A record may be folded again, or come before the one it belongs to: the newest
-    record of each key decides alone, so that reading from the newest records of a
-    compacted topic and reading all of them come to the same state.
+    A record may be applied twice, or before the job record that it belongs to: only the
+    newest record of each key counts, so that a compacted topic and a complete one give
+    the same state.
     """
 
     owner: OwnerRecord = NO_OWNER
@@ -109,42 +113,43 @@
     on_told: JobListener | None = None
     _early_progress: dict[str, Progress] = field(default_factory=dict)
     _early_cancels: dict[str, float] = field(default_factory=dict)
-    _early_told: dict[str, float] = field(default_factory=dict)
-    _folds: dict[str, Callable[[str, bytes], None]] = field(
+    _early_reports: dict[str, float] = field(default_factory=dict)
+    _appliers: dict[str, Callable[[str, bytes], None]] = field(
         init=False, repr=False, compare=False
     )
 
     def __post_init__(self) -> None:
-        """File how each kind of record is folded, once for all records."""
-        self._folds = {
+        """Map each kind of key to the method that applies its records."""
+        self._appliers = {
             PREFIX_JOB: self._apply_job,
             PREFIX_PROGRESS: self._apply_progress,
             PREFIX_CANCEL: self._apply_cancel,
-            PREFIX_REPORTED: self._apply_told,
+            PREFIX_REPORTED: self._apply_reported,
             PREFIX_WAVE: self._apply_wave,
             PREFIX_NODE: self._apply_node,
             KEY_OWNER: self._apply_owner,
         }
 
     def apply(self, record: KeyedRecord) -> None:
-        """Fold one record; an empty value drops its key."""
+        """Apply one record; an empty value deletes its key."""
         key = record.key
         if key == KEY_OWNER:
             kind, name = KEY_OWNER, ""
         else:
             kind, name = key[:2], key[2:]
-        fold = self._folds.get(kind)
-        if fold is None:
-            note_unreadable("ledger", key, "kind of key not known")
+        apply_value = self._appliers.get(kind)
+        if apply_value is None:
+            note_unreadable("ledger", key, "unknown key prefix")
             return
         try:
-            fold(name, record.value)
+            apply_value(name, record.value)
         except RECORD_ERRORS as error:
-            # A record of another version or writer must not end the fold of all others.
+            # One unreadable record, of another version or writer, must not stop the
+            # replay of all others.
             note_unreadable("ledger", key, str(error))
 
     def keys(self) -> Iterator[str]:
-        """Return the keys that something is held of."""
+        """Yield the keys that the state contains."""
         for job in self.jobs.values():
             yield PREFIX_JOB + job.record.id
             if job.progress is not None:
@@ -157,7 +162,7 @@
             yield PREFIX_PROGRESS + name
         for name in self._early_cancels:
             yield PREFIX_CANCEL + name
-        for name in self._early_told:
+        for name in self._early_reports:
             yield PREFIX_REPORTED + name
         for name in self.waves:
             yield PREFIX_WAVE + name
@@ -165,7 +170,7 @@
             yield PREFIX_NODE + name
 
     def count_pending(self, queue: str) -> int:
-        """Return how many accepted jobs of a queue have had no task started."""
+        """Return how many accepted jobs of a queue have not started a task yet."""
         return sum(
             job.record.queue == queue
             and job.state is JobState.QUEUED
@@ -180,15 +185,15 @@
         record = _decode_job(name, value)
         known = self.jobs.get(name)
         if known is not None:
-            # The same job handed in twice: the first record stays, so that both
-            # readings of the log agree on what its tasks are.
+            # The same job was submitted twice. The first record stays, so that a
+            # replay of the compacted log and of the complete one give the same tasks.
             if record.is_stub:
                 known.record = record
             return
         job = LedgerJob(record)
         job.progress = self._early_progress.pop(name, None)
         job.cancelled_at = self._early_cancels.pop(name, 0.0)
-        job.told_at = self._early_told.pop(name, 0.0)
+        job.told_at = self._early_reports.pop(name, 0.0)
         self.jobs[name] = job
         if self.on_job is not None:
             self.on_job(job)
@@ -215,13 +220,13 @@
         if at and self.on_cancel is not None:
             self.on_cancel(job)
 
-    def _apply_told(self, name: str, value: bytes) -> None:
+    def _apply_reported(self, name: str, value: bytes) -> None:
         job = self.jobs.get(name)
-        at = _TOLD.decode(value).at if value else 0.0
+        at = _REPORTED.decode(value).at if value else 0.0
         if job is None:
-            self._early_told.pop(name, None)
+            self._early_reports.pop(name, None)
             if at:
-                self._early_told[name] = at
+                self._early_reports[name] = at
             return
         job.told_at = at
         if at and self.on_told is not None:
@@ -231,7 +236,7 @@
         if not value:
             return
         owner = _OWNER.decode(value)
-        # Epochs are fenced by the log, so a lower one can only be an older record.
+        # The log fences epochs, so a lower one can only be an older record.
         if owner.epoch >= self.owner.epoch:
             self.owner = owner
 
@@ -249,14 +254,14 @@
 
 
 def _decode_job(name: str, value: bytes) -> JobRecord:
-    """Return an accepted job.
+    """Return a decoded job record.
 
-    :raises MsgspecError: if it can't be read.
-    :raises MalformedJobError: if its steps can't be carried out.
-    :raises UnreadableRecordError: if it stands under another job's key.
+    :raises MsgspecError: if it can't be decoded.
+    :raises MalformedJobError: if its steps are invalid.
+    :raises UnreadableRecordError: if it is stored under another job's key.
     """
     record = _JOB.decode(value)
     if record.id != name:
-        raise UnreadableRecordError(f"job={record.id}")
+        raise UnreadableRecordError(f"record of job {record.id} under this key")
     check_steps(record.steps)
     return record
--- a/mustardward/components/ledger/marks.py
+++ b/mustardward/components/ledger/marks.py
@@ -1,8 +1,8 @@
-"""Pack the numbers of a step's done tasks.
+"""Encode the indices of a step's completed tasks as a bit set.
 
-All entries read what is stored of every job, some over links of 10 Mbit/s, and a job's
-progress is stored anew with each of its ends: a mark for each done task made it grow
-with the square of the job's tasks.
+Every entry node reads the stored progress of every job, some over links of 10 Mbit/s,
+and a job's progress is rewritten with each task that completes. With one record per
+completed task, the total would grow with the square of the job's task count.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 def pack_indices(indices: Iterable[int]) -> bytes:
-    """Return numbers as a set of bits, the lowest first."""
+    """Return indices as a little-endian bit set."""
     bits = 0
     for index in indices:
         bits |= 1 << index
@@ -19,7 +19,7 @@
 
 
 def unpack_indices(packed: bytes) -> Iterator[int]:
-    """Yield the numbers of a set of bits, the lowest first."""
+    """Yield the indices of a little-endian bit set in ascending order."""
     bits = int.from_bytes(packed, "little")
     index = 0
     while bits:
--- a/mustardward/components/ledger/models.py
+++ b/mustardward/components/ledger/models.py
@@ -1,4 +1,4 @@
-"""Hold the records of the ledger, as they are stored."""
+"""Records of the ledger, in their stored form."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class JobState(IntEnum):
-    """Say where a job stands."""
+    """State of a job."""
 
     QUEUED = 0
     RUNNING = 1
@@ -20,16 +20,16 @@
 
     @property
     def final(self) -> bool:
-        """Return whether nothing of the job runs any more."""
+        """Return whether the state is terminal."""
         return self >= JobState.DONE
 
 
 class JobRecord(msgspec.Struct, frozen=True, array_like=True):
-    """Hold an accepted job.
+    """Store an accepted job.
 
-    :param queue: host and prefix that it was sent to.
-    :param accepted_at: wall clock of the entry that accepted it, in seconds.
-    :param organisation: that handed it in; empty where none is known.
+    :param queue: host and path prefix that it was submitted to.
+    :param accepted_at: wall clock of the entry node that accepted it, in seconds.
+    :param organisation: submitter; empty if unknown.
     """
 
     id: str
@@ -45,11 +45,11 @@
 
     @property
     def is_stub(self) -> bool:
-        """Return whether only what callers may still ask of the job is left."""
+        """Return whether the record was reduced to what callers may still query."""
         return not self.steps
 
     def as_stub(self) -> JobRecord:
-        """Return what is kept of a job that is over."""
+        """Return the reduced record that is kept of a finished job."""
         return JobRecord(
             self.id,
             self.queue if self.organisation else "",
@@ -65,7 +65,10 @@
 
 
 class StepProgress(msgspec.Struct, frozen=True, array_like=True):
-    """Hold which tasks of a step are done, as a set of bits."""
+    """Store which tasks of a step are done.
+
+    :param done: task indices as a bit set.
+    """
 
     occurrence: int
     step: int
@@ -73,12 +76,12 @@
 
 
 class TaskProgress(msgspec.Struct, frozen=True, array_like=True):
-    """Hold what is stored of one task that is not done.
+    """Store the state of one task that is not done.
 
-    :param failed_runs: the numbers of the runs that ended failed. Ends are listed
-        again to a new owner, and late by a worker that was cut off, so a count alone
-        would count some twice and miss others.
-    :param crashes: the incarnations of workers that crashed under the task.
+    :param failed_runs: numbers of the runs that failed. Run results are reported again
+        to a new owner, and late by a worker that was partitioned, so that a plain
+        counter would count some twice and miss others.
+    :param crashes: incarnations of the workers that crashed while running the task.
     """
 
     occurrence: int
@@ -90,10 +93,11 @@
 
 
 class Progress(msgspec.Struct, frozen=True, array_like=True):
-    """Hold how far a job is; ``ended_at`` is wall clock, in seconds, or 0.
+    """Store the progress of a job.
 
-    :param zones: the data centres in which something of it may have started; empty if
-        that may be any.
+    :param ended_at: wall clock in seconds, or 0 while the job is not finished.
+    :param zones: data centres in which a task of it may have started; empty if that may
+        be any.
     """
 
     state: JobState
@@ -104,18 +108,19 @@
 
 
 class OwnerRecord(msgspec.Struct, frozen=True, array_like=True):
-    """Hold who owns the shard.
+    """Store the owner of the shard and its last renewal.
 
-    :param epoch: rises with each owner; it is the fencing token of all its orders.
-    :param claim: names the one claim that won, since a node may claim twice.
-    :param node: empty once the owner has given the shard up.
+    :param epoch: increases with each owner; the fencing token of all its orders.
+    :param claim: identifies the claim that won, since one node may claim twice.
+    :param node: empty once the owner has released the shard.
     :param renewal: number of the renewal within the epoch.
-    :param renewed_at: the owner's wall clock at the renewal, in seconds; tells a successor
-        how long ago it was, where a jump of the clock may mislead it.
-    :param settled: whether the owner had heard of all that an owner before it may have
-        left running; without it, an owner before it may still renew leases.
+    :param renewed_at: the owner's wall clock at the renewal, in seconds. A successor
+        computes the age of the renewal from it; a clock jump makes that wrong.
     :param ordered: instances that the owner ordered to move or be maintained within
-        the last lease; a successor leaves them alone for a lease.
+        the last lease; a successor does not touch them for the length of a lease.
+    :param settled: whether the owner has confirmed the state of every run that a
+        previous owner may have left; until then, a previous owner may still renew
+        leases.
     """
 
     epoch: int
@@ -128,9 +133,10 @@
 
 
 class WaveRecord(msgspec.Struct, frozen=True, array_like=True):
-    """Hold the machines of a wave whose maintenance has begun, and if it is done.
+    """Store the progress of a maintenance wave.
 
-    :param seen_at: when an owner first saw it, wall clock in seconds, or 0.
+    :param machines: machines whose maintenance has begun.
+    :param seen_at: wall clock at which an owner first saw it, in seconds, or 0.
     """
 
     machines: list[str]
@@ -139,7 +145,12 @@
 
 
 class NodeRecord(msgspec.Struct, frozen=True, array_like=True):
-    """Hold where an entry answers its peers, its data centre and its speed in cores."""
+    """Store how peers reach an entry node.
+
+    :param address: host and port of its peer listener.
+    :param zone: its data centre.
+    :param speed: its processing capacity, in cores.
+    """
 
     address: str
     zone: str
@@ -147,12 +158,18 @@
 
 
 class ReportedRecord(msgspec.Struct, frozen=True, array_like=True):
-    """Hold that a caller was told that a job is done, at this wall clock in seconds."""
+    """Store that a caller was told that a job is done.
+
+    :param at: wall clock in seconds.
+    """
 
     at: float
 
 
 class CancelRecord(msgspec.Struct, frozen=True, array_like=True):
-    """Hold that a caller cancelled a job, at this wall clock in seconds."""
+    """Store that a caller cancelled a job.
+
+    :param at: wall clock in seconds.
+    """
 
     at: float
--- a/mustardward/components/ledger/sighting.py
+++ b/mustardward/components/ledger/sighting.py
@@ -1,9 +1,9 @@
-"""Learn from the log itself what became of a call to it whose answer does not come.
+"""Detect in the log itself whether a call to it took effect without an answer.
 
-Symptom without it: the store carries appends out and loses their answers for five
-seconds, while it answers reads. Each entry repeats its first append, 0.7 s a try, and
-holds all others back; the owner's renewals stop, sixty entries claim the shard, and
-callers are told 504 for jobs that the log has had all the while.
+Without this, a store that performs appends but loses their answers for five seconds,
+while it still answers reads, stops the service: each entry node repeats its first
+append, 0.7 s per attempt, and holds back all others. The owner's renewals stop, sixty
+entry nodes claim the shard, and callers get 504 for jobs that the log already has.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 T = TypeVar("T")
 
 LOG_POLL_SECONDS: Final = 0.15
-"""Time after which an answer is overdue, and between two reads for what it would say:
-an answer takes some 6 ms, so a store that is slow or away is asked little more."""
+"""Delay until an answer is overdue, and interval of the log reads from then on. An
+answer takes about 6 ms, so this adds little load to a store that is slow or down."""
 
 
 async def async_call_or_observe(
@@ -34,17 +34,18 @@
     is_observed: Callable[[], bool],
     answer_timeout: float = math.inf,
 ) -> T | None:
-    """Make a call; return None as soon as the log shows that it was carried out.
-
-    Both run in tasks of their own. A peer call's library cancels the task that waits
-    for it when its time is out; where that met the end of the other here, this task
-    was asked to end once more than the scope knew, and the entry with it.
-
-    :param look: reads the log up to its end; returns whether it could.
-    :param patience: seconds after which the call is given up, if a read that began
-        later than that does not show it.
-    :raises CallUnknownError: if neither the call nor the log said anything.
-    :raises MustardwardError: what the call raises.
+    """Make a call; return None as soon as the log shows that it took effect.
+
+    The call and the log reads run in tasks of their own: the library that makes calls
+    to peers cancels the waiting task on a timeout. If that happened in this task while
+    the other side finished, the task would have one cancellation request more than its
+    cancel scope counts, and the whole process would end.
+
+    :param read_log: reads the log up to its end; returns whether it succeeded.
+    :param answer_timeout: seconds after which the call is given up, unless a read that
+        began later than that shows its effect.
+    :raises CallUnknownError: if neither the call nor the log gave a result.
+    :raises MustardwardError: whatever the call raises.
     """
     answers: list[T] = []
     errors: list[MustardwardError] = []
@@ -57,7 +58,7 @@
                 errors.append(error)
             tasks.cancel_scope.cancel()
 
-        async def async_watch() -> None:
+        async def async_watch_log() -> None:
             give_up_at = timers.monotonic() + answer_timeout
             while not is_observed():
                 await timers.async_sleep(LOG_POLL_SECONDS)
@@ -67,44 +68,44 @@
             tasks.cancel_scope.cancel()
 
         tasks.start_soon(async_call)
-        tasks.start_soon(async_watch)
+        tasks.start_soon(async_watch_log)
     if errors:
         raise errors[0]
     if answers:
         return answers[0]
     if not is_observed():
-        raise CallUnknownError("neither answered nor seen")
+        raise CallUnknownError("no answer, and no effect visible in the log")
     return None
 
 
 @dataclass(slots=True, eq=False)
 class AppendWatcher:
-    """Watch the records that are read for one of an append that is under way.
+    """Watch the records read from the log for an append that is in flight.
 
-    An append is stored as a whole or not at all, so that one of its records shows all.
+    An append is stored as a whole or not at all, so that one of its records proves it.
 
-    :param look: reads the log up to its end.
-    :param marking: beginnings of the keys whose records name their one append: no
+    :param read_log: reads the log up to its end; returns whether it succeeded.
+    :param unique_prefixes: prefixes of the keys whose records identify one append: no
         other append has the same key and value.
     """
 
     read_log: Callable[[], Awaitable[bool]]
     unique_prefixes: tuple[str, ...]
-    _marker: tuple[str, bytes] | None = None
+    _expected: tuple[str, bytes] | None = None
     observed: bool = field(default=False, init=False)
 
     def expect(self, records: list[tuple[str, bytes]]) -> None:
-        """Watch for an append that is about to be sent for the first time."""
+        """Start watching for an append, before it is sent for the first time."""
         self.observed = False
-        marks = [r for r in records if r[1] and r[0].startswith(self.unique_prefixes)]
-        self._marker = marks[0] if marks else None
+        unique = [r for r in records if r[1] and r[0].startswith(self.unique_prefixes)]
+        self._expected = unique[0] if unique else None
 
     def observe(self, record: KeyedRecord) -> None:
-        """Take in a record that was read."""
-        if self._marker is not None and record.key == self._marker[0]:
-            self.observed = self.observed or record.value == self._marker[1]
+        """Check a record read from the log against the expected one."""
+        if self._expected is not None and record.key == self._expected[0]:
+            self.observed = self.observed or record.value == self._expected[1]
 
     @property
     def can_detect(self) -> bool:
-        """Return whether a record of the append would show it."""
-        return self._marker is not None
+        """Return whether the append has a record that identifies it."""
+        return self._expected is not None
