--- a/tests/components/ledger/builders.py
+++ b/tests/components/ledger/builders.py
@@ -1,4 +1,4 @@
-"""Run the ledger's parts for the tests of what is built on them."""
+"""Helpers for tests that need a running ledger appender."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @asynccontextmanager
 async def async_appending(appender: GroupAppender) -> AsyncIterator[None]:
-    """Let an appender append for as long as the block lasts."""
+    """Run an appender in the background of the block."""
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(appender.async_run)
         yield
--- a/tests/components/ledger/test_ahead.py
+++ b/tests/components/ledger/test_ahead.py
@@ -1,4 +1,4 @@
-"""Test what is told of jobs that ended while the log is away."""
+"""Test completions that the log does not have yet."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
     ReportedRecord,
 )
 
-from .test_ledger import JOB, RECORD, fold
+from .test_ledger import JOB, RECORD, apply_record
 
-TOLD = encode(ReportedRecord(7.0))
+REPORTED = encode(ReportedRecord(7.0))
 
 
-def test_a_told_end_stays_until_the_log_has_it() -> None:
+def test_reported_completion_is_kept_until_stored() -> None:
     unlogged = UnloggedCompletions()
     unlogged.mark_reported("a")
     unlogged.add("b")
@@ -32,40 +32,39 @@
     assert (unlogged.contains("a"), unlogged.contains("b")) == (False, True)
 
 
-def test_what_the_owner_here_knows_is_known_here() -> None:
+def test_contains_completions_known_to_the_local_owner() -> None:
     unlogged = UnloggedCompletions(completed_at_owner=lambda job: job == "a")
     assert unlogged.contains("a") and not unlogged.contains("b")
 
 
-def test_a_job_that_was_told_as_done_stays_done_in_each_order_of_records() -> None:
-    """Never go back behind what a caller was told.
+def test_job_reported_as_done_stays_done_in_any_order_of_records() -> None:
+    """Guard against a job that a caller saw as done and that runs again.
 
-    Symptom: a job that was shown as done is shown as running, and runs again. Sequence:
-    an entry tells an end that no store has; the owner and the worker are lost; the next
-    owner stores the job as running. Cause: the teller's word did not last.
+    An entry node reports a completion that is not stored; the owner and the worker are
+    lost, and the next owner stores the job as running.
     """
     running = encode(Progress(JobState.RUNNING))
     records = [
-        (PREFIX_REPORTED + JOB, TOLD),
+        (PREFIX_REPORTED + JOB, REPORTED),
         (PREFIX_JOB + JOB, encode(RECORD)),
         (PREFIX_PROGRESS + JOB, running),
         (PREFIX_CANCEL + JOB, encode(CancelRecord(8.0))),
     ]
-    for turn in range(len(records)):
+    for shift in range(len(records)):
         ledger = Ledger()
-        for key, value in records[turn:] + records[:turn]:
-            fold(ledger, key, value)
+        for key, value in records[shift:] + records[:shift]:
+            apply_record(ledger, key, value)
         assert ledger.jobs[JOB].state is JobState.DONE
         assert ledger.jobs[JOB].ended_at == 7.0
         assert PREFIX_REPORTED + JOB in set(ledger.keys())
 
 
-def test_a_told_end_is_heard_of_once_and_can_be_dropped() -> None:
+def test_reported_completion_is_notified_once_and_can_be_deleted() -> None:
     ledger = Ledger()
-    heard: list[str] = []
-    ledger.on_told = lambda job: heard.append(job.record.id)
-    fold(ledger, PREFIX_JOB + JOB, encode(RECORD))
-    fold(ledger, PREFIX_REPORTED + JOB, TOLD)
-    fold(ledger, PREFIX_REPORTED + JOB, b"")
-    assert heard == [JOB]
+    reported: list[str] = []
+    ledger.on_told = lambda job: reported.append(job.record.id)
+    apply_record(ledger, PREFIX_JOB + JOB, encode(RECORD))
+    apply_record(ledger, PREFIX_REPORTED + JOB, REPORTED)
+    apply_record(ledger, PREFIX_REPORTED + JOB, b"")
+    assert reported == [JOB]
     assert ledger.jobs[JOB].state is JobState.QUEUED
--- a/tests/components/ledger/test_appender.py
+++ b/tests/components/ledger/test_appender.py
@@ -1,4 +1,4 @@
-"""Test that what callers are told of an append is true, and appends happen once."""
+"""Test that appends report their true outcome and take effect once."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 pytestmark = pytest.mark.anyio
 
 TOPIC = "keyed.test"
-SOON = 0.2
+TIMEOUT_SECONDS = 0.2
 
 
-class _Bench:
-    """Hold an appender on a store that obeys the test."""
+class _AppenderHarness:
+    """An appender on a store that the test controls."""
 
     def __init__(self) -> None:
         self.store = MemoryStore()
@@ -40,108 +40,106 @@
     ) -> int:
         return await self.store.async_append(TOPIC, records, producer)
 
-    async def async_append(self, key: str, seconds: float = SOON) -> Outcome:
+    async def async_append(self, key: str, seconds: float = TIMEOUT_SECONDS) -> Outcome:
         deadline = self.timers.monotonic() + seconds
         return await self.appender.async_append([(key, b"x")], deadline)
 
-    async def async_pass(self, seconds: float) -> None:
+    async def async_advance(self, seconds: float) -> None:
         await anyio.wait_all_tasks_blocked()
         await self.timers.async_advance(seconds)
         await anyio.wait_all_tasks_blocked()
 
 
 @asynccontextmanager
-async def _running() -> AsyncIterator[_Bench]:
-    bench = _Bench()
-    async with async_appending(bench.appender):
-        yield bench
+async def _running_harness() -> AsyncIterator[_AppenderHarness]:
+    harness = _AppenderHarness()
+    async with async_appending(harness.appender):
+        yield harness
 
 
-async def test_what_is_stored_is_told_as_stored() -> None:
-    async with _running() as bench:
-        assert await bench.async_append("a") is Outcome.STORED
-        assert bench.store.topic_end(TOPIC) == 1
+async def test_stored_append_is_reported_as_stored() -> None:
+    async with _running_harness() as harness:
+        assert await harness.async_append("a") is Outcome.STORED
+        assert harness.store.topic_end(TOPIC) == 1
 
 
-async def test_what_waits_together_is_appended_in_one_call() -> None:
-    async with _running() as bench:
+async def test_queued_records_are_appended_in_one_call() -> None:
+    async with _running_harness() as harness:
         async with anyio.create_task_group() as tasks:
             for key in "abc":
-                tasks.start_soon(bench.async_append, key)
-        assert bench.store.appends == 1
-        assert bench.store.topic_end(TOPIC) == 3
+                tasks.start_soon(harness.async_append, key)
+        assert harness.store.appends == 1
+        assert harness.store.topic_end(TOPIC) == 3
 
 
-async def test_an_append_whose_answer_is_lost_is_not_done_twice() -> None:
-    """A lost answer does not append a second time.
+async def test_append_with_lost_answer_is_stored_once() -> None:
+    """Guard against a job whose records are in the log twice.
 
-    Symptom: a job's records stood twice in the log.
-    Sequence: the store appended and its answer was lost; the append was tried again.
-    Cause: the second try had a number of its own.
+    The store performs an append and its answer is lost; the retry must use the same
+    sequence number.
     """
-    async with _running() as bench:
-        bench.store.mood = Mood.LOSING_ANSWERS
-        outcome = await bench.async_append("a", SOON)
+    async with _running_harness() as harness:
+        harness.store.mood = Mood.LOSING_ANSWERS
+        outcome = await harness.async_append("a", TIMEOUT_SECONDS)
         assert outcome is Outcome.UNKNOWN
-        bench.store.mood = Mood.SERVING
-        await bench.async_pass(1.0)
-        assert bench.store.topic_end(TOPIC) == 1
-        assert await bench.async_append("b") is Outcome.STORED
-        assert bench.store.topic_end(TOPIC) == 2
+        harness.store.mood = Mood.SERVING
+        await harness.async_advance(1.0)
+        assert harness.store.topic_end(TOPIC) == 1
+        assert await harness.async_append("b") is Outcome.STORED
+        assert harness.store.topic_end(TOPIC) == 2
 
 
-async def test_an_append_that_may_be_done_is_never_told_as_refused() -> None:
-    """A refusal after a lost answer says nothing of the first try.
+async def test_append_that_may_be_stored_is_never_reported_as_not_stored() -> None:
+    """Guard against a job that runs although its caller was refused.
 
-    Symptom: a caller was told that its job was not accepted, and the job ran.
-    Sequence: the first append was done and its answer lost; the second was refused
-    because the store was busy; the caller's deadline came.
-    Cause: the newest answer was taken for the answer to both.
+    The first attempt is stored and its answer lost; the second one is refused because
+    the store is busy, and the caller's deadline passes. The refusal says nothing about
+    the first attempt.
     """
-    async with _running() as bench:
-        bench.store.mood = Mood.LOSING_ANSWERS
+    async with _running_harness() as harness:
+        harness.store.mood = Mood.LOSING_ANSWERS
         outcomes: list[Outcome] = []
 
         async def async_append() -> None:
-            outcomes.append(await bench.async_append("a"))
+            outcomes.append(await harness.async_append("a"))
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(async_append)
             await anyio.wait_all_tasks_blocked()
-            bench.store.mood = Mood.REFUSING
-            await bench.async_pass(0.05)
+            harness.store.mood = Mood.REFUSING
+            await harness.async_advance(0.05)
         assert outcomes == [Outcome.UNKNOWN]
 
 
-async def test_a_refused_append_is_told_as_not_stored_and_never_is() -> None:
-    async with _running() as bench:
-        bench.store.mood = Mood.REFUSING
+async def test_refused_append_is_never_stored() -> None:
+    async with _running_harness() as harness:
+        harness.store.mood = Mood.REFUSING
         outcomes: list[Outcome] = []
 
         async def async_append() -> None:
-            outcomes.append(await bench.async_append("a", 0.01))
+            outcomes.append(await harness.async_append("a", 0.01))
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(async_append)
             await anyio.sleep(0.02)
-            await bench.async_pass(1.0)
-        bench.store.mood = Mood.SERVING
-        await bench.async_pass(5.0)
+            await harness.async_advance(1.0)
+        harness.store.mood = Mood.SERVING
+        await harness.async_advance(5.0)
         assert outcomes[0] is not Outcome.STORED
-        assert await bench.async_append("b") is Outcome.STORED
-        assert bench.store.topic_end(TOPIC) == 1
+        assert await harness.async_append("b") is Outcome.STORED
+        assert harness.store.topic_end(TOPIC) == 1
 
 
-async def test_a_fenced_producer_stops() -> None:
-    async with _running() as bench:
-        bench.store.append(TOPIC, [("c", b"x")], Producer("node/1", 2, 0))
-        assert await bench.async_append("a") is Outcome.FENCED
-        assert bench.appender.fenced
-        assert bench.store.topic_end(TOPIC) == 1
+async def test_fenced_producer_stops() -> None:
+    async with _running_harness() as harness:
+        harness.store.append(TOPIC, [("c", b"x")], Producer("node/1", 2, 0))
+        assert await harness.async_append("a") is Outcome.FENCED
+        assert harness.appender.fenced
+        assert harness.store.topic_end(TOPIC) == 1
 
 
-def test_records_of_one_job_stay_in_one_piece_and_all_keep_their_order() -> None:
-    """Guards against a job that is stored as a stub and not as ended."""
+def test_split_keeps_order_and_the_records_of_a_job_together() -> None:
+    """Guard against a job that is stored as a stub without its final progress."""
     half = b"x" * (MAX_APPEND_BYTES // 2 - 20)
     records = [
         ("owner", b"renewal"),
@@ -157,26 +155,26 @@
     assert max(map(encoded_size, pieces)) <= MAX_APPEND_BYTES
 
 
-async def test_records_of_which_some_pieces_are_stored_are_told_as_unknown() -> None:
-    """Guards against a caller that is told that nothing of them was stored."""
-    async with _running() as bench:
+async def test_partly_stored_append_is_reported_as_unknown() -> None:
+    """Guard against a caller that is told that none of its records were stored."""
+    async with _running_harness() as harness:
         record = b"x" * (MAX_APPEND_BYTES - 20)
         records = [("p/1", record), ("p/2", record)]
-        deadline = bench.timers.monotonic() + SOON
+        deadline = harness.timers.monotonic() + TIMEOUT_SECONDS
         outcomes: list[Outcome] = []
 
         async def async_append() -> None:
-            outcomes.append(await bench.appender.async_append(records, deadline))
+            outcomes.append(await harness.appender.async_append(records, deadline))
 
         async def async_refuse_the_second(piece: list[Record], by: Producer) -> int:
-            if bench.store.topic_end(TOPIC) == 1:
-                bench.store.mood = Mood.REFUSING
-            return await bench.store.async_append(TOPIC, piece, by)
+            if harness.store.topic_end(TOPIC) == 1:
+                harness.store.mood = Mood.REFUSING
+            return await harness.store.async_append(TOPIC, piece, by)
 
-        bench.appender.call = async_refuse_the_second
+        harness.appender.call = async_refuse_the_second
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(async_append)
             for _ in range(20):
-                await bench.async_pass(SOON / 4)
+                await harness.async_advance(TIMEOUT_SECONDS / 4)
         assert outcomes == [Outcome.UNKNOWN]
-        assert bench.store.topic_end(TOPIC) == 1
+        assert harness.store.topic_end(TOPIC) == 1
--- a/tests/components/ledger/test_follower.py
+++ b/tests/components/ledger/test_follower.py
@@ -1,4 +1,4 @@
-"""Test that a fold follows its topic through lost history and refusals."""
+"""Test that a follower keeps up with its topic through expired history and outages."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 TOPIC = "keyed.test"
 
 
-class _Fold:
+class _State:
     """Hold the newest value of each key."""
 
     def __init__(self) -> None:
@@ -29,8 +29,8 @@
             self.values.pop(record.key, None)
 
 
-class _WaitingStore(MemoryStore):
-    """Note how long each read was ready to wait, in milliseconds."""
+class _RecordingStore(MemoryStore):
+    """Record the poll timeout of each read, in milliseconds."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -43,61 +43,60 @@
         return await super().async_read(topic, from_offset, wait_ms, kilobytes)
 
 
-def a_follower(
+def build_follower(
     store: MemoryStore, timers: DrivenTimerService | None = None
-) -> tuple[TopicFollower, _Fold]:
-    fold = _Fold()
+) -> tuple[TopicFollower, _State]:
+    state = _State()
     follower = TopicFollower(
         store,  # type: ignore[arg-type]
         timers or DrivenTimerService(),
         TOPIC,
-        fold.apply,
-        lambda: fold.values,
+        state.apply,
+        lambda: state.values,
         interval_seconds=0.1,
     )
-    return follower, fold
+    return follower, state
 
 
-async def test_the_newest_records_and_the_tail_are_folded() -> None:
+async def test_newest_records_and_tail_are_applied() -> None:
     store = MemoryStore()
     store.append(TOPIC, [("a", b"1"), ("b", b"1"), ("a", b"2")])
-    follower, fold = a_follower(store)
+    follower, state = build_follower(store)
     assert await follower.async_catch_up()
-    assert fold.values == {"a": b"2", "b": b"1"}
+    assert state.values == {"a": b"2", "b": b"1"}
     store.append(TOPIC, [("b", b""), ("c", b"3")])
     assert await follower.async_catch_up()
-    assert fold.values == {"a": b"2", "c": b"3"}
+    assert state.values == {"a": b"2", "c": b"3"}
 
 
-async def test_keys_that_went_with_dropped_history_are_forgotten() -> None:
-    """A key that was removed in a gap of the history does not stay.
+async def test_keys_deleted_in_expired_history_are_removed() -> None:
+    """Guard against tasks assigned to a worker that has left.
 
-    Symptom: a worker that had left went on being given tasks.
-    Sequence: the store dropped its history; in the gap the worker's entry went.
-    Cause: only records that are still there were folded.
+    The store drops history that contained the deletion of the worker's key, so that a
+    reload sees no record of that key.
     """
     store = MemoryStore()
     store.append(TOPIC, [("a", b"1"), ("b", b"1")])
-    follower, fold = a_follower(store)
+    follower, state = build_follower(store)
     await follower.async_catch_up()
     store.append(TOPIC, [("a", b""), ("c", b"1")])
     store.forget(TOPIC, store.topic_end(TOPIC))
     assert not await follower.async_catch_up()
     assert await follower.async_catch_up()
-    assert fold.values == {"b": b"1", "c": b"1"}
+    assert state.values == {"b": b"1", "c": b"1"}
 
 
-async def test_more_keys_than_a_page_holds_are_all_folded() -> None:
+async def test_load_reads_all_pages() -> None:
     store = MemoryStore()
     store.append(TOPIC, [(f"{number:05d}", b"1") for number in range(1203)])
-    follower, fold = a_follower(store)
+    follower, state = build_follower(store)
     assert await follower.async_catch_up()
-    assert len(fold.values) == 1203
+    assert len(state.values) == 1203
 
 
-async def test_a_refused_read_confirms_nothing() -> None:
+async def test_refused_read_does_not_count_as_up_to_date() -> None:
     store = MemoryStore()
-    follower, _ = a_follower(store)
+    follower, _ = build_follower(store)
     assert await follower.async_catch_up()
     up_to_date_at = follower.up_to_date_at
     store.mood = Mood.REFUSING
@@ -109,16 +108,13 @@
     assert follower.failing_since is None
 
 
-async def test_after_a_failure_short_reads_look_for_the_stores_return() -> None:
-    """No long poll is sent into an outage.
+async def test_no_long_poll_is_sent_during_an_outage() -> None:
+    """Guard against entry nodes that refuse callers for up to 1.8 s after an outage.
 
-    Symptom: entries went on refusing for up to 1.8 s after the store was back.
-    Sequence: the store fell silent; each entry sent it a long poll; it came back while
-    those hung.
-    Cause: the read that looks for its return waited as long as any other.
+    A long poll sent while the store is silent still hangs when the store is back.
     """
-    store = _WaitingStore()
-    follower, _ = a_follower(store)
+    store = _RecordingStore()
+    follower, _ = build_follower(store)
     await follower.async_catch_up()
     store.mood = Mood.REFUSING
     waits = store.waits
@@ -134,7 +130,7 @@
 
 
 class _SilentStore(MemoryStore):
-    """Let each read hang for a second, and fail."""
+    """Let each read fail after one second."""
 
     def __init__(self, timers: DrivenTimerService) -> None:
         super().__init__()
@@ -147,16 +143,14 @@
         raise CallRefusedError("SocketTimeoutError")
 
 
-async def test_a_failure_counts_from_when_its_call_was_sent() -> None:
-    """Nothing was heard of the log since then.
+async def test_outage_counts_from_when_the_failed_call_was_sent() -> None:
+    """Guard against callers that stay with a partitioned data centre for 4 s.
 
-    Symptom: callers of a data centre that is cut off are kept there for 4 s. Sequence:
-    the cut silences a long poll; its timeout passes; only from then on the entry
-    counted how long it is cut off, and asked for callers meanwhile. Cause: a failure
-    was dated by its timeout.
+    The partition silences a long poll. Counted from the poll's timeout, the entry node
+    would stay ready for callers meanwhile.
     """
     timers = DrivenTimerService()
-    follower, _ = a_follower(_SilentStore(timers), timers)
+    follower, _ = build_follower(_SilentStore(timers), timers)
     await follower.async_load()
     sent_at = timers.monotonic()
     assert not await follower.async_catch_up()
@@ -166,62 +160,60 @@
 @pytest.mark.parametrize(
     ("entries", "expected"), [(0, 300), (9, 300), (41, 300), (100, 714), (170, 1000)]
 )
-def test_the_more_entries_follow_the_longer_each_poll_waits(
+def test_poll_timeout_grows_with_the_number_of_entry_nodes(
     entries: int, expected: int
 ) -> None:
-    """All of them share the reads that the store answers."""
+    """All entry nodes share the store's read capacity."""
     assert poll_timeout_ms(entries) == expected
 
 
-class _NarrowStore(MemoryStore):
-    """Fail every second page, as a link does that many entries share."""
+class _FlakyPageStore(MemoryStore):
+    """Fail every second page, like a link that many entry nodes share."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.asked: list[str] = []
+        self.requested_after: list[str] = []
 
     async def async_newest(self, topic: str, after: str = "") -> NewestPage:
-        self.asked.append(after)
-        if len(self.asked) % 2 == 0:
+        self.requested_after.append(after)
+        if len(self.requested_after) % 2 == 0:
             raise CallRefusedError("TimeoutError")
         return await super().async_newest(topic, after)
 
 
-async def test_a_load_over_a_poor_link_goes_on_where_it_was() -> None:
-    """What was read of a large state is not asked for again.
+async def test_load_resumes_at_the_page_that_failed() -> None:
+    """Guard against entry nodes that refuse callers 45 s after a restart of all.
 
-    Symptom: after all entries were killed, those of one data centre did not know their
-    jobs 45 s later, and refused who asked. Sequence: they read a state of several pages
-    at once over narrow links; one page of each try came too late. Cause: each try began
-    with the first page again.
+    They load several pages at the same time over slow links, and one page of each
+    attempt times out. An attempt must not start from the first page again.
     """
-    store = _NarrowStore()
+    store = _FlakyPageStore()
     store.append(TOPIC, [(f"{number:05d}", b"1") for number in range(1800)])
-    follower, fold = a_follower(store)
+    follower, state = build_follower(store)
     tries = 0
     while not await follower.async_catch_up():
         tries += 1
         assert tries < 10
-    assert len(fold.values) == 1800
-    assert len(store.asked) - len(set(store.asked)) == tries
+    assert len(state.values) == 1800
+    assert len(store.requested_after) - len(set(store.requested_after)) == tries
 
 
-async def test_a_record_that_changed_between_two_pages_is_folded_at_last() -> None:
-    """The tail is read from where the first page was read, however late the last is."""
-    store = _NarrowStore()
+async def test_record_changed_between_two_pages_is_applied() -> None:
+    """The tail is read from the end offset of the first page, however late the last."""
+    store = _FlakyPageStore()
     store.append(TOPIC, [(f"{number:05d}", b"1") for number in range(800)])
-    follower, fold = a_follower(store)
+    follower, state = build_follower(store)
     assert not await follower.async_catch_up()
     store.append(TOPIC, [("00000", b"2"), ("00001", b"")])
     while not await follower.async_catch_up():
         pass
     assert await follower.async_catch_up()
-    assert fold.values["00000"] == b"2"
-    assert "00001" not in fold.values
+    assert state.values["00000"] == b"2"
+    assert "00001" not in state.values
 
 
-class _BusyStore(_WaitingStore):
-    """Have a new record for each read."""
+class _BusyStore(_RecordingStore):
+    """Append a new record before each read."""
 
     async def async_read(
         self, topic: str, from_offset: int, wait_ms: int, kilobytes: int = 1024
@@ -231,10 +223,10 @@
 
 
 async def async_count_reads(entries: int, override_interval: float | None) -> int:
-    """Return how often one of so many entries reads a busy topic in 7 s."""
+    """Return how often one of ``entries`` nodes reads a busy topic in 7 s."""
     timers = DrivenTimerService()
     store = _BusyStore()
-    follower, _ = a_follower(store, timers)
+    follower, _ = build_follower(store, timers)
     follower.entries = lambda: entries
     follower.scale_interval = True
     follower.override_interval(override_interval)
@@ -247,11 +239,11 @@
     return len(store.waits)
 
 
-async def test_many_entries_read_a_busy_topic_no_more_often_than_few() -> None:
-    """Symptom: 54,913 calls to the store for 1,553 jobs.
+async def test_total_reads_of_a_busy_topic_do_not_grow_with_entry_nodes() -> None:
+    """Guard against 54,913 calls to the store for 1,553 jobs.
 
-    Sequence: each append of the owner ended the long polls of 97 entries, and each of
-    them read again 0.15 s later. Cause: the gap did not know how many entries read.
+    Each append of the owner ends the long polls of 97 entry nodes, each of which reads
+    again 0.15 s later if the interval ignores their number.
     """
     assert await async_count_reads(9, None) in range(60, 72)
     assert await async_count_reads(97, None) in range(9, 12)
--- a/tests/components/ledger/test_holds.py
+++ b/tests/components/ledger/test_holds.py
@@ -1,4 +1,4 @@
-"""Test that nothing that waits to be appended holds up all that comes after it."""
+"""Test that a large append does not block the appends queued after it."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 RECORDS = 3 * BootStore("").request_bytes // RECORD_BYTES
 
 
-class _BoundedStore:
-    """Refuse calls that are larger than what the platform takes."""
+class _LimitedStore:
+    """Refuse calls that exceed the platform's request size."""
 
     def __init__(self) -> None:
         self.stored: list[str] = []
@@ -32,9 +32,9 @@
         return len(self.stored)
 
 
-async def test_more_than_one_call_takes_is_appended_in_several() -> None:
-    """Nothing of an owner is stored any more, and its authority ends."""
-    store = _BoundedStore()
+async def test_records_beyond_the_request_size_are_split_over_several_calls() -> None:
+    """Guard against an owner that can't store anything and loses its authority."""
+    store = _LimitedStore()
     timers = DrivenTimerService()
     appender = GroupAppender(store.async_append, timers, "owner/s", epoch=1)
     records = [(f"p/{number}", b"x" * RECORD_BYTES) for number in range(RECORDS)]
--- a/tests/components/ledger/test_ledger.py
+++ b/tests/components/ledger/test_ledger.py
@@ -1,4 +1,4 @@
-"""Test what is left in the ledger of a job that is over."""
+"""Test how the ledger applies job records, and what it keeps of finished jobs."""
 
 from __future__ import annotations
 
@@ -17,16 +17,18 @@
 )
 
 
-def test_a_job_that_was_stored_without_an_organisation_is_nobodys() -> None:
-    """A record of an entry that knew no organisations stays readable."""
-    older = msgspec.msgpack.encode(msgspec.to_builtins(RECORD)[:-1])
+def test_record_without_organisation_is_readable() -> None:
+    """An entry node without support for organisations writes such records."""
+    record_without_organisation = msgspec.msgpack.encode(
+        msgspec.to_builtins(RECORD)[:-1]
+    )
     ledger = Ledger()
-    fold(ledger, PREFIX_JOB + JOB, older)
+    apply_record(ledger, PREFIX_JOB + JOB, record_without_organisation)
     assert ledger.jobs[JOB].record.organisation == ""
 
 
-def fold(ledger: Ledger, key: str, value: bytes) -> None:
-    """Fold a record; its offset does not matter here."""
+def apply_record(ledger: Ledger, key: str, value: bytes) -> None:
+    """Apply a record; the offset is irrelevant here."""
     ledger.apply(KeyedRecord(0, key, value))
 
 
@@ -42,41 +44,45 @@
         encode(msgspec.structs.replace(RECORD, steps=[SubmittedStep(3, after=[4])])),
     ],
 )
-def test_a_job_that_another_writer_stored_is_left_out(value: bytes) -> None:
-    """One such record must neither end the fold nor reach the scheduler."""
+def test_unreadable_job_record_is_skipped(value: bytes) -> None:
+    """One such record must neither stop the replay nor reach the scheduler."""
     ledger = Ledger()
-    fold(ledger, PREFIX_JOB + "0" * 16, value)
-    fold(ledger, "?/" + JOB, value)
-    fold(ledger, PREFIX_JOB + JOB, encode(RECORD))
+    apply_record(ledger, PREFIX_JOB + "0" * 16, value)
+    apply_record(ledger, "?/" + JOB, value)
+    apply_record(ledger, PREFIX_JOB + JOB, encode(RECORD))
     assert list(ledger.jobs) == [JOB]
 
 
-def test_what_is_left_of_a_job_tells_its_state_and_is_small() -> None:
-    """Entries that start anew read all jobs of the last minutes over narrow links."""
+def test_stub_keeps_the_state_and_is_small() -> None:
+    """Entry nodes that restart read all jobs of the last minutes over slow links."""
     stub = encode(RECORD.as_stub())
     assert len(stub) < 60
     ledger = Ledger()
-    fold(ledger, PREFIX_PROGRESS + JOB, encode(Progress(JobState.DONE, ended_at=9.0)))
-    fold(ledger, PREFIX_JOB + JOB, stub)
+    apply_record(
+        ledger, PREFIX_PROGRESS + JOB, encode(Progress(JobState.DONE, ended_at=9.0))
+    )
+    apply_record(ledger, PREFIX_JOB + JOB, stub)
     assert ledger.jobs[JOB].state is JobState.DONE
     assert ledger.jobs[JOB].ended_at == 9.0
 
 
-def test_a_job_that_is_handed_in_again_later_stays_over() -> None:
+def test_finished_job_that_is_submitted_again_stays_finished() -> None:
     ledger = Ledger()
-    fold(ledger, PREFIX_JOB + JOB, encode(RECORD))
-    fold(ledger, PREFIX_PROGRESS + JOB, encode(Progress(JobState.DONE, ended_at=9.0)))
-    fold(ledger, PREFIX_JOB + JOB, encode(RECORD.as_stub()))
-    fold(ledger, PREFIX_JOB + JOB, encode(RECORD))
+    apply_record(ledger, PREFIX_JOB + JOB, encode(RECORD))
+    apply_record(
+        ledger, PREFIX_PROGRESS + JOB, encode(Progress(JobState.DONE, ended_at=9.0))
+    )
+    apply_record(ledger, PREFIX_JOB + JOB, encode(RECORD.as_stub()))
+    apply_record(ledger, PREFIX_JOB + JOB, encode(RECORD))
     assert ledger.jobs[JOB].state is JobState.DONE
     assert ledger.jobs[JOB].record.is_stub
 
 
-def test_a_job_that_is_handed_in_twice_keeps_its_first_steps() -> None:
+def test_job_submitted_twice_keeps_its_first_steps() -> None:
     ledger = Ledger()
-    fold(ledger, PREFIX_JOB + JOB, encode(RECORD))
+    apply_record(ledger, PREFIX_JOB + JOB, encode(RECORD))
     other = JobRecord(
         JOB, "host /a/", "pool-a", "y", [SubmittedStep(count=9)], 0, 0.0, 0.0, 6.0
     )
-    fold(ledger, PREFIX_JOB + JOB, encode(other))
+    apply_record(ledger, PREFIX_JOB + JOB, encode(other))
     assert ledger.jobs[JOB].record == RECORD
--- a/tests/components/ledger/test_marks.py
+++ b/tests/components/ledger/test_marks.py
@@ -1,4 +1,4 @@
-"""Test the packed form of a step's done tasks."""
+"""Test the bit set of a step's completed tasks."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 @given(st.sets(st.integers(0, 400)))
-def test_what_is_packed_is_unpacked(indices: set[int]) -> None:
+def test_unpack_reverses_pack(indices: set[int]) -> None:
     assert list(unpack_indices(pack_indices(indices))) == sorted(indices)
 
 
-def test_a_hundred_done_tasks_take_little() -> None:
+def test_a_hundred_indices_take_13_bytes() -> None:
     assert len(pack_indices(range(100))) == 13
--- a/tests/components/ledger/test_sighting.py
+++ b/tests/components/ledger/test_sighting.py
@@ -1,4 +1,4 @@
-"""Test that the log itself tells what became of an append without an answer."""
+"""Test that the outcome of an unanswered append is read from the log itself."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
 STEP_SECONDS = 0.05
 
 
-class SilentStore:
-    """Carry appends out, and answer none of them for as long as it is silent.
+class SilentStoreHarness:
+    """An appender on a store that performs appends but does not answer while silent.
 
-    :param carries_out: whether appends are done while it is silent.
+    Set ``performs_appends`` to False for a silent store that loses the appends too.
     """
 
     def __init__(self) -> None:
         self.store = MemoryStore()
         self.timers = DrivenTimerService()
         self.silent = True
-        self.carries_out = True
+        self.performs_appends = True
         self.sequences: list[int] = []
         self.follower = TopicFollower(
             self.store,  # type: ignore[arg-type]
@@ -59,7 +59,7 @@
         self, records: list[tuple[str, bytes]], producer: Producer
     ) -> int:
         self.sequences.append(producer.sequence)
-        if self.carries_out or not self.silent:
+        if self.performs_appends or not self.silent:
             await self.store.async_append(TOPIC, records, producer)
         if self.silent:
             await self.timers.async_sleep(0.7)
@@ -71,7 +71,7 @@
         outcome = await self.appender.async_append([(key, value)], until)
         self.outcomes[key] = outcome
 
-    async def async_pass(self, seconds: float) -> None:
+    async def async_advance(self, seconds: float) -> None:
         for _ in range(round(seconds / STEP_SECONDS)):
             await anyio.wait_all_tasks_blocked()
             await self.timers.async_advance(STEP_SECONDS)
@@ -79,48 +79,48 @@
 
 
 @asynccontextmanager
-async def a_silent_store() -> AsyncIterator[tuple[SilentStore, anyio.abc.TaskGroup]]:
-    bench = SilentStore()
-    await bench.follower.async_catch_up()
-    async with async_appending(bench.appender), anyio.create_task_group() as tasks:
-        yield bench, tasks
+async def running_silent_store() -> AsyncIterator[
+    tuple[SilentStoreHarness, anyio.abc.TaskGroup]
+]:
+    harness = SilentStoreHarness()
+    await harness.follower.async_catch_up()
+    async with async_appending(harness.appender), anyio.create_task_group() as tasks:
+        yield harness, tasks
         tasks.cancel_scope.cancel()
 
 
-async def test_appends_go_on_while_their_answers_are_lost() -> None:
-    """Symptom: for five seconds no job was accepted, and sixty entries claimed.
+async def test_appends_continue_while_their_answers_are_lost() -> None:
+    """Guard against five seconds without an accepted job, and sixty claims.
 
-    Sequence: the store carried appends out and lost their answers; each entry repeated
-    its first append, 0.7 s a try, with all others behind it; the owner's renewals
-    stopped. Cause: only an answer told that an append was stored.
+    The store performs appends and loses their answers. If only an answer counts, each
+    entry node repeats its first append, 0.7 s per attempt, with all others queued
+    behind it, and the owner's renewals stop.
     """
-    async with a_silent_store() as (bench, tasks):
+    async with running_silent_store() as (harness, tasks):
         for number in range(3):
-            tasks.start_soon(bench.async_append, f"j/{number}")
-            await bench.async_pass(2 * LOG_POLL_SECONDS)
-            assert bench.outcomes[f"j/{number}"] is Outcome.STORED
-        assert bench.sequences == [0, 1, 2]
-        assert bench.store.topic_end(TOPIC) == 3
-
-
-async def test_an_append_that_the_log_does_not_show_is_repeated_under_its_number() -> (
-    None
-):
-    async with a_silent_store() as (bench, tasks):
-        bench.carries_out = False
-        tasks.start_soon(bench.async_append, "j/1")
-        await bench.async_pass(0.6)
-        assert bench.outcomes == {}
-        bench.silent = False
-        await bench.async_pass(0.4)
-        assert bench.outcomes == {"j/1": Outcome.STORED}
-        # Tries that are not shown end early: two more fit in, each under its number.
-        assert bench.sequences == [0, 0, 0, 0]
-        assert bench.store.topic_end(TOPIC) == 1
-
-
-class LateStore(SilentStore):
-    """Leave the first try of each append for seconds, and carry repeats out."""
+            tasks.start_soon(harness.async_append, f"j/{number}")
+            await harness.async_advance(2 * LOG_POLL_SECONDS)
+            assert harness.outcomes[f"j/{number}"] is Outcome.STORED
+        assert harness.sequences == [0, 1, 2]
+        assert harness.store.topic_end(TOPIC) == 3
+
+
+async def test_append_missing_from_the_log_is_repeated_with_its_number() -> None:
+    async with running_silent_store() as (harness, tasks):
+        harness.performs_appends = False
+        tasks.start_soon(harness.async_append, "j/1")
+        await harness.async_advance(0.6)
+        assert harness.outcomes == {}
+        harness.silent = False
+        await harness.async_advance(0.4)
+        assert harness.outcomes == {"j/1": Outcome.STORED}
+        # Attempts that the log does not show end early, so that four fit in.
+        assert harness.sequences == [0, 0, 0, 0]
+        assert harness.store.topic_end(TOPIC) == 1
+
+
+class DelayingStoreHarness(SilentStoreHarness):
+    """Delay the first attempt of each append for seconds, and perform repeats."""
 
     async def _async_call(
         self, records: list[tuple[str, bytes]], producer: Producer
@@ -132,77 +132,77 @@
         return await self.store.async_append(TOPIC, records, producer)
 
 
-async def test_an_append_that_is_left_for_seconds_is_repeated_at_once() -> None:
-    """Symptom: 200 callers were told 504 in five seconds of a store that works late.
+async def test_delayed_append_is_repeated_early() -> None:
+    """Guard against 200 callers that get 504 within five seconds of a slow store.
 
-    Sequence: the store leaves some appends for up to six seconds; the log does not show
-    them, and each try is waited for to its end, with all that come after it behind it.
-    Cause: that the log does not show an append was not taken as a reason to repeat it.
+    The store delays some appends for up to six seconds. The log does not show them, and
+    without an early repeat each attempt runs into its timeout while all later appends
+    are queued behind it.
     """
-    bench = LateStore()
-    await bench.follower.async_catch_up()
-    async with async_appending(bench.appender), anyio.create_task_group() as tasks:
-        tasks.start_soon(bench.async_append, "j/1")
-        await bench.async_pass(0.4)
-        assert bench.outcomes == {"j/1": Outcome.STORED}
-        # The try that was left is carried out now: the log drops it.
+    harness = DelayingStoreHarness()
+    await harness.follower.async_catch_up()
+    async with async_appending(harness.appender), anyio.create_task_group() as tasks:
+        tasks.start_soon(harness.async_append, "j/1")
+        await harness.async_advance(0.4)
+        assert harness.outcomes == {"j/1": Outcome.STORED}
+        # The delayed attempt is performed now, and the log drops it.
         record = [("j/1", b"x")]
-        await bench.store.async_append(TOPIC, record, Producer("node/1", 1, 0))
-        assert bench.store.topic_end(TOPIC) == 1
+        await harness.store.async_append(TOPIC, record, Producer("node/1", 1, 0))
+        assert harness.store.topic_end(TOPIC) == 1
         tasks.cancel_scope.cancel()
 
 
-async def test_tries_are_spaced_while_the_log_can_be_read() -> None:
-    async with a_silent_store() as (bench, tasks):
-        bench.carries_out = False
-        tasks.start_soon(bench.async_append, "j/1")
-        await bench.async_pass(3.0)
-        assert 7 <= len(bench.sequences) <= 11
+async def test_attempts_are_spaced_while_the_log_is_readable() -> None:
+    async with running_silent_store() as (harness, tasks):
+        harness.performs_appends = False
+        tasks.start_soon(harness.async_append, "j/1")
+        await harness.async_advance(3.0)
+        assert 7 <= len(harness.sequences) <= 11
         tasks.cancel_scope.cancel()
 
 
-async def test_another_writers_record_of_the_key_shows_nothing() -> None:
-    """Two entries may be handed the same job; each record has its own moment."""
-    async with a_silent_store() as (bench, tasks):
-        bench.carries_out = False
-        bench.store.append(TOPIC, [("j/1", b"other")])
-        tasks.start_soon(bench.async_append, "j/1")
-        await bench.async_pass(0.6)
-        assert bench.outcomes == {}
+async def test_another_writers_record_of_the_same_key_proves_nothing() -> None:
+    """Two entry nodes may get the same job; their records differ in the timestamp."""
+    async with running_silent_store() as (harness, tasks):
+        harness.performs_appends = False
+        harness.store.append(TOPIC, [("j/1", b"other")])
+        tasks.start_soon(harness.async_append, "j/1")
+        await harness.async_advance(0.6)
+        assert harness.outcomes == {}
 
 
-async def test_a_record_that_names_no_one_append_is_waited_for() -> None:
-    """What is written again with the same value may be the record of long ago."""
-    async with a_silent_store() as (bench, tasks):
-        tasks.start_soon(bench.async_append, "n/1")
-        await bench.async_pass(0.6)
-        assert bench.outcomes == {}
-        bench.silent = False
-        await bench.async_pass(0.4)
-        assert bench.outcomes == {"n/1": Outcome.STORED}
+async def test_append_without_a_unique_record_needs_an_answer() -> None:
+    """A record that is rewritten with the same value may be an old one."""
+    async with running_silent_store() as (harness, tasks):
+        tasks.start_soon(harness.async_append, "n/1")
+        await harness.async_advance(0.6)
+        assert harness.outcomes == {}
+        harness.silent = False
+        await harness.async_advance(0.4)
+        assert harness.outcomes == {"n/1": Outcome.STORED}
 
 
-async def test_what_a_call_raises_is_raised_as_it_is() -> None:
-    async def async_refuse() -> None:
+async def test_error_of_the_call_is_raised_unchanged() -> None:
+    async def async_raise_fenced() -> None:
         raise FencedError("newer")
 
-    async def async_look() -> None:
+    async def async_read_log() -> None:
         return None
 
     with pytest.raises(FencedError):
         await async_call_or_observe(
-            DrivenTimerService(), async_refuse, async_look, lambda: False
+            DrivenTimerService(), async_raise_fenced, async_read_log, lambda: False
         )
 
 
-async def test_a_cancellation_that_a_library_leaves_behind_ends_no_appender() -> None:
-    """Symptom: an entry ends by itself, with code 0 and without a word.
+async def test_library_cancellation_does_not_end_the_appender() -> None:
+    """Guard against an entry node that exits with code 0 and without a log line.
 
-    Sequence: an append's call ended while the log was read for it through a peer; the
-    peer call's own time ran out in the same moment. Its library cancels the task that
-    waits and turns that into an error, but the task has then been asked to end once
-    more than the scope around it knows, and the scope lets the cancellation through.
-    Cause: the log was read in the appender's own task.
+    An append's call ends while the log is read through a peer, and the peer call times
+    out at the same moment. Its library cancels the waiting task and turns that into an
+    error, but the task then has one cancellation request more than the cancel scope
+    around it counts, and the scope lets the cancellation through. The log must
+    therefore not be read in the appender's own task.
     """
     readers: list[asyncio.Task[object]] = []
 
@@ -212,7 +212,7 @@
             reader.cancel()
         return 1
 
-    async def async_look() -> None:
+    async def async_read_log() -> None:
         task = asyncio.current_task()
         assert task is not None
         readers.append(task)
@@ -226,22 +226,22 @@
         async with anyio.create_task_group() as tasks:
             timers = LoopTimerService(tasks)
             answer = await async_call_or_observe(
-                timers, async_call, async_look, lambda: False
+                timers, async_call, async_read_log, lambda: False
             )
             await anyio.lowlevel.checkpoint()
         assert answer == 1
         assert not tasks.cancel_scope.cancel_called
 
 
-async def test_a_call_that_is_cancelled_from_elsewhere_is_not_taken_for_seen() -> None:
+async def test_call_cancelled_from_outside_is_not_taken_as_observed() -> None:
     async def async_call() -> int:
         raise asyncio.CancelledError
 
-    async def async_look() -> None:
+    async def async_read_log() -> None:
         return None
 
     async with anyio.create_task_group() as tasks:
         with pytest.raises(CallUnknownError):
             await async_call_or_observe(
-                LoopTimerService(tasks), async_call, async_look, lambda: False
+                LoopTimerService(tasks), async_call, async_read_log, lambda: False
             )
