--- a/mustardward/components/forwarding/__init__.py
+++ b/mustardward/components/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Let another entry answer what this one cannot, while the log is cut off here."""
+"""Let a peer answer a caller while this entry node can't reach the log."""
--- a/mustardward/components/forwarding/answering.py
+++ b/mustardward/components/forwarding/answering.py
@@ -1,4 +1,4 @@
-"""Answer from the log here, or let a peer do so."""
+"""Answer callers from the local log replica, or through a peer if the log fails."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True, eq=False)
 class FailoverHandler:
-    """Answer callers whether or not the log can be reached from here."""
+    """Answer callers whether or not the log is reachable from this entry node."""
 
     front: FrontService
     forwarder: Forwarder
@@ -74,14 +74,14 @@
         return config.version if config is not None else 0
 
     def _is_outdated(self) -> bool:
-        """Return whether a peer answered here by a newer configuration.
+        """Return whether a peer answered for this node by a newer configuration.
 
-        To answer by the own one then would take callers back to an older version.
+        An answer by the local one would then take callers back to an older version.
         """
         return self._version() < self._newest_peer_version
 
     def is_log_unreachable(self) -> bool:
-        """Return whether the log could not be reached for a while."""
+        """Return whether the log has been unreachable for over OUTAGE_SECONDS."""
         front = self.front
         outage = longest_outage(
             self.timers.monotonic(),
@@ -92,7 +92,7 @@
         return outage > OUTAGE_SECONDS
 
     async def async_answer(self, request: Request) -> Reply:
-        """Return the answer to a caller."""
+        """Return the answer to a caller's request."""
         if request.method != "GET":
             return await self._async_answer_or_forward(request)
         failed_before = self.front.log_failing
@@ -101,18 +101,18 @@
         reply = await self._async_answer_or_forward(request)
         if failed_before or not self.front.log_failing:
             return reply
-        # That the log fails was found by this very request.
+        # This very request discovered that the log fails.
         return (
             self.front.done_reply() if await self._async_is_complete(request) else reply
         )
 
     @switchable(
         "ends-ahead",
-        "a job that ended while the store is away is told as done",
+        "a job that completes during a store outage is reported as done",
         without=_async_never_complete,
     )
     async def _async_is_complete(self, request: Request) -> bool:
-        """Return whether a caller asks for a job that is known to be done."""
+        """Return whether a request is for a job that is known to be done."""
         job_id = self.front.unfinished_job_id(request)
         return job_id is not None and await self.completions.async_is_complete(job_id)
 
@@ -121,34 +121,39 @@
             return await self._async_answer_hedged(request)
         outcome = await self._async_forward_unless_isolated(request)
         if outcome.reply is not None:
-            reply = _reply(outcome.reply)
+            reply = _from_peer_reply(outcome.reply)
             return _mask_uncertain_refusal(request, reply, outcome.may_have_effect)
         if request.method == "GET" and not self._is_outdated():
             return await self.front.async_answer(request)
-        # It can't be stored from here, and would only wait for its deadline: its
-        # caller is told at once, and has time left to try elsewhere.
+        # The request can't be stored from here. Refusing it at once, rather than at its
+        # deadline, leaves its caller time to retry at another entry node.
         reply = self.front.unreachable_reply(request)
         return _mask_uncertain_refusal(request, reply, outcome.may_have_effect)
 
-    async def async_answer_peer(self, asked: PeerRequest) -> PeerReply:
-        """Return the answer to a peer's question, from the log here or not at all."""
-        if asked.method in (ENDED_METHOD, WITNESS_METHOD):
-            return self.completions.answer_peer(asked)
-        if asked.method == RELAY_METHOD:
-            return await self.relay.async_answer_peer(asked)
+    async def async_answer_peer(self, request: PeerRequest) -> PeerReply:
+        """Answer a peer, unless the log is unreachable from here too."""
+        if request.method in (ENDED_METHOD, WITNESS_METHOD):
+            return self.completions.answer_peer(request)
+        if request.method == RELAY_METHOD:
+            return await self.relay.async_answer_peer(request)
         if self.is_log_unreachable():
             return PeerReply(503, b"", confirmed=False)
-        if asked.method == CHECK_METHOD:
+        if request.method == CHECK_METHOD:
             return PeerReply(200, b"")
-        if asked.version > self._version():
-            # By an older configuration its caller would be taken back behind what it
-            # has seen at the asker.
+        if request.version > self._version():
+            # An answer by an older configuration than the sender's could take the
+            # caller back to an older version.
             return PeerReply(503, b"", confirmed=False)
-        deadline = self.timers.monotonic() + asked.timeout_seconds
-        request = Request(
-            asked.method, asked.host, asked.path, asked.body, deadline, asked.key
+        deadline = self.timers.monotonic() + request.timeout_seconds
+        front_request = Request(
+            request.method,
+            request.host,
+            request.path,
+            request.body,
+            deadline,
+            request.key,
         )
-        reply = await self.front.async_answer(request)
+        reply = await self.front.async_answer(front_request)
         confirmed = reply.status not in _UNCERTAIN_STATUSES
         return PeerReply(
             reply.status, reply.body, reply.retry_after, confirmed, self._version()
@@ -156,70 +161,70 @@
 
     @switchable(
         "hedged-appends",
-        "a slow answer here is asked of a peer too",
+        "a request that is slow to be answered here is sent to a peer too",
         without=_async_answer_locally,
     )
     async def _async_answer_hedged(self, request: Request) -> Reply:
-        """Answer here, and ask a peer too if that takes long.
+        """Answer here, and forward the request to a peer too if that takes long.
 
-        The job's id makes both the same job, so that it is accepted once.
+        Both attempts have the same job id, so that the job is accepted once.
         """
         replies: list[Reply] = []
-        asked: list[PeerOutcome] = []
+        outcomes: list[PeerOutcome] = []
         async with anyio.create_task_group() as tasks:
 
-            async def async_here() -> None:
+            async def async_answer_locally() -> None:
                 reply = await self.front.async_answer(request)
                 replies.append(reply)
                 if reply.status not in _UNCERTAIN_STATUSES:
                     tasks.cancel_scope.cancel()
-                elif not asked:
-                    # It is over here before a peer was asked: ask one now.
-                    hedge.set()
+                elif not outcomes:
+                    # The local attempt failed early: forward the request now.
+                    forward_now.set()
 
-            async def async_elsewhere() -> None:
+            async def async_forward_late() -> None:
                 with anyio.move_on_after(HEDGE_DELAY_SECONDS):
-                    await hedge.wait()
-                asked.append(PeerOutcome(None, True))
-                asked[0] = await self.async_forward(request)
-                if asked[0].reply is not None or self.is_log_unreachable():
+                    await forward_now.wait()
+                outcomes.append(PeerOutcome(None, True))
+                outcomes[0] = await self.async_forward(request)
+                if outcomes[0].reply is not None or self.is_log_unreachable():
                     tasks.cancel_scope.cancel()
 
-            hedge = anyio.Event()
-            tasks.start_soon(async_here)
-            tasks.start_soon(async_elsewhere)
+            forward_now = anyio.Event()
+            tasks.start_soon(async_answer_locally)
+            tasks.start_soon(async_forward_late)
         for reply in replies:
             if reply.status not in _UNCERTAIN_STATUSES:
                 return reply
-        unknown = bool(asked) and asked[0].may_have_effect
-        if asked and asked[0].reply is not None:
-            # What is under way here, or was unanswered, may still take its effect.
-            under_way = not replies or replies[0].status == OUTCOME_UNKNOWN_STATUS
+        unknown = bool(outcomes) and outcomes[0].may_have_effect
+        if outcomes and outcomes[0].reply is not None:
+            # A local attempt that is in flight or unanswered may still take effect.
+            maybe_stored = not replies or replies[0].status == OUTCOME_UNKNOWN_STATUS
             return self._outcome_reply(
-                request, _reply(asked[0].reply), unknown or under_way
+                request, _from_peer_reply(outcomes[0].reply), unknown or maybe_stored
             )
-        here = replies[0] if replies else _unknown_reply()
-        return self._outcome_reply(request, here, unknown)
+        local_reply = replies[0] if replies else _unknown_reply()
+        return self._outcome_reply(request, local_reply, unknown)
 
     def _outcome_reply(self, request: Request, reply: Reply, unknown: bool) -> Reply:
-        """Return what a caller is told, with a line if that is that nothing is sure."""
-        told = _mask_uncertain_refusal(request, reply, unknown)
-        if told.status == OUTCOME_UNKNOWN_STATUS:
+        """Return the reply for a caller; log it if the outcome is unknown."""
+        masked = _mask_uncertain_refusal(request, reply, unknown)
+        if masked.status == OUTCOME_UNKNOWN_STATUS:
             _LOGGER.warning("outcome_unknown", request=request.path, outcome="cut-off")
-        return told
+        return masked
 
     @switchable(
         "refused-alone",
-        "callers are refused at once where no peer had the log a moment ago",
+        "callers are refused at once if no peer could reach the log a moment ago",
         without=_async_forward_always,
     )
     async def _async_forward_unless_isolated(self, request: Request) -> PeerOutcome:
-        """Ask peers, unless none had the log a moment ago.
+        """Forward a request, unless no peer could reach the log a moment ago.
 
-        Symptom without it: callers' time runs out, though it is known that nothing can
-        be stored. Each request asks one peer after the other, and some of them are
-        behind a cut and give no sign. One request looks for a peer now and then; the
-        others are refused at once meanwhile.
+        Each request tries one peer after the other, and partitioned peers only fail by
+        a timeout, so that callers would run out of time although it is known that
+        nothing can be stored. Only one request per interval tries the peers; all others
+        are refused at once.
         """
         now = self.timers.monotonic()
         if now < self._isolated_until:
@@ -235,29 +240,31 @@
 
     @switchable(
         "peer-answers",
-        "an entry without the log answers through one that has it",
+        "an entry node that can't reach the log answers through one that can",
         without=_async_forward_nothing,
     )
     async def async_forward(self, request: Request) -> PeerOutcome:
-        """Ask peers, one after the other."""
-        left = request.deadline - self.timers.monotonic() - ANSWER_MARGIN_SECONDS
-        asked = PeerRequest(
+        """Forward a request to peers, one after the other."""
+        remaining_seconds = (
+            request.deadline - self.timers.monotonic() - ANSWER_MARGIN_SECONDS
+        )
+        peer_request = PeerRequest(
             request.method,
             request.host,
             request.path,
             request.body,
-            max(0.0, left),
+            max(0.0, remaining_seconds),
             max(self._version(), self._newest_peer_version),
             request.key,
         )
-        outcome = await self.forwarder.async_forward(asked)
+        outcome = await self.forwarder.async_forward(peer_request)
         if outcome.reply is not None:
             self._newest_peer_version = max(
                 self._newest_peer_version, outcome.reply.version
             )
         PEER_ANSWERS.labels(str(outcome.reply is not None).lower()).inc()
         _LOGGER.info(
-            "peer_asked",
+            "request_forwarded",
             method=request.method,
             path=request.path,
             status=outcome.reply.status if outcome.reply else None,
@@ -265,8 +272,8 @@
         return outcome
 
 
-def _reply(asked: PeerReply) -> Reply:
-    return Reply(asked.status, asked.body, asked.retry_after)
+def _from_peer_reply(reply: PeerReply) -> Reply:
+    return Reply(reply.status, reply.body, reply.retry_after)
 
 
 def _unknown_reply() -> Reply:
@@ -275,11 +282,14 @@
 
 
 def _mask_uncertain_refusal(request: Request, reply: Reply, unknown: bool) -> Reply:
-    """Return a refusal only if nobody may have taken the request.
+    """Replace a refusal by "outcome unknown" if the request may have taken effect.
+
+    Otherwise a job could run although its caller was refused: an append is in flight at
+    an entry node that was just partitioned; a peer that gets the request too refuses
+    it, because the caller's key or the queue was removed meanwhile; then the append is
+    stored.
 
-    Symptom without it: a job runs though its caller was refused. Sequence: an append is
-    under way at an entry that was just cut off; a peer is asked beside it, and knows
-    that the caller's key was withdrawn meanwhile, or its queue; the append is stored.
+    :param unknown: whether another attempt at the request may have taken effect.
     """
     if unknown and _is_refusal(reply) and request.method != "GET":
         return _unknown_reply()
--- a/mustardward/components/forwarding/ends.py
+++ b/mustardward/components/forwarding/ends.py
@@ -1,4 +1,4 @@
-"""Ask the owner whether a job has ended, while the log can't be read."""
+"""Find out whether a job is complete while the log can't be read."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 
 @dataclass(slots=True, eq=False)
 class CompletionTracker:
-    """Learn of ends that the log can't tell, and bring to it what callers were told.
+    """Query completions that the log lacks, and store those reported to callers.
 
-    :param node: this entry's name.
+    :param node: name of this entry node.
     """
 
     node: str
@@ -42,37 +42,39 @@
     timers: TimerService
 
     async def async_is_complete(self, job_id: str) -> bool:
-        """Return whether a job is surely done; a caller is told so then.
+        """Return whether a job is certainly done, so that a caller may be told so.
 
-        Three machines hold an end that is told before the log has it: the worker, the
-        owner, and the entry that tells it. Where the owner tells it itself, another
-        entry has to hold it too. Symptom without that: a task runs again after its job
-        was told as done. Sequence: the store is away; the owner tells a caller of its
-        own; it loses power, and the worker crashes, before the store is back.
+        A completion that is reported before the log has it is held by three machines:
+        the worker, the owner, and the entry node that reports it. If that is the owner
+        itself, another entry node must hold it as a witness. Otherwise a task could run
+        again after its job was reported as done: the owner reports it during a store
+        outage, then loses power, and the worker crashes before the store is back.
         """
         if self.unlogged.was_reported(job_id):
             return True
         known_here = self.unlogged.contains(job_id)
-        ask = self._async_find_witness if known_here else self._async_query_owner
-        if not await ask(job_id):
+        query = self._async_find_witness if known_here else self._async_query_owner
+        if not await query(job_id):
             return False
         self.unlogged.mark_reported(job_id)
-        _LOGGER.info("end_told_ahead", job=job_id, owner=self.ledger.owner.node)
+        _LOGGER.info(
+            "unlogged_completion_reported", job=job_id, owner=self.ledger.owner.node
+        )
         return True
 
-    def answer_peer(self, asked: PeerRequest) -> PeerReply:
-        """Return whether a job is known here as done, from now on if asked to hold it.
+    def answer_peer(self, request: PeerRequest) -> PeerReply:
+        """Answer whether a job is known here to be done; record it for a witness query.
 
-        What is held for a peer is brought to the log from here too.
+        Completions recorded for a peer are also written to the log from here.
         """
-        job_id = asked.path
-        if asked.method == WITNESS_METHOD:
+        job_id = request.path
+        if request.method == WITNESS_METHOD:
             self.unlogged.mark_reported(job_id)
-            _LOGGER.info("end_witnessed", job=job_id)
+            _LOGGER.info("completion_witnessed", job=job_id)
         return PeerReply(200 if self.unlogged.contains(job_id) else 404, b"")
 
     async def async_run(self) -> None:
-        """Bring to the log what callers were told, once it can be reached."""
+        """Store reported completions whenever the log is reachable."""
         while True:
             await self.timers.async_sleep(STORE_REPORTED_INTERVAL_SECONDS)
             if self.follower.failing_since is None:
@@ -83,10 +85,12 @@
         if not jobs:
             return
         record = encode(ReportedRecord(self.timers.wall()))
-        until = self.timers.monotonic() + STORE_REPORTED_TIMEOUT_SECONDS
+        deadline = self.timers.monotonic() + STORE_REPORTED_TIMEOUT_SECONDS
         records = [(PREFIX_REPORTED + job_id, record) for job_id in jobs]
-        outcome = await self.appender.async_append(records, until)
-        _LOGGER.info("ends_brought", jobs=len(jobs), outcome=outcome.value)
+        outcome = await self.appender.async_append(records, deadline)
+        _LOGGER.info(
+            "reported_completions_stored", jobs=len(jobs), outcome=outcome.value
+        )
         if outcome is Outcome.STORED:
             await self.follower.async_catch_up()
 
@@ -95,15 +99,16 @@
         return job is not None and job.state.final
 
     async def _async_find_witness(self, job_id: str) -> bool:
-        """Return whether another entry holds an end that is known here.
+        """Return whether another entry node recorded a completion known here.
 
-        Those of other data centres come first: what takes this one may take its own.
+        Nodes of other data centres come first, since a failure of this node may affect
+        its whole data centre.
         """
-        asked = PeerRequest(
+        request = PeerRequest(
             WITNESS_METHOD, "", job_id, b"", COMPLETION_QUERY_TIMEOUT_SECONDS
         )
         for name, _ in self.forwarder.ranked_peers()[:MAX_WITNESSES_ASKED]:
-            reply = await self.forwarder.async_send_to_node(name, asked)
+            reply = await self.forwarder.async_send_to_node(name, request)
             if reply is not None and reply.status == 200:
                 return True
         return False
@@ -112,8 +117,8 @@
         owner = self.ledger.owner.node
         if owner in ("", self.node):
             return False
-        asked = PeerRequest(
+        request = PeerRequest(
             ENDED_METHOD, "", job_id, b"", COMPLETION_QUERY_TIMEOUT_SECONDS
         )
-        reply = await self.forwarder.async_send_to_node(owner, asked)
+        reply = await self.forwarder.async_send_to_node(owner, request)
         return reply is not None and reply.status == 200
--- a/mustardward/components/forwarding/models.py
+++ b/mustardward/components/forwarding/models.py
@@ -1,4 +1,4 @@
-"""Hold the messages between entries."""
+"""Messages between entry nodes."""
 
 from __future__ import annotations
 
@@ -6,12 +6,13 @@
 
 
 class PeerRequest(msgspec.Struct, frozen=True):
-    """Hold a caller's request.
+    """Request to a peer: a forwarded caller's request, or a query between entry nodes.
 
-    :param timeout_seconds: what is left to answer, in seconds.
-    :param version: the newest configuration that the asker knows of; one that is behind
-        it must not answer.
-    :param key: the secret that the caller shows; it is never logged.
+    :param method: HTTP method, or one of the query methods in ``const``.
+    :param timeout_seconds: time left for the answer.
+    :param version: newest configuration version known to the sender; a peer with an
+        older one must not answer.
+    :param key: API key of the caller; never logged.
     """
 
     method: str
@@ -23,15 +24,15 @@
     key: str = ""
 
     def __repr__(self) -> str:
-        """Return a text without the key: it may end up in a log line."""
+        """Return a representation without the key, since it may be logged."""
         return f"AskedRequest(method={self.method!r}, path={self.path!r})"
 
 
 class RelayedCall(msgspec.Struct, frozen=True, array_like=True):
-    """Hold a call to the store that a peer is asked to make.
+    """Call to the store that a peer makes on behalf of this entry node.
 
-    :param body: what is appended; None for a read.
-    :param silence_seconds: longest time in which no byte of the answer comes.
+    :param body: records to append; None for a read.
+    :param silence_seconds: maximum time without receiving a byte of the answer.
     """
 
     method: str
@@ -48,10 +49,11 @@
 
 
 class PeerReply(msgspec.Struct, frozen=True):
-    """Hold a peer's answer to a caller's request.
+    """Answer of a peer.
 
-    :param confirmed: whether the peer could read and write the log itself.
-    :param version: the configuration that the peer went by.
+    :param retry_after: seconds after which the caller should retry, or None.
+    :param confirmed: whether the peer can read and write the log itself.
+    :param version: configuration version that the peer used.
     """
 
     status: int
--- a/mustardward/components/forwarding/peers.py
+++ b/mustardward/components/forwarding/peers.py
@@ -1,4 +1,4 @@
-"""Choose which peer to ask; pure."""
+"""Select the peers to ask; pure."""
 
 from __future__ import annotations
 
@@ -9,39 +9,40 @@
 
 @dataclass(slots=True, eq=False)
 class PeerSelector:
-    """Know the other entries and which of them did not answer lately.
+    """Rank the other entry nodes, leaving out those that recently failed.
 
-    :param node: this entry's name.
-    :param shun_seconds: time in which a peer that did not answer, or was cut off
-        itself, is not asked.
+    :param node: name of this entry node.
+    :param zone: data centre of this entry node.
+    :param backoff_seconds: time for which a peer that did not answer, or that could not
+        reach the log, is left out.
     """
 
     node: str
     zone: str
     backoff_seconds: float = PEER_BACKOFF_SECONDS
     _backoff_until: dict[str, float] = field(default_factory=dict)
-    _turn: int = 0
+    _rotation: int = 0
 
     def ranked_peers(
         self, nodes: dict[str, tuple[str, str]], now: float
     ) -> list[tuple[str, str]]:
-        """Return names and addresses in the order to ask.
+        """Return names and addresses of peers, best first.
 
-        :param nodes: address and data centre of each entry.
+        Peers of other data centres come first: a partition that affects this node
+        usually affects its neighbours too.
 
-        Peers of other data centres come first: what cuts an entry off mostly cuts
-        its neighbours off too.
+        :param nodes: address and data centre of each entry node.
         """
-        self._turn += 1
+        self._rotation += 1
         names = sorted(name for name in nodes if name != self.node)
         if not names:
             return []
-        start = self._turn % len(names)
+        start = self._rotation % len(names)
         names = names[start:] + names[:start]
         names = [n for n in names if self._backoff_until.get(n, 0.0) <= now]
         names.sort(key=lambda name: nodes[name][1] == self.zone)
         return [(name, nodes[name][0]) for name in names]
 
     def back_off(self, name: str, now: float) -> None:
-        """Leave a peer out for a while."""
+        """Leave a peer out for the backoff time."""
         self._backoff_until[name] = now + self.backoff_seconds
--- a/mustardward/components/forwarding/relay.py
+++ b/mustardward/components/forwarding/relay.py
@@ -1,9 +1,9 @@
-"""Call the store through a peer while it turns this entry alone away.
+"""Call the store through a peer while the store fails for this entry node alone.
 
-Symptom without it: the store refuses the owner, or is cut off from it, and serves all
-others. The owner falls silent, another entry takes over 1.3 s later and asks all
-workers what they run; what ended meanwhile is late. An append is repeated under its
-producer's own number, whichever way it goes, so that the log takes it once.
+Without this, an owner that alone is refused by the store or partitioned from it misses
+its renewals. Another entry node takes over 1.3 s later and has to query all workers, so
+that jobs that complete meanwhile are late. An append keeps its producer's sequence
+number on either path, so that the log stores it once.
 """
 
 from __future__ import annotations
@@ -36,23 +36,23 @@
 _FAILURES = (CallRefusedError, CallUnknownError)
 
 
-Relayed = tuple[Answer | None, bool]
+RelayResult = tuple[Answer | None, bool]
 
 
-async def _async_relay_nothing(relay: StoreRelay, /, call: RelayedCall) -> Relayed:
+async def _async_never_relay(relay: StoreRelay, /, call: RelayedCall) -> RelayResult:
     return None, False
 
 
 @dataclass(slots=True, eq=False)
 class StoreRelay:
-    """Carry calls to the store, on the direct way or through a peer.
+    """Make calls to the store, directly or through a peer.
 
-    It stands in for the plain HTTP caller of the store's client.
+    Replaces the plain HTTP caller in the store's client.
 
-    :param base: the store's address as a URL.
-    :param peers_http: makes the calls of peers. On connections of their own: else this
-        entry's appends would wait behind their long polls.
-    :param async_probe: returns whether the store answers on the direct way.
+    :param base: base URL of the store.
+    :param peers_http: makes calls on behalf of peers, on separate connections, so that
+        this node's appends do not wait behind the peers' long polls.
+    :param async_probe: returns whether the store answers directly.
     """
 
     http: HttpCaller
@@ -67,7 +67,7 @@
 
     @property
     def relaying(self) -> bool:
-        """Return whether calls go through peers."""
+        """Return whether calls currently go through peers."""
         return self._relaying
 
     async def async_call(
@@ -100,38 +100,38 @@
         if answer is not None and answer.status not in _UNAVAILABLE_STATUSES:
             return answer
         if self.timers.monotonic() >= self._peers_retry_at:
-            relayed, effect = await self._async_relay(call)
+            relayed, relayed_effect = await self._async_relay(call)
             if relayed is not None:
                 self._set_relaying(True)
                 return relayed
-            may_have_effect = may_have_effect or effect
-            # The store is away for all: peers are not asked again with each retry.
+            may_have_effect = may_have_effect or relayed_effect
+            # The store is down for all nodes: do not ask peers with each retry.
             self._peers_retry_at = self.timers.monotonic() + RELAY_PAUSE_SECONDS
         if may_have_effect:
-            raise CallUnknownError("relayed call unanswered")
+            raise CallUnknownError("no answer to the relayed call")
         if answer is None:
             raise error or CallUnknownError("no answer")
         return answer
 
-    async def async_answer_peer(self, asked: PeerRequest) -> PeerReply:
-        """Make a peer's call on the direct way, if there is one."""
+    async def async_answer_peer(self, request: PeerRequest) -> PeerReply:
+        """Make a peer's call directly; refuse it if this node relays itself."""
         if self._relaying or self._peer_calls_in_flight >= MAX_RELAYED_CALLS:
             return PeerReply(503, b"", confirmed=False)
-        call = msgspec.msgpack.decode(asked.body, type=RelayedCall)
+        call = msgspec.msgpack.decode(request.body, type=RelayedCall)
         self._peer_calls_in_flight += 1
         try:
             answer, error = await self._async_try(self.peers_http, call)
         finally:
             self._peer_calls_in_flight -= 1
         if answer is None:
-            # The peer must not take an append that may be done for one that is not.
+            # The peer must not treat an append that may be stored as not stored.
             unknown = isinstance(error, CallUnknownError) and not call.is_read
             return PeerReply(504 if unknown else 503, b"", confirmed=False)
         confirmed = answer.status not in _UNAVAILABLE_STATUSES
         return PeerReply(answer.status, answer.body, confirmed=confirmed)
 
     async def async_run(self) -> None:
-        """Go back to the direct way once it is open."""
+        """Return to direct calls once the store is reachable again."""
         while True:
             await self.timers.async_sleep(PROBE_INTERVAL_SECONDS)
             if self._relaying and await self.async_probe():
@@ -160,16 +160,18 @@
 
     @switchable(
         "store-relay",
-        "an entry that the store turns away calls it through a peer",
-        without=_async_relay_nothing,
+        "an entry that can't reach the store calls it through a peer",
+        without=_async_never_relay,
     )
-    async def _async_relay(self, call: RelayedCall) -> Relayed:
-        """Return a peer's answer or None, and whether the call may have its effect."""
-        limit = RELAY_TIMEOUT_SECONDS
+    async def _async_relay(self, call: RelayedCall) -> RelayResult:
+        """Return a peer's answer or None, and whether the call may have an effect."""
+        timeout_seconds = RELAY_TIMEOUT_SECONDS
         if call.is_read:
-            limit += call.silence_seconds or 0.0
-        asked = PeerRequest(RELAY_METHOD, "", "", msgspec.msgpack.encode(call), limit)
-        outcome = await self.forwarder.async_forward(asked, limit)
+            timeout_seconds += call.silence_seconds or 0.0
+        request = PeerRequest(
+            RELAY_METHOD, "", "", msgspec.msgpack.encode(call), timeout_seconds
+        )
+        outcome = await self.forwarder.async_forward(request, timeout_seconds)
         RELAYED_CALLS.labels(str(outcome.reply is not None).lower()).inc()
         if outcome.reply is None:
             return None, outcome.may_have_effect and not call.is_read
--- a/mustardward/components/forwarding/services.py
+++ b/mustardward/components/forwarding/services.py
@@ -1,4 +1,4 @@
-"""Ask peers over grpclib, and answer them."""
+"""Send requests to peers over gRPC, and serve theirs."""
 
 from __future__ import annotations
 
@@ -47,10 +47,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerOutcome:
-    """Hold what asking came to.
+    """Result of sending a request to peers.
 
-    :param reply: the answer of a peer that has the log, or None.
-    :param may_have_effect: whether a peer was asked and its answer is not known.
+    :param reply: answer of a peer that can reach the log, or None.
+    :param may_have_effect: whether a peer got the request and its answer is unknown.
     """
 
     reply: PeerReply | None
@@ -59,10 +59,11 @@
 
 @dataclass(slots=True, eq=False)
 class Forwarder:
-    """Ask one peer after the other until one answers from the log.
+    """Try one peer after the other until one answers from the log.
 
-    :param check_seconds: longest wait for a peer's first sign.
-    :param most_asked: peers asked for one request, one after the other.
+    :param book: selects the peers to try.
+    :param check_seconds: timeout of a connection and of a reachability check.
+    :param most_asked: maximum number of peers tried for one request.
     """
 
     ledger: Ledger
@@ -75,39 +76,40 @@
     _answered_at: dict[str, float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Make the pool of connections.
+        """Create the connection pool.
 
-        A peer behind a cut answers no opening packet: waited for as long as elsewhere,
-        two of them kept a call to the store for 1.7 s.
+        Its connect timeout is short because a partitioned peer does not answer a
+        connection attempt at all: with the usual one, two such peers delayed a call to
+        the store by 1.7 s.
         """
         self.pool = ChannelPool(self.timers.monotonic, None, self.check_seconds)
 
     async def async_forward(
-        self, request: PeerRequest, longest_seconds: float = PEER_TIMEOUT_SECONDS
+        self, request: PeerRequest, answer_timeout_seconds: float = PEER_TIMEOUT_SECONDS
     ) -> PeerOutcome:
-        """Return the answer of the first peer that has the log.
+        """Return the answer of the first peer that can reach the log.
 
-        :param longest_seconds: longest wait for one peer's answer.
+        :param answer_timeout_seconds: timeout of one peer's answer.
         """
         may_have_effect = False
         deadline = self.timers.monotonic() + request.timeout_seconds
         for name, address in self.ranked_peers()[: self.most_asked]:
-            left = deadline - self.timers.monotonic()
-            if left <= 0:
+            remaining_seconds = deadline - self.timers.monotonic()
+            if remaining_seconds <= 0:
                 break
             try:
-                has_log = await self._async_check(name, address)
+                can_reach_log = await self._async_check(name, address)
             except _FAILURES as error:
                 self._back_off(name, type(error).__name__)
                 continue
-            if not has_log:
-                # Asked all the same, it would call the store in vain, and what it may
-                # have appended could not be told as refused any more.
-                self._back_off(name, "cut off too")
+            if not can_reach_log:
+                # It would call the store in vain, and the outcome of its append would
+                # be unknown rather than refused.
+                self._back_off(name, "log unreachable")
                 continue
             try:
                 reply = await self._async_call(
-                    address, request, min(left, longest_seconds)
+                    address, request, min(remaining_seconds, answer_timeout_seconds)
                 )
             except _FAILURES as error:
                 may_have_effect = True
@@ -118,11 +120,11 @@
                 self._answered_at[name] = self.last_answer_at
                 return PeerOutcome(reply, may_have_effect)
             may_have_effect = may_have_effect or reply.status == OUTCOME_UNKNOWN_STATUS
-            self._back_off(name, "cut off too")
+            self._back_off(name, "log unreachable")
         return PeerOutcome(None, may_have_effect)
 
     def ranked_peers(self) -> list[tuple[str, str]]:
-        """Return names and addresses of the entries to ask, the best first."""
+        """Return names and addresses of the peers to try, best first."""
         nodes = {
             name: (node.address, node.zone) for name, node in self.ledger.nodes.items()
         }
@@ -131,7 +133,7 @@
     async def async_send_to_node(
         self, name: str, request: PeerRequest
     ) -> PeerReply | None:
-        """Return one entry's answer to a question without effect, or None."""
+        """Send an idempotent query to one entry node; return its answer or None."""
         node = self.ledger.nodes.get(name)
         if node is None:
             return None
@@ -140,14 +142,14 @@
                 node.address, request, request.timeout_seconds
             )
         except _FAILURES as error:
-            _LOGGER.info("node_not_asked", peer=name, detail=type(error).__name__)
+            _LOGGER.info("peer_query_failed", peer=name, detail=type(error).__name__)
             return None
 
     async def _async_check(self, name: str, address: str) -> bool:
-        """Return whether a peer has the log; it is asked unless it answered just now.
+        """Return whether a peer can reach the log; skip the call after a recent answer.
 
-        A call that is cut off on its way may have had its effect, and its caller can
-        then be told nothing sure; a check that is cut off costs nothing.
+        A lost answer to a real request leaves its outcome unknown; a lost answer to a
+        check has no consequence.
         """
         now = self.timers.monotonic()
         if now - self._answered_at.get(name, -math.inf) < CHECK_VALID_SECONDS:
@@ -160,12 +162,12 @@
         return True
 
     async def _async_call(
-        self, address: str, request: PeerRequest, left: float
+        self, address: str, request: PeerRequest, timeout_seconds: float
     ) -> PeerReply:
         lease = await self.pool.async_take(address, Purpose.CONTROL)
         method = UnaryUnaryMethod(lease.channel, PEER_RPC_PATH, PeerRequest, PeerReply)
         try:
-            reply: PeerReply = await method(request, timeout=left)
+            reply: PeerReply = await method(request, timeout=timeout_seconds)
         except _FAILURES:
             lease.retire()
             raise
@@ -175,14 +177,14 @@
 
     def _back_off(self, name: str, detail: str) -> None:
         self.book.back_off(name, self.timers.monotonic())
-        _LOGGER.info("peer_shunned", peer=name, detail=detail)
+        _LOGGER.info("peer_backed_off", peer=name, detail=detail)
 
 
 class _EntryService:
-    """Map the call that peers make; grpclib asks for this shape."""
+    """Service that maps the peer call to its handler, as grpclib requires."""
 
-    def __init__(self, answer: PeerRequestHandler) -> None:
-        self._answer = answer
+    def __init__(self, handler: PeerRequestHandler) -> None:
+        self._handler = handler
 
     def __mapping__(self) -> dict[str, Handler]:
         return {
@@ -194,21 +196,21 @@
     async def _async_handle(self, stream: Any) -> None:
         request: PeerRequest = await stream.recv_message()
         with anyio.move_on_after(max(0.0, request.timeout_seconds)):
-            await stream.send_message(await self._answer(request))
+            await stream.send_message(await self._handler(request))
 
 
 async def async_serve_peers(
-    address: str, answer: PeerRequestHandler, timers: TimerService
+    address: str, handler: PeerRequestHandler, timers: TimerService
 ) -> None:
-    """Answer peers until cancelled."""
+    """Serve peers until cancelled."""
     host, _, port = address.rpartition(":")
     while True:
-        server = Server([_EntryService(answer)], codec=MsgpackCodec())
+        server = Server([_EntryService(handler)], codec=MsgpackCodec())
         try:
             await server.start(host, int(port))
             await server.wait_closed()
         except OSError as error:
-            _LOGGER.error("peers_not_served", address=address, detail=str(error))
+            _LOGGER.error("peer_listener_failed", address=address, detail=str(error))
         finally:
             server.close()
         await timers.async_sleep(LISTEN_RETRY_DELAY_SECONDS)
--- a/tests/components/forwarding/test_relay.py
+++ b/tests/components/forwarding/test_relay.py
@@ -58,7 +58,7 @@
     asked: list[PeerRequest] = field(default_factory=list)
 
     async def async_forward(
-        self, request: PeerRequest, longest_seconds: float
+        self, request: PeerRequest, answer_timeout_seconds: float
     ) -> PeerOutcome:
         self.asked.append(request)
         return self.outcome
