--- a/mustardward/components/forwarding/ends.py
+++ b/mustardward/components/forwarding/ends.py
@@ -81,7 +81,7 @@
                 await self._async_store_reported()
 
     async def _async_store_reported(self) -> None:
-        jobs = self.unlogged.unlogged_reports(self._is_stored)
+        jobs = self.unlogged.pending_reports(self._is_stored)
         if not jobs:
             return
         record = encode(ReportedRecord(self.timers.wall()))
--- a/mustardward/components/front/__init__.py
+++ b/mustardward/components/front/__init__.py
@@ -1,1 +1,1 @@
-"""Answer callers on any entry, from the folded ledger."""
+"""Answer callers on any entry node from its replica of the ledger."""
--- a/mustardward/components/front/admission.py
+++ b/mustardward/components/front/admission.py
@@ -1,4 +1,4 @@
-"""Decide which queue a request is for, and whether its caller may call there."""
+"""Find the queue of a request, and check whether its caller may use it."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from ..organisations.access import identify
 from ..organisations.models import Caller
 from .const import MAX_CONFIG_AGE_SECONDS
-from .models import Admitted, Reply, Request, error_reply
+from .models import AdmittedRequest, Reply, Request, error_reply
 from .refusing import Refusals
 
 _LOGGER = get_logger(__name__)
 
-UNAUTHORISED: Final = 401
+UNAUTHORIZED_STATUS: Final = 401
 
 
 @dataclass(slots=True, eq=False)
 class Admission:
-    """Admit callers by the newest configuration that is known here.
+    """Admit callers by the newest configuration known here.
 
-    :param oldest_keys_seconds: age of the configuration beyond which no key is taken
-        for good any more, since it may have been withdrawn; None where callers are
-        served on by the last known keys.
+    :param max_key_age_seconds: age of the configuration beyond which no key is accepted
+        any more, since it may have been revoked; None to keep accepting the last known
+        keys.
     """
 
     timers: TimerService
@@ -36,60 +36,62 @@
     refusals: Refusals
     max_key_age_seconds: float | None = None
 
-    async def async_admit(self, request: Request) -> Admitted | Reply:
-        """Return who calls which queue, or the refusal.
+    async def async_admit(self, request: Request) -> AdmittedRequest | Reply:
+        """Return the queue and caller of a request, or the refusal.
 
-        A final refusal is given only as of a configuration just read. Symptom without
-        it: what was added seconds before is refused for good. Cause: an entry whose
-        connection to the store is silent answers by what it last read.
+        A final refusal needs a configuration that was just read. Otherwise an entry
+        node with a silent connection to the store would permanently refuse callers for
+        a queue or key that was added seconds before.
         """
         if self.configuration.config is None:
             return self._reject(request, "no-configuration", "it is not read yet")
-        found = self.find(request)
-        if isinstance(found, Reply) and self._age() > MAX_CONFIG_AGE_SECONDS:
-            detail = f"age={self._age():.1f}"
+        result = self.resolve(request)
+        if isinstance(result, Reply) and self._config_age() > MAX_CONFIG_AGE_SECONDS:
+            detail = f"age={self._config_age():.1f}"
             if not await self.follower.async_catch_up():
                 return self._reject(request, "configuration-old", detail)
-            found = self.find(request)
-        if isinstance(found, Reply) and found.status == UNAUTHORISED:
-            self._log_unknown_key(request)
-        if isinstance(found, Admitted) and not await self._async_trusts(found.queue):
+            result = self.resolve(request)
+        if isinstance(result, Reply) and result.status == UNAUTHORIZED_STATUS:
+            self._log_unknown_api_key(request)
+        if isinstance(result, AdmittedRequest) and not await self._async_keys_recent(
+            result.queue
+        ):
             return self._reject(request, "configuration-old", "keys may be gone")
-        return found
+        return result
 
-    def find(self, request: Request) -> Admitted | Reply:
-        """Return who calls which queue as far as is known here, or why nobody does."""
+    def resolve(self, request: Request) -> AdmittedRequest | Reply:
+        """Return the queue and caller by the local configuration, or the refusal."""
         queue = self.configuration.table.find(request.host, request.path)
         if queue is None:
             return error_reply(404, "no-such-queue", "no queue has this host and path")
         caller = self._identify(request, queue)
         if caller is None:
             detail = "no organisation has the key shown"
-            return error_reply(UNAUTHORISED, "unknown-key", detail)
-        return Admitted(queue, caller)
+            return error_reply(UNAUTHORIZED_STATUS, "unknown-key", detail)
+        return AdmittedRequest(queue, caller)
 
     def _identify(self, request: Request, queue: Queue) -> Caller | None:
         return identify(self.configuration.keys_in_force, queue, request.key)
 
-    def _age(self) -> float:
+    def _config_age(self) -> float:
         return self.timers.monotonic() - self.follower.up_to_date_at
 
-    async def _async_trusts(self, queue: Queue) -> bool:
-        """Return whether the keys in force are as young as the deployment asks."""
-        oldest = self.max_key_age_seconds
-        if queue.public or oldest is None or self._age() <= oldest:
+    async def _async_keys_recent(self, queue: Queue) -> bool:
+        """Return whether the API keys are as recent as the deployment requires."""
+        max_age = self.max_key_age_seconds
+        if queue.public or max_age is None or self._config_age() <= max_age:
             return True
         return await self.follower.async_catch_up()
 
     def _reject(self, request: Request, code: str, detail: str) -> Reply:
         return self.refusals.reject(request.path, code, detail)
 
-    def _log_unknown_key(self, request: Request) -> None:
+    def _log_unknown_api_key(self, request: Request) -> None:
         config = self.configuration.config
         _LOGGER.info(
-            "key_unknown",
+            "api_key_unknown",
             request=request.path,
-            shown=bool(request.key),
+            key_given=bool(request.key),
             version=config.version if config is not None else 0,
-            age=self._age(),
+            age=self._config_age(),
         )
--- a/mustardward/components/front/const.py
+++ b/mustardward/components/front/const.py
@@ -1,4 +1,4 @@
-"""Hold the figures of answering callers."""
+"""Constants of the front end: deadlines, staleness limits, retry delays, shutdown."""
 
 from __future__ import annotations
 
@@ -6,31 +6,32 @@
 
 DEFAULT_DEADLINE_SECONDS: Final = 3.0
 ANSWER_MARGIN_SECONDS: Final = 0.03
-"""An answer leaves this long before its caller's deadline: it has some milliseconds to
-go. A caller that comes back late in its time is served in what is left of it."""
+"""Time before the caller's deadline at which an answer is sent, since it takes some
+milliseconds to arrive. A retry with little time left is served in what remains."""
 
 MIN_APPEND_TIMEOUT_SECONDS: Final = 0.05
-"""An append is waited for at least so long, though its caller's time is short."""
+"""Minimum wait for an append, even if the caller has less time left."""
 
 MAX_JOB_STATE_AGE_SECONDS: Final = 0.1
-"""A job's state may be this old; older, and the log's end is read first."""
+"""Maximum age of a job's state; if it is older, the log is read up to its end first."""
 
 MAX_CONFIG_AGE_SECONDS: Final = 0.5
-"""Beyond this a queue that is not there may only not be known yet, so that the log's
-end is read before anybody is told so."""
+"""Maximum age of the configuration for a final refusal. If it is older, a queue may
+have been added meanwhile, so that the log is read up to its end first."""
 
 MIN_RETRY_AFTER_SECONDS: Final = 1
-"""Least time after which a refused caller should come back."""
+"""Minimum delay after which a refused caller should retry."""
 
 MAX_RETRY_AFTER_SECONDS: Final = 5
-"""Most of it: an outage that lasted long may still end soon."""
+"""Maximum of that delay: an outage may end soon even if it has lasted long."""
+
 JSON_CONTENT_TYPE: Final = "application/json"
 """Content type of all answers."""
 
 CLOSE_IDLE_SECONDS: Final = 0.25
-"""An entry that leaves closes its connections once nothing came on them for so long;
-it answers each request with the word that its connection ends, so few are left."""
+"""Time without requests after which a draining entry node closes its connections. It
+answers every request with ``Connection: close``, so that few are left by then."""
 
 CLOSE_POLL_SECONDS: Final = 0.02
 SHUTDOWN_TIMEOUT_SECONDS: Final = 0.3
-"""Time for what comes in the very moment of closing."""
+"""Time for requests that arrive at the very moment of closing."""
--- a/mustardward/components/front/models.py
+++ b/mustardward/components/front/models.py
@@ -1,4 +1,4 @@
-"""Hold what callers send and are answered."""
+"""Requests and replies of callers."""
 
 from __future__ import annotations
 
@@ -11,9 +11,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """Hold what a caller sent; the deadline in steady seconds.
+    """Request of a caller.
 
-    :param key: the secret by which it shows its organisation; it is never logged.
+    :param deadline: steady clock, in seconds.
+    :param key: API key that identifies the caller's organisation; never logged.
     """
 
     method: str
@@ -26,7 +27,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Hold what a caller is answered; ``retry_after`` in seconds, or None."""
+    """Reply to a caller.
+
+    :param retry_after: seconds after which the caller should retry, or None.
+    """
 
     status: int
     body: bytes
@@ -34,13 +38,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Admitted:
-    """Hold the queue that a request is for, and who calls."""
+class AdmittedRequest:
+    """Queue and caller of an admitted request."""
 
     queue: Queue
     caller: Caller
 
 
 def error_reply(status: int, code: str, detail: str) -> Reply:
-    """Return an answer that says what is wrong with a request."""
+    """Return a reply with an error code and its detail."""
     return Reply(status, callers.encode_error(code, detail))
--- a/mustardward/components/front/refusing.py
+++ b/mustardward/components/front/refusing.py
@@ -1,4 +1,4 @@
-"""Refuse what can't be served now, and say when to come back."""
+"""Refuse requests that can't be served now, with a delay for the retry."""
 
 from __future__ import annotations
 
@@ -16,42 +16,47 @@
 
 @dataclass(slots=True, eq=False)
 class Refusals:
-    """Refuse requests by how long the log has been out of reach."""
+    """Build refusals whose retry delay follows the length of the log's outage."""
 
     timers: TimerService
     follower: TopicFollower
     config_follower: TopicFollower
 
-    def reject(self, what: str, code: str, detail: str) -> Reply:
-        """Return a refusal that is true: nothing of the request was kept."""
+    def reject(self, subject: str, code: str, detail: str) -> Reply:
+        """Return a refusal with status 503 and log it.
+
+        Only for a request that certainly had no effect.
+
+        :param subject: path or job id for the log.
+        """
         outage = longest_outage(
             self.timers.monotonic(),
             self.follower.failing_since,
             self.config_follower.failing_since,
         )
-        pause = retry_after(outage)
+        retry_seconds = retry_after(outage)
         _LOGGER.info(
             "request_refused",
-            request=what,
+            request=subject,
             code=code,
             detail=detail,
             outage_seconds=outage,
-            retry_after=pause,
+            retry_after=retry_seconds,
         )
-        return Reply(503, callers.encode_error(code, detail), pause)
+        return Reply(503, callers.encode_error(code, detail), retry_seconds)
 
 
 def longest_outage(now: float, *failing_since: float | None) -> float:
-    """Return for how long the first of some ways to the log has failed, or 0."""
+    """Return the longest time for which one of several log clients fails, or 0."""
     return max((now - since for since in failing_since if since is not None), default=0)
 
 
 def retry_after(outage_seconds: float) -> int:
-    """Return when a refused caller should come back, in whole seconds.
+    """Return the delay after which a refused caller should retry, in whole seconds.
 
-    Callers give up after a few tries. With a short pause they are all used up in one
-    outage; a pause as long as the outage has lasted makes few tries span a long one,
-    and still ends soon after a short one.
+    Callers give up after a few retries, and with a short delay they use all of them in
+    one outage. A delay as long as the outage so far lets a few retries span a long
+    outage, and still ends soon after a short one.
     """
     return int(
         min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, outage_seconds))
--- a/mustardward/components/front/server.py
+++ b/mustardward/components/front/server.py
@@ -1,4 +1,4 @@
-"""Serve callers and the balancer over HTTP."""
+"""Serve callers and the load balancer over HTTP."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 
 _LOGGER = get_logger(__name__)
 
-BACKLOG = 512
+LISTEN_BACKLOG = 512
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
 
 @dataclass(slots=True, eq=False)
 class FrontServer:
-    """Listen for callers and for questions whether this entry is ready.
+    """Listen for callers and for the load balancer's readiness checks.
 
-    :param is_ready: whether new callers should come here.
+    :param is_ready: returns whether new callers should be sent to this entry node.
     """
 
     failover: FailoverHandler
@@ -45,45 +45,45 @@
 
     @property
     def draining(self) -> bool:
-        """Return whether callers are sent elsewhere."""
+        """Return whether callers are being moved to other entry nodes."""
         return self._drain_deadline < math.inf
 
     @property
     def addresses(self) -> list[str]:
-        """Return what is listened on, as host and port."""
+        """Return the listening addresses, as host and port."""
         names = [name for runner in self._runners for name in runner.addresses]
         return [f"{name[0]}:{name[1]}" for name in names]
 
     def drain_within(self, seconds: float) -> None:
-        """Send callers elsewhere, and answer those that still come within a time."""
+        """Start draining; answer requests that still arrive within ``seconds``."""
         self._drain_deadline = self.timers.monotonic() + seconds
 
     async def async_listen(self, front: str, ready: str) -> None:
-        """Begin to listen on both addresses."""
+        """Start listening for callers (``front``) and readiness checks (``ready``)."""
         await self._async_serve(front, self._async_front)
         await self._async_serve(ready, self._async_ready)
 
     async def async_close(self, max_wait_seconds: float) -> None:
-        """Stop listening, answer what still comes, and close all connections.
+        """Stop listening, answer requests that still arrive, and close all connections.
 
-        Nothing in work says nothing of what is on its way: a request that was received
-        while connections are closed ends without an answer. So an entry listens no
-        more, and closes once nothing came for a while.
+        Requests may be on their way even if none is in flight, and one that arrives
+        while connections are being closed would go unanswered. Connections are
+        therefore closed only after a time without requests.
 
-        :param patience: longest wait for that, in seconds.
+        :param max_wait_seconds: maximum wait for that.
         """
         for runner in self._runners:
             for site in list(runner.sites):
                 await site.stop()
-        until = self.timers.monotonic() + max_wait_seconds
-        while self.timers.monotonic() < until and not self._is_idle():
+        deadline = self.timers.monotonic() + max_wait_seconds
+        while self.timers.monotonic() < deadline and not self._is_idle():
             await self.timers.async_sleep(CLOSE_POLL_SECONDS)
         for runner in self._runners:
             await runner.cleanup()
 
     def _is_idle(self) -> bool:
-        quiet = self.timers.monotonic() - self._idle_since
-        return self._in_flight == 0 and quiet >= CLOSE_IDLE_SECONDS
+        idle_seconds = self.timers.monotonic() - self._idle_since
+        return self._in_flight == 0 and idle_seconds >= CLOSE_IDLE_SECONDS
 
     async def _async_serve(self, address: str, handler: Handler) -> None:
         server = web.Server(
@@ -95,7 +95,7 @@
         await runner.setup()
         self._runners.append(runner)
         host, _, port = address.rpartition(":")
-        await web.TCPSite(runner, host, int(port), backlog=BACKLOG).start()
+        await web.TCPSite(runner, host, int(port), backlog=LISTEN_BACKLOG).start()
 
     async def _async_ready(self, request: web.BaseRequest) -> web.StreamResponse:
         if request.path != callers.READINESS_PATH:
@@ -104,17 +104,17 @@
 
     async def _async_front(self, request: web.BaseRequest) -> web.StreamResponse:
         self._in_flight += 1
-        began = self.timers.monotonic()
+        started = self.timers.monotonic()
         try:
             reply = await self._async_reply(request)
         finally:
             self._in_flight -= 1
             self._idle_since = self.timers.monotonic()
         REQUESTS.labels(request.method, reply.status).inc()
-        seconds = self.timers.monotonic() - began
+        seconds = self.timers.monotonic() - started
         if request.transport is None or request.transport.is_closing():
             _LOGGER.info(
-                "caller_left",
+                "caller_disconnected",
                 method=request.method,
                 path=request.path,
                 status=reply.status,
@@ -131,22 +131,22 @@
             headers=headers,
         )
         if self.draining or reply.status in (503, 504):
-            # The caller's next request then opens a connection to another entry.
+            # The caller's next request then opens a connection to another entry node.
             response.force_close()
         return response
 
     async def _async_reply(self, request: web.BaseRequest) -> Reply:
         now = self.timers.monotonic()
         config = self.failover.front.configuration.config
-        most = config.limits.max_body_bytes if config else 0
+        max_body_bytes = config.limits.max_body_bytes if config else 0
         body = b""
         if request.can_read_body:
-            if most and (request.content_length or 0) > most:
-                detail = f"most={most}"
+            if max_body_bytes and (request.content_length or 0) > max_body_bytes:
+                detail = f"most={max_body_bytes}"
                 return Reply(413, callers.encode_error("body-too-large", detail))
             body = await request.content.read(-1)
-            if most and len(body) > most:
-                detail = f"most={most}"
+            if max_body_bytes and len(body) > max_body_bytes:
+                detail = f"most={max_body_bytes}"
                 return Reply(413, callers.encode_error("body-too-large", detail))
         host = request.headers.get("Host", "").lower().partition(":")[0]
         deadline = min(now + _requested_deadline_seconds(request), self._drain_deadline)
@@ -163,7 +163,7 @@
 
 
 async def async_serve_metrics(host: str, port: int) -> None:
-    """Serve counters and histograms as text; without them if the port is taken."""
+    """Serve metrics as text; log a warning and continue if the port is in use."""
 
     async def async_answer(_: web.BaseRequest) -> web.StreamResponse:
         return web.Response(body=render(), content_type="text/plain")
@@ -174,13 +174,13 @@
     try:
         await web.TCPSite(runner, host, port).start()
     except OSError as error:
-        _LOGGER.warning("metrics_not_served", port=port, detail=str(error))
+        _LOGGER.warning("metrics_listener_failed", port=port, detail=str(error))
         await runner.cleanup()
 
 
 def _requested_deadline_seconds(request: web.BaseRequest) -> float:
-    text = request.headers.get(callers.HEADER_DEADLINE_MS, "")
+    header = request.headers.get(callers.HEADER_DEADLINE_MS, "")
     try:
-        return max(0.0, float(text) / 1000)
+        return max(0.0, float(header) / 1000)
     except ValueError:
         return DEFAULT_DEADLINE_SECONDS
--- a/mustardward/components/front/services.py
+++ b/mustardward/components/front/services.py
@@ -1,4 +1,4 @@
-"""Accept, tell, cancel and count jobs."""
+"""Accept, query, cancel and count jobs for callers."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
     MAX_JOB_STATE_AGE_SECONDS,
     MIN_APPEND_TIMEOUT_SECONDS,
 )
-from .models import Admitted, Reply, Request, error_reply
+from .models import AdmittedRequest, Reply, Request, error_reply
 from .refusing import Refusals
 
 _LOGGER = get_logger(__name__)
 
 VisibleJob = Callable[[], LedgerJob | None]
-"""Returns a job as it is known now, if its caller may see it."""
+"""Returns the current state of a job if its caller may access it."""
 
 _STATES = {
     JobState.QUEUED: callers.STATE_QUEUED,
@@ -43,10 +43,10 @@
 
 @dataclass(slots=True, eq=False)
 class FrontService:
-    """Answer callers.
+    """Answer callers' requests about jobs.
 
-    :param appender: stores what is accepted here, under this process's own name.
-    :param oldest_keys_seconds: see ``Admission``.
+    :param appender: appends records under this process's own producer name.
+    :param max_key_age_seconds: see ``Admission``.
     """
 
     timers: TimerService
@@ -60,7 +60,7 @@
     refusals: Refusals = field(init=False)
 
     def __post_init__(self) -> None:
-        """Make what admits and what refuses callers."""
+        """Create the admission check and the refusals."""
         self.refusals = Refusals(self.timers, self.follower, self.config_follower)
         self.admission = Admission(
             self.timers,
@@ -71,76 +71,76 @@
         )
 
     async def async_answer(self, request: Request) -> Reply:
-        """Return the answer to a request."""
+        """Return the reply to a request."""
         admitted = await self.admission.async_admit(request)
         if isinstance(admitted, Reply):
             return admitted
         queue = admitted.queue
-        name = request.path[len(queue.path_prefix) :]
-        if not name:
+        job_id = request.path[len(queue.path_prefix) :]
+        if not job_id:
             return await self._async_count(request, queue)
-        if not callers.is_job_id(name):
+        if not callers.is_job_id(job_id):
             return error_reply(
                 404, "no-such-job", "the id has not 16 hexadecimal digits"
             )
-        return await self._async_job(request, admitted, name)
+        return await self._async_job(request, admitted, job_id)
 
     @property
     def log_failing(self) -> bool:
-        """Return whether the last read of the log failed."""
+        """Return whether reads of the log currently fail."""
         return self.follower.failing_since is not None
 
     def unfinished_job_id(self, request: Request) -> str | None:
-        """Return the job that a request names, unless it is known to be over.
+        """Return the id of the job that a request is for, if it may be unfinished.
 
-        Nor is one returned that the caller may not ask for.
+        Return None if the caller may not access the job.
         """
-        admitted = self.admission.find(request)
+        admitted = self.admission.resolve(request)
         if isinstance(admitted, Reply):
             return None
-        name = request.path[len(admitted.queue.path_prefix) :]
-        if not callers.is_job_id(name):
+        job_id = request.path[len(admitted.queue.path_prefix) :]
+        if not callers.is_job_id(job_id):
             return None
-        job = self.ledger.jobs.get(name)
+        job = self.ledger.jobs.get(job_id)
         if job is None:
-            # Whose it is can't be told from here.
-            return None if self.configuration.keys_in_force.in_use else name
-        return None if job.state.final or not _may_see(admitted, job) else name
+            # The job's organisation is unknown here.
+            return None if self.configuration.keys_in_force.in_use else job_id
+        return None if job.state.final or not _may_see(admitted, job) else job_id
 
     def done_reply(self) -> Reply:
-        """Return the answer that a job is done."""
+        """Return the reply that a job is done."""
         return Reply(200, callers.encode_state(callers.STATE_DONE))
 
     async def _async_job(
-        self, request: Request, admitted: Admitted, name: str
+        self, request: Request, admitted: AdmittedRequest, job_id: str
     ) -> Reply:
         def visible() -> LedgerJob | None:
-            job = self.ledger.jobs.get(name)
+            job = self.ledger.jobs.get(job_id)
             return job if job is not None and _may_see(admitted, job) else None
 
         if request.method == "POST":
-            return await self._async_submit(request, admitted, name)
+            return await self._async_submit(request, admitted, job_id)
         if request.method == "GET":
-            return await self._async_tell(name, visible)
+            return await self._async_get_state(job_id, visible)
         if request.method == "DELETE":
-            return await self._async_cancel(request, name, visible)
+            return await self._async_cancel(request, job_id, visible)
         return error_reply(405, "method-not-allowed", request.method)
 
     async def _async_submit(
-        self, request: Request, admitted: Admitted, name: str
+        self, request: Request, admitted: AdmittedRequest, job_id: str
     ) -> Reply:
         queue = admitted.queue
-        known = self.ledger.jobs.get(name)
-        if known is not None:
-            if not _may_see(admitted, known):
+        existing = self.ledger.jobs.get(job_id)
+        if existing is not None:
+            if not _may_see(admitted, existing):
                 return error_reply(409, "id-taken", "another organisation's job has it")
-            return Reply(200, callers.encode_state(_STATES[known.state]))
+            return Reply(200, callers.encode_state(_STATES[existing.state]))
         try:
             job = callers.decode_job(request.body)
         except MalformedJobError as error:
             return error_reply(400, error.code, error.detail)
         record = JobRecord(
-            name,
+            job_id,
             queue_key(queue),
             queue.service,
             job.spec,
@@ -152,72 +152,72 @@
             admitted.caller.organisation,
         )
         outcome = await self.appender.async_append(
-            [(PREFIX_JOB + name, encode(record))],
-            self._append_until(request),
+            [(PREFIX_JOB + job_id, encode(record))],
+            self._append_deadline(request),
         )
         _LOGGER.info(
             "job_submitted",
-            job=name,
+            job=job_id,
             queue=queue.name,
             service=queue.service,
             organisation=admitted.caller.organisation,
             steps=len(job.steps),
             tasks=sum(step.count for step in job.steps),
-            shape=_shape(job.steps),
+            shape=_summarize_steps(job.steps),
             lasting=any(step.long_running for step in job.steps),
             fills=any(step.fills for step in job.steps),
-            most_a_worker=max(step.max_per_server for step in job.steps),
+            max_per_worker=max(step.max_per_server for step in job.steps),
             may_miss=max(step.may_miss for step in job.steps),
             outcome=outcome.value,
         )
         if outcome is Outcome.STORED:
             return Reply(200, callers.encode_state(callers.STATE_QUEUED))
-        return self._not_stored(name, outcome)
+        return self._append_failed_reply(job_id, outcome)
 
-    async def _async_tell(self, name: str, visible: VisibleJob) -> Reply:
+    async def _async_get_state(self, job_id: str, visible: VisibleJob) -> Reply:
         job = visible()
         age = self.timers.monotonic() - self.follower.up_to_date_at
         if job is None or (not job.state.final and age > MAX_JOB_STATE_AGE_SECONDS):
-            # A job may have been accepted by another entry a moment ago.
+            # Another entry node may have accepted the job a moment ago.
             confirmed = await self.follower.async_catch_up()
             job = visible()
             if job is None and not confirmed:
-                return self.refusals.reject(name, "state-old", f"age={age:.1f}")
+                return self.refusals.reject(job_id, "state-old", f"age={age:.1f}")
         if job is None:
             return error_reply(410, "no-such-job", "no job has this id")
         return Reply(200, callers.encode_state(_STATES[job.state]))
 
     async def _async_cancel(
-        self, request: Request, name: str, visible: VisibleJob
+        self, request: Request, job_id: str, visible: VisibleJob
     ) -> Reply:
         if visible() is None and not await self.follower.async_catch_up():
-            return self.refusals.reject(name, "state-old", "the log can't be read")
+            return self.refusals.reject(job_id, "state-old", "the log can't be read")
         job = visible()
         if job is None:
             return error_reply(410, "no-such-job", "no job has this id")
         if not job.state.final:
             outcome = await self.appender.async_append(
-                [(PREFIX_CANCEL + name, encode(CancelRecord(self.timers.wall())))],
-                self._append_until(request),
+                [(PREFIX_CANCEL + job_id, encode(CancelRecord(self.timers.wall())))],
+                self._append_deadline(request),
             )
-            _LOGGER.info("job_cancelled", job=name, outcome=outcome.value)
+            _LOGGER.info("job_cancelled", job=job_id, outcome=outcome.value)
             if outcome is not Outcome.STORED:
-                return self._not_stored(name, outcome)
+                return self._append_failed_reply(job_id, outcome)
         return Reply(200, callers.encode_state(callers.STATE_CANCELLED))
 
     def unreachable_reply(self, request: Request) -> Reply:
-        """Return the refusal of what can't be stored from here, nothing of it kept."""
+        """Return the refusal of a request that can't be stored from here."""
         return self.refusals.reject(request.path, "cut-off", "no log, no peer")
 
-    def _append_until(self, request: Request) -> float:
-        least = self.timers.monotonic() + MIN_APPEND_TIMEOUT_SECONDS
-        return max(least, request.deadline - ANSWER_MARGIN_SECONDS)
+    def _append_deadline(self, request: Request) -> float:
+        earliest = self.timers.monotonic() + MIN_APPEND_TIMEOUT_SECONDS
+        return max(earliest, request.deadline - ANSWER_MARGIN_SECONDS)
 
-    def _not_stored(self, name: str, outcome: Outcome) -> Reply:
+    def _append_failed_reply(self, job_id: str, outcome: Outcome) -> Reply:
         if outcome is Outcome.NOT_STORED:
-            return self.refusals.reject(name, "not-stored", "the log did not take it")
-        # It may be stored, now or later: to call it refused would be a guess.
-        _LOGGER.warning("outcome_unknown", request=name, outcome=outcome.value)
+            return self.refusals.reject(job_id, "not-stored", "the log did not take it")
+        # It may be stored now or later, so that it must not be reported as refused.
+        _LOGGER.warning("outcome_unknown", request=job_id, outcome=outcome.value)
         return error_reply(504, "outcome-unknown", "ask again with the same id")
 
     async def _async_count(self, request: Request, queue: Queue) -> Reply:
@@ -230,10 +230,10 @@
         return Reply(200, callers.encode_pending(count))
 
 
-def _shape(steps: list[SubmittedStep]) -> str:
-    """Return what the steps ask for, as ``8x9x512;8x2.5x64<0``.
+def _summarize_steps(steps: list[SubmittedStep]) -> str:
+    """Return a summary of steps for the log, such as ``8x9x512;8x2.5x64<0``.
 
-    That is tasks, cores and MB of each, and the steps that come before.
+    Each step is its tasks, cores and memory in MB, then the steps that it depends on.
     """
     return ";".join(
         f"{step.count}x{step.cpu / 1000:g}x{step.mem_mb}"
@@ -242,5 +242,5 @@
     )
 
 
-def _may_see(admitted: Admitted, job: LedgerJob) -> bool:
+def _may_see(admitted: AdmittedRequest, job: LedgerJob) -> bool:
     return may_see(admitted.caller, admitted.queue, job.record)
--- a/mustardward/components/ledger/ahead.py
+++ b/mustardward/components/ledger/ahead.py
@@ -44,7 +44,7 @@
             return True
         return self.completed_at_owner is not None and self.completed_at_owner(job_id)
 
-    def unlogged_reports(self, is_stored: Callable[[str], bool]) -> list[str]:
+    def pending_reports(self, is_stored: Callable[[str], bool]) -> list[str]:
         """Return the jobs reported as complete that the log lacks; drop stored ones.
 
         :param is_stored: returns whether the log has a final state for a job.
--- a/mustardward/node/app.py
+++ b/mustardward/node/app.py
@@ -104,9 +104,11 @@
             f"{boot.node}/{secrets.token_hex(6)}",
             epoch=1,
         )
-        sighting = AppendWatcher(self._follower.async_catch_up, UNIQUE_ENTRY_PREFIXES)
-        self._follower.record_listeners.append(sighting.observe)
-        self._appender.sighting = sighting
+        append_watcher = AppendWatcher(
+            self._follower.async_catch_up, UNIQUE_ENTRY_PREFIXES
+        )
+        self._follower.record_listeners.append(append_watcher.observe)
+        self._appender.sighting = append_watcher
         front = FrontService(
             self._timers,
             self._configuration,
@@ -160,8 +162,8 @@
 
     def _make_relay(self, boot: BootSettings) -> StoreRelay:
         address = boot.platform.address
-        # Peers that were cut off from the store too are shunned here only: they may
-        # still answer callers' requests.
+        # Separate from the forwarder of callers' requests: a peer that can't reach the
+        # store is left out here only, since it may still answer those.
         forwarder = Forwarder(
             self._ledger,
             self._timers,
--- a/tests/components/forwarding/__init__.py
+++ b/tests/components/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Test letting peers answer."""
+"""Test forwarding between entry nodes."""
--- a/tests/components/forwarding/test_relay.py
+++ b/tests/components/forwarding/test_relay.py
@@ -1,4 +1,4 @@
-"""Test calls to the store through peers, while it turns one entry alone away."""
+"""Test calls to the store through peers while it fails for one entry node alone."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 @dataclass
 class _Http:
-    """Answer direct calls as the test says."""
+    """Answer direct calls with a preset result."""
 
     result: Result = SERVED
     calls: list[str] = field(default_factory=list)
@@ -52,32 +52,32 @@
 
 @dataclass
 class _Peers:
-    """Answer for all peers as the test says."""
+    """Answer for all peers with a preset outcome."""
 
     outcome: PeerOutcome = field(default_factory=lambda: PeerOutcome(None, False))
-    asked: list[PeerRequest] = field(default_factory=list)
+    requests: list[PeerRequest] = field(default_factory=list)
 
     async def async_forward(
         self, request: PeerRequest, answer_timeout_seconds: float
     ) -> PeerOutcome:
-        self.asked.append(request)
+        self.requests.append(request)
         return self.outcome
 
 
 @dataclass
-class RelayBench:
-    """Hold an entry's ways to the store."""
+class RelayHarness:
+    """A relay with fake direct and peer calls."""
 
     http: _Http = field(default_factory=_Http)
     peers_http: _Http = field(default_factory=_Http)
     peers: _Peers = field(default_factory=_Peers)
     timers: DrivenTimerService = field(default_factory=DrivenTimerService)
-    reached: bool = False
+    store_reachable: bool = False
     relay: StoreRelay = field(init=False)
 
     def __post_init__(self) -> None:
         async def async_probe() -> bool:
-            return self.reached
+            return self.store_reachable
 
         self.relay = StoreRelay(
             self.http,  # type: ignore[arg-type]
@@ -102,120 +102,119 @@
         self.peers.outcome = PeerOutcome(PeerReply(200, b"by peer"), False)
 
 
-def peer_asks(call: RelayedCall) -> PeerRequest:
+def relay_request(call: RelayedCall) -> PeerRequest:
     return PeerRequest(RELAY_METHOD, "", "", msgspec.msgpack.encode(call), 1.0)
 
 
-async def test_with_the_store_no_peer_is_asked() -> None:
-    bench = RelayBench()
-    assert (await bench.async_call()).body == b"ok"
-    assert bench.peers.asked == []
+async def test_peers_are_not_used_while_the_store_answers() -> None:
+    harness = RelayHarness()
+    assert (await harness.async_call()).body == b"ok"
+    assert harness.peers.requests == []
 
 
 @pytest.mark.parametrize(
     "result", [BUSY, CallRefusedError("cut"), CallUnknownError("silent")]
 )
-async def test_an_owner_that_the_store_turns_away_appends_through_a_peer(
+async def test_owner_that_the_store_refuses_appends_through_a_peer(
     result: Result,
 ) -> None:
-    """Renew and store ends by another way, rather than fall silent.
+    """Guard against a deposed owner and about 35 jobs that are late at once.
 
-    Symptom: some 35 jobs are late at once, and an owner is deposed. Sequence: the store
-    turns the owner alone away; 1.3 s later another entry claims. Cause: the owner knew
-    one way to the store.
+    The store refuses the owner alone. Without another path to it, the owner misses its
+    renewals, and 1.3 s later another entry node claims the shard.
     """
-    bench = RelayBench(_Http(result))
-    bench.serve_by_peers()
-    assert (await bench.async_call()).body == b"by peer"
-    sent = msgspec.msgpack.decode(bench.peers.asked[0].body, type=RelayedCall)
+    harness = RelayHarness(_Http(result))
+    harness.serve_by_peers()
+    assert (await harness.async_call()).body == b"by peer"
+    sent = msgspec.msgpack.decode(harness.peers.requests[0].body, type=RelayedCall)
     assert sent == APPEND
-    # Each further call would wait for the direct way's timeout first.
-    assert (await bench.async_call()).body == b"by peer"
-    assert len(bench.http.calls) == 1
+    # Later calls do not wait for the timeout of a direct call first.
+    assert (await harness.async_call()).body == b"by peer"
+    assert len(harness.http.calls) == 1
 
 
-async def test_the_direct_way_is_taken_again_once_it_is_open() -> None:
-    bench = RelayBench(_Http(BUSY))
-    bench.serve_by_peers()
-    await bench.async_call()
+async def test_direct_calls_resume_once_the_store_is_reachable() -> None:
+    harness = RelayHarness(_Http(BUSY))
+    harness.serve_by_peers()
+    await harness.async_call()
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(bench.relay.async_run)
+        tasks.start_soon(harness.relay.async_run)
         await anyio.wait_all_tasks_blocked()
-        await bench.timers.async_advance(PROBE_INTERVAL_SECONDS)
+        await harness.timers.async_advance(PROBE_INTERVAL_SECONDS)
         await anyio.wait_all_tasks_blocked()
-        assert bench.relay.relaying
-        bench.reached = True
-        await bench.timers.async_advance(PROBE_INTERVAL_SECONDS)
+        assert harness.relay.relaying
+        harness.store_reachable = True
+        await harness.timers.async_advance(PROBE_INTERVAL_SECONDS)
         await anyio.wait_all_tasks_blocked()
-        assert not bench.relay.relaying
+        assert not harness.relay.relaying
         tasks.cancel_scope.cancel()
 
 
-async def test_in_an_outage_peers_are_not_asked_with_each_retry() -> None:
-    bench = RelayBench(_Http(BUSY))
+async def test_peers_are_not_asked_with_each_retry_during_an_outage() -> None:
+    harness = RelayHarness(_Http(BUSY))
     for _ in range(5):
-        assert (await bench.async_call()).status == 503
-    assert len(bench.peers.asked) == 1
-    bench.timers.pause(RELAY_PAUSE_SECONDS)
-    assert (await bench.async_call()).status == 503
-    assert len(bench.peers.asked) == 2
+        assert (await harness.async_call()).status == 503
+    assert len(harness.peers.requests) == 1
+    harness.timers.pause(RELAY_PAUSE_SECONDS)
+    assert (await harness.async_call()).status == 503
+    assert len(harness.peers.requests) == 2
 
 
-async def test_an_append_that_a_peer_may_have_made_is_not_told_as_refused() -> None:
-    """Else its caller is told that its job was not taken, though it runs."""
-    bench = RelayBench(_Http(BUSY), peers=_Peers(PeerOutcome(None, True)))
+async def test_append_that_a_peer_may_have_made_has_an_unknown_outcome() -> None:
+    """Guard against a job that runs although its caller was refused."""
+    harness = RelayHarness(_Http(BUSY), peers=_Peers(PeerOutcome(None, True)))
     with pytest.raises(CallUnknownError):
-        await bench.async_call()
+        await harness.async_call()
 
 
-async def test_a_read_that_a_peer_left_unanswered_fails_as_it_did_here() -> None:
-    bench = RelayBench(
+async def test_read_unanswered_by_a_peer_fails_with_the_direct_error() -> None:
+    harness = RelayHarness(
         _Http(CallRefusedError("cut")), peers=_Peers(PeerOutcome(None, True))
     )
     with pytest.raises(CallRefusedError):
-        await bench.async_call(READ)
+        await harness.async_call(READ)
 
 
-async def test_when_the_peers_lose_the_store_the_direct_way_is_tried() -> None:
-    bench = RelayBench(_Http(BUSY))
-    bench.serve_by_peers()
-    await bench.async_call()
-    bench.peers.outcome = PeerOutcome(None, False)
-    bench.http.result = SERVED
-    assert (await bench.async_call()).body == b"ok"
-    assert not bench.relay.relaying
+async def test_direct_call_is_tried_when_peers_lose_the_store() -> None:
+    harness = RelayHarness(_Http(BUSY))
+    harness.serve_by_peers()
+    await harness.async_call()
+    harness.peers.outcome = PeerOutcome(None, False)
+    harness.http.result = SERVED
+    assert (await harness.async_call()).body == b"ok"
+    assert not harness.relay.relaying
 
 
-async def test_a_peers_call_is_made_once_and_only_on_the_direct_way() -> None:
-    bench = RelayBench()
-    reply = await bench.relay.async_answer_peer(peer_asks(APPEND))
+async def test_call_for_a_peer_is_made_once_and_only_directly() -> None:
+    harness = RelayHarness()
+    reply = await harness.relay.async_answer_peer(relay_request(APPEND))
     assert (reply.status, reply.body, reply.confirmed) == (200, b"ok", True)
-    assert bench.peers_http.calls == ["POST http://store:1/append"]
-    bench.peers_http.result = bench.http.result = BUSY
-    assert not (await bench.relay.async_answer_peer(peer_asks(APPEND))).confirmed
-    assert bench.peers.asked == []
-    bench.serve_by_peers()
-    await bench.async_call()
-    made = len(bench.peers_http.calls)
-    assert not (await bench.relay.async_answer_peer(peer_asks(APPEND))).confirmed
-    assert len(bench.peers_http.calls) == made
+    assert harness.peers_http.calls == ["POST http://store:1/append"]
+    harness.peers_http.result = harness.http.result = BUSY
+    assert not (await harness.relay.async_answer_peer(relay_request(APPEND))).confirmed
+    assert harness.peers.requests == []
+    harness.serve_by_peers()
+    await harness.async_call()
+    calls_made = len(harness.peers_http.calls)
+    assert not (await harness.relay.async_answer_peer(relay_request(APPEND))).confirmed
+    assert len(harness.peers_http.calls) == calls_made
 
 
 @pytest.mark.parametrize(("call", "status"), [(APPEND, 504), (READ, 503)])
-async def test_a_peer_says_whether_an_append_may_have_been_made(
+async def test_peer_reports_whether_an_append_may_have_been_made(
     call: RelayedCall, status: int
 ) -> None:
-    bench = RelayBench(peers_http=_Http(CallUnknownError("silent")))
-    reply = await bench.relay.async_answer_peer(peer_asks(call))
+    harness = RelayHarness(peers_http=_Http(CallUnknownError("silent")))
+    reply = await harness.relay.async_answer_peer(relay_request(call))
     assert (reply.status, reply.confirmed) == (status, False)
 
 
-async def test_peers_calls_take_no_connections_of_the_own_ones() -> None:
-    """An append of this entry would else wait behind the long polls of others."""
-    bench = RelayBench()
-    await bench.relay.async_answer_peer(peer_asks(READ))
-    assert bench.http.calls == []
-    bench.relay._peer_calls_in_flight = MAX_RELAYED_CALLS
-    reply = await bench.relay.async_answer_peer(peer_asks(READ))
+async def test_calls_for_peers_use_separate_connections() -> None:
+    """Guard against appends of this node that wait behind the long polls of peers."""
+    harness = RelayHarness()
+    await harness.relay.async_answer_peer(relay_request(READ))
+    assert harness.http.calls == []
+    harness.relay._peer_calls_in_flight = MAX_RELAYED_CALLS
+    reply = await harness.relay.async_answer_peer(relay_request(READ))
     assert not reply.confirmed
-    assert len(bench.peers_http.calls) == 1
+    assert len(harness.peers_http.calls) == 1
--- a/tests/components/front/__init__.py
+++ b/tests/components/front/__init__.py
@@ -1,1 +1,1 @@
-"""Test answering callers."""
+"""Test the front end."""
--- a/tests/components/front/builders.py
+++ b/tests/components/front/builders.py
@@ -1,4 +1,4 @@
-"""Build an entry's front on a store that obeys the test."""
+"""Build an entry node's front end on a store that the test controls."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 BODY = msgspec.json.encode({"spec": "x", "steps": [{"count": 2, "cpu": 100}]})
 
 
-def a_config(
+def encode_config(
     version: int = 1,
     prefixes: tuple[str, ...] = (PREFIX,),
     organisations: dict[str, list[str]] | None = None,
     public: tuple[str, ...] = (),
 ) -> bytes:
-    """Return the operator's record.
+    """Return the operator's configuration record.
 
-    :param organisations: the keys of each; None where the deployment has none.
-    :param public: the prefixes of queues that anybody may call.
+    :param organisations: API keys by organisation; None for a deployment without any.
+    :param public: path prefixes of queues that need no key.
     """
     routes = [
         {
@@ -60,8 +60,8 @@
     return msgspec.json.encode(body)
 
 
-class FrontBench:
-    """Hold an entry's front on a store that obeys the test."""
+class FrontHarness:
+    """An entry node's front end on a store that the test controls."""
 
     def __init__(self) -> None:
         self.store = MemoryStore()
@@ -88,38 +88,38 @@
     async def async_ask(
         self, method: str, path: str, body: bytes = b"", key: str = ""
     ) -> Reply:
-        """Return the answer to a request with some patience."""
+        """Return the reply to a request with a deadline of 0.5 s."""
         deadline = self.timers.monotonic() + 0.5
         return await self.front.async_answer(
             Request(method, HOST, path, body, deadline, key)
         )
 
     async def async_publish(self, record: bytes) -> None:
-        """Publish a configuration, and let it be read."""
+        """Publish a configuration record and let the node read it."""
         self.store.append(TOPIC_OPERATOR, [("config", record)])
         self.timers.pause(0.01)
         assert await self.config_follower.async_catch_up()
         assert await self.follower.async_catch_up()
 
     async def async_configure(self, version: int = 1, *prefixes: str) -> None:
-        """Publish a configuration, and let it be read."""
-        await self.async_publish(a_config(version, prefixes or (PREFIX,)))
+        """Publish a configuration with these path prefixes and let the node read it."""
+        await self.async_publish(encode_config(version, prefixes or (PREFIX,)))
 
-    def _follow(self, topic: str, fold: Ledger | Configuration) -> TopicFollower:
+    def _follow(self, topic: str, state: Ledger | Configuration) -> TopicFollower:
         return TopicFollower(
             self.store,  # type: ignore[arg-type]
             self.timers,
             topic,
-            fold.apply,
-            fold.keys,
+            state.apply,
+            state.keys,
             interval_seconds=0.1,
         )
 
 
 @asynccontextmanager
-async def a_front() -> AsyncIterator[FrontBench]:
-    """Play a front that has read a configuration and can store."""
-    bench = FrontBench()
-    await bench.async_configure()
-    async with async_appending(bench.appender):
-        yield bench
+async def running_front() -> AsyncIterator[FrontHarness]:
+    """Yield a front end that has read a configuration and can append."""
+    harness = FrontHarness()
+    await harness.async_configure()
+    async with async_appending(harness.appender):
+        yield harness
--- a/tests/components/front/test_keys.py
+++ b/tests/components/front/test_keys.py
@@ -1,4 +1,4 @@
-"""Test that only who shows a key in force is served, and only with its own jobs."""
+"""Test that a caller needs a valid API key and can access only its own jobs."""
 
 from __future__ import annotations
 
@@ -11,28 +11,36 @@
 from mustardward.platform.store import TOPIC_OPERATOR
 from mustardward.standin.estate.store import Mood
 
-from .builders import BODY, HOST, JOB, PREFIX, FrontBench, a_config, a_front
+from .builders import (
+    BODY,
+    HOST,
+    JOB,
+    PREFIX,
+    FrontHarness,
+    encode_config,
+    running_front,
+)
 
 pytestmark = pytest.mark.anyio
 
-DAIRY = "key-of-the-dairy"
-DAIRY_TOO = "second-key-of-the-dairy"
-GAUGES = "key-of-the-gauge-works"
-KEYS = {"dairy": [DAIRY, DAIRY_TOO], "gauges": [GAUGES]}
-OPEN = "/open/"
-BOTH = (PREFIX, OPEN)
+DAIRY_KEY = "key-of-the-dairy"
+DAIRY_SECOND_KEY = "second-key-of-the-dairy"
+GAUGES_KEY = "key-of-the-gauge-works"
+KEYS = {"dairy": [DAIRY_KEY, DAIRY_SECOND_KEY], "gauges": [GAUGES_KEY]}
+PUBLIC_PREFIX = "/open/"
+PREFIXES = (PREFIX, PUBLIC_PREFIX)
 
 
 async def _async_configure(
-    bench: FrontBench, version: int, keys: dict[str, list[str]], *public: str
+    harness: FrontHarness, version: int, keys: dict[str, list[str]], *public: str
 ) -> None:
-    await bench.async_publish(a_config(version, BOTH, keys, public))
+    await harness.async_publish(encode_config(version, PREFIXES, keys, public))
 
 
-async def _async_hand_in(bench: FrontBench) -> None:
-    """Hand the dairy's job in, and let what was read of the log grow old."""
-    await bench.async_ask("POST", PREFIX + JOB, BODY, DAIRY)
-    bench.timers.pause(0.2)
+async def _async_submit_job(harness: FrontHarness) -> None:
+    """Submit the dairy's job, and let the state read from the log become outdated."""
+    await harness.async_ask("POST", PREFIX + JOB, BODY, DAIRY_KEY)
+    harness.timers.pause(0.2)
 
 
 @pytest.mark.parametrize(
@@ -41,196 +49,199 @@
     + [("GET", PREFIX)],
 )
 @pytest.mark.parametrize("key", ["", "nobody's"])
-async def test_without_a_known_key_nothing_is_done(
+async def test_request_without_a_known_key_has_no_effect(
     method: str, path: str, key: str
 ) -> None:
-    async with a_front() as bench:
-        await _async_configure(bench, 2, KEYS)
-        await _async_hand_in(bench)
-        end = bench.store.topic_end(TOPIC)
-        reply = await bench.async_ask(method, path, BODY, key)
+    async with running_front() as harness:
+        await _async_configure(harness, 2, KEYS)
+        await _async_submit_job(harness)
+        end = harness.store.topic_end(TOPIC)
+        reply = await harness.async_ask(method, path, BODY, key)
         assert reply.status == 401
-        assert bench.store.topic_end(TOPIC) == end
-
-
-async def test_a_deployment_with_organisations_is_closed_if_a_version_names_none() -> (
-    None
-):
-    """Symptom: a version without its organisations lets everybody in."""
-    async with a_front() as bench:
-        bench.configuration.asks_for_keys = True
-        await bench.async_configure(2)
-        assert (await bench.async_ask("GET", PREFIX, key=DAIRY)).status == 401
-
-
-async def test_a_public_queue_takes_anybody() -> None:
-    async with a_front() as bench:
-        await _async_configure(bench, 2, KEYS, OPEN)
-        assert (await bench.async_ask("POST", OPEN + JOB, BODY)).status == 200
-        assert (await bench.async_ask("GET", OPEN + JOB)).status == 200
-        assert (await bench.async_ask("GET", OPEN, key="nobody's")).status == 200
-
-
-async def test_another_key_of_the_same_organisation_names_the_same_job() -> None:
-    async with a_front() as bench:
-        await _async_configure(bench, 2, KEYS)
-        await _async_hand_in(bench)
-        await bench.async_ask("GET", PREFIX + JOB, key=DAIRY)
-        again = await bench.async_ask("POST", PREFIX + JOB, BODY, DAIRY_TOO)
+        assert harness.store.topic_end(TOPIC) == end
+
+
+async def test_configuration_without_organisations_admits_nobody() -> None:
+    """Guard against open access after a version that omits the organisations."""
+    async with running_front() as harness:
+        harness.configuration.asks_for_keys = True
+        await harness.async_configure(2)
+        assert (await harness.async_ask("GET", PREFIX, key=DAIRY_KEY)).status == 401
+
+
+async def test_public_queue_needs_no_key() -> None:
+    async with running_front() as harness:
+        await _async_configure(harness, 2, KEYS, PUBLIC_PREFIX)
+        assert (
+            await harness.async_ask("POST", PUBLIC_PREFIX + JOB, BODY)
+        ).status == 200
+        assert (await harness.async_ask("GET", PUBLIC_PREFIX + JOB)).status == 200
+        assert (
+            await harness.async_ask("GET", PUBLIC_PREFIX, key="nobody's")
+        ).status == 200
+
+
+async def test_all_keys_of_an_organisation_give_access_to_its_jobs() -> None:
+    async with running_front() as harness:
+        await _async_configure(harness, 2, KEYS)
+        await _async_submit_job(harness)
+        await harness.async_ask("GET", PREFIX + JOB, key=DAIRY_KEY)
+        again = await harness.async_ask("POST", PREFIX + JOB, BODY, DAIRY_SECOND_KEY)
         assert again.status == 200
-        assert bench.store.topic_end(TOPIC) == 1
+        assert harness.store.topic_end(TOPIC) == 1
 
 
-async def test_nobody_sees_cancels_or_takes_over_another_organisations_job() -> None:
-    async with a_front() as bench:
-        await _async_configure(bench, 2, KEYS)
-        await _async_hand_in(bench)
+async def test_another_organisations_job_is_inaccessible() -> None:
+    async with running_front() as harness:
+        await _async_configure(harness, 2, KEYS)
+        await _async_submit_job(harness)
         statuses = [
-            (await bench.async_ask(method, PREFIX + JOB, BODY, GAUGES)).status
+            (await harness.async_ask(method, PREFIX + JOB, BODY, GAUGES_KEY)).status
             for method in ("GET", "DELETE", "POST")
         ]
         assert statuses == [410, 410, 409]
-        assert bench.store.topic_end(TOPIC) == 1
-        state = await bench.async_ask("GET", PREFIX + JOB, key=DAIRY)
+        assert harness.store.topic_end(TOPIC) == 1
+        state = await harness.async_ask("GET", PREFIX + JOB, key=DAIRY_KEY)
         assert msgspec.json.decode(state.body) == {"state": "queued"}
 
 
-async def test_a_private_job_is_not_told_over_a_public_queue() -> None:
-    async with a_front() as bench:
-        await _async_configure(bench, 2, KEYS, OPEN)
-        await _async_hand_in(bench)
-        assert (await bench.async_ask("GET", OPEN + JOB)).status == 410
+async def test_private_job_is_not_visible_over_a_public_queue() -> None:
+    async with running_front() as harness:
+        await _async_configure(harness, 2, KEYS, PUBLIC_PREFIX)
+        await _async_submit_job(harness)
+        assert (await harness.async_ask("GET", PUBLIC_PREFIX + JOB)).status == 410
 
 
-async def test_a_job_stays_readable_when_its_queue_turns_public_or_private() -> None:
-    async with a_front() as bench:
-        await _async_configure(bench, 2, KEYS)
-        await bench.async_ask("POST", PREFIX + JOB, BODY, DAIRY)
-        await _async_configure(bench, 3, KEYS, PREFIX)
-        assert (await bench.async_ask("GET", PREFIX + JOB)).status == 200
-        await _async_configure(bench, 4, KEYS)
-        assert (await bench.async_ask("GET", PREFIX + JOB, key=DAIRY)).status == 200
-        assert (await bench.async_ask("GET", PREFIX + JOB)).status == 401
+async def test_job_stays_readable_when_its_queue_turns_public_or_private() -> None:
+    async with running_front() as harness:
+        await _async_configure(harness, 2, KEYS)
+        await harness.async_ask("POST", PREFIX + JOB, BODY, DAIRY_KEY)
+        await _async_configure(harness, 3, KEYS, PREFIX)
+        assert (await harness.async_ask("GET", PREFIX + JOB)).status == 200
+        await _async_configure(harness, 4, KEYS)
+        assert (
+            await harness.async_ask("GET", PREFIX + JOB, key=DAIRY_KEY)
+        ).status == 200
+        assert (await harness.async_ask("GET", PREFIX + JOB)).status == 401
 
 
-async def test_a_key_that_was_just_added_is_found() -> None:
-    """Ask the log's end before a key is called unknown.
+async def test_unknown_key_is_checked_against_the_newest_configuration() -> None:
+    """Guard against 401 for a key that was added seconds before.
 
-    Symptom: callers with a key in force for seconds got 401. Sequence: the entry's
-    connection to the store was silent; the key was added. Cause: "unknown" was said as
-    of an old configuration.
+    The key is added while the entry node's connection to the store is silent, so that
+    the local configuration is outdated.
     """
-    async with a_front() as bench:
-        await _async_configure(bench, 2, {"dairy": []})
-        record = a_config(3, BOTH, KEYS)
-        bench.store.append(TOPIC_OPERATOR, [("config", record)])
-        bench.timers.pause(3.0)
-        assert (await bench.async_ask("GET", PREFIX, key=DAIRY)).status == 200
+    async with running_front() as harness:
+        await _async_configure(harness, 2, {"dairy": []})
+        record = encode_config(3, PREFIXES, KEYS)
+        harness.store.append(TOPIC_OPERATOR, [("config", record)])
+        harness.timers.pause(3.0)
+        assert (await harness.async_ask("GET", PREFIX, key=DAIRY_KEY)).status == 200
 
 
-async def test_an_unknown_key_is_not_called_so_while_the_log_is_away() -> None:
-    async with a_front() as bench:
-        await _async_configure(bench, 2, KEYS)
-        bench.store.mood = Mood.REFUSING
-        bench.timers.pause(3.0)
-        assert (await bench.async_ask("GET", PREFIX, key="new")).status == 503
+async def test_unknown_key_gets_503_while_the_log_is_unreachable() -> None:
+    async with running_front() as harness:
+        await _async_configure(harness, 2, KEYS)
+        harness.store.mood = Mood.REFUSING
+        harness.timers.pause(3.0)
+        assert (await harness.async_ask("GET", PREFIX, key="new")).status == 503
 
 
-async def test_a_slow_store_is_asked_once_for_an_unknown_key() -> None:
-    """Symptom: a request for an unknown key reads the log until its caller gives up.
+async def test_unknown_key_reads_a_slow_log_once() -> None:
+    """Guard against a request that reads the log until its caller gives up.
 
-    Cause: a read that takes longer than a configuration counts as fresh asked for
-    another one.
+    A read may take longer than the maximum age of a configuration; that alone must not
+    cause another read.
     """
-    async with a_front() as bench:
-        await _async_configure(bench, 2, KEYS)
-        bench.timers.pause(3.0)
+    async with running_front() as harness:
+        await _async_configure(harness, 2, KEYS)
+        harness.timers.pause(3.0)
         reads = 0
-        read = bench.config_follower.async_catch_up
+        catch_up = harness.config_follower.async_catch_up
 
-        async def async_slow_confirm() -> bool:
+        async def async_slow_catch_up() -> bool:
             nonlocal reads
             reads += 1
-            confirmed = await read()
-            bench.timers.pause(1.0)
+            confirmed = await catch_up()
+            harness.timers.pause(1.0)
             return confirmed
 
-        bench.front.admission.follower = _Slow(  # type: ignore[assignment]
-            async_slow_confirm, bench.config_follower.up_to_date_at
+        harness.front.admission.follower = _SlowFollower(  # type: ignore[assignment]
+            async_slow_catch_up, harness.config_follower.up_to_date_at
         )
-        assert (await bench.async_ask("GET", PREFIX, key="new")).status == 401
+        assert (await harness.async_ask("GET", PREFIX, key="new")).status == 401
         assert reads == 1
 
 
-class _Slow:
-    """Play a follower whose every answer is old once it is there."""
+class _SlowFollower:
+    """Follower whose state is outdated as soon as a read returns."""
 
-    def __init__(self, confirm: object, up_to_date_at: float) -> None:
-        self.async_catch_up = confirm
+    def __init__(self, catch_up: object, up_to_date_at: float) -> None:
+        self.async_catch_up = catch_up
         self.up_to_date_at = up_to_date_at
 
 
-async def test_a_withdrawn_key_never_comes_back_by_an_older_version() -> None:
-    async with a_front() as bench:
-        await _async_configure(bench, 5, {"gauges": [GAUGES]})
-        assert (await bench.async_ask("GET", PREFIX, key=DAIRY)).status == 401
-        await _async_configure(bench, 4, KEYS)
-        assert (await bench.async_ask("GET", PREFIX, key=DAIRY)).status == 401
-        assert (await bench.async_ask("GET", PREFIX, key=GAUGES)).status == 200
+async def test_revoked_key_is_not_restored_by_an_older_version() -> None:
+    async with running_front() as harness:
+        await _async_configure(harness, 5, {"gauges": [GAUGES_KEY]})
+        assert (await harness.async_ask("GET", PREFIX, key=DAIRY_KEY)).status == 401
+        await _async_configure(harness, 4, KEYS)
+        assert (await harness.async_ask("GET", PREFIX, key=DAIRY_KEY)).status == 401
+        assert (await harness.async_ask("GET", PREFIX, key=GAUGES_KEY)).status == 200
 
 
-async def test_an_organisation_that_lost_all_keys_is_shut_out_and_not_forgotten() -> (
-    None
-):
-    async with a_front() as bench:
-        await _async_configure(bench, 2, KEYS)
-        await bench.async_ask("POST", PREFIX + JOB, BODY, DAIRY)
-        await _async_configure(bench, 3, {"gauges": [GAUGES]})
-        assert (await bench.async_ask("GET", PREFIX + JOB, key=DAIRY)).status == 401
-        assert bench.configuration.organisation("dairy") is not None
-        assert JOB in bench.ledger.jobs
+async def test_organisation_without_keys_is_refused_but_kept() -> None:
+    async with running_front() as harness:
+        await _async_configure(harness, 2, KEYS)
+        await harness.async_ask("POST", PREFIX + JOB, BODY, DAIRY_KEY)
+        await _async_configure(harness, 3, {"gauges": [GAUGES_KEY]})
+        assert (
+            await harness.async_ask("GET", PREFIX + JOB, key=DAIRY_KEY)
+        ).status == 401
+        assert harness.configuration.organisation("dairy") is not None
+        assert JOB in harness.ledger.jobs
 
 
 @pytest.mark.parametrize(("strict", "status"), [(None, 200), (5.0, 503)])
-async def test_keys_that_may_be_withdrawn_are_taken_as_the_deployment_says(
+async def test_maximum_key_age_limits_service_during_an_outage(
     strict: float | None, status: int
 ) -> None:
-    """An entry that can't hear of a key's end serves on, or refuses after a time."""
-    async with a_front() as bench:
-        await _async_configure(bench, 2, KEYS)
-        bench.front.admission.max_key_age_seconds = strict
-        bench.store.mood = Mood.REFUSING
-        bench.timers.pause(4.0)
-        assert (await bench.async_ask("GET", PREFIX, key=DAIRY)).status == 200
-        bench.timers.pause(2.0)
-        assert (await bench.async_ask("GET", PREFIX, key=DAIRY)).status == status
-
-
-async def test_no_key_stands_in_a_log_line_a_record_or_a_text(
+    """A node that can't learn of a revocation either continues, or refuses after it."""
+    async with running_front() as harness:
+        await _async_configure(harness, 2, KEYS)
+        harness.front.admission.max_key_age_seconds = strict
+        harness.store.mood = Mood.REFUSING
+        harness.timers.pause(4.0)
+        assert (await harness.async_ask("GET", PREFIX, key=DAIRY_KEY)).status == 200
+        harness.timers.pause(2.0)
+        assert (await harness.async_ask("GET", PREFIX, key=DAIRY_KEY)).status == status
+
+
+async def test_keys_do_not_appear_in_logs_records_or_representations(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.DEBUG)
-    async with a_front() as bench:
-        await _async_configure(bench, 2, KEYS)
-        await bench.async_ask("POST", PREFIX + JOB, BODY, DAIRY)
-        await bench.async_ask("POST", PREFIX + JOB, BODY, "nobody's secret")
-        records = bench.store.records_from(TOPIC, 0)
+    async with running_front() as harness:
+        await _async_configure(harness, 2, KEYS)
+        await harness.async_ask("POST", PREFIX + JOB, BODY, DAIRY_KEY)
+        await harness.async_ask("POST", PREFIX + JOB, BODY, "nobody's secret")
+        records = harness.store.records_from(TOPIC, 0)
         texts = [
             caplog.text,
-            repr(bench.configuration),
-            repr(bench.configuration.config),
+            repr(harness.configuration),
+            repr(harness.configuration.config),
             *(repr(record.value) for record in records),
         ]
         assert any(record.key == PREFIX_JOB + JOB for record in records)
-        for secret in (DAIRY, GAUGES, "nobody's secret"):
+        for secret in (DAIRY_KEY, GAUGES_KEY, "nobody's secret"):
             assert not any(secret in text for text in texts)
 
 
-async def test_a_job_that_is_over_is_still_its_organisations_own() -> None:
-    async with a_front() as bench:
-        await _async_configure(bench, 2, KEYS)
-        await _async_hand_in(bench)
-        await bench.async_ask("GET", PREFIX + JOB, key=DAIRY)
-        stub = bench.ledger.jobs[JOB].record.as_stub()
+async def test_stub_keeps_the_organisation_and_queue() -> None:
+    async with running_front() as harness:
+        await _async_configure(harness, 2, KEYS)
+        await _async_submit_job(harness)
+        await harness.async_ask("GET", PREFIX + JOB, key=DAIRY_KEY)
+        stub = harness.ledger.jobs[JOB].record.as_stub()
         assert (stub.organisation, stub.queue) == ("dairy", f"{HOST} {PREFIX}")
         assert stub.is_stub
--- a/tests/components/front/test_server.py
+++ b/tests/components/front/test_server.py
@@ -1,4 +1,4 @@
-"""Test that an entry that leaves cuts no caller off, over real connections."""
+"""Test that a draining entry node answers every request, over real connections."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 pytestmark = pytest.mark.anyio
 
-MOST_SECONDS = 20.0
+TEST_TIMEOUT_SECONDS = 20.0
 GRACE_SECONDS = 2.0
 
 
-class SlowAnswering:
-    """Answer each caller after a time, as an entry that is short of processor does."""
+class SlowFailover:
+    """Answer each caller after a delay, like a node that is short of processor time."""
 
     def __init__(self, seconds: float) -> None:
         self.seconds = seconds
@@ -31,7 +31,7 @@
         self.config = None
 
     async def async_answer(self, request: Request) -> Reply:
-        """Return an empty answer, later."""
+        """Return an empty reply after the delay."""
         self.deadlines.append(request.deadline)
         await anyio.sleep(self.seconds)
         return Reply(200, b"{}")
@@ -39,7 +39,7 @@
 
 @asynccontextmanager
 async def async_serve(failover: Any) -> AsyncIterator[tuple[FrontServer, str]]:
-    """Yield a server, and the address that it listens on."""
+    """Yield a server and its base URL."""
     async with anyio.create_task_group() as tasks:
         server = FrontServer(failover, LoopTimerService(tasks), lambda: True)
         await server.async_listen("127.0.0.1:0", "127.0.0.1:0")
@@ -48,23 +48,21 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_a_request_that_comes_while_an_entry_closes_is_answered() -> None:
-    """Closing waits for what arrives on connections that are still open.
+async def test_request_that_arrives_while_closing_is_answered() -> None:
+    """Guard against connections closed without an answer during planned maintenance.
 
-    Symptom: a caller's connection ends without an answer around planned work.
-    Sequence: an entry that was told to stop finds nothing in work and begins to
-    close; a request reaches it at that moment, and takes longer than the tenth of a
-    second that was left for it. Cause: nothing in work was taken for nothing to come.
+    A stopping entry node has no request in flight and starts to close. A request
+    arrives at that moment, and takes longer than the tenth of a second left for it.
     """
-    with anyio.fail_after(MOST_SECONDS):
-        async with async_serve(SlowAnswering(0.3)) as (server, address):
+    with anyio.fail_after(TEST_TIMEOUT_SECONDS):
+        async with async_serve(SlowFailover(0.3)) as (server, url):
             async with httpx.AsyncClient() as client:
-                await client.get(address)
+                await client.get(url)
                 server.drain_within(GRACE_SECONDS)
                 statuses: list[int] = []
 
                 async def async_ask() -> None:
-                    statuses.append((await client.get(address)).status_code)
+                    statuses.append((await client.get(url)).status_code)
 
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(server.async_close, GRACE_SECONDS)
@@ -73,14 +71,14 @@
                 assert statuses == [200]
 
 
-async def test_who_asks_a_leaving_entry_is_answered_before_it_ends() -> None:
-    """A caller's patience may reach beyond the end of the process."""
-    with anyio.fail_after(MOST_SECONDS):
-        failover = SlowAnswering(0.0)
-        async with async_serve(failover) as (server, address):
+async def test_request_to_a_draining_node_gets_the_drain_deadline() -> None:
+    """A caller's own deadline may be later than the end of the process."""
+    with anyio.fail_after(TEST_TIMEOUT_SECONDS):
+        failover = SlowFailover(0.0)
+        async with async_serve(failover) as (server, url):
             async with httpx.AsyncClient() as client:
                 before = server.timers.monotonic()
                 server.drain_within(GRACE_SECONDS)
-                response = await client.get(address)
+                response = await client.get(url)
                 assert response.headers["connection"] == "close"
                 assert failover.deadlines[0] <= before + GRACE_SECONDS + 0.1
--- a/tests/components/ledger/test_ahead.py
+++ b/tests/components/ledger/test_ahead.py
@@ -26,9 +26,9 @@
     unlogged = UnloggedCompletions()
     unlogged.mark_reported("a")
     unlogged.add("b")
-    assert unlogged.unlogged_reports(lambda job: False) == ["a"]
+    assert unlogged.pending_reports(lambda job: False) == ["a"]
     assert unlogged.contains("a") and unlogged.contains("b")
-    assert unlogged.unlogged_reports(lambda job: job == "a") == []
+    assert unlogged.pending_reports(lambda job: job == "a") == []
     assert (unlogged.contains("a"), unlogged.contains("b")) == (False, True)
 
 
