--- a/mustardward/components/scheduling/board.py
+++ b/mustardward/components/scheduling/scheduler_state.py
@@ -9,7 +9,7 @@
 from ...platform.workers import TaskName, encode_task
 from ..ledger.models import JobState
 from .commands import Command, Start, Stop
-from .const import APART_CRASHES, RUN_BITS
+from .const import ISOLATION_CRASHES, RUN_BITS
 from .estimates import Estimates
 from .inflow import Inflow
 from .models import ACTIVE, Job, Phase, QueuePolicy, StepRun, Task
@@ -22,16 +22,16 @@
 
 
 @dataclass(slots=True, eq=False)
-class Board:
+class SchedulerState:
     """Hold all jobs that are not over, all workers, and the commands not yet taken.
 
     :param epoch: the owner's; it stands in the upper bits of each run's number.
     :param policy_of: the operator's word on a queue.
-    :param held_until: until when workers that were not heard of may run what an owner
-        before started.
-    :param coming: processor of the instances on their way to a pool.
-    :param unusable: workers that could run nothing for longer than a moment.
-    :param accounted: data centres all of whose workers told what they run.
+    :param takeover_hold_until: until when workers that were not heard of may run what
+        an owner before started.
+    :param incoming_cpu: processor of the instances on their way to a pool.
+    :param unusable_workers: workers that could run nothing for longer than a moment.
+    :param accounted_zones: data centres all of whose workers told what they run.
     :param suspects: the jobs with tasks under which workers crashed, by id.
     """
 
@@ -43,15 +43,15 @@
     inflow: Inflow = field(default_factory=Inflow)
     dirty: dict[str, Job] = field(default_factory=dict)
     ready: dict[int, StepRun] = field(default_factory=dict)
-    held_until: float = 0.0
-    accounted: frozenset[str] = frozenset()
-    coming: dict[str, int] = field(default_factory=dict)
-    unusable: frozenset[str] = frozenset()
+    takeover_hold_until: float = 0.0
+    accounted_zones: frozenset[str] = frozenset()
+    incoming_cpu: dict[str, int] = field(default_factory=dict)
+    unusable_workers: frozenset[str] = frozenset()
     taken_over_at: float = 0.0
     quotas: Quotas = field(default_factory=Quotas)
     suspects: dict[str, Job] = field(default_factory=dict)
     _commands: list[Command] = field(default_factory=list)
-    _counter: int = 0
+    _run_counter: int = 0
 
     def take_commands(self) -> list[Command]:
         """Return the commands given since the last call."""
@@ -59,16 +59,16 @@
         self._commands = []
         return commands
 
-    def give(self, command: Command) -> None:
+    def add_command(self, command: Command) -> None:
         """Give a command."""
         self._commands.append(command)
 
-    def next_run(self) -> int:
+    def next_run_number(self) -> int:
         """Return a number above all that this or an older owner gave."""
-        self._counter += 1
-        return (self.epoch << RUN_BITS) + self._counter
+        self._run_counter += 1
+        return (self.epoch << RUN_BITS) + self._run_counter
 
-    def find(self, name: TaskName) -> Task | None:
+    def find_task(self, name: TaskName) -> Task | None:
         """Return the task of a name, or None if its job is over or not known."""
         job = self.jobs.get(name.job)
         if job is None:
@@ -78,11 +78,11 @@
             return None
         return step.tasks[name.index]
 
-    def is_held(self, job: Job, now: float) -> bool:
+    def is_held_after_takeover(self, job: Job, now: float) -> bool:
         """Return whether what an owner before started of a job may still run unseen."""
-        if not job.held or now >= self.held_until:
+        if not job.from_previous_owner or now >= self.takeover_hold_until:
             return False
-        return job.open_zones is None or not job.open_zones <= self.accounted
+        return job.stored_zones is None or not job.stored_zones <= self.accounted_zones
 
     def mark_dirty(self, job: Job) -> None:
         """Note that a job's progress has to be stored."""
@@ -90,7 +90,7 @@
 
     def assign(self, task: Task, worker: WorkerState, run: int, now: float) -> None:
         """Give a waiting task to a worker; it was taken off the step's queue before."""
-        self._occupy(task, worker, run)
+        self._reserve(task, worker, run)
         task.phase = Phase.STARTING
         task.started_at = now
         task.percent = 0.0
@@ -99,22 +99,22 @@
         task.pace = 100
         task.seen_running = False
         task.sent = False
-        self.note_begun(task.step.job)
-        self.give(Start(task, worker.id, run))
+        self.mark_started(task.step.job)
+        self.add_command(Start(task, worker.id, run))
 
     def adopt(self, task: Task, worker: WorkerState, run: int, now: float) -> None:
         """Take over a task that an earlier owner started."""
         if task in task.step.waiting:
             task.step.waiting.remove(task)
-        self._occupy(task, worker, run)
+        self._reserve(task, worker, run)
         task.phase = Phase.RUNNING
         task.seen_running = True
         task.started_at = now
         task.percent_since = now
         task.percent_at_ms = -1.0
-        self.note_begun(task.step.job)
+        self.mark_started(task.step.job)
 
-    def note_begun(self, job: Job) -> None:
+    def mark_started(self, job: Job) -> None:
         """Note that a task of a job has begun, which callers are shown once stored."""
         if job.state is JobState.QUEUED:
             job.state = JobState.RUNNING
@@ -134,9 +134,9 @@
         )
         task.phase = Phase.STOPPING
         task.stop_acknowledged_at = None
-        self.give(Stop(task.name, task.worker.id, task.run, task))
+        self.add_command(Stop(task.name, task.worker.id, task.run, task))
 
-    def doubt(self, task: Task) -> None:
+    def mark_uncertain(self, task: Task) -> None:
         """Note that a start was not answered: it may run now, later, or never.
 
         A stop of that run makes the worker reject it from then on, so once that is
@@ -147,11 +147,11 @@
         task.phase = Phase.UNCERTAIN
         task.stop_acknowledged_at = None
         task.worker.unanswered.append((task.name, task.run))
-        self.give(Stop(task.name, task.worker.id, task.run, task))
+        self.add_command(Stop(task.name, task.worker.id, task.run, task))
 
     def requeue(self, task: Task, now: float) -> None:
         """Let a task whose run is over wait for its next one."""
-        self._vacate(task)
+        self._release(task)
         task.phase = Phase.WAITING
         task.ready_since = now
         step = task.step
@@ -159,7 +159,7 @@
         if step.open:
             self.ready[id(step)] = step
 
-    def put_back(self, step: StepRun, tasks: Iterable[Task]) -> None:
+    def return_to_queue(self, step: StepRun, tasks: Iterable[Task]) -> None:
         """Put the tasks back on a step's queue that were taken off and not assigned."""
         step.waiting.extend(task for task in tasks if task.phase is Phase.WAITING)
         if not step.waiting:
@@ -167,19 +167,19 @@
         elif step.open:
             self.ready[id(step)] = step
 
-    def finish(self, task: Task) -> None:
+    def finish_task(self, task: Task) -> None:
         """Note that a task is done."""
         if task.phase is Phase.DONE:
             return
         step = task.step
         if task.phase in ACTIVE:
-            self._vacate(task)
+            self._release(task)
         elif task in step.waiting:
             step.waiting.remove(task)
         task.phase = Phase.DONE
         task.checkpoint = ""
         step.done += 1
-        self.clear(task)
+        self.clear_suspicion(task)
         self.mark_dirty(step.job)
 
     def end_job(self, job: Job, state: JobState) -> None:
@@ -199,7 +199,7 @@
                     self.stop(task, state.name.lower())
         self.mark_dirty(job)
 
-    def suspect(self, task: Task, incarnation: str) -> None:
+    def record_crash(self, task: Task, incarnation: str) -> None:
         """Note that a worker crashed under a task.
 
         What makes its job run apart is stored before it starts again, so that another
@@ -208,21 +208,21 @@
         if incarnation in task.crashes:
             return
         task.crashes += (incarnation,)
-        task.calm_runs = 0
+        task.runs_since_crash = 0
         job = task.step.job
-        job.crashes_noted += 1
+        job.crashes_counted += 1
         job.suspicion = max(job.suspicion, len(task.crashes))
         self.suspects[job.record.id] = job
-        if job.suspicion >= APART_CRASHES:
+        if job.suspicion >= ISOLATION_CRASHES:
             job.stored = False
             job.zones = None
         self.mark_dirty(job)
 
-    def clear(self, task: Task) -> None:
+    def clear_suspicion(self, task: Task) -> None:
         """Suspect a task no longer."""
         if task.crashes:
             task.crashes = ()
-            task.judged_at = 0.0
+            task.evaluation_due_at = 0.0
             self.update_suspicion(task.step.job)
             self.mark_dirty(task.step.job)
 
@@ -237,30 +237,30 @@
         else:
             self.suspects.pop(job.record.id, None)
 
-    def note_stray(self, worker: WorkerState, name: TaskName) -> None:
+    def add_orphan_run(self, worker: WorkerState, name: TaskName) -> None:
         """Count a run that is no task's any more, until its worker lists it no more."""
         job = self.jobs.get(name.job)
         step = job.steps.get((name.occurrence, name.step)) if job is not None else None
         if step is None:
             worker.unknown_runs = True
             return
-        self.quotas.take(step.job.organisation, step.asked)
-        worker.take(step.room)
-        worker.strays.append(step)
+        self.quotas.reserve(step.job.organisation, step.requested)
+        worker.reserve(step.room)
+        worker.orphan_steps.append(step)
 
-    def forget_strays(self, worker: WorkerState) -> None:
+    def clear_orphan_runs(self, worker: WorkerState) -> None:
         """Count a worker's strays no more, since it lists anew what runs there."""
-        for step in worker.strays:
-            self.quotas.give_back(step.job.organisation, step.asked)
-            worker.give_back(step.room)
-        worker.strays.clear()
+        for step in worker.orphan_steps:
+            self.quotas.release(step.job.organisation, step.requested)
+            worker.release(step.room)
+        worker.orphan_steps.clear()
         worker.unknown_runs = False
 
     def drop_worker(self, worker: WorkerState, now: float) -> None:
         """Let everything on a worker that is surely gone wait again."""
         for task in list(worker.tasks.values()):
             self.end_run(task, now)
-        self.forget_strays(worker)
+        self.clear_orphan_runs(worker)
         self.workers.pop(worker.id, None)
 
     def replace_worker(self, old: WorkerState, new: WorkerState, now: float) -> None:
@@ -273,16 +273,16 @@
         """
         for name, run in old.unanswered:
             new.unanswered.append((name, run))
-            self.give(Stop(name, new.id, run, None))
+            self.add_command(Stop(name, new.id, run, None))
         for task in list(old.tasks.values()):
             if task.seen_running:
                 self.end_run(task, now)
                 continue
             run = task.run
-            self._vacate(task)
-            self._occupy(task, new, run)
-            self.doubt(task)
-        self.forget_strays(old)
+            self._release(task)
+            self._reserve(task, new, run)
+            self.mark_uncertain(task)
+        self.clear_orphan_runs(old)
         self.workers[new.id] = new
         for job in self.jobs.values():
             if job.policy.advice:
@@ -292,16 +292,16 @@
     def end_run(self, task: Task, now: float) -> None:
         """Note that a task's run is over without having been done."""
         if task.step.job.state.final:
-            self._vacate(task)
+            self._release(task)
             task.phase = Phase.WAITING
         else:
             self.requeue(task, now)
 
-    def _occupy(self, task: Task, worker: WorkerState, run: int) -> None:
+    def _reserve(self, task: Task, worker: WorkerState, run: int) -> None:
         step = task.step
-        worker.take(step.room)
+        worker.reserve(step.room)
         worker.tasks[task.name] = task
-        self.quotas.take(step.job.organisation, step.asked)
+        self.quotas.reserve(step.job.organisation, step.requested)
         step.active += 1
         step.on_worker[worker.id] += 1
         task.worker = worker
@@ -309,14 +309,14 @@
         task.missed_holds = 0
         task.stop_acknowledged_at = None
 
-    def _vacate(self, task: Task) -> None:
+    def _release(self, task: Task) -> None:
         worker = task.worker
         if worker is None:
             return
         step = task.step
-        worker.give_back(step.room)
+        worker.release(step.room)
         worker.tasks.pop(task.name, None)
-        self.quotas.give_back(step.job.organisation, step.asked)
+        self.quotas.release(step.job.organisation, step.requested)
         step.active -= 1
         step.on_worker[worker.id] -= 1
         task.worker = None
--- a/mustardward/components/scheduling/wait_inputs.py
+++ b/mustardward/components/scheduling/wait_inputs.py
@@ -8,20 +8,20 @@
 
 from ...helpers.logging import LogValue
 from ...helpers.registry import Registry
-from .advice import ADVICE_SECONDS
-from .crashes import runs_apart, trial_workers
+from .advice import ADVICE_TIMEOUT_SECONDS
+from .crashes import isolation_workers, needs_isolation
 from .models import Phase, StepRun
-from .wait_views import Wait
-from .waits import Reason
+from .wait_context import WaitContext
+from .wait_tracker import Reason
 from .worker_state import WorkerState
 
-MOST_NAMED: Final = 8
+MAX_NAMES: Final = 8
 """Workers, jobs or data centres that one pair names."""
 
 Inputs = dict[str, LogValue]
 
 
-_FAULTS: Final[dict[str, Callable[[WorkerState, float], bool]]] = {
+_UNUSABLE_CONDITIONS: Final[dict[str, Callable[[WorkerState, float], bool]]] = {
     "absent": lambda worker, now: worker.absent,
     "draining": lambda worker, now: worker.draining,
     "leaving": lambda worker, now: worker.leaving,
@@ -31,73 +31,80 @@
     "unconfirmed": lambda worker, now: not worker.confirmed,
     "unknown-runs": lambda worker, now: worker.unknown_runs,
 }
-"""What makes a worker unusable, in the terms of ``placement.usable``."""
+"""What makes a worker unusable, in the terms of ``placement.is_usable``."""
 
-INPUTS: Final[Registry[Reason, Callable[[Wait], Inputs]]] = Registry("wait inputs")
+INPUTS: Final[Registry[Reason, Callable[[WaitContext], Inputs]]] = Registry(
+    "wait inputs"
+)
 
 
-def inputs_of(wait: Wait, reason: Reason) -> Inputs:
+def inputs_of(wait: WaitContext, reason: Reason) -> Inputs:
     """Return the inputs of a reason."""
     describe = INPUTS.get(reason)
     return describe(wait) if describe is not None else {}
 
 
 @INPUTS.register(Reason.NOT_STORED)
-def _storing(wait: Wait) -> Inputs:
+def _storing(wait: WaitContext) -> Inputs:
     job = wait.step.job
     return {
-        "dirty": job.record.id in wait.board.dirty,
-        "sent_seconds": _since(wait.sent_at, wait.now),
+        "dirty": job.record.id in wait.state.dirty,
+        "sent_seconds": _seconds_since(wait.sent_at, wait.now),
         "suspicion": job.suspicion,
     }
 
 
 @INPUTS.register(Reason.NO_USABLE_WORKER)
-def _unusable(wait: Wait) -> Inputs:
+def _unusable(wait: WaitContext) -> Inputs:
     """Count the workers with room by what makes them unusable; one may have several."""
     counts = {
-        name: sum(is_faulty(worker, wait.now) for worker in wait.with_room)
-        for name, is_faulty in _FAULTS.items()
+        name: sum(condition(worker, wait.now) for worker in wait.with_room)
+        for name, condition in _UNUSABLE_CONDITIONS.items()
     }
     named = ",".join(f"{name}:{count}" for name, count in counts.items() if count)
-    heard = [w.heard_at for w in wait.with_room if w.heard_at]
+    reported = [w.reported_at for w in wait.with_room if w.reported_at]
     return {
         "unusable": named or None,
-        "heard_seconds": _since(min(heard, default=None), wait.now),
+        "heard_seconds": _seconds_since(min(reported, default=None), wait.now),
     }
 
 
 @INPUTS.register(Reason.STARTS_USED_UP)
-def _starts(wait: Wait) -> Inputs:
-    return {"most_starts": wait.waits.most_starts}
+def _starts(wait: WaitContext) -> Inputs:
+    return {"most_starts": wait.wait_tracker.max_starts}
 
 
 @INPUTS.register(Reason.HELD_AFTER_TAKEOVER)
-def _held(wait: Wait) -> Inputs:
-    board = wait.board
-    where = wait.step.job.open_zones
-    zones = where if where is not None else {w.zone for w in board.workers.values()}
+def _takeover_hold(wait: WaitContext) -> Inputs:
+    state = wait.state
+    where = wait.step.job.stored_zones
+    zones = where if where is not None else {w.zone for w in state.workers.values()}
     return {
-        "held_seconds_left": board.held_until - wait.now,
-        "taken_over_seconds": wait.now - board.taken_over_at,
-        "open_zones": _named(where),
-        "unaccounted": _named(zones - board.accounted),
+        "held_seconds_left": state.takeover_hold_until - wait.now,
+        "taken_over_seconds": wait.now - state.taken_over_at,
+        "open_zones": _join_names(where),
+        "unaccounted": _join_names(zones - state.accounted_zones),
     }
 
 
-@INPUTS.register(Reason.AWAITS_JUDGEMENT)
-def _judgement(wait: Wait) -> Inputs:
+@INPUTS.register(Reason.AWAITS_EVALUATION)
+def _evaluation(wait: WaitContext) -> Inputs:
     job = wait.step.job
-    dates = [t.judged_at for s in job.steps.values() for t in s.tasks if t.judged_at]
+    due_times = [
+        t.evaluation_due_at
+        for s in job.steps.values()
+        for t in s.tasks
+        if t.evaluation_due_at
+    ]
     return {
         "suspicion": job.suspicion,
-        "unjudged": len(dates),
-        "overdue_seconds": _since(min(dates, default=None), wait.now),
+        "unjudged": len(due_times),
+        "overdue_seconds": _seconds_since(min(due_times, default=None), wait.now),
     }
 
 
 @INPUTS.register(Reason.SUSPECTS_WAIT)
-def _suspects(wait: Wait) -> Inputs:
+def _suspects(wait: WaitContext) -> Inputs:
     step = wait.step
     free = [
         worker.id
@@ -105,77 +112,85 @@
         if all(task.step.job is step.job for task in worker.tasks.values())
     ]
     return {
-        "suspects": sum(runs_apart(task) for task in step.waiting),
+        "suspects": sum(needs_isolation(task) for task in step.waiting),
         "suspicion": step.job.suspicion,
-        "trial_workers": _named(trial_workers(step.job)),
-        "empty_workers": _named(free),
+        "trial_workers": _join_names(isolation_workers(step.job)),
+        "empty_workers": _join_names(free),
     }
 
 
-@INPUTS.register(Reason.KEPT_FOR_OTHERS)
-def _kept(wait: Wait) -> Inputs:
-    kept = wait.kept
-    apart = [step for step in kept.values() if any(map(runs_apart, step.tasks))]
+@INPUTS.register(Reason.RESERVED_FOR_OTHERS)
+def _reserved(wait: WaitContext) -> Inputs:
+    reserved = wait.reserved
+    for_suspects = [
+        step for step in reserved.values() if any(map(needs_isolation, step.tasks))
+    ]
     return {
-        "kept": len(kept),
-        "kept_for_suspects": len(apart),
-        "kept_for_lasting": len(kept) - len(apart),
-        "kept_for": _named(f"{w}:{s.job.record.id}" for w, s in kept.items()),
+        "kept": len(reserved),
+        "kept_for_suspects": len(for_suspects),
+        "kept_for_lasting": len(reserved) - len(for_suspects),
+        "kept_for": _join_names(f"{w}:{s.job.record.id}" for w, s in reserved.items()),
     }
 
 
 @INPUTS.register(Reason.FITS_NOWHERE)
-def _nowhere(wait: Wait) -> Inputs:
-    offers = wait.held.offers if wait.held is not None else None
-    other = offers.found_by(wait.step) if offers is not None else None
+def _oversized(wait: WaitContext) -> Inputs:
+    candidates = wait.decision.candidates if wait.decision is not None else None
+    other = (
+        candidates.find_oversized_step(wait.step) if candidates is not None else None
+    )
     if other is None:
-        return _kept(wait)
+        return _reserved(wait)
     room = other.room
-    held = wait.waits.of(other)
+    decision = wait.wait_tracker.get(other)
     return {
         "found_by": other.job.record.id,
-        "found_reason": held.reason.value if held is not None else None,
-        "found_zones": _named(other.job.open_zones),
+        "found_reason": decision.reason.value if decision is not None else None,
+        "found_zones": _join_names(other.job.stored_zones),
         "found_cpu": room.cpu,
         "found_mb": room.mem_mb,
         "found_gpu": room.gpu,
-        **_kept(wait),
+        **_reserved(wait),
     }
 
 
 @INPUTS.register(Reason.ADVICE_UNANSWERED)
-def _advice(wait: Wait) -> Inputs:
+def _advice(wait: WaitContext) -> Inputs:
     step = wait.step
-    asked = step.asked_until - ADVICE_SECONDS if step.asked_until else None
+    asked = (
+        step.advice_requested_until - ADVICE_TIMEOUT_SECONDS
+        if step.advice_requested_until
+        else None
+    )
     return {
-        "asked_seconds": _since(asked, wait.now),
+        "asked_seconds": _seconds_since(asked, wait.now),
         "tickets": len(step.tickets),
     }
 
 
 @INPUTS.register(Reason.QUOTA)
-def _quota(wait: Wait) -> Inputs:
+def _quota(wait: WaitContext) -> Inputs:
     organisation = wait.step.job.organisation
-    quotas = wait.board.quotas
+    quotas = wait.state.quotas
     quota = quotas.quota_of(organisation)
     used = quotas.used(organisation)
-    unseen = quotas.unseen(organisation)
+    unconfirmed = quotas.unconfirmed(organisation)
     return {
         "organisation": organisation,
         "used_cpu": used.cpu,
-        "unseen_cpu": unseen.cpu,
+        "unseen_cpu": unconfirmed.cpu,
         "quota_cpu": quota.cpu,
         "used_mb": used.mem_mb,
-        "unseen_mb": unseen.mem_mb,
+        "unseen_mb": unconfirmed.mem_mb,
         "quota_mb": quota.mem_mb,
         "used_gpu": used.gpu,
-        "unseen_gpu": unseen.gpu,
+        "unseen_gpu": unconfirmed.gpu,
         "quota_gpu": quota.gpu,
     }
 
 
 @INPUTS.register(Reason.GANG_INCOMPLETE)
-def _members(wait: Wait) -> Inputs:
+def _members(wait: WaitContext) -> Inputs:
     phases = Counter(task.phase.value for task in wait.step.tasks)
     return {
         "members": ",".join(f"{phase}:{n}" for phase, n in sorted(phases.items())),
@@ -183,7 +198,7 @@
 
 
 @INPUTS.register(Reason.GANG_HAS_NO_ROOM)
-def _gang(wait: Wait) -> Inputs:
+def _gang(wait: WaitContext) -> Inputs:
     spec = wait.step.spec
     return {
         "members": len(wait.step.tasks),
@@ -194,66 +209,73 @@
 
 
 @INPUTS.register(Reason.NO_ROOM)
-def _room(wait: Wait) -> Inputs:
-    return {**_zones(wait), **_kept(wait)}
+def _room(wait: WaitContext) -> Inputs:
+    return {**_zones(wait), **_reserved(wait)}
 
 
 @INPUTS.register(Reason.ZONE_BEING_STORED)
-def _next_zone(wait: Wait) -> Inputs:
+def _next_zone(wait: WaitContext) -> Inputs:
     job = wait.step.job
     return {
         **_zones(wait),
-        "sent_zones": _named(job.sent_zones),
-        "dirty": job.record.id in wait.board.dirty,
-        "sent_seconds": _since(wait.sent_at, wait.now),
+        "sent_zones": _join_names(job.pending_zones),
+        "dirty": job.record.id in wait.state.dirty,
+        "sent_seconds": _seconds_since(wait.sent_at, wait.now),
     }
 
 
 @INPUTS.register(Reason.ROOM_PROMISED)
-def _promised(wait: Wait) -> Inputs:
+def _promised(wait: WaitContext) -> Inputs:
     free: Counter[str] = Counter()
     for worker in wait.allowed:
         free[worker.zone] += worker.free_cpu
-    promised = wait.held.promised if wait.held is not None else None
+    promised = wait.decision.promised if wait.decision is not None else None
     return {
         **_zones(wait),
-        "free": _named(f"{zone}:{cpu}" for zone, cpu in free.items()),
-        "promised": _named(f"{zone}:{cpu}" for zone, cpu in (promised or {}).items()),
+        "free": _join_names(f"{zone}:{cpu}" for zone, cpu in free.items()),
+        "promised": _join_names(
+            f"{zone}:{cpu}" for zone, cpu in (promised or {}).items()
+        ),
     }
 
 
 @INPUTS.register(Reason.RULES)
-def _rules(wait: Wait) -> Inputs:
+def _rules(wait: WaitContext) -> Inputs:
     step = wait.step
     label = step.spec.required_label
-    most = step.spec.max_per_server
+    limit = step.spec.max_per_server
     able = wait.able
     return {
         "required_label": label or None,
         "without_label": sum(label not in w.labels for w in able) if label else 0,
-        "max_per_server": most,
-        "at_most": sum(step.on_worker[w.id] >= most for w in able) if most else 0,
+        "max_per_server": limit,
+        "at_most": sum(step.on_worker[w.id] >= limit for w in able) if limit else 0,
         "advice": step.job.policy.advice,
         "tickets": len(step.tickets),
-        "tickets_seconds_left": step.tickets_until - wait.now if step.tickets else None,
+        "tickets_seconds_left": step.tickets_valid_until - wait.now
+        if step.tickets
+        else None,
     }
 
 
-def _zones(wait: Wait) -> Inputs:
+def _zones(wait: WaitContext) -> Inputs:
     job = wait.step.job
-    return {"zones": _named(job.zones), "open_zones": _named(job.open_zones)}
+    return {
+        "zones": _join_names(job.zones),
+        "open_zones": _join_names(job.stored_zones),
+    }
 
 
-def _named(names: Iterable[str] | None) -> str | None:
+def _join_names(names: Iterable[str] | None) -> str | None:
     """Return names in order, and how many more there are; None for no names."""
     names = sorted(names or ())
     if not names:
         return None
-    more = [f"+{len(names) - MOST_NAMED}"] if len(names) > MOST_NAMED else []
-    return ",".join([*names[:MOST_NAMED], *more])
+    more = [f"+{len(names) - MAX_NAMES}"] if len(names) > MAX_NAMES else []
+    return ",".join([*names[:MAX_NAMES], *more])
 
 
-def _since(at: float | None, now: float) -> float | None:
+def _seconds_since(at: float | None, now: float) -> float | None:
     return now - at if at is not None else None
 
 
--- a/tests/components/scheduling/liveness_mutants.py
+++ b/tests/components/scheduling/liveness_mutants.py
@@ -11,12 +11,12 @@
 from mustardward.components.dispatch.orders import Orders
 from mustardward.components.dispatch.session import WorkerSession
 from mustardward.components.scheduling import health, planner, reports
-from mustardward.components.scheduling.board import Board
-from mustardward.components.scheduling.crashes import Crashes
+from mustardward.components.scheduling.crashes import CrashTracker
 from mustardward.components.scheduling.quotas import Quotas
 from mustardward.components.scheduling.reports import Reports
 from mustardward.components.scheduling.scheduler import Scheduler
-from mustardward.components.scheduling.zones import Zones
+from mustardward.components.scheduling.scheduler_state import SchedulerState
+from mustardward.components.scheduling.zone_chooser import ZoneChooser
 
 Mutate = Callable[[pytest.MonkeyPatch], None]
 
@@ -38,7 +38,7 @@
 
 def _store_without_zones(scheduler: Scheduler, job_ids: list[str]) -> None:
     for job_id in job_ids:
-        job = scheduler.board.jobs.get(job_id)
+        job = scheduler.state.jobs.get(job_id)
         if job is not None:
             job.stored = True
 
@@ -48,8 +48,8 @@
 
     def ask(own: Any, step: Any, workers: Any, now: float) -> bool:
         found = has_advice(own, step, workers, now)
-        if step.asked_until:
-            step.asked_until = math.inf
+        if step.advice_requested_until:
+            step.advice_requested_until = math.inf
         return found
 
     patch.setattr(planner.Planner, "_has_advice", ask)
@@ -57,32 +57,32 @@
 
 def _keep_tickets(patch: pytest.MonkeyPatch) -> None:
     """Let a ticket be valid for ever, whatever workers answer."""
-    give_tickets = Scheduler.give_tickets
+    set_tickets = Scheduler.set_tickets
     start_answered = Reports.start_answered
 
     def give(own: Scheduler, step: Any, tickets: Any, valid_until: float) -> None:
-        give_tickets(own, step, tickets, math.inf)
+        set_tickets(own, step, tickets, math.inf)
 
     def answered(own: Reports, task: Any, run: int, reason: str, now: float) -> None:
         before = dict(task.step.tickets)
         start_answered(own, task, run, reason, now)
         task.step.tickets = before
 
-    patch.setattr(Scheduler, "give_tickets", give)
+    patch.setattr(Scheduler, "set_tickets", give)
     patch.setattr(Reports, "start_answered", answered)
 
 
 def _stay_absent(patch: pytest.MonkeyPatch) -> None:
-    see_worker = Scheduler.see_worker
+    update_worker = Scheduler.update_worker
 
     def see(own: Scheduler, worker_id: str, entry: Any, now: float) -> bool:
-        worker = own.board.workers.get(worker_id)
+        worker = own.state.workers.get(worker_id)
         absent = worker is not None and worker.absent
-        found = see_worker(own, worker_id, entry, now)
-        own.board.workers[worker_id].absent |= absent
+        found = update_worker(own, worker_id, entry, now)
+        own.state.workers[worker_id].absent |= absent
         return found
 
-    patch.setattr(Scheduler, "see_worker", see)
+    patch.setattr(Scheduler, "update_worker", see)
 
 
 def _only_leave(patch: pytest.MonkeyPatch) -> None:
@@ -96,48 +96,48 @@
 
 
 def _stay_stale(patch: pytest.MonkeyPatch) -> None:
-    held = Reports.held
+    apply_hold = Reports.apply_hold
 
     def stay(own: Reports, worker: Any, *others: Any) -> None:
         stale = worker.stale
-        held(own, worker, *others)
+        apply_hold(own, worker, *others)
         worker.stale = stale
 
-    patch.setattr(Reports, "held", stay)
+    patch.setattr(Reports, "apply_hold", stay)
 
 
 def _count_twice(patch: pytest.MonkeyPatch) -> None:
     """Count a doubted start once more, and give it back once."""
-    doubt = Board.doubt
+    mark_uncertain = SchedulerState.mark_uncertain
 
-    def again(own: Board, task: Any) -> None:
-        doubt(own, task)
-        own.quotas.take(task.step.job.organisation, task.step.asked)
+    def again(own: SchedulerState, task: Any) -> None:
+        mark_uncertain(own, task)
+        own.quotas.reserve(task.step.job.organisation, task.step.requested)
 
-    patch.setattr(Board, "doubt", again)
+    patch.setattr(SchedulerState, "mark_uncertain", again)
 
 
 def _requeue_unready(patch: pytest.MonkeyPatch) -> None:
-    requeue = Board.requeue
+    requeue = SchedulerState.requeue
 
-    def unready(own: Board, task: Any, now: float) -> None:
+    def unready(own: SchedulerState, task: Any, now: float) -> None:
         ready = dict(own.ready)
         requeue(own, task, now)
         own.ready = ready
 
-    patch.setattr(Board, "requeue", unready)
+    patch.setattr(SchedulerState, "requeue", unready)
 
 
 def _stay_undescribed(patch: pytest.MonkeyPatch) -> None:
-    see_worker = Scheduler.see_worker
+    update_worker = Scheduler.update_worker
 
     def see(own: Scheduler, worker_id: str, entry: Any, now: float) -> bool:
-        worker = own.board.workers.get(worker_id)
+        worker = own.state.workers.get(worker_id)
         if worker is not None and not worker.described:
             return False
-        return see_worker(own, worker_id, entry, now)
+        return update_worker(own, worker_id, entry, now)
 
-    patch.setattr(Scheduler, "see_worker", see)
+    patch.setattr(Scheduler, "update_worker", see)
 
 
 def _hold_once(patch: pytest.MonkeyPatch) -> None:
@@ -154,24 +154,28 @@
     "a-stop-is-not-repeated": _replace(Orders, "_async_stop_again", _async_nothing),
     "a-stop-is-not-acknowledged": _replace(Reports, "stop_answered", _nothing),
     "data-centres-told-are-not-opened": _replace(
-        Scheduler, "note_stored", _store_without_zones
+        Scheduler, "mark_stored", _store_without_zones
     ),
-    "no-data-centre-more": _replace(Zones, "widen", lambda *_: True),
+    "no-data-centre-more": _replace(ZoneChooser, "add_zone", lambda *_: True),
     "advice-is-asked-once": _ask_once,
     "tickets-last-for-ever": _keep_tickets,
-    "suspects-stay-off-their-queue": _replace(Board, "put_back", _nothing),
-    "nobody-is-judged": _replace(Crashes, "_is_due", lambda *_: False),
-    "suspects-wait-for-ever": _replace(planner, "is_free_for", lambda *_: False),
-    "suspects-are-not-cleared": _replace(Board, "clear", _nothing),
+    "suspects-stay-off-their-queue": _replace(
+        SchedulerState, "return_to_queue", _nothing
+    ),
+    "nobody-is-judged": _replace(CrashTracker, "_is_due", lambda *_: False),
+    "suspects-wait-for-ever": _replace(planner, "can_isolate", lambda *_: False),
+    "suspects-are-not-cleared": _replace(SchedulerState, "clear_suspicion", _nothing),
     "an-entry-that-is-back-is-not-read": _stay_absent,
     "leaving-is-not-taken-back": _only_leave,
     "a-quarantine-has-no-end": _replace(health, "QUARANTINE_SECONDS", math.inf),
     "a-takeover-holds-for-ever": _replace(
-        Board, "is_held", lambda own, job, now: job.held
+        SchedulerState,
+        "is_held_after_takeover",
+        lambda own, job, now: job.from_previous_owner,
     ),
     "a-doubted-start-counts-twice": _count_twice,
-    "quotas-are-not-given-back": _replace(Quotas, "give_back", _nothing),
-    "strays-stay": _replace(Board, "forget_strays", _nothing),
+    "quotas-are-not-given-back": _replace(Quotas, "release", _nothing),
+    "strays-stay": _replace(SchedulerState, "clear_orphan_runs", _nothing),
     "a-silent-worker-stays-stale": _stay_stale,
     "a-silent-worker-is-asked-no-more": _hold_once,
     "no-room-once-is-no-room-ever": _replace(reports, "ROOM_PAUSE_SECONDS", math.inf),
--- a/tests/components/scheduling/test_rooms.py
+++ b/tests/components/scheduling/test_rooms.py
@@ -21,19 +21,19 @@
     return bench
 
 
-def see(bench: SchedulerBench, room: Room, born: int = BORN) -> None:
+def update_worker(bench: SchedulerBench, room: Room, born: int = BORN) -> None:
     """Let the worker's entry tell of a room."""
     entry = an_entry(capacity=room, born=born)
-    bench.scheduler.see_worker("w1", entry, bench.now)
+    bench.scheduler.update_worker("w1", entry, bench.now)
 
 
 def test_a_worker_whose_room_has_shrunk_is_not_filled_beyond_it() -> None:
     """Guards against starts that bring a worker over the room that it has left."""
     bench = a_bench()
-    see(bench, HALF)
+    update_worker(bench, HALF)
     bench.add(a_job(a_step(count=8)))
     assert len(bench.plan_starts()) == 4
-    assert measure(bench.scheduler.board, bench.now)[POOL].capacity == HALF.cpu
+    assert measure(bench.scheduler.state, bench.now)[POOL].capacity == HALF.cpu
 
 
 def test_nothing_starts_above_a_room_that_shrank_under_what_runs() -> None:
@@ -41,7 +41,7 @@
     bench = a_bench()
     bench.add(a_job(a_step(count=8)))
     assert len(bench.plan_starts()) == 8
-    see(bench, HALF)
+    update_worker(bench, HALF)
     for index in range(4):
         bench.end(bench.task(index), "done")
     bench.add(a_job(a_step(count=1), job="00000000000000bb"))
@@ -52,30 +52,30 @@
 
 def test_a_room_that_grows_again_is_used() -> None:
     bench = a_bench()
-    see(bench, HALF)
-    see(bench, Room(cpu=8000, mem_mb=8000))
+    update_worker(bench, HALF)
+    update_worker(bench, Room(cpu=8000, mem_mb=8000))
     bench.add(a_job(a_step(count=8)))
     assert len(bench.plan_starts()) == 8
 
 
-def test_the_room_of_an_incarnation_that_is_over_says_nothing() -> None:
+def test_room_of_an_ended_incarnation_is_ignored() -> None:
     """Guards against an entry that is read late and was written by another life."""
     bench = a_bench()
-    see(bench, HALF, born=BORN - 1000)
+    update_worker(bench, HALF, born=BORN - 1000)
     bench.add(a_job(a_step(count=8)))
     assert len(bench.plan_starts()) == 8
 
 
-def test_a_run_that_is_no_tasks_any_more_takes_its_room() -> None:
+def test_orphan_run_takes_its_room() -> None:
     """Guards against starts beside a stray run that bring a worker over its room."""
     bench = a_bench()
     bench.add(a_job(a_step(count=1, cpu=6000)))
     (start,) = bench.plan_starts()
     stray = a_row(start.task, 10.0)
-    bench.scheduler.lose_worker("w1", LossCause.LEASES_OVER, bench.now)
+    bench.scheduler.remove_worker("w1", LossCause.LEASES_EXPIRED, bench.now)
     bench.worker("w2")
     bench.plan_starts()
-    bench.scheduler.see_worker("w1", an_entry(born=BORN), bench.now)
+    bench.scheduler.update_worker("w1", an_entry(born=BORN), bench.now)
     bench.hold("w1", running=[stray])
     bench.add(a_job(a_step(count=1, cpu=4000), job="00000000000000bb"))
     assert bench.plan_starts() == []
--- a/tests/components/scheduling/test_zones.py
+++ b/tests/components/scheduling/test_zone_chooser.py
@@ -30,15 +30,15 @@
 def store(bench: SchedulerBench) -> dict[str, Progress]:
     """Store what is due, and return it."""
     records = dict(bench.scheduler.take_dirty(bench.now, bench.now))
-    bench.scheduler.note_stored(records)
+    bench.scheduler.mark_stored(records)
     return records
 
 
 def zones_of(bench: SchedulerBench, starts: list[Start]) -> set[str]:
-    return {bench.scheduler.board.workers[start.worker].zone for start in starts}
+    return {bench.scheduler.state.workers[start.worker].zone for start in starts}
 
 
-def taken_in(*zones: str, job: str = JOB) -> LedgerJob:
+def stored_job(*zones: str, job: str = JOB) -> LedgerJob:
     """Return a job that an owner before may have started in these data centres."""
     found = a_job(job=job)
     found.progress = Progress(JobState.RUNNING, zones=list(zones))
@@ -55,7 +55,7 @@
     assert (len(starts), zones_of(bench, starts)) == (4, {zone})
 
 
-def test_it_starts_in_another_one_only_once_the_log_was_told() -> None:
+def test_job_starts_in_another_data_centre_only_once_that_is_stored() -> None:
     """Else the next owner would take it for accounted for, and start it again."""
     bench = a_bench()
     bench.add(a_job(a_step(count=12)), stored=False)
@@ -67,7 +67,7 @@
     ((_, progress),) = told
     assert set(first) < set(progress.zones) and len(progress.zones) == 2
     assert bench.plan_starts() == []
-    bench.scheduler.note_stored([JOB])
+    bench.scheduler.mark_stored([JOB])
     more = bench.plan_starts()
     assert zones_of(bench, more) == set(progress.zones) - set(first)
     assert len(more) == 4
@@ -84,7 +84,7 @@
 def test_a_job_goes_where_workers_can_run_it() -> None:
     """Guards against jobs that wait for a data centre whose workers run nothing."""
     bench = a_bench()
-    bench.scheduler.board.unusable = frozenset({"z1-0", "z2-0"})
+    bench.scheduler.state.unusable_workers = frozenset({"z1-0", "z2-0"})
     for number in range(3):
         bench.add(a_job(a_step(), job=f"{number:016x}"), stored=False)
     assert {tuple(record.zones) for record in store(bench).values()} == {("z3",)}
@@ -99,7 +99,7 @@
     assert {tuple(record.zones) for record in store(bench).values()} == {("z2",)}
 
 
-def test_what_lasts_or_is_a_gang_may_start_anywhere() -> None:
+def test_long_running_tasks_and_gangs_may_start_anywhere() -> None:
     bench = a_bench()
     for number, step in enumerate((a_step(long_running=True), a_step(gang=True))):
         bench.add(a_job(step, job=f"{number:016x}"), stored=False)
@@ -115,15 +115,15 @@
     not stored, so each job that the owner before had taken in might run behind the cut.
     """
     bench = SchedulerBench(epoch=2)
-    board = bench.scheduler.board
-    board.taken_over_at = bench.now
-    board.held_until = bench.now + 8.0
+    state = bench.scheduler.state
+    state.taken_over_at = bench.now
+    state.takeover_hold_until = bench.now + 8.0
     bench.worker("z1-0", zone="z1")
     bench.worker("z2-0", zone="z2")
     for number, zones in enumerate((["z1"], ["z3"], ["z1", "z3"], [])):
-        bench.add(taken_in(*zones, job=f"{number:016x}"))
+        bench.add(stored_job(*zones, job=f"{number:016x}"))
     assert bench.plan_starts() == []
-    board.accounted = frozenset({"z1", "z2"})
+    state.accounted_zones = frozenset({"z1", "z2"})
     starts = bench.plan_starts()
     assert {start.task.step.job.record.id for start in starts} == {f"{0:016x}"}
     bench.now += 9.0
@@ -131,11 +131,11 @@
     assert {start.task.step.job.record.id for start in starts} >= {f"{2:016x}"}
 
 
-def test_a_job_whose_data_centre_went_goes_elsewhere_once_the_log_was_told() -> None:
+def test_job_of_a_lost_data_centre_starts_elsewhere_once_that_is_stored() -> None:
     bench = a_bench()
     bench.add(a_job(), stored=False)
     (zone,) = store(bench)[JOB].zones
-    worker = bench.scheduler.board.workers[f"{zone}-0"]
+    worker = bench.scheduler.state.workers[f"{zone}-0"]
     worker.stale = True
     assert bench.plan_starts() == []
     assert len(store(bench)[JOB].zones) == 2
@@ -145,13 +145,13 @@
 def test_room_for_one_task_does_not_send_every_waiting_job_there() -> None:
     """Each job that goes on in one data centre more is held up by one cut more."""
     bench = a_bench()
-    for worker in bench.scheduler.board.workers.values():
+    for worker in bench.scheduler.state.workers.values():
         worker.free_cpu = 0
     for number in range(9):
         bench.add(a_job(a_step(count=1), job=f"{number:016x}"), stored=False)
     first = {job: record.zones for job, record in store(bench).items()}
     bench.plan()
-    bench.scheduler.board.workers["z1-0"].free_cpu = 1000
+    bench.scheduler.state.workers["z1-0"].free_cpu = 1000
     bench.plan()
     widened = [
         job for job, record in store(bench).items() if record.zones != first[job]
@@ -164,49 +164,49 @@
 
 
 @given(st.integers(0, 10_000))
-def test_nothing_ever_starts_where_the_log_does_not_name(seed: int) -> None:
+def test_nothing_starts_in_a_data_centre_that_is_not_stored(seed: int) -> None:
     """Whatever comes when: a start follows a record that names its data centre."""
     chance = random.Random(seed)
     bench = a_bench(workers=chance.randint(1, 2))
     log: dict[str, set[str]] = {}
-    under_way: dict[str, Progress] = {}
+    appending: dict[str, Progress] = {}
     for number in range(40):
         move = chance.randrange(5)
         if move == 0:
             step = a_step(count=chance.randint(1, 9), cpu=chance.choice([1000, 3000]))
             bench.add(a_job(step, job=f"{number:016x}"), stored=False)
-        elif move == 1 and not under_way:
-            under_way = dict(bench.scheduler.take_dirty(bench.now, bench.now))
+        elif move == 1 and not appending:
+            appending = dict(bench.scheduler.take_dirty(bench.now, bench.now))
         elif move == 2:
-            for job, record in under_way.items():
+            for job, record in appending.items():
                 log[job] = set(record.zones)
-            bench.scheduler.note_stored(under_way)
-            under_way = {}
+            bench.scheduler.mark_stored(appending)
+            appending = {}
         elif move == 3:
-            for worker in _busy(list(bench.scheduler.board.workers.values()))[:1]:
+            for worker in _busy(list(bench.scheduler.state.workers.values()))[:1]:
                 bench.end(next(iter(worker.tasks.values())), ENDED_DONE)
         else:
-            worker = chance.choice(list(bench.scheduler.board.workers.values()))
+            worker = chance.choice(list(bench.scheduler.state.workers.values()))
             worker.stale = not worker.stale
         bench.now += 0.01
         for start in bench.plan_starts():
-            zone = bench.scheduler.board.workers[start.worker].zone
+            zone = bench.scheduler.state.workers[start.worker].zone
             assert zone in log[start.task.step.job.record.id]
 
 
-def test_a_job_that_is_over_is_promised_no_room_any_more() -> None:
+def test_ended_job_has_no_assigned_work() -> None:
     """Else work would go to the data centre with the fewest jobs since the begin."""
     bench = a_bench()
-    zones = bench.scheduler.intake.zones
+    zone_chooser = bench.scheduler.intake.zone_chooser
     for number in range(5):
         bench.add(a_job(a_step(count=2), job=f"{number:016x}"), stored=False)
     store(bench)
-    assert sum(zones._promised.values()) > 0
+    assert sum(zone_chooser._assigned_work.values()) > 0
     for start in bench.plan_starts():
         bench.end(start.task, ENDED_DONE)
     store(bench)
-    assert round(sum(zones._promised.values()), 6) == 0
-    assert zones._shares == {}
+    assert round(sum(zone_chooser._assigned_work.values()), 6) == 0
+    assert zone_chooser._work_by_job == {}
 
 
 def test_a_step_that_takes_no_processor_finds_a_full_worker_elsewhere() -> None:
@@ -214,9 +214,9 @@
     bench = a_bench()
     bench.add(a_job(a_step(fills=True)), stored=False)
     (zone,) = store(bench)[JOB].zones
-    for worker in bench.scheduler.board.workers.values():
+    for worker in bench.scheduler.state.workers.values():
         worker.free_cpu = 0
-    bench.scheduler.board.workers[f"{zone}-0"].stale = True
+    bench.scheduler.state.workers[f"{zone}-0"].stale = True
     bench.plan()
     assert len(store(bench)[JOB].zones) == 2
     assert len(bench.plan_starts()) == 2
