--- a/mustardward/components/forwarding/ends.py
+++ b/mustardward/components/forwarding/completions.py
@@ -6,12 +6,12 @@
 
 from ...helpers.logging import get_logger
 from ...helpers.timer import TimerService
-from ..ledger.ahead import UnloggedCompletions
 from ..ledger.appender import GroupAppender, Outcome
 from ..ledger.const import PREFIX_REPORTED
 from ..ledger.follower import TopicFollower
 from ..ledger.ledger import Ledger, encode
 from ..ledger.models import ReportedRecord
+from ..ledger.unlogged_completions import UnloggedCompletions
 from .const import (
     COMPLETION_QUERY_TIMEOUT_SECONDS,
     ENDED_METHOD,
--- a/mustardward/components/forwarding/answering.py
+++ b/mustardward/components/forwarding/failover.py
@@ -13,8 +13,9 @@
 from ...platform import callers
 from ..front.const import ANSWER_MARGIN_SECONDS
 from ..front.models import Reply, Request
-from ..front.refusing import longest_outage
+from ..front.refusals import longest_outage
 from ..front.services import FrontService
+from .completions import CompletionTracker
 from .const import (
     CHECK_METHOD,
     ENDED_METHOD,
@@ -25,7 +26,6 @@
     RELAY_METHOD,
     WITNESS_METHOD,
 )
-from .ends import CompletionTracker
 from .models import PeerReply, PeerRequest
 from .relay import StoreRelay
 from .services import Forwarder, PeerOutcome
--- a/mustardward/components/forwarding/services.py
+++ b/mustardward/components/forwarding/services.py
@@ -29,7 +29,7 @@
     PEER_TIMEOUT_SECONDS,
 )
 from .models import PeerReply, PeerRequest
-from .peers import PeerSelector
+from .peer_selector import PeerSelector
 
 _LOGGER = get_logger(__name__)
 
--- a/mustardward/components/front/admission.py
+++ b/mustardward/components/front/admission.py
@@ -14,7 +14,7 @@
 from ..organisations.models import Caller
 from .const import MAX_CONFIG_AGE_SECONDS
 from .models import AdmittedRequest, Reply, Request, error_reply
-from .refusing import Refusals
+from .refusals import Refusals
 
 _LOGGER = get_logger(__name__)
 
--- a/mustardward/components/front/server.py
+++ b/mustardward/components/front/server.py
@@ -12,7 +12,7 @@
 from ...helpers.logging import get_logger
 from ...helpers.timer import TimerService
 from ...platform import callers
-from ..forwarding.answering import FailoverHandler
+from ..forwarding.failover import FailoverHandler
 from .const import (
     CLOSE_IDLE_SECONDS,
     CLOSE_POLL_SECONDS,
--- a/mustardward/components/front/services.py
+++ b/mustardward/components/front/services.py
@@ -25,7 +25,7 @@
     MIN_APPEND_TIMEOUT_SECONDS,
 )
 from .models import AdmittedRequest, Reply, Request, error_reply
-from .refusing import Refusals
+from .refusals import Refusals
 
 _LOGGER = get_logger(__name__)
 
--- a/mustardward/components/ledger/appender.py
+++ b/mustardward/components/ledger/appender.py
@@ -22,8 +22,8 @@
     SequenceError,
 )
 from ...platform.store import Producer
+from .append_watcher import AppendWatcher, async_call_or_observe
 from .const import INITIAL_RETRY_DELAY_SECONDS, RETRY_DELAY_SECONDS
-from .sighting import AppendWatcher, async_call_or_observe
 
 _LOGGER = get_logger(__name__)
 
--- a/mustardward/components/ownership/models.py
+++ b/mustardward/components/ownership/models.py
@@ -11,9 +11,9 @@
 from ...platform.http import HttpCaller
 from ...platform.store import StoreClient
 from ..configuration.services import Configuration
-from ..ledger.ahead import UnloggedCompletions
 from ..ledger.follower import TopicFollower
 from ..ledger.ledger import Ledger
+from ..ledger.unlogged_completions import UnloggedCompletions
 
 
 @dataclass(frozen=True, slots=True)
--- a/mustardward/components/ownership/owner.py
+++ b/mustardward/components/ownership/owner.py
@@ -20,12 +20,12 @@
 from ..fleet.services import Fleet
 from ..fleet.telling import WaveTelling
 from ..fleet.waves import WavePlanner
+from ..ledger.append_watcher import AppendWatcher
 from ..ledger.appender import GroupAppender, Record
 from ..ledger.const import SHARD, TOPIC, UNIQUE_OWNER_PREFIXES
 from ..ledger.follower import TopicFollower
 from ..ledger.ledger import LedgerJob
 from ..ledger.models import OwnerRecord
-from ..ledger.sighting import AppendWatcher
 from ..scheduling.demand import log_loads
 from ..scheduling.scheduler import Scheduler
 from .authority import Authority
--- a/mustardward/components/ownership/services.py
+++ b/mustardward/components/ownership/services.py
@@ -17,10 +17,10 @@
     SequenceError,
 )
 from ...platform.store import Producer
+from ..ledger.append_watcher import async_call_or_observe
 from ..ledger.const import KEY_OWNER, RETRY_DELAY_SECONDS, SHARD, TOPIC
 from ..ledger.ledger import encode
 from ..ledger.models import OwnerRecord
-from ..ledger.sighting import async_call_or_observe
 from .const import (
     HANDOVER_AFTER_SECONDS,
     HANDOVER_AGAIN_SECONDS,
--- a/mustardward/components/scheduling/intake.py
+++ b/mustardward/components/scheduling/intake.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass, field
 
+from ..ledger.bitset import unpack_indices
 from ..ledger.ledger import LedgerJob
-from ..ledger.marks import unpack_indices
 from ..ledger.models import JobState, Progress, StepProgress
 from .const import LATE_FACTOR
 from .inflow import RECENT_SECONDS, Amount
--- a/mustardward/components/scheduling/progress.py
+++ b/mustardward/components/scheduling/progress.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..ledger.marks import pack_indices
+from ..ledger.bitset import pack_indices
 from ..ledger.models import Progress, StepProgress, TaskProgress
 from .models import Job, Phase
 
--- a/mustardward/node/app.py
+++ b/mustardward/node/app.py
@@ -9,26 +9,26 @@
 from anyio.abc import TaskGroup
 
 from ..components.configuration.services import Configuration
-from ..components.forwarding.answering import FailoverHandler
+from ..components.forwarding.completions import CompletionTracker
 from ..components.forwarding.const import (
     RELAY_CHECK_TIMEOUT_SECONDS,
     RELAY_MAX_PEERS_ASKED,
     RELAY_PEER_BACKOFF_SECONDS,
 )
-from ..components.forwarding.ends import CompletionTracker
-from ..components.forwarding.peers import PeerSelector
+from ..components.forwarding.failover import FailoverHandler
+from ..components.forwarding.peer_selector import PeerSelector
 from ..components.forwarding.relay import StoreRelay
 from ..components.forwarding.services import Forwarder, async_serve_peers
-from ..components.front.refusing import longest_outage
+from ..components.front.refusals import longest_outage
 from ..components.front.server import FrontServer, async_serve_metrics
 from ..components.front.services import FrontService
-from ..components.ledger.ahead import UnloggedCompletions
+from ..components.ledger.append_watcher import AppendWatcher
 from ..components.ledger.appender import GroupAppender
 from ..components.ledger.const import PREFIX_NODE, TOPIC, UNIQUE_ENTRY_PREFIXES
 from ..components.ledger.follower import TopicFollower
 from ..components.ledger.ledger import Ledger, encode
 from ..components.ledger.models import NodeRecord
-from ..components.ledger.sighting import AppendWatcher
+from ..components.ledger.unlogged_completions import UnloggedCompletions
 from ..components.ownership.const import IDLE_GAP_SECONDS
 from ..components.ownership.models import OwnerParts
 from ..components.ownership.services import Ownership
--- a/tests/components/dispatch/test_holds.py
+++ b/tests/components/dispatch/test_holds.py
@@ -10,8 +10,8 @@
 import pytest
 
 from mustardward.components.dispatch.const import LEASE_SECONDS
+from mustardward.components.ledger.bitset import pack_indices
 from mustardward.components.ledger.ledger import LedgerJob
-from mustardward.components.ledger.marks import pack_indices
 from mustardward.components.ledger.models import JobState, Progress, StepProgress
 from mustardward.components.ownership.directory import WorkerDirectory
 from mustardward.components.scheduling.models import Phase
--- a/tests/components/forwarding/test_answering.py
+++ b/tests/components/forwarding/test_failover.py
@@ -8,22 +8,22 @@
 import anyio
 import pytest
 
-from mustardward.components.forwarding.answering import FailoverHandler
+from mustardward.components.forwarding.completions import CompletionTracker
 from mustardward.components.forwarding.const import (
     HEDGE_DELAY_SECONDS,
     ISOLATED_RETRY_SECONDS,
     PEER_BACKOFF_SECONDS,
 )
-from mustardward.components.forwarding.ends import CompletionTracker
+from mustardward.components.forwarding.failover import FailoverHandler
 from mustardward.components.forwarding.models import PeerReply, PeerRequest
-from mustardward.components.forwarding.peers import PeerSelector
+from mustardward.components.forwarding.peer_selector import PeerSelector
 from mustardward.components.forwarding.relay import StoreRelay
 from mustardward.components.forwarding.services import PeerOutcome
 from mustardward.components.front.models import Reply, Request
-from mustardward.components.ledger.ahead import UnloggedCompletions
 from mustardward.components.ledger.const import KEY_OWNER, PREFIX_REPORTED, TOPIC
 from mustardward.components.ledger.ledger import encode
 from mustardward.components.ledger.models import JobState, OwnerRecord
+from mustardward.components.ledger.unlogged_completions import UnloggedCompletions
 from mustardward.standin.estate.store import Mood
 from tests.components.ledger.builders import async_appending
 
--- a/tests/components/forwarding/test_keys.py
+++ b/tests/components/forwarding/test_keys.py
@@ -13,7 +13,7 @@
 from mustardward.standin.estate.store import Mood
 
 from ..front.builders import BODY, HOST, JOB, PREFIX, encode_config
-from .test_answering import FailoverHarness, running_entry
+from .test_failover import FailoverHarness, running_entry
 
 pytestmark = pytest.mark.anyio
 
--- a/tests/components/front/test_front.py
+++ b/tests/components/front/test_front.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from mustardward.components.front.refusing import retry_after
+from mustardward.components.front.refusals import retry_after
 from mustardward.components.ledger.const import PREFIX_PROGRESS, TOPIC
 from mustardward.components.ledger.ledger import encode
 from mustardward.components.ledger.models import JobState, Progress
--- a/tests/components/ledger/test_sighting.py
+++ b/tests/components/ledger/test_append_watcher.py
@@ -10,13 +10,13 @@
 import anyio.lowlevel
 import pytest
 
-from mustardward.components.ledger.appender import GroupAppender, Outcome
-from mustardward.components.ledger.follower import TopicFollower
-from mustardward.components.ledger.sighting import (
+from mustardward.components.ledger.append_watcher import (
     LOG_POLL_SECONDS,
     AppendWatcher,
     async_call_or_observe,
 )
+from mustardward.components.ledger.appender import GroupAppender, Outcome
+from mustardward.components.ledger.follower import TopicFollower
 from mustardward.helpers.timer import DrivenTimerService, LoopTimerService
 from mustardward.platform.exceptions import CallUnknownError, FencedError
 from mustardward.platform.store import Producer
--- a/tests/components/ledger/test_marks.py
+++ b/tests/components/ledger/test_bitset.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mustardward.components.ledger.marks import pack_indices, unpack_indices
+from mustardward.components.ledger.bitset import pack_indices, unpack_indices
 
 
 @given(st.sets(st.integers(0, 400)))
--- a/tests/components/ledger/test_ahead.py
+++ b/tests/components/ledger/test_unlogged_completions.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from mustardward.components.ledger.ahead import UnloggedCompletions
 from mustardward.components.ledger.const import (
     PREFIX_CANCEL,
     PREFIX_JOB,
@@ -16,6 +15,7 @@
     Progress,
     ReportedRecord,
 )
+from mustardward.components.ledger.unlogged_completions import UnloggedCompletions
 
 from .test_ledger import JOB, RECORD, apply_record
 
--- a/tests/components/ownership/test_log_walks.py
+++ b/tests/components/ownership/test_log_walks.py
@@ -15,10 +15,10 @@
 from anyio.abc import TaskGroup
 
 from mustardward.components.configuration.services import Configuration
-from mustardward.components.ledger.ahead import UnloggedCompletions
 from mustardward.components.ledger.const import PREFIX_JOB, PREFIX_PROGRESS, TOPIC
 from mustardward.components.ledger.follower import TopicFollower
 from mustardward.components.ledger.ledger import Ledger, encode
+from mustardward.components.ledger.unlogged_completions import UnloggedCompletions
 from mustardward.components.ownership.models import OwnerParts
 from mustardward.components.ownership.owner import Owner
 from mustardward.components.ownership.services import Ownership
--- a/tests/components/scheduling/liveness_faults.py
+++ b/tests/components/scheduling/liveness_faults.py
@@ -8,7 +8,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from mustardward.components.ledger.marks import unpack_indices
+from mustardward.components.ledger.bitset import unpack_indices
 from mustardward.components.ledger.models import OwnerRecord
 from mustardward.platform.models import Room
 from mustardward.platform.workers import TaskName
--- a/tests/components/scheduling/test_holds.py
+++ b/tests/components/scheduling/test_holds.py
@@ -7,8 +7,8 @@
 import msgspec
 import pytest
 
+from mustardward.components.ledger.bitset import pack_indices
 from mustardward.components.ledger.ledger import LedgerJob
-from mustardward.components.ledger.marks import pack_indices
 from mustardward.components.ledger.models import (
     JobState,
     Progress,
--- a/tests/components/scheduling/test_liveness.py
+++ b/tests/components/scheduling/test_liveness.py
@@ -6,8 +6,8 @@
 
 import anyio
 
+from mustardward.components.ledger.bitset import pack_indices
 from mustardward.components.ledger.ledger import LedgerJob
-from mustardward.components.ledger.marks import pack_indices
 from mustardward.components.ledger.models import (
     JobState,
     OwnerRecord,
