--- a/mustardward/components/front/services.py
+++ b/mustardward/components/front/services.py
@@ -103,7 +103,7 @@
             return None
         job = self.ledger.jobs.get(job_id)
         if job is None:
-            # The job's organisation is unknown here.
+            # Without the job's record, its organisation is unknown here.
             return None if self.configuration.keys_in_force.in_use else job_id
         return None if job.state.final or not _may_see(admitted, job) else job_id
 
--- a/tests/components/forwarding/test_failover.py
+++ b/tests/components/forwarding/test_failover.py
@@ -177,17 +177,17 @@
 
 
 def test_peers_of_other_data_centres_are_asked_first() -> None:
-    book = PeerSelector("me", "z1")
-    order = [name for name, _ in book.ranked_peers(NODES, 0.0)]
+    selector = PeerSelector("me", "z1")
+    order = [name for name, _ in selector.ranked_peers(NODES, 0.0)]
     assert order[0] == "c"
     assert sorted(order) == ["a", "b", "c"]
 
 
 def test_failed_peer_is_left_out_for_the_backoff_time() -> None:
-    book = PeerSelector("me", "z1")
-    book.back_off("c", 0.0)
-    assert "c" not in dict(book.ranked_peers(NODES, PEER_BACKOFF_SECONDS / 2))
-    assert "c" in dict(book.ranked_peers(NODES, PEER_BACKOFF_SECONDS * 2))
+    selector = PeerSelector("me", "z1")
+    selector.back_off("c", 0.0)
+    assert "c" not in dict(selector.ranked_peers(NODES, PEER_BACKOFF_SECONDS / 2))
+    assert "c" in dict(selector.ranked_peers(NODES, PEER_BACKOFF_SECONDS * 2))
 
 
 async def test_node_does_not_answer_by_an_older_version_than_a_peer_did() -> None:
--- a/tests/components/ledger/test_follower.py
+++ b/tests/components/ledger/test_follower.py
@@ -190,12 +190,12 @@
     store = _FlakyPageStore()
     store.append(TOPIC, [(f"{number:05d}", b"1") for number in range(1800)])
     follower, state = build_follower(store)
-    tries = 0
+    attempts = 0
     while not await follower.async_catch_up():
-        tries += 1
-        assert tries < 10
+        attempts += 1
+        assert attempts < 10
     assert len(state.values) == 1800
-    assert len(store.requested_after) - len(set(store.requested_after)) == tries
+    assert len(store.requested_after) - len(set(store.requested_after)) == attempts
 
 
 async def test_record_changed_between_two_pages_is_applied() -> None:
