--- a/tests/components/front/builders.py
+++ b/tests/components/front/builders.py
@@ -85,7 +85,7 @@
             self.appender,
         )
 
-    async def async_ask(
+    async def async_request(
         self, method: str, path: str, body: bytes = b"", key: str = ""
     ) -> Reply:
         """Return the reply to a request with a deadline of 0.5 s."""
--- a/tests/components/front/test_front.py
+++ b/tests/components/front/test_front.py
@@ -19,25 +19,25 @@
 
 async def test_request_before_the_first_configuration_gets_503() -> None:
     harness = FrontHarness()
-    reply = await harness.async_ask("POST", PREFIX + JOB, BODY)
+    reply = await harness.async_request("POST", PREFIX + JOB, BODY)
     assert reply.status == 503
     assert reply.retry_after == 1
 
 
 async def test_accepted_job_is_in_the_log_before_the_reply() -> None:
     async with running_front() as harness:
-        reply = await harness.async_ask("POST", PREFIX + JOB, BODY)
+        reply = await harness.async_request("POST", PREFIX + JOB, BODY)
         assert reply.status == 200
         assert harness.store.topic_end(TOPIC) == 1
-        state = await harness.async_ask("GET", PREFIX + JOB)
+        state = await harness.async_request("GET", PREFIX + JOB)
         assert msgspec.json.decode(state.body) == {"state": "queued"}
 
 
 async def test_job_submitted_twice_is_stored_once() -> None:
     async with running_front() as harness:
-        await harness.async_ask("POST", PREFIX + JOB, BODY)
-        await harness.async_ask("GET", PREFIX + JOB)
-        again = await harness.async_ask("POST", PREFIX + JOB, BODY)
+        await harness.async_request("POST", PREFIX + JOB, BODY)
+        await harness.async_request("GET", PREFIX + JOB)
+        again = await harness.async_request("POST", PREFIX + JOB, BODY)
         assert again.status == 200
         assert harness.store.topic_end(TOPIC) == 1
 
@@ -57,7 +57,7 @@
 )
 async def test_malformed_job_is_refused_with_its_reason(body: bytes) -> None:
     async with running_front() as harness:
-        reply = await harness.async_ask("POST", PREFIX + JOB, body)
+        reply = await harness.async_request("POST", PREFIX + JOB, body)
         assert reply.status == 400
         assert b"malformed-job" in reply.body
         assert harness.store.topic_end(TOPIC) == 0
@@ -70,63 +70,63 @@
     the local configuration is outdated.
     """
     async with running_front() as harness:
-        assert (await harness.async_ask("GET", "/new/")).status == 404
+        assert (await harness.async_request("GET", "/new/")).status == 404
         record = encode_config(2, (PREFIX, "/new/"))
         harness.store.append(TOPIC_OPERATOR, [("config", record)])
         harness.timers.pause(3.0)
-        assert (await harness.async_ask("GET", "/new/")).status == 200
+        assert (await harness.async_request("GET", "/new/")).status == 200
 
 
 async def test_older_configuration_does_not_replace_a_newer_one() -> None:
     async with running_front() as harness:
         await harness.async_configure(5, "/five/")
         await harness.async_configure(4, "/four/")
-        assert (await harness.async_ask("GET", "/five/")).status == 200
-        assert (await harness.async_ask("GET", "/four/")).status == 404
+        assert (await harness.async_request("GET", "/five/")).status == 200
+        assert (await harness.async_request("GET", "/four/")).status == 404
 
 
 async def test_unknown_job_gets_503_while_the_log_is_unreachable() -> None:
     async with running_front() as harness:
         harness.store.mood = Mood.REFUSING
         harness.timers.pause(3.0)
-        assert (await harness.async_ask("GET", PREFIX + JOB)).status == 503
+        assert (await harness.async_request("GET", PREFIX + JOB)).status == 503
         harness.store.mood = Mood.SERVING
         harness.timers.pause(1.0)
-        assert (await harness.async_ask("GET", PREFIX + JOB)).status == 410
+        assert (await harness.async_request("GET", PREFIX + JOB)).status == 410
 
 
 async def test_cancelled_job_is_reported_as_cancelled() -> None:
     async with running_front() as harness:
-        await harness.async_ask("POST", PREFIX + JOB, BODY)
+        await harness.async_request("POST", PREFIX + JOB, BODY)
         harness.timers.pause(0.2)
-        assert (await harness.async_ask("DELETE", PREFIX + JOB)).status == 200
+        assert (await harness.async_request("DELETE", PREFIX + JOB)).status == 200
         harness.timers.pause(0.2)
-        state = await harness.async_ask("GET", PREFIX + JOB)
+        state = await harness.async_request("GET", PREFIX + JOB)
         assert msgspec.json.decode(state.body) == {"state": "cancelled"}
 
 
 async def test_job_that_was_done_before_its_cancellation_stays_done() -> None:
     async with running_front() as harness:
-        await harness.async_ask("POST", PREFIX + JOB, BODY)
+        await harness.async_request("POST", PREFIX + JOB, BODY)
         done = encode(Progress(JobState.DONE, ended_at=1.0))
         harness.store.append(TOPIC, [(PREFIX_PROGRESS + JOB, done)])
         harness.timers.pause(0.2)
-        await harness.async_ask("GET", PREFIX + JOB)
-        await harness.async_ask("DELETE", PREFIX + JOB)
-        state = await harness.async_ask("GET", PREFIX + JOB)
+        await harness.async_request("GET", PREFIX + JOB)
+        await harness.async_request("DELETE", PREFIX + JOB)
+        state = await harness.async_request("GET", PREFIX + JOB)
         assert msgspec.json.decode(state.body) == {"state": "done"}
 
 
 async def test_pending_jobs_are_counted_until_they_start() -> None:
     async with running_front() as harness:
-        await harness.async_ask("POST", PREFIX + JOB, BODY)
+        await harness.async_request("POST", PREFIX + JOB, BODY)
         harness.timers.pause(2.0)
-        reply = await harness.async_ask("GET", PREFIX)
+        reply = await harness.async_request("GET", PREFIX)
         assert msgspec.json.decode(reply.body) == {"pending": 1}
         begun = encode(Progress(JobState.RUNNING))
         harness.store.append(TOPIC, [(PREFIX_PROGRESS + JOB, begun)])
         harness.timers.pause(2.0)
-        reply = await harness.async_ask("GET", PREFIX)
+        reply = await harness.async_request("GET", PREFIX)
         assert msgspec.json.decode(reply.body) == {"pending": 0}
 
 
@@ -140,7 +140,7 @@
     async with running_front() as harness:
         harness.store.mood = Mood.REFUSING
         harness.timers.pause(1.0)
-        await harness.async_ask("GET", PREFIX + JOB)
+        await harness.async_request("GET", PREFIX + JOB)
         harness.timers.pause(3.0)
-        reply = await harness.async_ask("GET", PREFIX + JOB)
+        reply = await harness.async_request("GET", PREFIX + JOB)
         assert (reply.status, reply.retry_after) == (503, 3)
--- a/tests/components/front/test_keys.py
+++ b/tests/components/front/test_keys.py
@@ -39,7 +39,7 @@
 
 async def _async_submit_job(harness: FrontHarness) -> None:
     """Submit the dairy's job, and let the state read from the log become outdated."""
-    await harness.async_ask("POST", PREFIX + JOB, BODY, DAIRY_KEY)
+    await harness.async_request("POST", PREFIX + JOB, BODY, DAIRY_KEY)
     harness.timers.pause(0.2)
 
 
@@ -56,7 +56,7 @@
         await _async_configure(harness, 2, KEYS)
         await _async_submit_job(harness)
         end = harness.store.topic_end(TOPIC)
-        reply = await harness.async_ask(method, path, BODY, key)
+        reply = await harness.async_request(method, path, BODY, key)
         assert reply.status == 401
         assert harness.store.topic_end(TOPIC) == end
 
@@ -66,18 +66,18 @@
     async with running_front() as harness:
         harness.configuration.asks_for_keys = True
         await harness.async_configure(2)
-        assert (await harness.async_ask("GET", PREFIX, key=DAIRY_KEY)).status == 401
+        assert (await harness.async_request("GET", PREFIX, key=DAIRY_KEY)).status == 401
 
 
 async def test_public_queue_needs_no_key() -> None:
     async with running_front() as harness:
         await _async_configure(harness, 2, KEYS, PUBLIC_PREFIX)
         assert (
-            await harness.async_ask("POST", PUBLIC_PREFIX + JOB, BODY)
+            await harness.async_request("POST", PUBLIC_PREFIX + JOB, BODY)
         ).status == 200
-        assert (await harness.async_ask("GET", PUBLIC_PREFIX + JOB)).status == 200
+        assert (await harness.async_request("GET", PUBLIC_PREFIX + JOB)).status == 200
         assert (
-            await harness.async_ask("GET", PUBLIC_PREFIX, key="nobody's")
+            await harness.async_request("GET", PUBLIC_PREFIX, key="nobody's")
         ).status == 200
 
 
@@ -85,8 +85,10 @@
     async with running_front() as harness:
         await _async_configure(harness, 2, KEYS)
         await _async_submit_job(harness)
-        await harness.async_ask("GET", PREFIX + JOB, key=DAIRY_KEY)
-        again = await harness.async_ask("POST", PREFIX + JOB, BODY, DAIRY_SECOND_KEY)
+        await harness.async_request("GET", PREFIX + JOB, key=DAIRY_KEY)
+        again = await harness.async_request(
+            "POST", PREFIX + JOB, BODY, DAIRY_SECOND_KEY
+        )
         assert again.status == 200
         assert harness.store.topic_end(TOPIC) == 1
 
@@ -96,12 +98,12 @@
         await _async_configure(harness, 2, KEYS)
         await _async_submit_job(harness)
         statuses = [
-            (await harness.async_ask(method, PREFIX + JOB, BODY, GAUGES_KEY)).status
+            (await harness.async_request(method, PREFIX + JOB, BODY, GAUGES_KEY)).status
             for method in ("GET", "DELETE", "POST")
         ]
         assert statuses == [410, 410, 409]
         assert harness.store.topic_end(TOPIC) == 1
-        state = await harness.async_ask("GET", PREFIX + JOB, key=DAIRY_KEY)
+        state = await harness.async_request("GET", PREFIX + JOB, key=DAIRY_KEY)
         assert msgspec.json.decode(state.body) == {"state": "queued"}
 
 
@@ -109,20 +111,20 @@
     async with running_front() as harness:
         await _async_configure(harness, 2, KEYS, PUBLIC_PREFIX)
         await _async_submit_job(harness)
-        assert (await harness.async_ask("GET", PUBLIC_PREFIX + JOB)).status == 410
+        assert (await harness.async_request("GET", PUBLIC_PREFIX + JOB)).status == 410
 
 
 async def test_job_stays_readable_when_its_queue_turns_public_or_private() -> None:
     async with running_front() as harness:
         await _async_configure(harness, 2, KEYS)
-        await harness.async_ask("POST", PREFIX + JOB, BODY, DAIRY_KEY)
+        await harness.async_request("POST", PREFIX + JOB, BODY, DAIRY_KEY)
         await _async_configure(harness, 3, KEYS, PREFIX)
-        assert (await harness.async_ask("GET", PREFIX + JOB)).status == 200
+        assert (await harness.async_request("GET", PREFIX + JOB)).status == 200
         await _async_configure(harness, 4, KEYS)
         assert (
-            await harness.async_ask("GET", PREFIX + JOB, key=DAIRY_KEY)
+            await harness.async_request("GET", PREFIX + JOB, key=DAIRY_KEY)
         ).status == 200
-        assert (await harness.async_ask("GET", PREFIX + JOB)).status == 401
+        assert (await harness.async_request("GET", PREFIX + JOB)).status == 401
 
 
 async def test_unknown_key_is_checked_against_the_newest_configuration() -> None:
@@ -136,7 +138,7 @@
         record = encode_config(3, PREFIXES, KEYS)
         harness.store.append(TOPIC_OPERATOR, [("config", record)])
         harness.timers.pause(3.0)
-        assert (await harness.async_ask("GET", PREFIX, key=DAIRY_KEY)).status == 200
+        assert (await harness.async_request("GET", PREFIX, key=DAIRY_KEY)).status == 200
 
 
 async def test_unknown_key_gets_503_while_the_log_is_unreachable() -> None:
@@ -144,7 +146,7 @@
         await _async_configure(harness, 2, KEYS)
         harness.store.mood = Mood.REFUSING
         harness.timers.pause(3.0)
-        assert (await harness.async_ask("GET", PREFIX, key="new")).status == 503
+        assert (await harness.async_request("GET", PREFIX, key="new")).status == 503
 
 
 async def test_unknown_key_reads_a_slow_log_once() -> None:
@@ -169,7 +171,7 @@
         harness.front.admission.follower = _SlowFollower(  # type: ignore[assignment]
             async_slow_catch_up, harness.config_follower.up_to_date_at
         )
-        assert (await harness.async_ask("GET", PREFIX, key="new")).status == 401
+        assert (await harness.async_request("GET", PREFIX, key="new")).status == 401
         assert reads == 1
 
 
@@ -184,19 +186,21 @@
 async def test_revoked_key_is_not_restored_by_an_older_version() -> None:
     async with running_front() as harness:
         await _async_configure(harness, 5, {"gauges": [GAUGES_KEY]})
-        assert (await harness.async_ask("GET", PREFIX, key=DAIRY_KEY)).status == 401
+        assert (await harness.async_request("GET", PREFIX, key=DAIRY_KEY)).status == 401
         await _async_configure(harness, 4, KEYS)
-        assert (await harness.async_ask("GET", PREFIX, key=DAIRY_KEY)).status == 401
-        assert (await harness.async_ask("GET", PREFIX, key=GAUGES_KEY)).status == 200
+        assert (await harness.async_request("GET", PREFIX, key=DAIRY_KEY)).status == 401
+        assert (
+            await harness.async_request("GET", PREFIX, key=GAUGES_KEY)
+        ).status == 200
 
 
 async def test_organisation_without_keys_is_refused_but_kept() -> None:
     async with running_front() as harness:
         await _async_configure(harness, 2, KEYS)
-        await harness.async_ask("POST", PREFIX + JOB, BODY, DAIRY_KEY)
+        await harness.async_request("POST", PREFIX + JOB, BODY, DAIRY_KEY)
         await _async_configure(harness, 3, {"gauges": [GAUGES_KEY]})
         assert (
-            await harness.async_ask("GET", PREFIX + JOB, key=DAIRY_KEY)
+            await harness.async_request("GET", PREFIX + JOB, key=DAIRY_KEY)
         ).status == 401
         assert harness.configuration.organisation("dairy") is not None
         assert JOB in harness.ledger.jobs
@@ -212,9 +216,11 @@
         harness.front.admission.max_key_age_seconds = strict
         harness.store.mood = Mood.REFUSING
         harness.timers.pause(4.0)
-        assert (await harness.async_ask("GET", PREFIX, key=DAIRY_KEY)).status == 200
+        assert (await harness.async_request("GET", PREFIX, key=DAIRY_KEY)).status == 200
         harness.timers.pause(2.0)
-        assert (await harness.async_ask("GET", PREFIX, key=DAIRY_KEY)).status == status
+        assert (
+            await harness.async_request("GET", PREFIX, key=DAIRY_KEY)
+        ).status == status
 
 
 async def test_keys_do_not_appear_in_logs_records_or_representations(
@@ -223,8 +229,8 @@
     caplog.set_level(logging.DEBUG)
     async with running_front() as harness:
         await _async_configure(harness, 2, KEYS)
-        await harness.async_ask("POST", PREFIX + JOB, BODY, DAIRY_KEY)
-        await harness.async_ask("POST", PREFIX + JOB, BODY, "nobody's secret")
+        await harness.async_request("POST", PREFIX + JOB, BODY, DAIRY_KEY)
+        await harness.async_request("POST", PREFIX + JOB, BODY, "nobody's secret")
         records = harness.store.records_from(TOPIC, 0)
         texts = [
             caplog.text,
@@ -241,7 +247,7 @@
     async with running_front() as harness:
         await _async_configure(harness, 2, KEYS)
         await _async_submit_job(harness)
-        await harness.async_ask("GET", PREFIX + JOB, key=DAIRY_KEY)
+        await harness.async_request("GET", PREFIX + JOB, key=DAIRY_KEY)
         stub = harness.ledger.jobs[JOB].record.as_stub()
         assert (stub.organisation, stub.queue) == ("dairy", f"{HOST} {PREFIX}")
         assert stub.is_stub
--- a/tests/components/front/test_server.py
+++ b/tests/components/front/test_server.py
@@ -61,13 +61,13 @@
                 server.drain_within(GRACE_SECONDS)
                 statuses: list[int] = []
 
-                async def async_ask() -> None:
+                async def async_request() -> None:
                     statuses.append((await client.get(url)).status_code)
 
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(server.async_close, GRACE_SECONDS)
                     await anyio.sleep(0.05)
-                    tasks.start_soon(async_ask)
+                    tasks.start_soon(async_request)
                 assert statuses == [200]
 
 
