--- a/tests/components/ledger/test_append_watcher.py
+++ b/tests/components/ledger/test_append_watcher.py
@@ -50,9 +50,9 @@
             interval_seconds=0.7,
         )
         self.appender = GroupAppender(self._async_call, self.timers, "node/1", epoch=1)
-        sighting = AppendWatcher(self.follower.async_catch_up, ("j/",))
-        self.appender.sighting = sighting
-        self.follower.record_listeners.append(sighting.observe)
+        watcher = AppendWatcher(self.follower.async_catch_up, ("j/",))
+        self.appender.sighting = watcher
+        self.follower.record_listeners.append(watcher.observe)
         self.outcomes: dict[str, Outcome] = {}
 
     async def _async_call(
