--- a/mustardward/components/front/admission.py
+++ b/mustardward/components/front/admission.py
@@ -10,7 +10,7 @@
 from ...platform.models import Queue
 from ..configuration.services import Configuration
 from ..ledger.follower import TopicFollower
-from ..organisations.access import identify
+from ..organisations.access import resolve_caller
 from ..organisations.models import Caller
 from .const import MAX_CONFIG_AGE_SECONDS
 from .models import AdmittedRequest, Reply, Request, error_reply
@@ -61,17 +61,17 @@
 
     def resolve(self, request: Request) -> AdmittedRequest | Reply:
         """Return the queue and caller by the local configuration, or the refusal."""
-        queue = self.configuration.table.find(request.host, request.path)
+        queue = self.configuration.routes.find(request.host, request.path)
         if queue is None:
             return error_reply(404, "no-such-queue", "no queue has this host and path")
-        caller = self._identify(request, queue)
+        caller = self._resolve_caller(request, queue)
         if caller is None:
             detail = "no organisation has the key shown"
             return error_reply(UNAUTHORIZED_STATUS, "unknown-key", detail)
         return AdmittedRequest(queue, caller)
 
-    def _identify(self, request: Request, queue: Queue) -> Caller | None:
-        return identify(self.configuration.keys_in_force, queue, request.key)
+    def _resolve_caller(self, request: Request, queue: Queue) -> Caller | None:
+        return resolve_caller(self.configuration.api_keys, queue, request.key)
 
     def _config_age(self) -> float:
         return self.timers.monotonic() - self.follower.up_to_date_at
--- a/mustardward/components/front/services.py
+++ b/mustardward/components/front/services.py
@@ -17,7 +17,7 @@
 from ..ledger.follower import TopicFollower
 from ..ledger.ledger import Ledger, LedgerJob, encode
 from ..ledger.models import CancelRecord, JobRecord, JobState
-from ..organisations.access import may_see
+from ..organisations.access import may_access_job
 from .admission import Admission
 from .const import (
     ANSWER_MARGIN_SECONDS,
@@ -104,8 +104,8 @@
         job = self.ledger.jobs.get(job_id)
         if job is None:
             # Without the job's record, its organisation is unknown here.
-            return None if self.configuration.keys_in_force.in_use else job_id
-        return None if job.state.final or not _may_see(admitted, job) else job_id
+            return None if self.configuration.api_keys.required else job_id
+        return None if job.state.final or not _may_access(admitted, job) else job_id
 
     def done_reply(self) -> Reply:
         """Return the reply that a job is done."""
@@ -116,7 +116,7 @@
     ) -> Reply:
         def visible() -> LedgerJob | None:
             job = self.ledger.jobs.get(job_id)
-            return job if job is not None and _may_see(admitted, job) else None
+            return job if job is not None and _may_access(admitted, job) else None
 
         if request.method == "POST":
             return await self._async_submit(request, admitted, job_id)
@@ -132,7 +132,7 @@
         queue = admitted.queue
         existing = self.ledger.jobs.get(job_id)
         if existing is not None:
-            if not _may_see(admitted, existing):
+            if not _may_access(admitted, existing):
                 return error_reply(409, "id-taken", "another organisation's job has it")
             return Reply(200, callers.encode_state(_STATES[existing.state]))
         try:
@@ -242,5 +242,5 @@
     )
 
 
-def _may_see(admitted: AdmittedRequest, job: LedgerJob) -> bool:
-    return may_see(admitted.caller, admitted.queue, job.record)
+def _may_access(admitted: AdmittedRequest, job: LedgerJob) -> bool:
+    return may_access_job(admitted.caller, admitted.queue, job.record)
--- a/tests/components/front/test_keys.py
+++ b/tests/components/front/test_keys.py
@@ -64,7 +64,7 @@
 async def test_configuration_without_organisations_admits_nobody() -> None:
     """Guard against open access after a version that omits the organisations."""
     async with running_front() as harness:
-        harness.configuration.asks_for_keys = True
+        harness.configuration.require_api_keys = True
         await harness.async_configure(2)
         assert (await harness.async_request("GET", PREFIX, key=DAIRY_KEY)).status == 401
 
--- a/tests/components/ownership/test_load.py
+++ b/tests/components/ownership/test_load.py
@@ -1,4 +1,4 @@
-"""Test the lines that tell how busy an owner is."""
+"""Test the log lines about an owner's load."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from click.testing import CliRunner
 
 from mustardward.cli.report import command
-from mustardward.components.dispatch.lanes import Lanes
-from mustardward.components.dispatch.window import FIRST_STARTS, StartWindow
-from mustardward.components.ownership.const import WATCH_OWN_SECONDS
+from mustardward.components.dispatch.call_queue import CallQueue
+from mustardward.components.dispatch.start_window import INITIAL_STARTS, StartWindow
+from mustardward.components.ownership.const import SELF_CHECK_SECONDS
 from mustardward.components.ownership.load import OwnerLoad
 from mustardward.components.reports.day_lines import read_day
 from mustardward.components.reports.stories import OwnerLook
@@ -20,30 +20,30 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_the_worst_of_each_second_is_told(
+async def test_maximum_load_of_each_interval_is_logged(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """Symptom: jobs wait though there is room, and no line says why."""
+    """Guard against jobs that wait despite free capacity without an explaining log."""
     async with anyio.create_task_group() as tasks:
         caplog.set_level("INFO", "absl")
-        lines = RunLogger()
-        load = OwnerLoad("n-1", Lanes(tasks), StartWindow(), lines)
-        load.look(10.0)
-        load.tell(10.0)
-        lines.started_count = 300
-        lines.ended_count = 100
-        load.look(10.0 + WATCH_OWN_SECONDS + 0.7)
-        load.look(10.0 + 2 * WATCH_OWN_SECONDS + 0.7)
-        load.tell(12.0)
+        run_logger = RunLogger()
+        load = OwnerLoad("n-1", CallQueue(tasks), StartWindow(), run_logger)
+        load.sample(10.0)
+        load.log(10.0)
+        run_logger.started_count = 300
+        run_logger.ended_count = 100
+        load.sample(10.0 + SELF_CHECK_SECONDS + 0.7)
+        load.sample(10.0 + 2 * SELF_CHECK_SECONDS + 0.7)
+        load.log(12.0)
     text = caplog.text
     assert "event=owner_load" in text
     for pair in ("lag_seconds=0.7", "starts_a_second=150", "ends_a_second=50"):
         assert pair in text
-    assert f"start_window={FIRST_STARTS}" in text
+    assert f"start_window={INITIAL_STARTS}" in text
 
 
-def test_the_report_of_a_day_has_the_owners_worst() -> None:
-    told = [
+def test_day_report_includes_the_owners_maximum_load() -> None:
+    lines = [
         line(
             at,
             "owner_load",
@@ -56,9 +56,11 @@
         )
         for at, lag in ((1, 0.2), (2, 0.9))
     ]
-    day = read_day(told)
+    day = read_day(lines)
     assert day.owners[0] == OwnerLook(1.0, "n-1", 0.2, 20, 1, 5)
-    result = CliRunner().invoke(command, ["day", "-"], input="".join([*a_day(), *told]))
+    result = CliRunner().invoke(
+        command, ["day", "-"], input="".join([*a_day(), *lines])
+    )
     assert "owners=n-1,n-2 lag_seconds=0.900 calls_under_way=20" in result.output
     assert "submit to first start: half within 0.100 s" in result.output
     assert "takeover_seconds=3.00" in result.output
