--- a/mustardward/components/ownership/progress_writer.py
+++ b/mustardward/components/ownership/progress_writer.py
@@ -14,7 +14,7 @@
     PREFIX_CANCEL,
     PREFIX_JOB,
     PREFIX_PROGRESS,
-    PREFIX_TOLD,
+    PREFIX_REPORTED,
 )
 from ..ledger.ledger import encode
 from ..ledger.models import JobState
@@ -84,7 +84,7 @@
             if job.cancelled_at:
                 expired.append((PREFIX_CANCEL + job_id, b""))
             if job.told_at:
-                expired.append((PREFIX_TOLD + job_id, b""))
+                expired.append((PREFIX_REPORTED + job_id, b""))
         if expired:
             self.appender.post(expired)
 
@@ -109,7 +109,7 @@
             records.append((PREFIX_PROGRESS + job_id, encode(progress)))
             if progress.state is JobState.DONE:
                 # The scheduler may remove the job before the append completes.
-                self.dependencies.ahead.hold(job_id)
+                self.dependencies.unlogged.add(job_id)
             job = self.dependencies.ledger.jobs.get(job_id)
             if progress.state.final and job is not None and not job.record.is_stub:
                 records.append((PREFIX_JOB + job_id, encode(job.record.as_stub())))
