--- a/tests/components/scheduling/liveness_calls.py
+++ b/tests/components/scheduling/liveness_calls.py
@@ -1,4 +1,4 @@
-"""Carry an owner's calls to model workers, lose some, and give advice."""
+"""Simulate an owner's calls to model workers with faults, and the advice service."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 from .liveness_world import ModelWorker, World
 
 CALL_SECONDS = 0.004
-ANSWER_SECONDS = 0.02
-"""Longest way of an answer."""
-DECIDE_SECONDS = 0.1
+MAX_RESPONSE_SECONDS = 0.02
+"""Longest time that a response is in flight."""
+ADVICE_SECONDS = 0.1
 TICKET_SECONDS = (2.0, 60.0)
-"""For how long tickets are valid."""
+"""Validity of tickets, drawn for each response."""
 
 OUTCOMES = ("lost", "executed", "late", "refused", "slow")
 
 
 class ModelClient:
-    """Carry the calls of one owner to one worker."""
+    """Simulate the calls of one owner to one worker."""
 
     def __init__(self, world: World, worker_id: str, token: int) -> None:
         self._world = world
@@ -50,7 +50,7 @@
         world = self._world
 
         def execute(worker: ModelWorker) -> str:
-            worker.see_token(self._token)
+            worker.check_token(self._token)
             worker.stop(task, run, world.now)
             return ""
 
@@ -64,24 +64,24 @@
     ) -> HoldAnswer:
         world = self._world
         worker = await self._async_reach()
-        worker.see_token(self._token)
+        worker.check_token(self._token)
         if deadline_ms is not None:
             worker.renew(deadline_ms, world.now)
         worker.ended = [end for end in worker.ended if end.number > seen_upto]
         await worker.async_wait(wait_ms / 1000)
         lost = world.faults_enabled and world.rng.random() < 0.02
-        if lost or worker.silent or world.workers.get(self._id) is not worker:
+        if lost or worker.unreachable or world.workers.get(self._id) is not worker:
             await anyio.sleep(START_TIMEOUT_SECONDS)
             raise CallUnknownError("lost")
         answer = worker.answer(seen_upto, world.now)
-        # What it says may be over, or known by others, once it is read.
-        await anyio.sleep(world.rng.uniform(0, ANSWER_SECONDS))
+        # A run in the response may have ended before the owner reads it.
+        await anyio.sleep(world.rng.uniform(0, MAX_RESPONSE_SECONDS))
         return answer
 
     async def _async_reach(self) -> ModelWorker:
         await anyio.sleep(CALL_SECONDS)
         worker = self._world.workers.get(self._id)
-        if worker is None or worker.silent:
+        if worker is None or worker.unreachable:
             await anyio.sleep(START_TIMEOUT_SECONDS)
             raise CallUnknownError("no answer")
         return worker
@@ -116,7 +116,7 @@
 
 
 class ModelAdvice:
-    """Play the service that knows which workers may run a step."""
+    """Simulate the service that knows which workers may run a step."""
 
     def __init__(self, world: World) -> None:
         self._world = world
@@ -131,7 +131,7 @@
     ) -> StepAdvice:
         world = self._world
         draw = world.rng.random() if world.faults_enabled else 0.5
-        await anyio.sleep(DECIDE_SECONDS)
+        await anyio.sleep(ADVICE_SECONDS)
         if draw < 0.1:
             raise CallRefusedError("status=429")
         if draw > 0.9:
@@ -144,5 +144,5 @@
             worker = world.workers.get(name)
             if worker is not None and world.allows(key, worker):
                 tickets[name] = "t"
-                world.tickets[key, name, worker.began_at] = world.now + seconds
+                world.tickets[key, name, worker.started_at] = world.now + seconds
         return StepAdvice(tickets, 1000 * seconds)
--- a/tests/components/scheduling/liveness_jobs.py
+++ b/tests/components/scheduling/liveness_jobs.py
@@ -1,4 +1,4 @@
-"""Draw jobs of every kind."""
+"""Build random jobs of each kind for the liveness walks."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 }
 QUOTAS = {"small": Room(cpu=4000), "tiny": Room(cpu=500), "large": Room(cpu=16000)}
 RACKS = ("r1", "r2")
-LONGEST_SECONDS = 1.2
+MAX_ESTIMATE_SECONDS = 1.2
 
 ORDINARY = (
     "plain",
@@ -43,7 +43,7 @@
 
 
 def draw_job(rng: random.Random, number: int, now: float, kind: str) -> LedgerJob:
-    """Return a job of a kind."""
+    """Return a random job of a kind."""
     queue = rng.choice(("plain", "urgent", "other"))
     if "advice" in kind:
         queue = "advice"
@@ -62,7 +62,7 @@
 
 def _steps(rng: random.Random, kind: str) -> list[SubmittedStep]:
     count = rng.randint(1, 4)
-    estimate = 1000 * rng.uniform(0.2, LONGEST_SECONDS)
+    estimate = 1000 * rng.uniform(0.2, MAX_ESTIMATE_SECONDS)
     base: dict[str, object] = {
         "count": count,
         "cpu": rng.choice((500, 1000, 2000)),
@@ -117,7 +117,7 @@
 
 
 def unplaceable_long_running(rng: random.Random, number: int, now: float) -> LedgerJob:
-    """Return a job with more lasting tasks than its limit leaves workers for."""
+    """Return a job with more long-running tasks than its limit per worker allows."""
     step = a_step(
         **{**_long_running(rng), "count": rng.randint(5, 7), "max_per_server": 1}
     )
@@ -142,18 +142,21 @@
     number: int,
     now: float,
 ) -> list[LedgerJob]:
-    """Return jobs that need what any hold in a pool would take from them.
+    """Return jobs that can't start while any room of a pool or any quota is withheld.
 
-    :param kind: a lasting job and a gang that need ``each`` worker; a gang that needs
-        each by the ``whole``; or jobs that need all of their organisations' quotas.
+    :param kind: ``each`` for a long-running job and a gang that need every worker,
+        ``whole`` for a gang that needs most of every worker, and ``quota`` for jobs
+        that need the whole quota of their organisation.
     """
-    each = {"count": workers, "max_per_server": 1, "cpu": 100, "mem_mb": 10}
+    one_per_worker = {"count": workers, "max_per_server": 1, "cpu": 100, "mem_mb": 10}
     steps: list[tuple[str, SubmittedStep]] = []
     if kind == "each":
-        steps.append(("", a_step(**each, long_running=True)))
-        steps.append(("", a_step(**each, gang=True)))
+        steps.append(("", a_step(**one_per_worker, long_running=True)))
+        steps.append(("", a_step(**one_per_worker, gang=True)))
     elif kind == "whole":
-        steps.append(("", a_step(**{**each, "cpu": 6000, "mem_mb": 5000}, gang=True)))
+        steps.append(
+            ("", a_step(**{**one_per_worker, "cpu": 6000, "mem_mb": 5000}, gang=True))
+        )
     elif service == POOL_A:
         for name, quota in quotas.items():
             cpu = min(4000, quota.cpu)
--- a/tests/components/scheduling/liveness_mutants.py
+++ b/tests/components/scheduling/liveness_mutants.py
@@ -1,4 +1,7 @@
-"""Take the releases of the scheduler's holds out, one by one."""
+"""Define mutants that each remove one release of a hold from the scheduler.
+
+A hold is anything that keeps a task from starting; its release ends it.
+"""
 
 from __future__ import annotations
 
@@ -28,11 +31,11 @@
     return mutate
 
 
-def _nothing(*_: object) -> None:
+def _do_nothing(*_: object) -> None:
     """Do nothing."""
 
 
-async def _async_nothing(*_: object) -> None:
+async def _async_do_nothing(*_: object) -> None:
     """Do nothing."""
 
 
@@ -43,56 +46,62 @@
             job.stored = True
 
 
-def _ask_once(patch: pytest.MonkeyPatch) -> None:
+def _request_advice_once(patch: pytest.MonkeyPatch) -> None:
     has_advice = planner.Planner._has_advice
 
-    def ask(own: Any, step: Any, workers: Any, now: float) -> bool:
-        found = has_advice(own, step, workers, now)
+    def request_once(own_planner: Any, step: Any, workers: Any, now: float) -> bool:
+        found = has_advice(own_planner, step, workers, now)
         if step.advice_requested_until:
             step.advice_requested_until = math.inf
         return found
 
-    patch.setattr(planner.Planner, "_has_advice", ask)
+    patch.setattr(planner.Planner, "_has_advice", request_once)
 
 
-def _keep_tickets(patch: pytest.MonkeyPatch) -> None:
-    """Let a ticket be valid for ever, whatever workers answer."""
+def _never_expire_tickets(patch: pytest.MonkeyPatch) -> None:
+    """Keep each ticket valid for ever, also one that a worker has rejected."""
     set_tickets = Scheduler.set_tickets
     start_answered = Reports.start_answered
 
-    def give(own: Scheduler, step: Any, tickets: Any, valid_until: float) -> None:
-        set_tickets(own, step, tickets, math.inf)
+    def set_unlimited(
+        scheduler: Scheduler, step: Any, tickets: Any, valid_until: float
+    ) -> None:
+        set_tickets(scheduler, step, tickets, math.inf)
 
-    def answered(own: Reports, task: Any, run: int, reason: str, now: float) -> None:
-        before = dict(task.step.tickets)
-        start_answered(own, task, run, reason, now)
-        task.step.tickets = before
+    def keep_tickets(
+        reports: Reports, task: Any, run: int, reason: str, now: float
+    ) -> None:
+        tickets_before = dict(task.step.tickets)
+        start_answered(reports, task, run, reason, now)
+        task.step.tickets = tickets_before
 
-    patch.setattr(Scheduler, "set_tickets", give)
-    patch.setattr(Reports, "start_answered", answered)
+    patch.setattr(Scheduler, "set_tickets", set_unlimited)
+    patch.setattr(Reports, "start_answered", keep_tickets)
 
 
 def _stay_absent(patch: pytest.MonkeyPatch) -> None:
     update_worker = Scheduler.update_worker
 
-    def see(own: Scheduler, worker_id: str, entry: Any, now: float) -> bool:
-        worker = own.state.workers.get(worker_id)
+    def update(scheduler: Scheduler, worker_id: str, entry: Any, now: float) -> bool:
+        worker = scheduler.state.workers.get(worker_id)
         absent = worker is not None and worker.absent
-        found = update_worker(own, worker_id, entry, now)
-        own.state.workers[worker_id].absent |= absent
+        found = update_worker(scheduler, worker_id, entry, now)
+        scheduler.state.workers[worker_id].absent |= absent
         return found
 
-    patch.setattr(Scheduler, "update_worker", see)
+    patch.setattr(Scheduler, "update_worker", update)
 
 
-def _only_leave(patch: pytest.MonkeyPatch) -> None:
+def _never_uncordon(patch: pytest.MonkeyPatch) -> None:
     set_leaving = Scheduler.set_leaving
 
-    def leave(own: Scheduler, worker_id: str, leaving: bool, now: float) -> None:
+    def cordon_only(
+        scheduler: Scheduler, worker_id: str, leaving: bool, now: float
+    ) -> None:
         if leaving:
-            set_leaving(own, worker_id, leaving, now)
+            set_leaving(scheduler, worker_id, leaving, now)
 
-    patch.setattr(Scheduler, "set_leaving", leave)
+    patch.setattr(Scheduler, "set_leaving", cordon_only)
 
 
 def _stay_stale(patch: pytest.MonkeyPatch) -> None:
@@ -106,88 +115,90 @@
     patch.setattr(Reports, "apply_hold", stay)
 
 
-def _count_twice(patch: pytest.MonkeyPatch) -> None:
-    """Count a doubted start once more, and give it back once."""
+def _count_uncertain_twice(patch: pytest.MonkeyPatch) -> None:
+    """Reserve the quota of an uncertain start twice, and release it once."""
     mark_uncertain = SchedulerState.mark_uncertain
 
-    def again(own: SchedulerState, task: Any) -> None:
-        mark_uncertain(own, task)
-        own.quotas.reserve(task.step.job.organisation, task.step.requested)
+    def reserve_twice(state: SchedulerState, task: Any) -> None:
+        mark_uncertain(state, task)
+        state.quotas.reserve(task.step.job.organisation, task.step.requested)
 
-    patch.setattr(SchedulerState, "mark_uncertain", again)
+    patch.setattr(SchedulerState, "mark_uncertain", reserve_twice)
 
 
 def _requeue_unready(patch: pytest.MonkeyPatch) -> None:
     requeue = SchedulerState.requeue
 
-    def unready(own: SchedulerState, task: Any, now: float) -> None:
-        ready = dict(own.ready)
-        requeue(own, task, now)
-        own.ready = ready
+    def requeue_unready(state: SchedulerState, task: Any, now: float) -> None:
+        ready = dict(state.ready)
+        requeue(state, task, now)
+        state.ready = ready
 
-    patch.setattr(SchedulerState, "requeue", unready)
+    patch.setattr(SchedulerState, "requeue", requeue_unready)
 
 
 def _stay_undescribed(patch: pytest.MonkeyPatch) -> None:
     update_worker = Scheduler.update_worker
 
-    def see(own: Scheduler, worker_id: str, entry: Any, now: float) -> bool:
-        worker = own.state.workers.get(worker_id)
+    def update(scheduler: Scheduler, worker_id: str, entry: Any, now: float) -> bool:
+        worker = scheduler.state.workers.get(worker_id)
         if worker is not None and not worker.described:
             return False
-        return update_worker(own, worker_id, entry, now)
+        return update_worker(scheduler, worker_id, entry, now)
 
-    patch.setattr(Scheduler, "update_worker", see)
+    patch.setattr(Scheduler, "update_worker", update)
 
 
-def _hold_once(patch: pytest.MonkeyPatch) -> None:
-    """Ask no worker that fell silent."""
-    idle = WorkerSession._is_idle
+def _never_poll_unresponsive(patch: pytest.MonkeyPatch) -> None:
+    """Never poll a worker again once it is unresponsive."""
+    original_is_idle = WorkerSession._is_idle
 
-    def give_up(own: WorkerSession, worker: Any) -> bool:
-        return worker.stale or idle(own, worker)
+    def is_idle(session: WorkerSession, worker: Any) -> bool:
+        return worker.stale or original_is_idle(session, worker)
 
-    patch.setattr(WorkerSession, "_is_idle", give_up)
+    patch.setattr(WorkerSession, "_is_idle", is_idle)
 
 
 MUTANTS: dict[str, Mutate] = {
     "a-stop-is-not-repeated": _replace(
-        CommandExecutor, "_async_retry_stop", _async_nothing
+        CommandExecutor, "_async_retry_stop", _async_do_nothing
     ),
-    "a-stop-is-not-acknowledged": _replace(Reports, "stop_answered", _nothing),
+    "a-stop-is-not-acknowledged": _replace(Reports, "stop_answered", _do_nothing),
     "data-centres-told-are-not-opened": _replace(
         Scheduler, "mark_stored", _store_without_zones
     ),
     "no-data-centre-more": _replace(ZoneChooser, "add_zone", lambda *_: True),
-    "advice-is-asked-once": _ask_once,
-    "tickets-last-for-ever": _keep_tickets,
+    "advice-is-asked-once": _request_advice_once,
+    "tickets-last-for-ever": _never_expire_tickets,
     "suspects-stay-off-their-queue": _replace(
-        SchedulerState, "return_to_queue", _nothing
+        SchedulerState, "return_to_queue", _do_nothing
     ),
     "nobody-is-judged": _replace(CrashTracker, "_is_due", lambda *_: False),
     "suspects-wait-for-ever": _replace(planner, "can_isolate", lambda *_: False),
-    "suspects-are-not-cleared": _replace(SchedulerState, "clear_suspicion", _nothing),
+    "suspects-are-not-cleared": _replace(
+        SchedulerState, "clear_suspicion", _do_nothing
+    ),
     "an-entry-that-is-back-is-not-read": _stay_absent,
-    "leaving-is-not-taken-back": _only_leave,
+    "leaving-is-not-taken-back": _never_uncordon,
     "a-quarantine-has-no-end": _replace(health, "QUARANTINE_SECONDS", math.inf),
     "a-takeover-holds-for-ever": _replace(
         SchedulerState,
         "is_held_after_takeover",
-        lambda own, job, now: job.from_previous_owner,
+        lambda state, job, now: job.from_previous_owner,
     ),
-    "a-doubted-start-counts-twice": _count_twice,
-    "quotas-are-not-given-back": _replace(Quotas, "release", _nothing),
-    "strays-stay": _replace(SchedulerState, "clear_orphan_runs", _nothing),
+    "a-doubted-start-counts-twice": _count_uncertain_twice,
+    "quotas-are-not-given-back": _replace(Quotas, "release", _do_nothing),
+    "strays-stay": _replace(SchedulerState, "clear_orphan_runs", _do_nothing),
     "a-silent-worker-stays-stale": _stay_stale,
-    "a-silent-worker-is-asked-no-more": _hold_once,
+    "a-silent-worker-is-asked-no-more": _never_poll_unresponsive,
     "no-room-once-is-no-room-ever": _replace(reports, "ROOM_PAUSE_SECONDS", math.inf),
     "unhealthy-once-is-so-for-ever": _replace(
         reports, "UNHEALTHY_PAUSE_SECONDS", math.inf
     ),
-    "a-start-withdrawn-is-not-told": _replace(Reports, "start_withdrawn", _nothing),
-    "a-start-refused-is-not-told": _replace(Reports, "start_refused", _nothing),
+    "a-start-withdrawn-is-not-told": _replace(Reports, "start_withdrawn", _do_nothing),
+    "a-start-refused-is-not-told": _replace(Reports, "start_refused", _do_nothing),
     "a-start-without-answer-is-not-doubted": _replace(
-        Reports, "start_unknown", _nothing
+        Reports, "start_unknown", _do_nothing
     ),
     "a-run-that-stands-still-stays": _replace(Scheduler, "_is_stuck", lambda *_: False),
     "a-task-comes-back-to-no-step": _requeue_unready,
@@ -196,4 +207,4 @@
         planner, "_restricted", lambda step: False
     ),
 }
-"""How each release is taken out, by a name of what is broken then."""
+"""The mutants by a name of what each one breaks."""
--- a/tests/components/scheduling/liveness_owner.py
+++ b/tests/components/scheduling/liveness_owner.py
@@ -1,4 +1,4 @@
-"""Drive the scheduler and the dispatcher as an owner does, among model workers."""
+"""Run the real scheduler and dispatcher of an owner against model workers."""
 
 from __future__ import annotations
 
@@ -23,30 +23,30 @@
 from .liveness_virtual_time import LoopTimers
 from .liveness_world import World
 
-PLAN_SECONDS = 0.1
-PLAN_GAP_SECONDS = 0.02
-LIST_SECONDS = 0.5
-REOPEN_SECONDS = 0.2
-STORE_SECONDS = 0.01
-BEAT_SECONDS = 0.2
+MAX_PLAN_INTERVAL_SECONDS = 0.1
+MIN_PLAN_INTERVAL_SECONDS = 0.02
+LIST_INTERVAL_SECONDS = 0.5
+REOPEN_INTERVAL_SECONDS = 0.2
+APPEND_SECONDS = 0.01
+MAX_STORE_INTERVAL_SECONDS = 0.2
 
 
 @dataclass
 class Directory:
-    """Hold the entries in the store; they outlive each owner.
+    """Hold the worker entries of the store, which outlive each owner.
 
-    :param done: tasks whose end ``done`` an owner has read, or the log holds.
+    :param done: the tasks that an owner has read as done, or that the log holds so.
     """
 
     entries: dict[str, WorkerEntry] = field(default_factory=dict)
     done: set[TaskName] = field(default_factory=set)
 
     async def async_wait_loaded(self) -> None:
-        """Wait until all entries were read."""
+        """Return at once, since all entries are present from the start."""
 
 
 class _Dispatcher(Dispatcher):
-    """Talk to model workers."""
+    """Connect sessions to model workers."""
 
     world: World
 
@@ -59,9 +59,10 @@
 
 
 class Owner:
-    """Own the shard under one epoch.
+    """Run one owner of the shard.
 
-    :param policies: by queue.
+    :param epoch: the owner's fencing token.
+    :param policies: the policy of each queue.
     """
 
     def __init__(
@@ -83,30 +84,30 @@
         self._wake = anyio.Event()
         self._dirty = anyio.Event()
         self.dispatcher: _Dispatcher | None = None
-        self.list_is_read = True
+        self.list_available = True
         self.authorised = True
         self._fenced = False
 
     def wake(self) -> None:
-        """Plan and store soon."""
+        """Trigger the next plan and the next append of progress."""
         self._wake.set()
         self._dirty.set()
 
     def end(self) -> None:
-        """Let the process end."""
+        """Stop the owner as if its process ended."""
         self._scope.cancel()
 
-    async def async_run(self, before: OwnerRecord) -> None:
-        """Work until ended."""
+    async def async_run(self, previous: OwnerRecord) -> None:
+        """Run until stopped."""
         with self._scope:
             async with anyio.create_task_group() as tasks:
-                self._begin(tasks, before)
+                self._begin(tasks, previous)
                 tasks.start_soon(self._async_plan)
                 tasks.start_soon(self._async_store)
                 tasks.start_soon(self._async_reopen)
                 tasks.start_soon(self._async_list)
 
-    def _begin(self, tasks: TaskGroup, before: OwnerRecord) -> None:
+    def _begin(self, tasks: TaskGroup, previous: OwnerRecord) -> None:
         world = self.world
         timers: Any = LoopTimers()
         advice: Any = ModelAdvice(world)
@@ -117,14 +118,14 @@
             timers,
             tasks,
             self.epoch,
-            self._note_fenced,
+            self._fail_on_fencing,
             self.wake,
             lambda: self.authorised,
             advice,
         )
         self.dispatcher.world = world
         self._track_done_tasks()
-        hold_previous_runs(self.scheduler.state, before, world.now)
+        hold_previous_runs(self.scheduler.state, previous, world.now)
         for job in sorted(world.jobs.values(), key=lambda j: j.record.accepted_at):
             self.scheduler.add_job(job, world.now, world.now)
         fleet: Any = self
@@ -142,7 +143,7 @@
         tasks.start_soon(takeover.async_run, directory)
 
     def _track_done_tasks(self) -> None:
-        """Note which tasks the owner reads as done."""
+        """Record the tasks that the owner reads as done."""
         apply: Callable[..., None] = self.scheduler.apply_worker_report
 
         def apply_worker_report(
@@ -151,13 +152,13 @@
             if worker_id in self.scheduler.state.workers:
                 for end in answer.ended:
                     if end.how == "done":
-                        self._note_done(end.task)
+                        self._add_done(end.task)
             apply(worker_id, answer, sent_at, now)
 
         scheduler: Any = self.scheduler
         scheduler.apply_worker_report = apply_worker_report
 
-    def _note_done(self, name: TaskName) -> None:
+    def _add_done(self, name: TaskName) -> None:
         job = self.world.jobs.get(name.job)
         step = job.record.steps[name.step] if job is not None else None
         indices = range(step.count) if step and step.gang else (name.index,)
@@ -166,38 +167,38 @@
                 TaskName(name.job, name.occurrence, name.step, index)
             )
 
-    def _note_fenced(self) -> None:
-        raise AssertionError("fenced without an owner after this one")
+    def _fail_on_fencing(self) -> None:
+        raise AssertionError("fenced without a later owner")
 
     def listed_workers(self) -> dict[str, str] | None:
-        """Return the data centres of the workers that the list names as up."""
-        if not self.list_is_read:
+        """Return the listed workers with their data centres, or None if unavailable."""
+        if not self.list_available:
             return None
         return {worker.id: worker.zone for worker in self.world.workers.values()}
 
     def update_worker(self, worker_id: str, entry: WorkerEntry) -> None:
-        """Read a worker's entry."""
+        """Apply a worker's entry."""
         if self.dispatcher is not None:
             self.dispatcher.update_worker(worker_id, entry)
             self._wake.set()
 
     def mark_worker_missing(self, worker_id: str) -> None:
-        """Read that a worker's entry is gone."""
+        """Apply the removal of a worker's entry."""
         self.scheduler.mark_worker_missing(worker_id, self.world.now)
 
     def set_leaving(self, worker_id: str, leaving: bool) -> None:
-        """Decide to take a worker, or to leave it."""
+        """Cordon or uncordon a worker."""
         self.scheduler.set_leaving(worker_id, leaving, self.world.now)
         self._wake.set()
 
     def remove_worker(self, worker_id: str) -> None:
-        """Order a worker's maintenance."""
+        """Remove a worker for maintenance."""
         if self.dispatcher is not None:
             self.dispatcher.remove_worker(worker_id, LossCause.ORDERED)
 
     async def _async_plan(self) -> None:
         while self.dispatcher is not None:
-            with anyio.move_on_after(PLAN_SECONDS):
+            with anyio.move_on_after(MAX_PLAN_INTERVAL_SECONDS):
                 await self._wake.wait()
             self._wake = anyio.Event()
             now = self.world.now
@@ -208,11 +209,11 @@
                 )
             if self.scheduler.state.dirty:
                 self._dirty.set()
-            await anyio.sleep(PLAN_GAP_SECONDS)
+            await anyio.sleep(MIN_PLAN_INTERVAL_SECONDS)
 
     async def _async_store(self) -> None:
         while self.dispatcher is not None:
-            with anyio.move_on_after(BEAT_SECONDS):
+            with anyio.move_on_after(MAX_STORE_INTERVAL_SECONDS):
                 await self._dirty.wait()
             self._dirty = anyio.Event()
             now = self.world.now
@@ -234,23 +235,23 @@
         rng = self.world.rng
         if self.world.faults_enabled and rng.random() < 0.08:
             return rng.uniform(0.1, 1.0)
-        return STORE_SECONDS
+        return APPEND_SECONDS
 
     def _write(self, records: list[tuple[str, Progress]]) -> None:
         for job_id, progress in records:
             self.world.jobs[job_id].progress = progress
 
     async def _async_reopen(self) -> None:
-        """Talk again to workers that were silent and may be back."""
+        """Reopen closed sessions to workers that may be reachable again."""
         while self.dispatcher is not None:
             for worker_id, entry in self.directory.entries.items():
                 session = self.dispatcher.sessions.get(worker_id)
                 if session is None or session.closed:
                     self.update_worker(worker_id, entry)
-            await anyio.sleep(REOPEN_SECONDS)
+            await anyio.sleep(REOPEN_INTERVAL_SECONDS)
 
     async def _async_list(self) -> None:
-        """Lose the silent workers that the list of instances no longer names."""
+        """Remove the unresponsive workers that the list of instances lacks."""
         while self.dispatcher is not None:
             read_at = self.world.now
             listed = self.listed_workers()
@@ -260,4 +261,4 @@
                     continue
                 if since is not None and read_at > since:
                     self.dispatcher.remove_worker(worker_id, LossCause.UNLISTED)
-            await anyio.sleep(LIST_SECONDS)
+            await anyio.sleep(LIST_INTERVAL_SECONDS)
--- a/tests/components/scheduling/liveness_runnable.py
+++ b/tests/components/scheduling/liveness_runnable.py
@@ -1,4 +1,4 @@
-"""Say by what really runs which work could start; no owner's belief is asked."""
+"""Determine which tasks could start, from the model alone and not an owner's state."""
 
 from __future__ import annotations
 
@@ -18,11 +18,12 @@
 
 @dataclass
 class RunnableTasks:
-    """Hold which tasks could run now, and don't.
+    """Find the tasks that could run now but do not.
 
-    :param done: tasks whose end ``done`` was taken note of.
-    :param double_room: whether room has to be there twice over, in a pool that is used
-        by less than half, as the users' rule has it; else room for one is enough.
+    :param done: the tasks that are known to be done.
+    :param double_room: whether a task counts only if there is twice the room that it
+        needs and less than half of its pool is in use, which is the condition under
+        which the requirements guarantee a start; otherwise its own room suffices.
     """
 
     world: World
@@ -32,13 +33,13 @@
     _runs: Counter[str] = field(default_factory=Counter)
 
     def __post_init__(self) -> None:
-        """Note what runs."""
+        """Collect the current runs."""
         for _, run in self.world.all_runs():
             self._running.add(run.name)
             self._runs[run.name.job] += 1
 
     def tasks(self) -> Iterator[TaskName]:
-        """Yield the tasks that could run, and don't."""
+        """Yield the tasks that could run but do not."""
         for job in self.world.jobs.values():
             if job.state.final:
                 continue
@@ -83,7 +84,8 @@
         if any(self.world.crashes.get(name, 0) >= SUSPECT_CRASHES for name in waiting):
             able = [w for w in able if self.double_room or _is_alone(w, job.record.id)]
         return (
-            self._places(able, step, waiting[0], 2 if self.double_room else 1) >= count
+            self._count_places(able, step, waiting[0], 2 if self.double_room else 1)
+            >= count
         )
 
     def _may_run(
@@ -93,7 +95,7 @@
         step: SubmittedStep,
         name: TaskName,
     ) -> bool:
-        if worker.silent or worker.draining or worker.leaving:
+        if worker.unreachable or worker.draining or worker.leaving:
             return False
         if step.required_label and step.required_label not in worker.labels:
             return False
@@ -101,10 +103,10 @@
             return self.world.allows(step_key(name), worker)
         return True
 
-    def _places(
+    def _count_places(
         self, able: list[ModelWorker], step: SubmittedStep, name: TaskName, times: int
     ) -> int:
-        """Return for how many of a step's tasks there is room."""
+        """Return how many of a step's tasks there is room for."""
         room = room_of(step)
         places = 0
         for worker in able:
--- a/tests/components/scheduling/liveness_virtual_time.py
+++ b/tests/components/scheduling/liveness_virtual_time.py
@@ -1,4 +1,4 @@
-"""Drive the product on a clock that jumps to what falls due next."""
+"""Provide an event loop with virtual time, which jumps to the next due timer."""
 
 from __future__ import annotations
 
@@ -9,40 +9,40 @@
 
 import anyio
 
-START_SECONDS = 1_000_000.0
+INITIAL_SECONDS = 1_000_000.0
 
 
-class _NoSelector(selectors.SelectSelector):
-    """Find nothing to read or write, since nothing in a walk has a socket."""
+class _EmptySelector(selectors.SelectSelector):
+    """Select no sockets, since the walks open none."""
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        """Return at once; time is driven by the loop."""
+        """Return at once, since the loop advances the time itself."""
         if timeout is None:
-            raise RuntimeError("nothing will ever happen")
+            raise RuntimeError("deadlock: no timer is scheduled")
         return []
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """Jump ahead to what falls due next, instead of waiting for it."""
+    """Advance the time to the next due timer instead of waiting for it."""
 
     def __init__(self) -> None:
-        super().__init__(_NoSelector())
-        self._driven = START_SECONDS
+        super().__init__(_EmptySelector())
+        self._now = INITIAL_SECONDS
 
     def time(self) -> float:
-        """Return the driven time in seconds."""
-        return self._driven
+        """Return the virtual time in seconds."""
+        return self._now
 
     def _run_once(self) -> None:
         loop: Any = self
         if not loop._ready and loop._scheduled:
-            self._driven = max(self._driven, loop._scheduled[0]._when)
-        loop_once: Callable[[], None] = super()._run_once  # type: ignore[misc]
-        loop_once()
+            self._now = max(self._now, loop._scheduled[0]._when)
+        run_once: Callable[[], None] = super()._run_once  # type: ignore[misc]
+        run_once()
 
 
 class LoopTimers:
-    """Tell the driven time to the product."""
+    """Provide the virtual time as the timer service of the code under test."""
 
     def monotonic(self) -> float:
         return asyncio.get_running_loop().time()
--- a/tests/components/scheduling/liveness_walk.py
+++ b/tests/components/scheduling/liveness_walk.py
@@ -1,4 +1,4 @@
-"""Walk an owner and model workers through events drawn from a seed, then calm."""
+"""Run random walks of an owner and model workers: first with faults, then without."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from .liveness_faults import FaultInjector
 from .liveness_jobs import (
     FOLLOWING_PROBES,
-    LONGEST_SECONDS,
+    MAX_ESTIMATE_SECONDS,
     POOL_A,
     POOL_B,
     PROBES,
@@ -46,26 +46,27 @@
     + ADVICE_TIMEOUT_SECONDS
     + ISOLATION_WAIT_SECONDS
     + CLEARED_AFTER_SECONDS
-    + max(STUCK_SECONDS, 2 * STUCK_FACTOR * LONGEST_SECONDS)
+    + max(STUCK_SECONDS, 2 * STUCK_FACTOR * MAX_ESTIMATE_SECONDS)
 )
-"""Each limit that may hold a task back once, one after the other: leases and authority
-after a takeover, an entry that lapsed, a quarantine, advice without an answer, the wait
-for an empty worker, a suspect that is cleared, and a run that stands still."""
+"""Longest delay of a runnable task: the sum of all limits that may each delay it once.
+These are leases and authority after a takeover, an expired worker entry, a quarantine,
+an advice timeout, the wait for an empty worker, the clearing of a suspect, and a run
+without progress."""
 
 
 class LivenessWalk(FaultInjector):
-    """Drive one walk, and say what could run in its calm and did not.
+    """Run one walk, and find tasks that could run after the faults but did not.
 
-    :param scarce: whether lasting steps are drawn that no worker may be left for.
+    :param scarce: whether to draw long-running steps with more tasks than workers.
     """
 
     def __init__(self, seed: int, scarce: bool) -> None:
         super().__init__(World(seed), scarce)
-        self._since: dict[tuple[bool, TaskName], float] = {}
-        self.longest = 0.0
+        self._runnable_since: dict[tuple[bool, TaskName], float] = {}
+        self.max_delay = 0.0
 
     def walk(self) -> str:
-        """Walk; return what broke a rule, or nothing."""
+        """Run the walk; return a description of a violation, or an empty string."""
         with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
             return runner.run(self._async_walk())
 
@@ -90,7 +91,10 @@
             await anyio.sleep(TICK_SECONDS)
 
     async def _async_check_recovery(self) -> str:
-        """Hand in what any hold would keep from running; return what does not run."""
+        """Submit jobs that need all room and quotas; return a violation if any waits.
+
+        Such jobs reveal any room, quota or worker that is still withheld.
+        """
         first = self._rng.choice(PROBES)
         for kind in (first, *(other for other in FOLLOWING_PROBES if other != first)):
             for service in (POOL_A, POOL_B):
@@ -107,7 +111,7 @@
         return probes(kind, service, workers, quotas, self._jobs, self.world.now)
 
     async def _async_wait_until_settled(self) -> str:
-        """Wait until nothing is owed; return what stayed owed for too long."""
+        """Wait until no runnable task waits; return a violation after too long."""
         until = self.world.now + 3 * BOUND_SECONDS
         quiet_since = self.world.now
         while self.world.now - quiet_since < QUIET_SECONDS:
@@ -120,31 +124,35 @@
                     self.world, self._directory.done, double_room
                 ).tasks()
             }
-            self._since = {key: self._since.get(key, now) for key in runnable}
+            self._runnable_since = {
+                key: self._runnable_since.get(key, now) for key in runnable
+            }
             if runnable or self._is_busy():
                 quiet_since = now
-            for key, since in sorted(self._since.items(), key=_double_room_first):
-                self.longest = max(self.longest, now - since)
+            for key, since in sorted(
+                self._runnable_since.items(), key=_double_room_sort_key
+            ):
+                self.max_delay = max(self.max_delay, now - since)
                 if now - since > BOUND_SECONDS or now > until:
-                    return self._describe(key)
+                    return self._describe_violation(key)
             if now > until:
-                return "what runs does not end"
+                return "runs do not end"
         return ""
 
     def _is_busy(self) -> bool:
-        """Return whether work runs that is to end."""
+        """Return whether any run is of a step that is not long-running."""
         return any(not run.step.long_running for _, run in self.world.all_runs())
 
-    def _describe(self, key: tuple[bool, TaskName]) -> str:
+    def _describe_violation(self, key: tuple[bool, TaskName]) -> str:
         double_room, name = key
-        rule = "room is there twice over" if double_room else "room is there"
+        rule = "double room is free" if double_room else "room is free"
         owner = self._owner
         assert owner is not None
         state = owner.scheduler.state
         job = state.jobs.get(name.job)
-        lines = [f"{encode_task(name)} could run and does not: {rule}"]
+        lines = [f"{encode_task(name)} could run but does not: {rule}"]
         lines += [f"  record {self.world.jobs[name.job].record.steps[name.step]}"]
-        lines += _job_lines(job) if job is not None else ["  not known to the owner"]
+        lines += _job_lines(job) if job is not None else ["  unknown to the owner"]
         lines += [
             f"  worker {w.id} {w.service} {w.zone} free={w.free_cpu}/{w.free_mem} "
             f"stale={w.stale} absent={w.absent} leaving={w.leaving} "
@@ -155,7 +163,7 @@
             for w in state.workers.values()
         ]
         lines += [
-            f"  truly {w.id} runs={[encode_task(n) for n in w.runs]}"
+            f"  model {w.id} runs={[encode_task(n) for n in w.runs]}"
             for w in self.world.workers.values()
         ]
         lines += [
@@ -163,14 +171,17 @@
             f"takeover_hold_until={state.takeover_hold_until:.1f}"
         ]
         lines += [
-            f"  waits {step.job.record.id}.{step.number} {len(step.waiting)} "
-            f"lasting={step.spec.long_running} most={step.spec.max_per_server}"
+            f"  waiting {step.job.record.id}.{step.number} {len(step.waiting)} "
+            f"long_running={step.spec.long_running} "
+            f"max_per_server={step.spec.max_per_server}"
             for step in state.ready.values()
         ]
         return "\n".join(lines)
 
 
-def _double_room_first(item: tuple[tuple[bool, TaskName], float]) -> tuple[bool, str]:
+def _double_room_sort_key(
+    item: tuple[tuple[bool, TaskName], float],
+) -> tuple[bool, str]:
     double_room, name = item[0]
     return not double_room, encode_task(name)
 
--- a/tests/components/scheduling/liveness_workers.py
+++ b/tests/components/scheduling/liveness_workers.py
@@ -1,4 +1,4 @@
-"""Hold the workers of a walk, their entries, and who owns the shard."""
+"""Model the workers of a walk, their entries and the current owner."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class Slot:
-    """Hold where a worker stands; each incarnation there has a number."""
+    """Describe a place for one worker at a time, which successive incarnations use."""
 
     service: str
     zone: str
@@ -41,7 +41,7 @@
 
 
 class WorkerPoolModel:
-    """Let workers begin, end and write of themselves."""
+    """Start and end model workers, and write their entries."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -57,7 +57,7 @@
         self._pending: list[tuple[float, Callable[[], None]]] = []
 
     def _schedule(self, seconds: float, call: Callable[[], None]) -> None:
-        """Do something later, unless all is calm then."""
+        """Schedule a call, which is dropped if the faults stop first."""
         self._pending.append((self.world.now + seconds, call))
 
     def _run_pending(self) -> None:
@@ -68,7 +68,7 @@
             call()
 
     def _start_worker(self, number: int) -> None:
-        """Let a new incarnation with a new id begin at a slot."""
+        """Start an incarnation with a new id in a slot."""
         self._start_incarnation(number, f"w{number}.{self._incarnations + 1}")
 
     def _start_incarnation(self, number: int, worker_id: str) -> None:
@@ -94,12 +94,12 @@
 
     def _end_worker(self, worker: ModelWorker) -> None:
         del self.world.workers[worker.id]
-        del self._workers_by_slot[self._number_of(worker)]
+        del self._workers_by_slot[self._slot_of(worker)]
         worker_id = worker.id
         self._schedule(ENTRY_LAPSE_SECONDS, lambda: self._remove_entry(worker_id))
 
     def _write_entry(self, worker_id: str) -> None:
-        """Write a worker's entry."""
+        """Write a worker's entry, and have the owner read it if it changed."""
         worker = self.world.workers.get(worker_id)
         if worker is None:
             return
@@ -110,7 +110,7 @@
                 self._owner.update_worker(worker_id, entry)
 
     def _remove_entry(self, worker_id: str) -> None:
-        """Let a worker's entry lapse."""
+        """Remove a worker's entry."""
         if self._directory.entries.pop(worker_id, None) is not None:
             if self._owner is not None:
                 self._owner.mark_worker_missing(worker_id)
@@ -123,7 +123,7 @@
     def _choose_worker(self) -> ModelWorker:
         return self._rng.choice(list(self.world.workers.values()))
 
-    def _number_of(self, worker: ModelWorker) -> int:
+    def _slot_of(self, worker: ModelWorker) -> int:
         return next(
             n
             for n, worker_id in self._workers_by_slot.items()
@@ -139,23 +139,25 @@
             self._owner.wake()
 
     def _stop_faults(self) -> None:
-        """Let everything be calm from now on."""
+        """Stop all faults and repair their effects."""
         self.world.faults_enabled = False
         self._pending.clear()
-        self.world.late = [(-math.inf, call) for _, call in self.world.late]
+        self.world.delayed_calls = [
+            (-math.inf, call) for _, call in self.world.delayed_calls
+        ]
         if self._owner is not None:
-            self._owner.list_is_read = True
+            self._owner.list_available = True
             self._owner.authorised = True
         self._repair_workers()
         self._repair_entries()
 
     def _repair_workers(self) -> None:
         for worker in list(self.world.workers.values()):
-            worker.silent = False
+            worker.unreachable = False
             if worker.draining:
                 self._end_worker(worker)
             else:
-                slot = self._slots[self._number_of(worker)]
+                slot = self._slots[self._slot_of(worker)]
                 worker.capacity = slot.capacity
                 self._set_leaving(worker, False)
         for number in range(len(self._slots)):
--- a/tests/components/scheduling/liveness_world.py
+++ b/tests/components/scheduling/liveness_world.py
@@ -1,6 +1,6 @@
-"""Play workers as the protocol page says.
+"""Model workers that follow the worker protocol.
 
-What really runs, and where, is held here alone: no owner's belief reaches it.
+The model holds the actual runs, independently of any owner's state.
 """
 
 from __future__ import annotations
@@ -36,10 +36,11 @@
 
 @dataclass(slots=True)
 class Run:
-    """Hold one run on a worker.
+    """Model one run on a worker.
 
-    :param how: how it ends by itself; ``still`` for one that stands still.
-    :param gathered_at: when all members of its gang were there; else when it began.
+    :param how: how it ends by itself, or ``still`` if it makes no progress.
+    :param assembled_at: when all members of its gang had started; for other runs, when
+        it started itself; None while members are missing.
     """
 
     name: TaskName
@@ -47,20 +48,20 @@
     step: SubmittedStep
     seconds: float
     how: str
-    began_at: float
-    gathered_at: float | None
+    started_at: float
+    assembled_at: float | None
     stopped_at: float = math.inf
 
     @property
     def room(self) -> Room:
-        """Return what it takes of its worker."""
+        """Return the room that it uses."""
         return room_of(self.step)
 
     def percent(self, now: float) -> float:
-        """Return how far it is."""
-        if self.gathered_at is None:
+        """Return its progress in per cent."""
+        if self.assembled_at is None:
             return 0.0
-        share = (now - self.gathered_at) / max(self.seconds, 0.01)
+        share = (now - self.assembled_at) / max(self.seconds, 0.01)
         if self.how == "still":
             share = min(share, 0.3)
         return min(100.0 if self.step.long_running else 99.0, 100 * share)
@@ -68,11 +69,11 @@
 
 @dataclass(slots=True, eq=False)
 class ModelWorker:
-    """Hold one incarnation of a worker.
+    """Model one incarnation of a worker.
 
-    :param born: when it began, or 0 if it does not say.
-    :param checks: whether it rejects what has no room.
-    :param silent: whether no call reaches it.
+    :param born: its start time as it reports it, or 0 if it reports none.
+    :param checks_room: whether it rejects starts for which it has no room.
+    :param unreachable: whether calls to it get no response.
     """
 
     id: str
@@ -81,22 +82,22 @@
     zone: str
     labels: tuple[str, ...]
     capacity: Room
-    checks: bool
-    began_at: float
+    checks_room: bool
+    started_at: float
     token: int = 0
     runs: dict[TaskName, Run] = field(default_factory=dict)
     ended: list[EndedTask] = field(default_factory=list)
     ends: int = 0
     closed: dict[TaskName, int] = field(default_factory=dict)
     lease_until: float = 0.0
-    silent: bool = False
+    unreachable: bool = False
     draining: bool = False
     leaving: bool = False
     dies_at: float = math.inf
     _changed: anyio.Event = field(default_factory=anyio.Event)
 
     def entry(self, now: float) -> WorkerEntry:
-        """Return what it writes about itself."""
+        """Return the entry that it writes to the store."""
         return WorkerEntry(
             self.service,
             "127.0.0.1:1",
@@ -109,11 +110,11 @@
         )
 
     def clock_ms(self, now: float) -> float:
-        """Return its steady clock."""
-        return 1000 * (now - self.began_at) + 1
+        """Return its monotonic clock."""
+        return 1000 * (now - self.started_at) + 1
 
     def free(self) -> Room:
-        """Return the room that nothing takes."""
+        """Return the room that no run uses."""
         rooms = [run.room for run in self.runs.values()]
         return Room(
             self.capacity.cpu - sum(room.cpu for room in rooms),
@@ -121,14 +122,14 @@
             self.capacity.gpu - sum(room.gpu for room in rooms),
         )
 
-    def see_token(self, token: int) -> None:
-        """Reject a call of an owner before the newest one."""
+    def check_token(self, token: int) -> None:
+        """Reject a call with an older fencing token than the newest one."""
         if token < self.token:
             raise FencedError(self.id)
         self.token = token
 
     def end(self, name: TaskName, how: str) -> None:
-        """Let a run end."""
+        """End a run, and list its end in the next responses."""
         run = self.runs.pop(name)
         self.close(name, run.run)
         self.ends += 1
@@ -138,29 +139,29 @@
         self._changed = anyio.Event()
 
     def close(self, name: TaskName, run: int) -> None:
-        """Reject this run of a task from now on, and those before it."""
+        """Reject this and earlier runs of a task from now on."""
         self.closed[name] = max(run, self.closed.get(name, 0))
 
     def renew(self, deadline_ms: float, now: float) -> None:
-        """Take a deadline on its own clock."""
+        """Extend the lease to a deadline on the worker's own clock."""
         until = now + (deadline_ms - self.clock_ms(now)) / 1000
         self.lease_until = max(self.lease_until, until)
 
     def stop(self, name: TaskName, run: int, now: float) -> None:
-        """Begin to stop a run, and reject it from now on."""
+        """Start to stop a run, and reject it from now on."""
         self.close(name, run)
         found = self.runs.get(name)
         if found is not None and found.run == run:
             found.stopped_at = min(found.stopped_at, now + STOP_SECONDS)
 
     async def async_wait(self, seconds: float) -> None:
-        """Wait for an end."""
+        """Wait until a run ends, or a time has passed."""
         if not self.ended and seconds > 0:
             with anyio.move_on_after(seconds):
                 await self._changed.wait()
 
     def answer(self, seen_upto: int, now: float) -> HoldAnswer:
-        """Return what runs and has ended."""
+        """Return the response to a poll, and drop the ends that the owner has seen."""
         self.ended = [ended for ended in self.ended if ended.number > seen_upto]
         rows = [
             RunningTask(run.name, run.run, "", run.percent(now), 0.0)
@@ -170,12 +171,12 @@
 
 
 def room_of(step: SubmittedStep) -> Room:
-    """Return what one task of a step takes of a worker."""
+    """Return the room that one task of a step uses."""
     return Room(0 if step.fills else step.cpu, step.mem_mb, step.gpu)
 
 
 def fits(free: Room, room: Room, times: int = 1) -> bool:
-    """Return whether a room is there, so many times over."""
+    """Return whether a multiple of a room is free."""
     return (
         free.cpu >= times * room.cpu
         and free.mem_mb >= times * room.mem_mb
@@ -184,10 +185,9 @@
 
 
 class World:
-    """Hold all workers, and what is under way to them.
+    """Hold all workers, the accepted jobs, and the calls in flight.
 
-    :param faults_enabled: whether calls are lost, and runs fail or stand still.
-    :param jobs: what was handed in.
+    ``faults_enabled`` tells whether calls are lost, and runs fail or make no progress.
     """
 
     def __init__(self, seed: int) -> None:
@@ -199,75 +199,75 @@
         self.crashing_tasks: set[TaskName] = set()
         self.crashes: dict[TaskName, int] = {}
         self.tickets: dict[tuple[StepKey, str, float], float] = {}
-        self.late: list[tuple[float, Callable[[], None]]] = []
+        self.delayed_calls: list[tuple[float, Callable[[], None]]] = []
         self.failing: set[str] = set()
         self.quotas: dict[str, Room] = {}
 
     @property
     def now(self) -> float:
-        """Return the driven time."""
+        """Return the virtual time."""
         return asyncio.get_running_loop().time()
 
     def all_runs(self) -> Iterator[tuple[ModelWorker, Run]]:
-        """Yield what runs."""
+        """Yield every run with its worker."""
         for worker in self.workers.values():
             for run in worker.runs.values():
                 yield worker, run
 
     def advance(self) -> None:
-        """Let everything end whose time has come."""
+        """Execute the due delayed calls, and end the runs that are due."""
         now = self.now
-        due = [call for at, call in self.late if at <= now]
-        self.late = [(at, call) for at, call in self.late if at > now]
+        due = [call for at, call in self.delayed_calls if at <= now]
+        self.delayed_calls = [(at, call) for at, call in self.delayed_calls if at > now]
         for call in due:
             call()
-        self._gather_gangs(now)
+        self._assemble_gangs(now)
         for worker in list(self.workers.values()):
             self._advance_worker(worker, now)
 
     def crash_victims(self) -> list[ModelWorker]:
-        """Return the workers that a deadly task ends now."""
+        """Return the workers that a crashing task brings down now."""
         if not self.faults_enabled:
             return []
         return [
             worker
             for worker in self.workers.values()
             if any(
-                run.name in self.crashing_tasks and self.now - run.began_at > 0.2
+                run.name in self.crashing_tasks and self.now - run.started_at > 0.2
                 for run in worker.runs.values()
             )
         ]
 
-    def _gather_gangs(self, now: float) -> None:
+    def _assemble_gangs(self, now: float) -> None:
         gangs: dict[tuple[StepKey, int], list[Run]] = {}
         for _, run in self.all_runs():
-            if run.gathered_at is None:
+            if run.assembled_at is None:
                 gangs.setdefault((step_key(run.name), run.run), []).append(run)
         for members in gangs.values():
             if len(members) == members[0].step.count:
                 for member in members:
-                    member.gathered_at = now
+                    member.assembled_at = now
 
     def _advance_worker(self, worker: ModelWorker, now: float) -> None:
         for name, run in list(worker.runs.items()):
             if name not in worker.runs:
                 continue
-            how = self._how_ended(worker, run, now)
+            how = self._find_end(worker, run, now)
             if not how:
                 continue
             worker.end(name, how)
             if run.step.gang:
                 self._end_gang(run, how)
 
-    def _how_ended(self, worker: ModelWorker, run: Run, now: float) -> str:
+    def _find_end(self, worker: ModelWorker, run: Run, now: float) -> str:
         if now > worker.lease_until:
             return "lapsed"
         if now >= run.stopped_at:
             return "stopped"
-        if run.gathered_at is None:
-            over = now - run.began_at > GANG_TIMEOUT_SECONDS
-            return "alone" if over else ""
-        if run.how == "still" or now - run.gathered_at < run.seconds:
+        if run.assembled_at is None:
+            timed_out = now - run.started_at > GANG_TIMEOUT_SECONDS
+            return "alone" if timed_out else ""
+        if run.how == "still" or now - run.assembled_at < run.seconds:
             return ""
         if run.step.long_running:
             return "failed" if self.faults_enabled and run.how == "failed" else ""
@@ -277,14 +277,14 @@
         other = "done" if how == "done" else "broken"
         for worker, member in list(self.all_runs()):
             same = step_key(member.name) == step_key(run.name)
-            if same and member.run == run.run and member.gathered_at is not None:
+            if same and member.run == run.run and member.assembled_at is not None:
                 worker.end(member.name, other)
 
     def begin(
         self, worker: ModelWorker, order: StartOrder, token: int, now: float
     ) -> str:
-        """Carry out an order to start; return why it is rejected, or nothing."""
-        worker.see_token(token)
+        """Execute a start; return the reason of a rejection, or an empty string."""
+        worker.check_token(token)
         name = order.task
         found = worker.runs.get(name)
         if found is not None and found.run == order.run:
@@ -295,7 +295,7 @@
         step = self.jobs[name.job].record.steps[name.step]
         if worker.clock_ms(now) > order.deadline_ms:
             return "late"
-        if worker.checks and not fits(worker.free(), room_of(step)):
+        if worker.checks_room and not fits(worker.free(), room_of(step)):
             worker.renew(order.deadline_ms, now)
             return "room"
         if self.needs_ticket(name.job) and not self._ticket_valid(worker, name, now):
@@ -316,24 +316,24 @@
         seconds = step.estimate_ms / 1000 * self.rng.uniform(0.5, 1.6)
         if step.long_running:
             seconds = STARTUP_SECONDS
-        together = None if step.gang else now
-        return Run(name, run, step, seconds, how, now, together)
+        assembled_at = None if step.gang else now
+        return Run(name, run, step, seconds, how, now, assembled_at)
 
     def needs_ticket(self, job: str) -> bool:
-        """Return whether a job's queue has advice."""
+        """Return whether a job's queue uses advice."""
         return "advice" in self.jobs[job].record.queue
 
     def _ticket_valid(self, worker: ModelWorker, name: TaskName, now: float) -> bool:
-        key = (step_key(name), worker.id, worker.began_at)
+        key = (step_key(name), worker.id, worker.started_at)
         return now <= self.tickets.get(key, 0.0)
 
     def allows(self, key: StepKey, worker: ModelWorker) -> bool:
-        """Return whether the queue's policy lets a step run on a worker."""
-        draw = random.Random(f"{self.seed} {key} {worker.id} {worker.began_at}")
+        """Return whether the advice service allows a step on a worker."""
+        draw = random.Random(f"{self.seed} {key} {worker.id} {worker.started_at}")
         return draw.random() < 0.6
 
     def delay_call(self, call: Callable[[], None]) -> None:
-        """Let an order be carried out seconds later, or never."""
+        """Execute a call some seconds later, unless its token is outdated by then."""
 
         def execute() -> None:
             try:
@@ -341,9 +341,9 @@
             except FencedError:
                 return
 
-        self.late.append((self.now + self.rng.uniform(0.4, 3.0), execute))
+        self.delayed_calls.append((self.now + self.rng.uniform(0.4, 3.0), execute))
 
 
 def step_key(name: TaskName) -> StepKey:
-    """Return the step of a task."""
+    """Return the key of a task's step."""
     return name.job, name.occurrence, name.step
--- a/tests/components/scheduling/test_demand.py
+++ b/tests/components/scheduling/test_demand.py
@@ -1,4 +1,4 @@
-"""Test what a pool's work asks for."""
+"""Test the measured demand of a pool."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from .builders import POOL, SchedulerBench, a_job, a_step
 
 
-def test_a_step_with_a_limit_for_each_worker_asks_for_so_many_workers() -> None:
-    """It does so while its tasks wait, and while they run."""
+def test_step_with_a_limit_per_worker_demands_enough_workers() -> None:
+    """The demand is the same while its tasks wait and while they run."""
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=5, max_per_server=2, long_running=True)))
@@ -35,7 +35,7 @@
     assert load.backlog.mem_mb == 800
 
 
-def test_a_worker_that_can_run_nothing_is_no_room() -> None:
+def test_unusable_worker_is_not_counted_as_capacity() -> None:
     bench = SchedulerBench()
     bench.worker("w1")
     bench.worker("w2")
@@ -44,25 +44,25 @@
     assert (load.workers, load.capacity, load.memory) == (1, 8000, 8000)
 
 
-def arrive(bench: SchedulerBench, count: int, over_seconds: float) -> None:
-    """Hand in jobs of two tasks of a core and a second, at even times."""
+def submit_jobs(bench: SchedulerBench, count: int, over_seconds: float) -> None:
+    """Submit jobs of two one-second tasks of one core each, at equal intervals."""
     for number in range(count):
         bench.now += over_seconds / count
         bench.add(a_job(job=f"{number:016x}"))
 
 
 def inflow_of(bench: SchedulerBench) -> float:
-    """Return what keeps up with the last arrivals, in thousandths of a core."""
+    """Return the forecast demand of the last arrivals, in thousandths of a core."""
     return measure(bench.scheduler.state, bench.now)[POOL].inflow.cpu
 
 
 def test_first_arrivals_of_a_burst_forecast_its_demand() -> None:
-    """Load: a queue that was silent has 16 jobs in three quarters of a second."""
+    """An idle queue receives 16 jobs in three quarters of a second."""
     bench = SchedulerBench()
     bench.worker("w1")
-    arrive(bench, 16, WINDOW_SECONDS)
-    gap = WINDOW_SECONDS / 16
-    assert inflow_of(bench) == pytest.approx(15 * 2000 / (WINDOW_SECONDS - gap))
+    submit_jobs(bench, 16, WINDOW_SECONDS)
+    interval = WINDOW_SECONDS / 16
+    assert inflow_of(bench) == pytest.approx(15 * 2000 / (WINDOW_SECONDS - interval))
     bench.now += WINDOW_SECONDS
     assert inflow_of(bench) <= MAX_JOBS_PER_GAP / WINDOW_SECONDS * 2000
     bench.now += RECENT_SECONDS
@@ -70,19 +70,22 @@
 
 
 def test_burst_is_forecast_from_its_first_third_of_a_second() -> None:
-    """Load: sixteen jobs a second from now on; instances take 1.5 s to come."""
+    """Guards against late scaling: instances take 1.5 s to start.
+
+    16 jobs arrive per second.
+    """
     bench = SchedulerBench()
     bench.worker("w1")
-    arrive(bench, 5, 5 / 16)
+    submit_jobs(bench, 5, 5 / 16)
     assert inflow_of(bench) >= 0.75 * 16 * 2000
 
 
 def test_large_job_does_not_inflate_the_forecast_of_a_burst() -> None:
-    """Weigh the rate by what jobs ask for in the mean.
+    """Guards against 18 instances for a demand peak that needs eight.
 
-    Symptom: eighteen instances come for a turn whose work takes eight. Load: four jobs
-    a second, one of them twenty times as large as the others. Cause: the work of the
-    last arrivals alone was taken for what keeps coming.
+    Four jobs arrive per second, and one is 20 times as large as the others. The
+    forecast has to multiply the arrival rate by the mean size of many jobs, not by the
+    size of the last ones.
     """
     bench = SchedulerBench()
     bench.worker("w1")
@@ -112,11 +115,10 @@
 
 
 def test_burst_forecast_continues_under_a_new_owner() -> None:
-    """Know the last arrivals of an owner before, each at its time.
+    """Guards against instances that start 1.5 s late after a takeover in a demand peak.
 
-    Symptom: after a change of owner in a turn its instances come 1.5 s later than the
-    work. Sequence: sixteen jobs come within 0.8 s, and the owner is replaced. Cause:
-    only what arrived under the new owner counted.
+    16 jobs arrive within 0.8 s before the takeover. The new owner has to count the
+    arrivals under the previous owner, each at its own time.
     """
     bench = SchedulerBench()
     bench.scheduler.state.taken_over_at = bench.now
--- a/tests/components/scheduling/test_liveness.py
+++ b/tests/components/scheduling/test_liveness.py
@@ -1,4 +1,4 @@
-"""Test that work which can run does run, where a hold has no end."""
+"""Test that runnable work runs in cases in which a hold could last for ever."""
 
 from __future__ import annotations
 
@@ -36,14 +36,17 @@
 
 
 def _plan_for(bench: SchedulerBench, seconds: float) -> None:
-    """Plan for some time among workers that do as told."""
+    """Plan for some time with workers that carry out all commands."""
     for _ in range(round(seconds / TICK_SECONDS)):
         bench.now += TICK_SECONDS
         bench.plan_starts()
 
 
 def test_work_waits_for_no_long_running_step_that_no_worker_can_run() -> None:
-    """Guard against workers kept empty for tasks whose limit allows none of them."""
+    """Guards against workers reserved for long-running tasks that may not run on them.
+
+    The three steps have more tasks than the limit of one per worker allows.
+    """
     bench = SchedulerBench()
     for name in ("w1", "w2", "w3"):
         bench.worker(name, capacity=Room(cpu=64_000, mem_mb=256_000))
@@ -55,12 +58,13 @@
     assert [bench.task(index).phase for index in range(6)] == 6 * [Phase.RUNNING]
 
 
-def _done_after_a_takeover(
-    job: LedgerJob, stray: TaskName, step: SubmittedStep, workers: int, quota: int = 0
+def _done_after_takeover(
+    job: LedgerJob, orphan: TaskName, step: SubmittedStep, workers: int, quota: int = 0
 ) -> set[TaskName]:
-    """Return what is done of a job some time after an owner took over.
+    """Return the tasks of a job that are done some time after a takeover.
 
-    :param stray: runs on the first worker, and is to be stopped there.
+    :param orphan: an orphan run on the first worker, which the owner has to stop.
+    :param step: the step of the orphan run.
     """
 
     async def async_own() -> set[TaskName]:
@@ -74,7 +78,7 @@
                 name, 1, POOL_A, "z1", ("a", "r1"), Room(8000, 8000), True, now
             )
         first = world.workers["w0"]
-        first.runs[stray] = Run(stray, 1, step, WAIT_SECONDS, "done", now, now)
+        first.runs[orphan] = Run(orphan, 1, step, WAIT_SECONDS, "done", now, now)
         first.lease_until = now + LEASE_SECONDS
         entries = {w.id: w.entry(now) for w in world.workers.values()}
         directory = Directory(entries)
@@ -93,20 +97,21 @@
         return runner.run(async_own())
 
 
-def test_a_worker_whose_only_run_is_of_a_job_that_is_over_takes_work_again() -> None:
-    """Guard against a worker that lists a run of a job that is not known any more, is
-    not asked again once that was stopped, and so is given nothing for ever.
+def test_worker_whose_only_run_is_of_an_unknown_job_gets_work_again() -> None:
+    """Guards against a worker that gets no work after it listed a run of a removed job.
+
+    It happens if the worker isn't polled again once that run has been stopped.
     """
-    stray = TaskName("00000000000000ff", 0, 0, 0)
+    orphan = TaskName("00000000000000ff", 0, 0, 0)
     job = a_job(a_step(count=1), queue="plain", accepted_at=1e6)
 
-    done = _done_after_a_takeover(job, stray, a_step(), workers=1)
+    done = _done_after_takeover(job, orphan, a_step(), workers=1)
 
     assert done == {TaskName(JOB, 0, 0, 0)}
 
 
 def _half_done_job(**changes: object) -> LedgerJob:
-    """Return a job whose first step is done, and whose second has its turn."""
+    """Return a job whose first step is done and whose second step is ready."""
     step = a_step(**MOST_OF_A_WORKER)
     after = a_step(**MOST_OF_A_WORKER, after=[0])
     job = a_job(step, after, queue="plain", accepted_at=1e6, **changes)
@@ -115,12 +120,13 @@
 
 
 def test_room_of_an_orphan_run_is_released_though_nothing_else_runs_there() -> None:
-    """Guard against a run of a task that is done, whose room stays taken for ever on a
-    worker that is not asked again.
+    """Guards against room that stays reserved for an orphan run that has ended.
+
+    It happens if its worker, on which nothing else runs, isn't polled again.
     """
     job = _half_done_job()
 
-    done = _done_after_a_takeover(
+    done = _done_after_takeover(
         job, TaskName(JOB, 0, 0, 0), job.record.steps[0], workers=1
     )
 
@@ -128,12 +134,13 @@
 
 
 def test_quota_of_an_orphan_run_is_released_though_nothing_else_runs_there() -> None:
-    """Guard against a run of a task that is done, which counts for its organisation for
-    ever, so that this starts nothing on any worker.
+    """Guards against a quota that counts an orphan run that has ended.
+
+    The organisation can then start nothing on any worker.
     """
     job = _half_done_job(organisation="a")
 
-    done = _done_after_a_takeover(
+    done = _done_after_takeover(
         job, TaskName(JOB, 0, 0, 0), job.record.steps[0], workers=2, quota=8000
     )
 
@@ -141,34 +148,32 @@
 
 
 def test_step_requests_advice_again_once_its_allowed_workers_are_gone() -> None:
-    """Guard against tickets of workers that are gone, which keep a step from asking for
-    others as long as they are valid.
-    """
+    """Guards against valid tickets for removed workers that delay the next request."""
     bench = SchedulerBench(policy=QueuePolicy(POOL, advice=True))
     bench.worker("w1")
     bench.add(a_job())
-    asked = [c for c in bench.plan() if isinstance(c, RequestAdvice)]
-    bench.scheduler.set_tickets(asked[0].step, {"w1": "t"}, bench.now + 60.0)
+    requests = [c for c in bench.plan() if isinstance(c, RequestAdvice)]
+    bench.scheduler.set_tickets(requests[0].step, {"w1": "t"}, bench.now + 60.0)
     bench.scheduler.remove_worker("w1", LossCause.UNLISTED, bench.now)
     bench.worker("w2")
     bench.now += WAIT_SECONDS
 
-    asked = [c for c in bench.plan() if isinstance(c, RequestAdvice)]
+    requests = [c for c in bench.plan() if isinstance(c, RequestAdvice)]
 
-    assert [ask.workers for ask in asked] == [("w2",)]
+    assert [request.workers for request in requests] == [("w2",)]
 
 
-def test_step_requests_advice_on_new_workers_once_its_own_may_run_no_more() -> None:
-    """Guard against a lasting step that keeps to the workers it asked about first."""
+def test_step_requests_advice_on_new_workers_once_its_own_are_at_their_limit() -> None:
+    """Guards against a long-running step that never requests advice on new workers."""
     bench = SchedulerBench(policy=QueuePolicy(POOL, advice=True))
     bench.worker("w1")
     bench.add(a_job(a_step(long_running=True, max_per_server=1)))
-    asked = [c for c in bench.plan() if isinstance(c, RequestAdvice)]
-    bench.scheduler.set_tickets(asked[0].step, {"w1": "t"}, bench.now + 60.0)
+    requests = [c for c in bench.plan() if isinstance(c, RequestAdvice)]
+    bench.scheduler.set_tickets(requests[0].step, {"w1": "t"}, bench.now + 60.0)
     assert len(bench.plan_starts()) == 1
     bench.worker("w2")
     bench.now += WAIT_SECONDS
 
-    asked = [c for c in bench.plan() if isinstance(c, RequestAdvice)]
+    requests = [c for c in bench.plan() if isinstance(c, RequestAdvice)]
 
-    assert [set(ask.workers) for ask in asked] == [{"w1", "w2"}]
+    assert [set(request.workers) for request in requests] == [{"w1", "w2"}]
--- a/tests/components/scheduling/test_liveness_walks.py
+++ b/tests/components/scheduling/test_liveness_walks.py
@@ -1,11 +1,11 @@
-"""Check that what can run does run, after any order of events.
-
-An owner with the real scheduler and dispatcher works among model workers, first among
-troubles of every kind, then in calm. What could run is judged by what really runs and
-is free. Releases are taken out one by one, and each must be missed. Walks are drawn
-from seeds, so that they are the same each time; others are walked by
-``python -m tests.components.scheduling.test_liveness_walks FIRST LAST``, and
-``scarce`` or ``mutants`` behind it.
+"""Check in random walks that all runnable work runs once faults have ended.
+
+An owner with the real scheduler and dispatcher works with model workers, first with
+faults of all kinds, then without. The model alone, not the owner's state, decides which
+tasks could run. Mutants each remove one release of a hold, and the walks have to detect
+each of them. Walks are reproducible by their seeds; run others by
+``python -m tests.components.scheduling.test_liveness_walks FIRST LAST``, with
+``scarce`` or ``mutants`` appended.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 SEEDS = (0, 1, 2, 3, 4, 6, 8, 11, 12, 21, 22, 23, 45, 61, 161)
 SCARCE_SEEDS = (0, 1)
 
-MISSED_BY = {
+DETECTING_SEEDS = {
     "a-stop-is-not-repeated": 0,
     "a-stop-is-not-acknowledged": 0,
     "data-centres-told-are-not-opened": 161,
@@ -37,11 +37,11 @@
     "a-doubted-start-counts-twice": 1,
     "strays-stay": 0,
 }
-"""The seed that is walked first; the other mutants are walked by hand."""
+"""The seed that is tried first for each mutant; the other mutants are run manually."""
 
 
-def _kept_seeds() -> list[int]:
-    """Return the seeds whose walks break no rule as long as all releases are there."""
+def _passing_seeds() -> list[int]:
+    """Return the seeds whose walks pass without a mutant, by KNOWN-RED.txt."""
     known_red = read_known_red(KNOWN_RED.read_text(encoding="utf-8"))
     name = test_what_can_run_runs_after_any_order_of_events.__name__
     return [s for s in SEEDS if not any(f"{name}[{s}]" in test for test in known_red)]
@@ -59,15 +59,15 @@
     assert not found, f"seed={seed} {found}"
 
 
-@pytest.mark.parametrize("mutant", MISSED_BY)
+@pytest.mark.parametrize("mutant", DETECTING_SEEDS)
 def test_each_removed_release_is_detected(
     mutant: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    kept = _kept_seeds()
-    first = MISSED_BY[mutant]
-    assert first in kept
+    passing = _passing_seeds()
+    first = DETECTING_SEEDS[mutant]
+    assert first in passing
     MUTANTS[mutant](monkeypatch)
-    seeds = sorted(kept, key=lambda seed: seed != first)
+    seeds = sorted(passing, key=lambda seed: seed != first)
     assert any(LivenessWalk(seed, scarce=False).walk() for seed in seeds)
 
 
@@ -79,12 +79,14 @@
 
 
 def _walk_mutants(first: int, last: int) -> None:
-    """Print the first seed that misses each release, and is kept with it."""
-    kept = [s for s in range(first, last) if not LivenessWalk(s, scarce=False).walk()]
+    """Print the first seed that detects each mutant and passes without it."""
+    passing = [
+        s for s in range(first, last) if not LivenessWalk(s, scarce=False).walk()
+    ]
     for name, mutate in MUTANTS.items():
         with pytest.MonkeyPatch.context() as patch:
             mutate(patch)
-            walks = (s for s in kept if LivenessWalk(s, scarce=False).walk())
+            walks = (s for s in passing if LivenessWalk(s, scarce=False).walk())
             print(f"{name} seed={next(walks, None)}")
 
 
--- a/tests/components/scheduling/test_pacing.py
+++ b/tests/components/scheduling/test_pacing.py
@@ -1,4 +1,4 @@
-"""Test that what fills gives way to what serves beside it."""
+"""Test that filling tasks are throttled in favour of serving tasks on their worker."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def serving_and_filling() -> tuple[SchedulerBench, Task, Task]:
-    """Return a serving and a filling task at work on one worker."""
+    """Return a bench with a serving and a filling task that run on one worker."""
     bench = SchedulerBench()
     bench.worker("w1", capacity=Room(cpu=8000, mem_mb=8000))
     serving = a_step(count=1, long_running=True, target_ms=100)
@@ -23,25 +23,25 @@
 
 
 def report(bench: SchedulerBench, serving: Task, filling: Task, tail_ms: float) -> None:
-    """Let the worker report the serving task's tail."""
+    """Report the tail latency of the serving task."""
     serving.figure = tail_ms
     bench.hold("w1", running=[a_row(serving, 100.0), a_row(filling, 100.0)])
 
 
 def paces(bench: SchedulerBench) -> list[int]:
-    """Return the paces ordered now."""
+    """Plan, and return the commanded paces in per cent."""
     return [c.percent for c in bench.plan() if isinstance(c, Pace)]
 
 
 def test_filling_task_is_throttled_until_the_serving_task_meets_its_target() -> None:
-    """Load: work that fills disturbs a serving task beyond its target, for seconds."""
+    """A filling task keeps a serving task above its target latency for seconds."""
     bench, serving, filling = serving_and_filling()
-    ordered: list[int] = []
+    commanded: list[int] = []
     for _ in range(5):
         bench.now += 0.7
         report(bench, serving, filling, 150.0)
-        ordered.extend(paces(bench))
-    assert ordered == [50, 25, 0]
+        commanded.extend(paces(bench))
+    assert commanded == [50, 25, 0]
 
 
 def test_throttle_is_raised_slowly_once_there_is_headroom() -> None:
@@ -49,12 +49,12 @@
     bench.now += 0.7
     report(bench, serving, filling, 150.0)
     assert paces(bench) == [50]
-    ordered: list[int] = []
+    commanded: list[int] = []
     for _ in range(6):
         bench.now += 1.0
         report(bench, serving, filling, 30.0)
-        ordered.extend(paces(bench))
-    assert ordered == [75, 100]
+        commanded.extend(paces(bench))
+    assert commanded == [75, 100]
 
 
 def test_serving_task_within_its_target_throttles_nothing() -> None:
--- a/tests/components/scheduling/test_rate_shares.py
+++ b/tests/components/scheduling/test_rate_shares.py
@@ -1,4 +1,4 @@
-"""Test what an organisation may take of a full pool."""
+"""Test the rate shares of organisations in a full pool."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 from .builders import SchedulerBench, a_job, a_step
 
-HOT = "hot"
+BUSY = "hot"
 SMALL = "small"
-RATES = {HOT: 4.0, SMALL: 1.0}
+RATES = {BUSY: 4.0, SMALL: 1.0}
 
 
 def a_bench() -> SchedulerBench:
-    """Return one worker of eight cores."""
+    """Return a bench with rates and one worker of eight cores."""
     bench = SchedulerBench()
     bench.scheduler = Scheduler(
         1, lambda queue: bench.policy, rate_of=lambda name: RATES.get(name, 0.0)
@@ -26,40 +26,45 @@
 
 
 @pytest.mark.parametrize(
-    ("gap", "within"), [(0.25, 20), (0.125, 12), (0.0, 4), (1.0, 20)]
+    ("interval", "expected"), [(0.25, 20), (0.125, 12), (0.0, 4), (1.0, 20)]
 )
 def test_rate_holds_over_time_with_a_burst_of_one_second(
-    gap: float, within: int
+    interval: float, expected: int
 ) -> None:
     shares = RateShares(lambda name: 4.0)
-    seen = [shares.exceeds_rate(HOT, 10.0 + gap * number) for number in range(20)]
-    assert abs(seen.count(False) - within) <= 1
+    results = [
+        shares.exceeds_rate(BUSY, 10.0 + interval * number) for number in range(20)
+    ]
+    assert abs(results.count(False) - expected) <= 1
 
 
 def test_late_arrivals_earn_no_extra_rate() -> None:
-    """Jobs are told in the order of the log, their times are other entries' clocks."""
+    """Jobs arrive in the order of the log, but with the clock times of their entries.
+
+    A job may thus be older than the one before it.
+    """
     shares = RateShares(lambda name: 1.0)
-    assert not shares.exceeds_rate(HOT, 100.0)
-    assert shares.exceeds_rate(HOT, 90.0)
-    assert shares.exceeds_rate(HOT, 100.0)
-    assert not shares.exceeds_rate(HOT, 101.0)
+    assert not shares.exceeds_rate(BUSY, 100.0)
+    assert shares.exceeds_rate(BUSY, 90.0)
+    assert shares.exceeds_rate(BUSY, 100.0)
+    assert not shares.exceeds_rate(BUSY, 101.0)
 
 
 def test_nothing_exceeds_the_rate_without_an_organisation_or_a_rate() -> None:
     assert not any(RateShares(lambda name: 1.0).exceeds_rate("", 0.0) for _ in range(9))
-    assert not any(RateShares().exceeds_rate(HOT, 0.0) for _ in range(9))
+    assert not any(RateShares().exceeds_rate(BUSY, 0.0) for _ in range(9))
 
 
-def _late_jobs_of_the_small(seconds: float = 6.0) -> int:
-    """Play a hot organisation beside a small one; return the latter's late jobs."""
+def _count_late_jobs_of_the_small_organisation(seconds: float = 6.0) -> int:
+    """Run jobs of a busy and a small organisation; return the small one's late jobs."""
     bench = a_bench()
     sent: dict[str, str] = {}
     late = 0
-    begun = bench.now
+    begun_at = bench.now
     number = 0
-    while bench.now < begun + seconds:
-        for name, every, count in ((HOT, 1, 3), (SMALL, 10, 4)):
-            if number % every == 0:
+    while bench.now < begun_at + seconds:
+        for name, period, count in ((BUSY, 1, 3), (SMALL, 10, 4)):
+            if number % period == 0:
                 job = f"{name}{number:012x}"[:16].rjust(16, "0")
                 sent[job] = name
                 step = a_step(count=count, cpu=1000, estimate_ms=500)
@@ -75,24 +80,24 @@
                     is_late = job.state.final and bench.now > job.objective_at
                     late += is_late and job.organisation == SMALL
         bench.now += 0.1
-    left = bench.scheduler.state.jobs.values()
+    remaining = bench.scheduler.state.jobs.values()
     return late + sum(
         job.organisation == SMALL and bench.now > job.objective_at
-        for job in left
+        for job in remaining
         if not job.state.final
     )
 
 
 def test_busy_organisation_does_not_delay_jobs_of_others() -> None:
-    """Replay a hot organisation: ten times another's rate, beyond what the pool does.
+    """Guards against late jobs of all organisations when one overloads the pool.
 
-    Symptom: one job in four is late, whoever sent it. Cause: the order of work knew no
-    organisation.
+    The busy organisation sends ten times as many jobs as the other. If jobs are ordered
+    regardless of their organisation, one in four is late.
     """
-    assert _late_jobs_of_the_small() == 0
+    assert _count_late_jobs_of_the_small_organisation() == 0
     switch_off(["shares"])
     try:
-        assert _late_jobs_of_the_small() > 0
+        assert _count_late_jobs_of_the_small_organisation() > 0
     finally:
         switch_off([])
 
--- a/tests/components/scheduling/test_stuck.py
+++ b/tests/components/scheduling/test_stuck.py
@@ -1,4 +1,4 @@
-"""Test that runs that stand still are stopped, and no others."""
+"""Test that runs without progress are stopped, and no others."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     assert stop.run == start.run
 
 
-def test_a_run_that_makes_progress_goes_on() -> None:
+def test_a_run_that_makes_progress_is_not_stopped() -> None:
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=1, estimate_ms=500)))
@@ -29,13 +29,12 @@
         assert bench.plan_stops() == []
 
 
-def test_a_long_running_task_on_a_silent_worker_is_not_stopped() -> None:
-    """A worker's silence is no reason to stop the lasting tasks on it.
+def test_a_long_running_task_on_an_unresponsive_worker_is_not_stopped() -> None:
+    """Guards against stopping serving tasks whose worker missed one call.
 
-    Symptom: three tasks of one step were stopped at once, though one may miss.
-    Sequence: a worker left one call unanswered; its tasks, at work for a long time,
-    counted as away, and so as standing still since they had begun.
-    Cause: "not known to be at work" was taken for "known not to be at work".
+    The state of such tasks is unknown. Treated as not serving, they count as without
+    progress since their start, so that more tasks of a step than may be missing are
+    stopped at once.
     """
     bench = SchedulerBench()
     worker = bench.worker("w1")
@@ -61,11 +60,11 @@
 
 
 def test_a_run_whose_reports_are_read_late_is_not_stopped() -> None:
-    """Symptom: tasks at work are stopped and done again beside others that go on.
+    """Guards against stopping and repeating runs that make progress.
 
-    Sequence: an owner is held up after a start for longer than a run may stand still;
-    the worker's report of its progress lies unread. Cause: the time until now counted
-    as time without progress, of which no report had told anything.
+    An owner is blocked after a start for longer than a run may make no progress, and
+    the worker's report of its progress is still unread. Only time that reports cover
+    counts as time without progress.
     """
     bench = SchedulerBench()
     bench.worker("w1")
@@ -80,10 +79,10 @@
 
 
 def test_progress_is_timed_on_the_clock_of_the_reporting_worker() -> None:
-    """Symptom: as above, by an owner that reads two reports late, one behind another.
+    """Guards against stopping a run when an owner reads two reports late.
 
-    Sequence: a poll that left long ago is read after a hold-up of seconds; its report
-    was made within a moment of the one before.
+    The owner reads the second report seconds after the first one, but the worker made
+    both within 0.2 s.
     """
     bench = SchedulerBench()
     bench.worker("w1")
