--- a/mustardward/components/ownership/owner.py
+++ b/mustardward/components/ownership/owner.py
@@ -13,13 +13,13 @@
 from ...platform.models import WorkerEntry
 from ...platform.store import TOPIC_STATUS, TOPIC_WORKERS, Producer
 from ..dispatch.dispatcher import Dispatcher
-from ..fleet.budget import OrderBudget
-from ..fleet.listing import ListReader
-from ..fleet.ordering import Ordering
-from ..fleet.pools import PoolPlanner
+from ..fleet.instance_list import InstanceListReader
+from ..fleet.order_budget import OrderBudget
+from ..fleet.order_executor import OrderExecutor
+from ..fleet.pool_planner import PoolPlanner
 from ..fleet.services import Fleet
-from ..fleet.telling import WaveTelling
-from ..fleet.waves import WavePlanner
+from ..fleet.wave_planner import WavePlanner
+from ..fleet.wave_reporter import WaveReporter
 from ..ledger.appender import GroupAppender, Record
 from ..ledger.const import MARKS_OF_OWNERS, SHARD, TOPIC
 from ..ledger.follower import TopicFollower
@@ -169,8 +169,10 @@
             tasks.start_soon(self._progress_writer.async_run, dispatcher.sessions)
             tasks.start_soon(self._async_plan)
             executor = dispatcher.executor
-            lines = self.scheduler.reports.run_logger
-            load = OwnerLoad(dependencies.node, executor.calls, executor.window, lines)
+            run_logger = self.scheduler.reports.run_logger
+            load = OwnerLoad(
+                dependencies.node, executor.calls, executor.window, run_logger
+            )
             tasks.start_soon(self._async_monitor, directory, load)
             if dependencies.fleet is not None:
                 self._start_fleet(dependencies.fleet, dispatcher, tasks)
@@ -212,10 +214,12 @@
         )
         planner = WavePlanner(dependencies.bounds.maintenance_s)
         fleet = Fleet(
-            ListReader(
+            InstanceListReader(
                 client, dependencies.timers, dependencies.fleet_limits.rate_per_s
             ),
-            Ordering(client, self._epoch, self._renewals.async_announce, self.depose),
+            OrderExecutor(
+                client, self._epoch, self._renewals.async_announce, self.depose
+            ),
             blocked,
             dependencies.timers,
             self.scheduler,
@@ -224,7 +228,7 @@
             dependencies.ledger,
             self.appender,
             planner,
-            WaveTelling(status, planner),
+            WaveReporter(status, planner),
             PoolPlanner(
                 dependencies.bounds.move_s,
                 OrderBudget(dependencies.fleet_limits.duty_per_s),
