--- a/bench/jobs_intents.py
+++ b/bench/jobs_intents.py
@@ -12,7 +12,7 @@
 import anyio.lowlevel
 
 from mustardward.components.entry.models import RequestFacts
-from mustardward.components.entry.protocols import StoredAnswer
+from mustardward.components.entry.protocols import StoredResponse
 from mustardward.components.retries.intents import LogIntentGate
 from mustardward.components.retries.intents_home import KeyHomes, home_name
 from mustardward.components.retries.intents_recorder import IntentRecorder
@@ -29,7 +29,7 @@
 from tests.fakes.log import FakeLog
 
 STEP_SECONDS = 0.01
-ANSWER = StoredAnswer(200, "application/json", b'{"order": 7}')
+ANSWER = StoredResponse(200, "application/json", b'{"order": 7}')
 
 
 @dataclass(frozen=True, slots=True)
--- a/bench/policy_entries.py
+++ b/bench/policy_entries.py
@@ -62,7 +62,7 @@
 
 def what_ran(request: Request) -> Ran:
     """Return what may be said of a request by all its attempts."""
-    if all(attempt.outcome.surely_not_run for attempt in request.attempts):
+    if all(attempt.outcome.definitely_not_run for attempt in request.attempts):
         return Ran.NO
     return Ran.UNKNOWN
 
@@ -196,7 +196,7 @@
             self._end(ticket, status, Ran.YES, "")
             return
         decision = self.retries.decide(facts, request.attempts, self._clock.now)
-        if decision.again:
+        if decision.should_retry:
             excluded = exclude | {attempt.instance_id}
             self._clock.after(decision.delay_seconds, self._attempt, ticket, excluded)
             return
--- a/mustardward/components/entry/front.py
+++ b/mustardward/components/entry/application.py
@@ -5,7 +5,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any, Final
 
-from .exchange import Exchange, FrontParts
+from .exchange import ApplicationDependencies, Exchange
 
 Scope = dict[str, Any]
 Receive = Callable[[], Awaitable[dict[str, Any]]]
@@ -14,10 +14,10 @@
 _HEALTH_PREFIX: Final = b"/-/"
 
 
-class CallerFront:
+class CallerApplication:
     """Turn ASGI calls into requests and their results into answers."""
 
-    def __init__(self, parts: FrontParts) -> None:
+    def __init__(self, parts: ApplicationDependencies) -> None:
         self._parts = parts
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
--- a/mustardward/components/entry/attempts.py
+++ b/mustardward/components/entry/attempts.py
@@ -11,20 +11,20 @@
 from ...exceptions import TruncatedAnswerError
 from ...helpers.timer import TimerService
 from ..routing.models import RemoteChoice
-from .answer import BROKEN_ANSWER, StoredBody, async_close_answer, is_small
 from .body import StreamedBody
+from .dependencies import EntryDependencies
 from .models import Attempt, AttemptOutcome, Ran, RequestFacts
-from .parts import EntryParts
-from .protocols import Choice, FailedAttempt, OutgoingRequest, WorkerAnswer
+from .protocols import Choice, FailedAttempt, OutgoingRequest, WorkerResponse
+from .response import RESPONSE_ERRORS, BufferedBody, async_close_response, should_buffer
 
 Finish = Callable[[Attempt], None]
 
 
 @dataclass(slots=True, eq=False)
-class HeldAnswer:
+class PendingResponse:
     """Hold an answer whose head came, and its attempt, which has not ended yet."""
 
-    answer: WorkerAnswer
+    answer: WorkerResponse
     attempt: Attempt
     finish: Finish
 
@@ -34,12 +34,12 @@
         self.finish(replace(self.attempt, cause=cause))
 
 
-class Attempts:
+class AttemptRunner:
     """Make one request's attempts, on workers here or through other entries."""
 
     def __init__(
         self,
-        parts: EntryParts,
+        parts: EntryDependencies,
         timers: TimerService,
         facts: RequestFacts,
         request: OutgoingRequest,
@@ -64,7 +64,7 @@
     @property
     def ran(self) -> Ran:
         """Tell whether any attempt may have run."""
-        if all(attempt.outcome.surely_not_run for attempt in self._made):
+        if all(attempt.outcome.definitely_not_run for attempt in self._made):
             return Ran.NO
         return Ran.UNKNOWN
 
@@ -81,7 +81,7 @@
         """Tell whether two attempts can send the body at the same time."""
         return isinstance(self._request.body, bytes)
 
-    async def async_local(self, choice: Choice) -> HeldAnswer | None:
+    async def async_local(self, choice: Choice) -> PendingResponse | None:
         """Try one worker of this data centre; nothing if there is no answer."""
 
         def finish(attempt: Attempt) -> None:
@@ -105,7 +105,7 @@
             sent.unwrap(), choice.attempt_id, name, started, finish
         )
 
-    async def async_remote(self, choice: RemoteChoice) -> HeldAnswer | None:
+    async def async_remote(self, choice: RemoteChoice) -> PendingResponse | None:
         """Let an entry of another data centre try; nothing if there is no answer."""
         peers = self._parts.peers
         assert peers is not None
@@ -124,9 +124,9 @@
             sent.unwrap(), choice.attempt_id, name, started, _ignore
         )
 
-    async def async_give_up(self, held: HeldAnswer, cause: str) -> None:
+    async def async_give_up(self, held: PendingResponse, cause: str) -> None:
         """Drop an answer that its caller does not get."""
-        await async_close_answer(held.answer)
+        await async_close_response(held.answer)
         self.note(replace(held.attempt, cause=cause), held.finish)
 
     def note(self, attempt: Attempt, finish: Finish | None = None) -> None:
@@ -141,30 +141,30 @@
 
     async def _async_hold(
         self,
-        answer: WorkerAnswer,
+        answer: WorkerResponse,
         attempt_id: str,
         name: str,
         started: float,
         finish: Finish,
-    ) -> HeldAnswer | None:
+    ) -> PendingResponse | None:
         now = self._timers.monotonic()
         attempt = Attempt(
             attempt_id, name, AttemptOutcome.ANSWERED, now - started, answer.status
         )
-        held = HeldAnswer(answer, attempt, finish)
+        held = PendingResponse(answer, attempt, finish)
         if now > self._facts.deadline:
             await self.async_give_up(held, "answer-late")
             return None
-        if not is_small(answer):
+        if not should_buffer(answer):
             return held
         return await self._async_whole(held)
 
-    async def _async_whole(self, held: HeldAnswer) -> HeldAnswer | None:
+    async def _async_whole(self, held: PendingResponse) -> PendingResponse | None:
         """Read a small answer to its end, so that a broken one can be tried past."""
         chunks = held.answer.chunks
         try:
             body = b"".join([chunk async for chunk in chunks])
-        except BROKEN_ANSWER:
+        except RESPONSE_ERRORS:
             lost = replace(
                 held.attempt,
                 outcome=AttemptOutcome.UNKNOWN,
@@ -176,7 +176,7 @@
             with anyio.CancelScope(shield=True):
                 await self.async_give_up(held, "abandoned")
             raise
-        held.answer.chunks = StoredBody(body)
+        held.answer.chunks = BufferedBody(body)
         return held
 
     def _attempt(
--- a/mustardward/components/entry/causes.py
+++ b/mustardward/components/entry/attribution.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CauseInputs:
+class AttributionInputs:
     """Hold what a rule decides from.
 
     ``missing`` says what takes instances from the pool now: a wave, failures, or
@@ -35,24 +35,24 @@
     missing: str
 
 
-CauseRule = Callable[[CauseInputs], str]
+AttributionRule = Callable[[AttributionInputs], str]
 
-CAUSE_RULES: Registry[str, CauseRule] = Registry("cause rules")
+ATTRIBUTION_RULES: Registry[str, AttributionRule] = Registry("cause rules")
 """Rule by code of a refusal; a code without one is the caller's own fault."""
 
 
-def cause_rule(*codes: str) -> Callable[[CauseRule], CauseRule]:
+def attribution_rule(*codes: str) -> Callable[[AttributionRule], AttributionRule]:
     """Return a decorator that files a rule under codes."""
 
-    def decorate(rule: CauseRule) -> CauseRule:
+    def decorate(rule: AttributionRule) -> AttributionRule:
         for code in codes:
-            CAUSE_RULES.register(code)(rule)
+            ATTRIBUTION_RULES.register(code)(rule)
         return rule
 
     return decorate
 
 
-@cause_rule(
+@attribution_rule(
     "quota-exceeded",
     "queue-full",
     "not-ready",
@@ -61,30 +61,32 @@
     "idempotency-outcome-unknown",
     "internal-error",
 )
-def refused(inputs: CauseInputs) -> str:
+def refused(inputs: AttributionInputs) -> str:
     """Blame the limits and rules that the organisation is under."""
     return REFUSAL
 
 
-@cause_rule("overloaded", "deadline-unreachable", "no-capacity", "workers-busy")
-def crowded(inputs: CauseInputs) -> str:
+@attribution_rule("overloaded", "deadline-unreachable", "no-capacity", "workers-busy")
+def crowded(inputs: AttributionInputs) -> str:
     """Blame what shrank the pool, else those who share it."""
     return inputs.missing or NEIGHBOUR
 
 
-@cause_rule("no-worker", "worker-unreachable", "outcome-unknown", "answer-truncated")
-def broken(inputs: CauseInputs) -> str:
+@attribution_rule(
+    "no-worker", "worker-unreachable", "outcome-unknown", "answer-truncated"
+)
+def broken(inputs: AttributionInputs) -> str:
     """Blame a wave that took the workers, else their failure."""
     return inputs.missing if inputs.missing == WAVE else FAILURE
 
 
-@cause_rule("deadline-exceeded")
-def late(inputs: CauseInputs) -> str:
+@attribution_rule("deadline-exceeded")
+def late(inputs: AttributionInputs) -> str:
     """Blame the worker that had the request, else the queue before it."""
     return WORKER if inputs.attempts else crowded(inputs)
 
 
-class CauseFinder:
+class BudgetAttributor:
     """Find causes, with what the folded state says of a pool."""
 
     def __init__(self, core: Core) -> None:
@@ -93,10 +95,10 @@
 
     def find(self, code: str, pool: str, attempts: int) -> str:
         """Return the cause for a refusal's code."""
-        rule = CAUSE_RULES.get(code)
+        rule = ATTRIBUTION_RULES.get(code)
         if rule is None:
             return NOTHING
-        return rule(CauseInputs(attempts, self._missing_from(pool)))
+        return rule(AttributionInputs(attempts, self._missing_from(pool)))
 
     def _missing_from(self, pool: str) -> str:
         now = self._core.timers.monotonic()
--- a/mustardward/components/entry/lanes.py
+++ b/mustardward/components/entry/connections.py
@@ -20,7 +20,7 @@
 )
 
 
-class Lane:
+class WorkerConnection:
     """Hold one connection to a worker, open or yet to be opened."""
 
     __slots__ = ("idle_since", "transport")
@@ -32,7 +32,7 @@
         self.idle_since = 0.0
 
 
-class WorkerLanes:
+class WorkerConnectionPool:
     """Lend the connections to one worker.
 
     One pool for all connections would look through all of them, and ask the system
@@ -48,7 +48,7 @@
         self._url = httpx.URL(f"http://{address}/")
         self._most = most
         self._timers = timers
-        self._free: list[Lane] = []
+        self._free: list[WorkerConnection] = []
         self._lent = 0
 
     @property
@@ -66,7 +66,7 @@
         """Tell whether nothing is lent and nothing waits."""
         return not self._free and not self._lent
 
-    def take(self) -> Lane | None:
+    def take(self) -> WorkerConnection | None:
         """Return the lane used last, or a new one, or nothing if all are lent."""
         if self._free:
             self._lent += 1
@@ -74,15 +74,15 @@
         if self._lent >= self._most:
             return None
         self._lent += 1
-        return Lane()
+        return WorkerConnection()
 
-    def give_back(self, lane: Lane) -> None:
+    def give_back(self, lane: WorkerConnection) -> None:
         """Take a lane back whose last answer was whole."""
         self._lent -= 1
         lane.idle_since = self._timers.monotonic()
         self._free.append(lane)
 
-    async def async_discard(self, lane: Lane) -> None:
+    async def async_discard(self, lane: WorkerConnection) -> None:
         """Close a lane after an abnormal end."""
         # Counted before anything is waited for: a cancellation in between would leave
         # the lane counted as lent for ever, and the worker with one connection less.
--- a/mustardward/components/entry/parts.py
+++ b/mustardward/components/entry/dependencies.py
@@ -12,34 +12,34 @@
 from .pause import PauseGuard
 from .protocols import (
     FailedAttempt,
-    IntentGate,
+    IdempotencyGuard,
     Limiter,
     OutgoingRequest,
     RetryPolicy,
     Router,
-    WorkerAnswer,
     WorkerDispatcher,
+    WorkerResponse,
 )
 
 
-class Forwarding(Protocol):
+class RequestForwarder(Protocol):
     """Let another entry serve a request; ``Peers`` does."""
 
     async def async_forward(
         self, member: Member, facts: RequestFacts, request: OutgoingRequest
-    ) -> Result[WorkerAnswer, FailedAttempt]:
+    ) -> Result[WorkerResponse, FailedAttempt]:
         """Return when the answer's head is there."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
-class EntryParts:
+class EntryDependencies:
     """Hold the parts that a request passes through, in order of use."""
 
     limiter: Limiter
     router: Router
     retries: RetryPolicy
     dispatcher: WorkerDispatcher
-    intents: IntentGate | None = None
-    peers: Forwarding | None = None
+    intents: IdempotencyGuard | None = None
+    peers: RequestForwarder | None = None
     guard: PauseGuard | None = None
--- a/mustardward/components/entry/dispatcher.py
+++ b/mustardward/components/entry/dispatcher.py
@@ -20,7 +20,7 @@
 from ...exceptions import MustardwardError, TruncatedAnswerError
 from ...helpers.logging import get_logger
 from ...helpers.timer import TimerService
-from .answer import WorkerBody
+from .connections import WorkerConnectionPool
 from .const import (
     BODILESS_STATUSES,
     CONNECT_SECONDS,
@@ -28,9 +28,9 @@
     TIMEOUT_GRACE_SECONDS,
 )
 from .headers import Headers, answer_headers, find_header, has_injection
-from .lanes import WorkerLanes
 from .models import AttemptOutcome, RequestFacts
-from .protocols import Choice, FailedAttempt, OutgoingRequest, WorkerAnswer
+from .protocols import Choice, FailedAttempt, OutgoingRequest, WorkerResponse
+from .response import WorkerBody
 
 _LOGGER = get_logger(__name__)
 
@@ -48,11 +48,11 @@
 
     def __init__(self, timers: TimerService) -> None:
         self._timers = timers
-        self._lanes: dict[str, WorkerLanes] = {}
+        self._lanes: dict[str, WorkerConnectionPool] = {}
 
     async def async_send(
         self, choice: Choice, facts: RequestFacts, request: OutgoingRequest
-    ) -> Result[WorkerAnswer, FailedAttempt]:
+    ) -> Result[WorkerResponse, FailedAttempt]:
         """Send and return when the answer's head is there."""
         remaining = facts.deadline - self._timers.monotonic()
         if remaining <= 0:
@@ -90,11 +90,13 @@
             await lanes.async_close()
         self._lanes.clear()
 
-    def _lanes_to(self, choice: Choice) -> WorkerLanes:
+    def _lanes_to(self, choice: Choice) -> WorkerConnectionPool:
         address = choice.instance.address
         lanes = self._lanes.get(address)
         if lanes is None:
-            lanes = WorkerLanes(address, choice.instance.connections, self._timers)
+            lanes = WorkerConnectionPool(
+                address, choice.instance.connections, self._timers
+            )
             self._lanes[address] = lanes
         return lanes
 
@@ -142,7 +144,7 @@
 
 async def _async_accept(
     response: httpx.Response, body: WorkerBody, choice: Choice, method: str
-) -> Result[WorkerAnswer, FailedAttempt]:
+) -> Result[WorkerResponse, FailedAttempt]:
     """Take an answer only if it is whole in form and belongs to this attempt."""
     headers = [(name.lower(), value) for name, value in response.headers.raw]
     answered = find_header(headers, _ATTEMPT_ID)
@@ -165,7 +167,7 @@
     if fault:
         await body.aclose()
         return _failed(AttemptOutcome.UNKNOWN, fault)
-    return Success(WorkerAnswer(response.status_code, answer_headers(headers), body))
+    return Success(WorkerResponse(response.status_code, answer_headers(headers), body))
 
 
 def _fault_in_form(
--- a/mustardward/components/entry/drain.py
+++ b/mustardward/components/entry/drain.py
@@ -9,7 +9,7 @@
 from ...helpers.listener import HttpListener
 from ...helpers.logging import get_logger
 from ..keys import MEMBERSHIP
-from .health import Health
+from .health import EntryHealth
 from .service import EntryService
 
 _LOGGER = get_logger(__name__)
@@ -26,7 +26,7 @@
     def __init__(
         self,
         core: Core,
-        health: Health,
+        health: EntryHealth,
         listener: HttpListener,
         service: EntryService,
     ) -> None:
@@ -37,7 +37,7 @@
         self._begun = False
 
     @property
-    def health(self) -> Health:
+    def health(self) -> EntryHealth:
         """Return what balancers are told."""
         return self._health
 
--- a/mustardward/components/entry/exchange.py
+++ b/mustardward/components/entry/exchange.py
@@ -17,19 +17,19 @@
 from ...settings.models import RequestLimits
 from ...state.models.templates import Urgency
 from ..templates.protocols import Directory, Resolved
-from .answer import BROKEN_ANSWER, async_close_answer
+from .attribution import WORKER, BudgetAttributor
 from .body import BodyReader, StreamedBody
-from .causes import WORKER, CauseFinder
 from .const import KEYED_BODY_BYTES, RETRY_BUFFER_BYTES
 from .digest import request_digest
 from .headers import find_header, request_headers
-from .health import Health
+from .health import EntryHealth
 from .models import Ran, RequestFacts, RequestFinished, RequestRefusal
 from .parse import CallerRequest, build_facts, parse_request, read_request_id
-from .problem import no_answer_refusal
-from .protocols import OutgoingRequest, WorkerAnswer
+from .problem import retryable_refusal
+from .protocols import OutgoingRequest, WorkerResponse
+from .response import RESPONSE_ERRORS, async_close_response
 from .service import EntryService
-from .writer import AnswerWriter
+from .writer import ResponseWriter
 
 _LOGGER = get_logger(__name__)
 
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FrontParts:
+class ApplicationDependencies:
     """Hold what answering callers takes.
 
     ``directory`` finds organisations, and is asked anew for each request.
@@ -56,25 +56,25 @@
 
     service: EntryService
     directory: Directory
-    health: Health
+    health: EntryHealth
     limits: RequestLimits
     timers: TimerService
     events: EventBus
-    causes: CauseFinder
+    causes: BudgetAttributor
 
 
 class Exchange:
     """Hold one request and its answer."""
 
     def __init__(
-        self, parts: FrontParts, scope: Scope, receive: Receive, send: Send
+        self, parts: ApplicationDependencies, scope: Scope, receive: Receive, send: Send
     ) -> None:
         self._parts = parts
         self._scope = scope
         self._arrived = self._parts.timers.monotonic()
         self._request_id = read_request_id(scope["headers"])
         self._reader = BodyReader(receive, self._parts.limits.body_bytes)
-        self._writer = AnswerWriter(
+        self._writer = ResponseWriter(
             scope, receive, send, self._request_id, self._parts.health
         )
         self._facts: RequestFacts | None = None
@@ -175,7 +175,7 @@
             return
         await self._async_answer(facts, result.unwrap())
 
-    async def _async_answer(self, facts: RequestFacts, answer: WorkerAnswer) -> None:
+    async def _async_answer(self, facts: RequestFacts, answer: WorkerResponse) -> None:
         remaining = facts.deadline - self._parts.timers.monotonic()
         code = "deadline-exceeded"
         try:
@@ -184,14 +184,14 @@
                 code = ""
         except CallerGoneError as error:
             code = error.code
-        except BROKEN_ANSWER as error:
+        except RESPONSE_ERRORS as error:
             code = TruncatedAnswerError.code
             _LOGGER.warning(
                 "answer_broken_off", request_id=self._request_id, error=error.code
             )
         finally:
             with anyio.CancelScope(shield=True):
-                await async_close_answer(answer)
+                await async_close_response(answer)
         if not code:
             cause = WORKER if answer.status >= _SERVER_ERROR else ""
             self._finish(answer.status, Ran.YES, "", cause)
@@ -258,7 +258,7 @@
 
 def _lost_answer(code: str) -> RequestRefusal:
     status = 504 if code == "deadline-exceeded" else 502
-    return no_answer_refusal(code, status, Ran.UNKNOWN, "the worker's answer was lost")
+    return retryable_refusal(code, status, Ran.UNKNOWN, "the worker's answer was lost")
 
 
 def _is_bodiless(scope: Scope) -> bool:
--- a/mustardward/components/entry/health.py
+++ b/mustardward/components/entry/health.py
@@ -16,7 +16,7 @@
 READY_PATH: Final = b"/-/ready"
 
 
-class Health:
+class EntryHealth:
     """Count requests in progress and know whether new ones are welcome."""
 
     def __init__(self, core: Core, guard: PauseGuard | None = None) -> None:
--- a/mustardward/components/entry/hedge.py
+++ b/mustardward/components/entry/hedge.py
@@ -6,9 +6,9 @@
 from returns.result import Failure
 
 from ...helpers.timer import TimerService
-from .attempts import Attempts, HeldAnswer
+from .attempts import AttemptRunner, PendingResponse
+from .dependencies import EntryDependencies
 from .models import RequestFacts
-from .parts import EntryParts
 from .protocols import Choice
 
 
@@ -20,10 +20,10 @@
 
     def __init__(
         self,
-        parts: EntryParts,
+        parts: EntryDependencies,
         timers: TimerService,
         facts: RequestFacts,
-        attempts: Attempts,
+        attempts: AttemptRunner,
         delay_seconds: float,
     ) -> None:
         self._parts = parts
@@ -33,9 +33,9 @@
         self._delay = delay_seconds
         self._running = 0
         self._settled = anyio.Event()
-        self._winner: HeldAnswer | None = None
+        self._winner: PendingResponse | None = None
 
-    async def async_run(self, first: Choice) -> HeldAnswer | None:
+    async def async_run(self, first: Choice) -> PendingResponse | None:
         """Return the answer that came first, or nothing if none came."""
         try:
             return await self._async_race(first)
@@ -47,7 +47,7 @@
                     await self._attempts.async_give_up(self._winner, "abandoned")
             raise
 
-    async def _async_race(self, first: Choice) -> HeldAnswer | None:
+    async def _async_race(self, first: Choice) -> PendingResponse | None:
         async with anyio.create_task_group() as group:
             self._start(group, first)
             with anyio.move_on_after(self._delay):
--- a/mustardward/components/entry/metrics.py
+++ b/mustardward/components/entry/metrics.py
@@ -8,7 +8,7 @@
 from ...core import Core
 from ...helpers.metrics import Metric, MetricKind, Metrics, declare_metric
 from ..keys import FLEET_LOG
-from .health import Health
+from .health import EntryHealth
 from .models import Ran, RequestFinished
 
 REQUESTS: Final[Metric] = declare_metric(
@@ -62,7 +62,7 @@
 
 
 def subscribe_metrics(
-    core: Core, metrics: Metrics, health: Health
+    core: Core, metrics: Metrics, health: EntryHealth
 ) -> list[Callable[[], None]]:
     """Begin to feed; return what ends it."""
 
--- a/mustardward/components/entry/models.py
+++ b/mustardward/components/entry/models.py
@@ -25,7 +25,7 @@
     UNKNOWN = "unknown"
 
     @property
-    def surely_not_run(self) -> bool:
+    def definitely_not_run(self) -> bool:
         """Tell whether a non-idempotent request may be tried again after this."""
         return self in (AttemptOutcome.NOT_SENT, AttemptOutcome.REFUSED)
 
--- a/mustardward/components/entry/problem.py
+++ b/mustardward/components/entry/problem.py
@@ -27,7 +27,7 @@
     return seconds * (1.0 + _SPREAD * step / _FRACTION_STEPS)
 
 
-def no_answer_refusal(code: str, status: int, ran: Ran, detail: str) -> RequestRefusal:
+def retryable_refusal(code: str, status: int, ran: Ran, detail: str) -> RequestRefusal:
     """Return a refusal that a later try may not meet."""
     return RequestRefusal(code, status, ran, detail, RETRY_AFTER_SECONDS)
 
--- a/mustardward/components/entry/protocols.py
+++ b/mustardward/components/entry/protocols.py
@@ -84,7 +84,7 @@
 class RetryDecision:
     """Say whether to try again, after which pause (seconds)."""
 
-    again: bool
+    should_retry: bool
     delay_seconds: float = 0.0
     cause: str = ""
 
@@ -115,7 +115,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StoredAnswer:
+class StoredResponse:
     """Hold the answer kept under an idempotency key."""
 
     status: int
@@ -123,10 +123,10 @@
     body: bytes
 
 
-class IntentGate(Protocol):
+class IdempotencyGuard(Protocol):
     """Make sure that a request under an idempotency key runs at most once."""
 
-    def truthful(self, facts: RequestFacts, ran: Ran) -> Ran:
+    def reportable_ran(self, facts: RequestFacts, ran: Ran) -> Ran:
         """Return what a refusal may say, with earlier attempts under the key in mind.
 
         A keyed request that is refused before ``async_open`` may have run before.
@@ -135,12 +135,12 @@
 
     async def async_open(
         self, facts: RequestFacts
-    ) -> Result[StoredAnswer | None, RequestRefusal]:
+    ) -> Result[StoredResponse | None, RequestRefusal]:
         """Return nothing if this process may dispatch, or the stored answer."""
         ...
 
     async def async_close(
-        self, facts: RequestFacts, ran: str, answer: StoredAnswer | None
+        self, facts: RequestFacts, ran: str, answer: StoredResponse | None
     ) -> None:
         """Make the outcome durable; ``ran`` ``no`` lets a later try dispatch."""
         ...
@@ -157,7 +157,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class WorkerAnswer:
+class WorkerResponse:
     """Hold the beginning of a worker's answer and the stream of its body.
 
     ``chunks`` raises :class:`TruncatedAnswerError` when the worker ends too early.
@@ -181,6 +181,6 @@
 
     async def async_send(
         self, choice: Choice, facts: RequestFacts, request: OutgoingRequest
-    ) -> Result[WorkerAnswer, FailedAttempt]:
+    ) -> Result[WorkerResponse, FailedAttempt]:
         """Send and return when the answer's head is there."""
         ...
--- a/mustardward/components/entry/serving.py
+++ b/mustardward/components/entry/request_handler.py
@@ -13,24 +13,24 @@
 from ...exceptions import BodyTooLargeError, CallerGoneError, TruncatedAnswerError
 from ...helpers.timer import TimerService
 from ..routing.models import FORWARDABLE_REFUSAL_CODES
-from .answer import StoredBody, WatchedBody
-from .attempts import Attempts, HeldAnswer
+from .attempts import AttemptRunner, PendingResponse
 from .const import STORED_ANSWER_BYTES
+from .dependencies import EntryDependencies
 from .headers import find_header
 from .hedge import HedgedAttempt
 from .models import AttemptOutcome, Ran, RequestFacts, RequestRefusal
-from .parts import EntryParts
-from .problem import no_answer_refusal
+from .problem import retryable_refusal
 from .protocols import (
     Choice,
     OutgoingRequest,
     Permit,
     RetryDecision,
-    StoredAnswer,
-    WorkerAnswer,
+    StoredResponse,
+    WorkerResponse,
 )
+from .response import BufferedBody, TrackedBody
 
-Served = Result[WorkerAnswer, RequestRefusal]
+HandlerResult = Result[WorkerResponse, RequestRefusal]
 
 _SERVER_ERROR: Final = 500
 _FINAL: Final = {
@@ -44,36 +44,36 @@
     CallerGoneError.code: ("caller-gone", 400),
     TruncatedAnswerError.code: ("answer-truncated", 502),
 }
-_UNCONFIRMED: Final = no_answer_refusal(
+_UNCONFIRMED: Final = retryable_refusal(
     "not-ready", 503, Ran.NO, "the state was not confirmed since a pause"
 )
 
 
 @dataclass(frozen=True, slots=True)
-class ServingHost:
+class HandlerContext:
     """Hold what a serving needs of its process.
 
     ``background`` runs what the caller need not wait for; ``ended`` is called once
     when nothing of the request is left in progress.
     """
 
-    parts: EntryParts
+    parts: EntryDependencies
     timers: TimerService
     background: Callable[[Callable[[], Awaitable[None]]], None]
     ended: Callable[[], None]
 
 
-class Serving:
+class RequestHandler:
     """Hold what one request has been through."""
 
     def __init__(
-        self, host: ServingHost, facts: RequestFacts, request: OutgoingRequest
+        self, host: HandlerContext, facts: RequestFacts, request: OutgoingRequest
     ) -> None:
         self._host = host
         self._parts = host.parts
         self._timers = host.timers
         self._facts = facts
-        self._attempts = Attempts(host.parts, host.timers, facts, request)
+        self._attempts = AttemptRunner(host.parts, host.timers, facts, request)
         self._permit: Permit | None = None
         self._intent_open = False
         self._over = False
@@ -93,7 +93,7 @@
             return Ran.UNKNOWN
         return self._attempts.ran
 
-    async def async_run(self) -> Served:
+    async def async_run(self) -> HandlerResult:
         """Return a worker's answer, or the refusal that ends the request."""
         remaining = self._facts.deadline - self._timers.monotonic()
         if remaining <= 0:
@@ -106,7 +106,7 @@
             raise
         return self._refuse_late()
 
-    async def _async_admitted(self) -> Served:
+    async def _async_admitted(self) -> HandlerResult:
         admitted = await self._parts.limiter.async_admit(self._facts)
         if isinstance(admitted, Failure):
             return await self._async_elsewhere(admitted.failure())
@@ -115,11 +115,11 @@
             return await self._async_keyed()
         return await self._async_attempts()
 
-    async def _async_keyed(self) -> Served:
+    async def _async_keyed(self) -> HandlerResult:
         gate = self._parts.intents
         if gate is None:
             return self._refuse(
-                no_answer_refusal(
+                retryable_refusal(
                     "key-unavailable", 503, Ran.UNKNOWN, "no log to keep intents in"
                 )
             )
@@ -135,7 +135,7 @@
         self._intent_open = True
         return await self._async_attempts()
 
-    async def _async_attempts(self) -> Served:
+    async def _async_attempts(self) -> HandlerResult:
         retries = self._parts.retries
         retries.record_first(self._facts)
         exclude: frozenset[str] = frozenset()
@@ -155,7 +155,7 @@
                 decision = retries.decide(
                     self._facts, self._attempts.made, self._timers.monotonic()
                 )
-                if not decision.again:
+                if not decision.should_retry:
                     return self._refuse(self._final_refusal())
                 await self._async_pause(decision)
             exclude |= {choice.instance.instance_id}
@@ -171,7 +171,7 @@
             return self._parts.router.choose(self._facts, frozenset())
         return chosen
 
-    async def _async_try(self, choice: Choice) -> HeldAnswer | None:
+    async def _async_try(self, choice: Choice) -> PendingResponse | None:
         delay = self._parts.retries.hedge_after(self._facts)
         if delay is None or not self._attempts.may_hedge:
             return await self._attempts.async_local(choice)
@@ -180,7 +180,7 @@
         )
         return await race.async_run(choice)
 
-    async def _async_try_past(self, held: HeldAnswer) -> bool:
+    async def _async_try_past(self, held: PendingResponse) -> bool:
         """Drop an answer that is a worker's failure if another try is allowed."""
         if held.answer.status < _SERVER_ERROR or not self._facts.idempotent:
             return False
@@ -191,7 +191,7 @@
             (*self._attempts.made, held.attempt),
             self._timers.monotonic(),
         )
-        if not decision.again:
+        if not decision.should_retry:
             return False
         await self._attempts.async_give_up(held, "worker-failed")
         await self._async_pause(decision)
@@ -201,7 +201,7 @@
         if decision.delay_seconds > 0:
             await self._timers.async_sleep(decision.delay_seconds)
 
-    async def _async_elsewhere(self, refusal: RequestRefusal) -> Served:
+    async def _async_elsewhere(self, refusal: RequestRefusal) -> HandlerResult:
         """Try another data centre where that helps; else refuse.
 
         A keyed request stays: its intent stands in this data centre's log, and no
@@ -225,13 +225,13 @@
     def _safe_to_send(self) -> bool:
         return self._facts.idempotent or self._attempts.ran is Ran.NO
 
-    def _accept(self, held: HeldAnswer) -> Served:
+    def _accept(self, held: PendingResponse) -> HandlerResult:
         answer = held.answer
         keep = STORED_ANSWER_BYTES if self._intent_open else -1
-        body = WatchedBody(answer.chunks, keep, partial(self._end, held))
-        return Success(WorkerAnswer(answer.status, answer.headers, body))
+        body = TrackedBody(answer.chunks, keep, partial(self._end, held))
+        return Success(WorkerResponse(answer.status, answer.headers, body))
 
-    def _end(self, held: HeldAnswer, whole: bool, kept: bytes | None) -> None:
+    def _end(self, held: PendingResponse, whole: bool, kept: bytes | None) -> None:
         held.end(whole)
         self._release(whole and held.answer.status < _SERVER_ERROR)
         if self._intent_open:
@@ -244,13 +244,13 @@
         last = made[-1]
         code, status = _FINAL_BY_CAUSE.get(last.cause, _FINAL[last.outcome])
         detail = f"attempts={len(made)} last={last.cause}"
-        return no_answer_refusal(code, status, self.ran, detail)
+        return retryable_refusal(code, status, self.ran, detail)
 
-    def _refuse_late(self) -> Served:
+    def _refuse_late(self) -> HandlerResult:
         detail = f"attempts={self._attempts.begun}"
         return self._refuse(RequestRefusal("deadline-exceeded", 504, self.ran, detail))
 
-    def _refuse(self, refusal: RequestRefusal) -> Served:
+    def _refuse(self, refusal: RequestRefusal) -> HandlerResult:
         """End with a refusal whose ``ran`` holds for all attempts and the key."""
         ran = self._truthful(self.ran if refusal.ran is Ran.NO else refusal.ran)
         self._give_up()
@@ -262,7 +262,7 @@
         gate = self._parts.intents
         if gate is None or not self._facts.idempotency_key:
             return ran
-        return gate.truthful(self._facts, ran)
+        return gate.reportable_ran(self._facts, ran)
 
     def _give_up(self) -> None:
         self._release(False)
@@ -282,7 +282,7 @@
         self._permit.release(latency, succeeded)
         self._permit = None
 
-    def _close_intent(self, ran: Ran, answer: StoredAnswer | None) -> None:
+    def _close_intent(self, ran: Ran, answer: StoredResponse | None) -> None:
         # The caller is not held back for this: should the record get lost, a later
         # try under the key finds an intent without an outcome and is told "unknown".
         self._intent_open = False
@@ -292,13 +292,13 @@
         self._host.background(lambda: gate.async_close(facts, ran.value, answer))
 
 
-def _stored(answer: WorkerAnswer, body: bytes) -> StoredAnswer:
+def _stored(answer: WorkerResponse, body: bytes) -> StoredResponse:
     content_type = find_header(answer.headers, b"content-type") or b""
-    return StoredAnswer(answer.status, content_type.decode("latin-1"), body)
+    return StoredResponse(answer.status, content_type.decode("latin-1"), body)
 
 
-def _stored_answer(stored: StoredAnswer) -> WorkerAnswer:
+def _stored_answer(stored: StoredResponse) -> WorkerResponse:
     headers = [(b"content-length", b"%d" % len(stored.body))]
     if stored.content_type:
         headers.append((b"content-type", stored.content_type.encode("latin-1")))
-    return WorkerAnswer(stored.status, tuple(headers), StoredBody(stored.body))
+    return WorkerResponse(stored.status, tuple(headers), BufferedBody(stored.body))
--- a/mustardward/components/entry/answer.py
+++ b/mustardward/components/entry/response.py
@@ -9,12 +9,12 @@
 import httpx
 
 from ...exceptions import PeerError, TruncatedAnswerError
+from .connections import WorkerConnection, WorkerConnectionPool
 from .const import HELD_ANSWER_BYTES
 from .headers import find_header
-from .lanes import Lane, WorkerLanes
-from .protocols import WorkerAnswer
+from .protocols import WorkerResponse
 
-BROKEN_ANSWER: Final = (TruncatedAnswerError, PeerError)
+RESPONSE_ERRORS: Final = (TruncatedAnswerError, PeerError)
 """What the pieces of an answer raise when it ended too early."""
 
 EndCallback = Callable[[bool, bytes | None], None]
@@ -27,14 +27,17 @@
     """
 
     def __init__(
-        self, response: httpx.Response, lanes: WorkerLanes, lane: Lane
+        self,
+        response: httpx.Response,
+        lanes: WorkerConnectionPool,
+        lane: WorkerConnection,
     ) -> None:
         stream = response.stream
         assert isinstance(stream, httpx.AsyncByteStream)
         self._stream = stream
         self._parts = stream.__aiter__()
         self._lanes = lanes
-        self._lane: Lane | None = lane
+        self._lane: WorkerConnection | None = lane
 
     def __aiter__(self) -> WorkerBody:
         """Return itself."""
@@ -75,7 +78,7 @@
             raise
         self._lanes.give_back(lane)
 
-    async def _async_discard(self, lane: Lane) -> None:
+    async def _async_discard(self, lane: WorkerConnection) -> None:
         with anyio.CancelScope(shield=True):
             try:
                 await self._stream.aclose()
@@ -83,7 +86,7 @@
                 await self._lanes.async_discard(lane)
 
 
-class WatchedBody:
+class TrackedBody:
     """Pass a body on and tell once how it ended.
 
     :param keep_bytes: longest body to keep a copy of; negative to keep none.
@@ -98,7 +101,7 @@
         self._kept: list[bytes] = []
         self._over = False
 
-    def __aiter__(self) -> WatchedBody:
+    def __aiter__(self) -> TrackedBody:
         """Return itself."""
         return self
 
@@ -112,7 +115,7 @@
         except StopAsyncIteration:
             self._end(True)
             raise
-        except BROKEN_ANSWER:
+        except RESPONSE_ERRORS:
             self._end(False)
             raise
         if self._room >= 0:
@@ -122,7 +125,7 @@
     async def aclose(self) -> None:
         """Close the source; an end that was not reached counts as a failure."""
         self._end(False)
-        await async_close_parts(self._parts)
+        await async_close_chunks(self._parts)
 
     def _keep(self, chunk: bytes) -> None:
         self._room -= len(chunk)
@@ -139,13 +142,13 @@
         self._on_end(whole, kept)
 
 
-class StoredBody:
+class BufferedBody:
     """Give a body that is already whole."""
 
     def __init__(self, body: bytes) -> None:
         self._body = body
 
-    def __aiter__(self) -> StoredBody:
+    def __aiter__(self) -> BufferedBody:
         """Return itself."""
         return self
 
@@ -157,19 +160,19 @@
         return body
 
 
-def is_small(answer: WorkerAnswer) -> bool:
+def should_buffer(answer: WorkerResponse) -> bool:
     """Tell whether an answer declares a length that is held until it is whole."""
     length = find_header(answer.headers, b"content-length")
     return length is not None and length.isdigit() and int(length) <= HELD_ANSWER_BYTES
 
 
-async def async_close_parts(parts: AsyncIterator[bytes]) -> None:
+async def async_close_chunks(parts: AsyncIterator[bytes]) -> None:
     """Close a source of pieces if it can be closed."""
     close: Callable[[], Awaitable[None]] | None = getattr(parts, "aclose", None)
     if close is not None:
         await close()
 
 
-async def async_close_answer(answer: WorkerAnswer) -> None:
+async def async_close_response(answer: WorkerResponse) -> None:
     """Give up an answer, whether its body was read or not."""
-    await async_close_parts(answer.chunks)
+    await async_close_chunks(answer.chunks)
--- a/mustardward/components/entry/service.py
+++ b/mustardward/components/entry/service.py
@@ -10,10 +10,10 @@
 from ...exceptions import MustardwardError
 from ...helpers.logging import get_logger
 from ...helpers.timer import TimerService
+from .dependencies import EntryDependencies
 from .models import RequestFacts, RequestRefusal
-from .parts import EntryParts
-from .protocols import OutgoingRequest, WorkerAnswer
-from .serving import Serving, ServingHost
+from .protocols import OutgoingRequest, WorkerResponse
+from .request_handler import HandlerContext, RequestHandler
 
 _LOGGER = get_logger(__name__)
 
@@ -25,9 +25,9 @@
     """
 
     def __init__(
-        self, parts: EntryParts, timers: TimerService, tasks: TaskGroup
+        self, parts: EntryDependencies, timers: TimerService, tasks: TaskGroup
     ) -> None:
-        self._host = ServingHost(parts, timers, self._in_background, self._ended)
+        self._host = HandlerContext(parts, timers, self._in_background, self._ended)
         self._tasks = tasks
         self._closing = 0
         self._in_progress = 0
@@ -37,18 +37,18 @@
         """Return how many requests are in progress or not yet durable."""
         return self._in_progress + self._closing
 
-    def start(self, facts: RequestFacts, request: OutgoingRequest) -> Serving:
+    def start(self, facts: RequestFacts, request: OutgoingRequest) -> RequestHandler:
         """Return the serving of one request, which has to be run."""
         self._in_progress += 1
-        return Serving(self._host, facts, request)
+        return RequestHandler(self._host, facts, request)
 
     async def async_serve(
         self, facts: RequestFacts, request: OutgoingRequest
-    ) -> Result[WorkerAnswer, RequestRefusal]:
+    ) -> Result[WorkerResponse, RequestRefusal]:
         """Return a worker's answer, or the refusal that ends the request.
 
         Whoever takes the answer reads its body to the end or closes it with
-        ``answer.async_close_answer``; until then its places are held.
+        ``response.async_close_response``; until then its places are held.
         """
         return await self.start(facts, request).async_run()
 
--- a/mustardward/components/entry/setup.py
+++ b/mustardward/components/entry/setup.py
@@ -13,22 +13,22 @@
     DRAIN,
     ENTRY,
     FLEET_LOG,
-    INTENT_GATE,
+    IDEMPOTENCY_GUARD,
     LIMITER,
     METRICS,
     PEERS,
     RETRY_POLICY,
     ROUTER,
 )
-from .causes import CauseFinder
+from .application import CallerApplication
+from .attribution import BudgetAttributor
 from .const import CALLER_KEEPALIVE_SECONDS, PRUNE_SECONDS
+from .dependencies import EntryDependencies
 from .dispatcher import HttpDispatcher
 from .drain import Drain
-from .exchange import FrontParts
-from .front import CallerFront
-from .health import Health
+from .exchange import ApplicationDependencies
+from .health import EntryHealth
 from .metrics import subscribe_metrics
-from .parts import EntryParts
 from .pause import PauseGuard
 from .service import EntryService
 
@@ -43,18 +43,18 @@
     parts = _parts(core, dispatcher, guard)
     service = EntryService(parts, core.timers, core.tasks)
     core.put(ENTRY, service)
-    health = Health(core, guard)
-    front_parts = FrontParts(
+    health = EntryHealth(core, guard)
+    front_parts = ApplicationDependencies(
         service,
         core.get(DIRECTORY),
         health,
         core.settings.limits,
         core.timers,
         core.events,
-        CauseFinder(core),
+        BudgetAttributor(core),
     )
     listener = HttpListener(
-        CallerFront(front_parts), core.settings.callers, _options(core)
+        CallerApplication(front_parts), core.settings.callers, _options(core)
     )
     listener.start(core.tasks)
     drain = Drain(core, health, listener, service)
@@ -81,19 +81,21 @@
     return async_unload
 
 
-def _parts(core: Core, dispatcher: HttpDispatcher, guard: PauseGuard) -> EntryParts:
-    return EntryParts(
+def _parts(
+    core: Core, dispatcher: HttpDispatcher, guard: PauseGuard
+) -> EntryDependencies:
+    return EntryDependencies(
         limiter=core.get(LIMITER),
         router=core.get(ROUTER),
         retries=core.get(RETRY_POLICY),
         dispatcher=dispatcher,
-        intents=core.find(INTENT_GATE),
+        intents=core.find(IDEMPOTENCY_GUARD),
         peers=core.find(PEERS),
         guard=guard,
     )
 
 
-def _feed_metrics(core: Core, health: Health) -> list[Callable[[], None]]:
+def _feed_metrics(core: Core, health: EntryHealth) -> list[Callable[[], None]]:
     metrics = core.find(METRICS)
     if metrics is None or not metrics.enabled:
         return []
--- a/mustardward/components/entry/writer.py
+++ b/mustardward/components/entry/writer.py
@@ -10,12 +10,12 @@
 
 from ...exceptions import CallerGoneError, MustardwardError
 from .abort import async_abort_stream, is_gone, tolerate_late_data
-from .answer import is_small
 from .const import LINGER_SECONDS
-from .health import Health
+from .health import EntryHealth
 from .models import RequestRefusal
 from .problem import problem_body, problem_headers
-from .protocols import WorkerAnswer
+from .protocols import WorkerResponse
+from .response import should_buffer
 
 Receive = Callable[[], Awaitable[dict[str, Any]]]
 Send = Callable[[dict[str, Any]], Awaitable[None]]
@@ -23,7 +23,7 @@
 _CLOSE: Final = (b"connection", b"close")
 
 
-class AnswerWriter:
+class ResponseWriter:
     """Write one answer to one caller."""
 
     def __init__(
@@ -32,7 +32,7 @@
         receive: Receive,
         send: Send,
         request_id: str,
-        health: Health,
+        health: EntryHealth,
     ) -> None:
         self._receive = receive
         self._send = send
@@ -48,7 +48,7 @@
         """Tell whether the caller has got a status already."""
         return self._started
 
-    async def async_answer(self, answer: WorkerAnswer, body_read: bool) -> None:
+    async def async_answer(self, answer: WorkerResponse, body_read: bool) -> None:
         """Pass a worker's answer on, small ones in one piece.
 
         :param body_read: whether nothing of the request's body is left to come.
@@ -87,12 +87,12 @@
         if failed is not None:
             raise failed
 
-    async def _async_pass_on(self, answer: WorkerAnswer) -> None:
+    async def _async_pass_on(self, answer: WorkerResponse) -> None:
         headers = [
             *answer.headers,
             (b"mw-request-id", self._request_id.encode()),
         ]
-        if is_small(answer):
+        if should_buffer(answer):
             # Whole already, or held until it is: what breaks off then still shows as
             # a clear refusal instead of a cut connection.
             body = b"".join([chunk async for chunk in answer.chunks])
--- a/mustardward/components/keys.py
+++ b/mustardward/components/keys.py
@@ -22,7 +22,7 @@
     from ..state.protocols import FleetLog, WorkLog
     from .entry.drain import Drain
     from .entry.protocols import (
-        IntentGate,
+        IdempotencyGuard,
         Limiter,
         RetryPolicy,
         Router,
@@ -51,7 +51,9 @@
 LIMITER: Final[ComponentKey[Limiter]] = ComponentKey("limits")
 ROUTER: Final[ComponentKey[Router]] = ComponentKey("routing")
 RETRY_POLICY: Final[ComponentKey[RetryPolicy]] = ComponentKey("retries")
-INTENT_GATE: Final[ComponentKey[IntentGate]] = ComponentKey("retries.intents")
+IDEMPOTENCY_GUARD: Final[ComponentKey[IdempotencyGuard]] = ComponentKey(
+    "retries.intents"
+)
 DISPATCHER: Final[ComponentKey[WorkerDispatcher]] = ComponentKey("entry.dispatcher")
 EXPLAINER: Final[ComponentKey[Explainer]] = ComponentKey("explain")
 BURN_REPORTER: Final[ComponentKey[BurnReporter]] = ComponentKey("reports")
--- a/mustardward/components/peers/forward.py
+++ b/mustardward/components/peers/forward.py
@@ -15,7 +15,7 @@
 from ...exceptions import PeerError
 from ...helpers.peer_channels import ChannelPool, Purpose
 from ..entry.models import AttemptOutcome, Ran, RequestFacts
-from ..entry.protocols import FailedAttempt, OutgoingRequest, WorkerAnswer
+from ..entry.protocols import FailedAttempt, OutgoingRequest, WorkerResponse
 from ..membership.models import Member
 from .answer import STREAM_FAILURES, AnswerChunks, async_close_stream
 from .cancellation import settled_cancellations
@@ -40,7 +40,7 @@
 
     async def async_forward(
         self, member: Member, facts: RequestFacts, request: OutgoingRequest
-    ) -> Result[WorkerAnswer, FailedAttempt]:
+    ) -> Result[WorkerResponse, FailedAttempt]:
         """Let another entry serve a request; return when the answer's head is there."""
         if facts.hops >= MAXIMUM_HOPS:
             return _failed(AttemptOutcome.NOT_SENT, "too-many-hops")
@@ -98,7 +98,7 @@
         chunks: AnswerChunks,
         facts: RequestFacts,
         request: OutgoingRequest,
-    ) -> Result[WorkerAnswer, FailedAttempt]:
+    ) -> Result[WorkerResponse, FailedAttempt]:
         # From the first byte of the head on, the peer may have dispatched the request,
         # whatever becomes of the stream: only the peer's own word makes it "not run".
         try:
@@ -117,7 +117,7 @@
         if frame.head is None:
             return _failed(AttemptOutcome.UNKNOWN, PeerMessageError.code)
         chunks.put_back(frame)
-        return Success(WorkerAnswer(frame.head.status, frame.head.headers, chunks))
+        return Success(WorkerResponse(frame.head.status, frame.head.headers, chunks))
 
 
 async def _async_send(
--- a/mustardward/components/peers/protocols.py
+++ b/mustardward/components/peers/protocols.py
@@ -15,7 +15,7 @@
 
 from ...helpers.registry import Registry
 from ..entry.models import RequestFacts
-from ..entry.protocols import FailedAttempt, OutgoingRequest, WorkerAnswer
+from ..entry.protocols import FailedAttempt, OutgoingRequest, WorkerResponse
 from ..membership.models import Member
 
 MessageT = TypeVar("MessageT", bound=type)
@@ -79,6 +79,6 @@
 
     async def async_forward(
         self, member: Member, facts: RequestFacts, request: OutgoingRequest
-    ) -> Result[WorkerAnswer, FailedAttempt]:
+    ) -> Result[WorkerResponse, FailedAttempt]:
         """Let another entry serve a caller's request, and stream its answer back."""
         ...
--- a/mustardward/components/peers/receiver.py
+++ b/mustardward/components/peers/receiver.py
@@ -11,9 +11,9 @@
 
 from ...helpers.logging import get_logger
 from ...helpers.msgpack_codec import MsgpackCodec
-from ..entry.answer import async_close_answer
 from ..entry.models import Ran, RequestFacts, RequestRefusal
-from ..entry.protocols import OutgoingRequest, WorkerAnswer
+from ..entry.protocols import OutgoingRequest, WorkerResponse
+from ..entry.response import async_close_response
 from ..templates.protocols import Directory, Resolved
 from .const import CHUNK_BYTES, LAST_FRAMES_SECONDS, MAXIMUM_HOPS
 from .exceptions import PeerBodyTruncatedError, PeerMessageError
@@ -34,7 +34,7 @@
 
     async def async_serve(
         self, facts: RequestFacts, request: OutgoingRequest
-    ) -> Result[WorkerAnswer, RequestRefusal]:
+    ) -> Result[WorkerResponse, RequestRefusal]:
         """Return the beginning of the answer, or the refusal."""
         ...
 
@@ -181,7 +181,7 @@
         await _async_wait_taken(stream, 0.0)
 
 
-async def _async_stream(stream: Any, answer: WorkerAnswer) -> None:
+async def _async_stream(stream: Any, answer: WorkerResponse) -> None:
     # The last frame is sent only after the worker's body was whole. Otherwise the peer
     # hears that it is cut off, and its caller gets an error, never a short success.
     await _async_write(
@@ -192,7 +192,7 @@
     finally:
         # A caller that went away ends this stream in the middle; the worker's
         # connection has to be given up with it, or it stays open till its deadline.
-        await async_close_answer(answer)
+        await async_close_response(answer)
     await _async_write(stream, AnswerFrame(last=whole, cut=not whole))
 
 
--- a/mustardward/components/peers/services.py
+++ b/mustardward/components/peers/services.py
@@ -11,7 +11,7 @@
 from ...helpers.peer_channels import ChannelPool
 from ...helpers.registry import RegistryError
 from ..entry.models import RequestFacts
-from ..entry.protocols import FailedAttempt, OutgoingRequest, WorkerAnswer
+from ..entry.protocols import FailedAttempt, OutgoingRequest, WorkerResponse
 from ..membership.models import Member
 from .client import PeerClient
 from .forward import Forwarder
@@ -91,6 +91,6 @@
 
     async def async_forward(
         self, member: Member, facts: RequestFacts, request: OutgoingRequest
-    ) -> Result[WorkerAnswer, FailedAttempt]:
+    ) -> Result[WorkerResponse, FailedAttempt]:
         """Let another entry serve a caller's request, and stream its answer back."""
         return await self._forwarder.async_forward(member, facts, request)
--- a/mustardward/components/retries/intents.py
+++ b/mustardward/components/retries/intents.py
@@ -18,7 +18,7 @@
 from ...state.handlers.intents import STORED_ANSWER_BYTES
 from ...state.models.jobs import CloseIntent
 from ..entry.models import Ran, RequestFacts, RequestRefusal
-from ..entry.protocols import StoredAnswer
+from ..entry.protocols import StoredResponse
 from .intents_home import KeyHomes
 from .intents_judge import (
     HOME_ELSEWHERE,
@@ -30,9 +30,9 @@
 from .intents_recorder import IntentRecorder
 from .intents_remote import RemoteRecorders
 
-NO_ANSWER: Final = StoredAnswer(0, "", b"")
+NO_ANSWER: Final = StoredResponse(0, "", b"")
 
-Opened = Result[StoredAnswer | None, RequestRefusal]
+Opened = Result[StoredResponse | None, RequestRefusal]
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +60,7 @@
     _opened: dict[str, OpenIntentHere] = field(default_factory=dict)
     _count: int = 0
 
-    def truthful(self, facts: RequestFacts, ran: Ran) -> Ran:
+    def reportable_ran(self, facts: RequestFacts, ran: Ran) -> Ran:
         """Return what a refusal may say, with earlier attempts under the key in mind.
 
         An idempotent request may have been served without its key while the log was
@@ -93,7 +93,7 @@
         return _answer(facts, reply)
 
     async def async_close(
-        self, facts: RequestFacts, ran: str, answer: StoredAnswer | None
+        self, facts: RequestFacts, ran: str, answer: StoredResponse | None
     ) -> None:
         """Make the outcome durable; ``ran`` ``no`` lets a later try dispatch.
 
@@ -166,5 +166,5 @@
     return Failure(refusal)
 
 
-def _is_small(answer: StoredAnswer) -> bool:
+def _is_small(answer: StoredResponse) -> bool:
     return len(answer.body) <= STORED_ANSWER_BYTES
--- a/mustardward/components/retries/intents_judge.py
+++ b/mustardward/components/retries/intents_judge.py
@@ -8,7 +8,7 @@
 
 from ...state.models.jobs import Intent
 from ..entry.models import Ran, RequestRefusal
-from ..entry.protocols import StoredAnswer
+from ..entry.protocols import StoredResponse
 
 RETRY_AFTER_SECONDS: Final = 1.0
 MISMATCH_CODE: Final = "idempotency-key-mismatch"
@@ -28,7 +28,7 @@
     """Hold a standing with the answer or refusal that goes with it."""
 
     standing: Standing
-    answer: StoredAnswer | None = None
+    answer: StoredResponse | None = None
     refusal: RequestRefusal | None = None
 
 
@@ -53,7 +53,7 @@
 def _done(intent: Intent) -> Verdict:
     if not intent.status:
         return Verdict(Standing.REFUSED, refusal=ALREADY_DONE)
-    answer = StoredAnswer(intent.status, intent.content_type, intent.body)
+    answer = StoredResponse(intent.status, intent.content_type, intent.body)
     return Verdict(Standing.ANSWERED, answer=answer)
 
 
--- a/mustardward/components/retries/intents_models.py
+++ b/mustardward/components/retries/intents_models.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from ..entry.models import RequestRefusal
-from ..entry.protocols import StoredAnswer
+from ..entry.protocols import StoredResponse
 from ..peers.protocols import peer_message
 
 
@@ -18,7 +18,7 @@
     """
 
     opened: int = 0
-    answer: StoredAnswer | None = None
+    answer: StoredResponse | None = None
     refusal: RequestRefusal | None = None
     unseen: bool = False
     unsure: bool = False
--- a/mustardward/components/retries/intents_setup.py
+++ b/mustardward/components/retries/intents_setup.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ...core import Core, Unload
-from ..keys import FLEET_LOG, INTENT_GATE, MEMBERSHIP, PEERS, WORK_LOG
+from ..keys import FLEET_LOG, IDEMPOTENCY_GUARD, MEMBERSHIP, PEERS, WORK_LOG
 from .intents import LogIntentGate
 from .intents_home import KeyHomes, home_name
 from .intents_recorder import IntentRecorder
@@ -27,10 +27,10 @@
         remote = RemoteRecorders(peers, membership, core.timers)
         undo.append(serve_recorder(peers, recorder))
     gate = LogIntentGate(recorder, homes, core.timers, core.tasks, identity, remote)
-    core.put(INTENT_GATE, gate)
+    core.put(IDEMPOTENCY_GUARD, gate)
 
     async def async_unload() -> None:
-        core.remove(INTENT_GATE)
+        core.remove(IDEMPOTENCY_GUARD)
         for stop in reversed(undo):
             stop()
 
--- a/mustardward/components/retries/policy.py
+++ b/mustardward/components/retries/policy.py
@@ -62,4 +62,4 @@
 def _surely_not_run(attempts: tuple[Attempt, ...]) -> bool:
     # Every attempt counts, not the last one alone: a refusal after an unknown outcome
     # would otherwise let an order be made twice.
-    return all(attempt.outcome.surely_not_run for attempt in attempts)
+    return all(attempt.outcome.definitely_not_run for attempt in attempts)
--- a/tests/cli/test_serve.py
+++ b/tests/cli/test_serve.py
@@ -17,7 +17,7 @@
 import pytest
 from anyio.abc import Process, SocketStream, TaskGroup
 
-from tests.fakes.entry import RawWorker, SeenRequest, async_start_worker, plain_answer
+from tests.fakes.entry import RawWorker, SeenRequest, async_start_worker, build_response
 
 pytestmark = [pytest.mark.anyio, pytest.mark.processes]
 
@@ -74,7 +74,7 @@
 async def echo(stream: SocketStream, seen: SeenRequest) -> bool:
     if seen.target.endswith("/slow"):
         return await stream_slowly(stream, seen)
-    await stream.send(plain_answer(seen, seen.body))
+    await stream.send(build_response(seen, seen.body))
     return True
 
 
--- a/tests/components/api/test_server.py
+++ b/tests/components/api/test_server.py
@@ -25,7 +25,7 @@
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.state.fold import RevisionConflictError
 from mustardward.state.protocols import FleetLog
-from tests.fakes.entry import answer_plainly, build_settings, running_entry
+from tests.fakes.entry import build_settings, respond_ok, running_entry
 
 pytestmark = pytest.mark.anyio
 
@@ -149,7 +149,7 @@
 
 
 async def test_callers_never_reach_the_operators_interface() -> None:
-    async with running_entry(answer_plainly) as (entry, (worker,)):
+    async with running_entry(respond_ok) as (entry, (worker,)):
         async with httpx.AsyncClient(base_url=entry.url) as http:
             for path in ("/openapi.json", "/racks/north", "/"):
                 answer = await http.put(path, headers=BEARER)
--- a/tests/components/entry/test_causes.py
+++ b/tests/components/entry/test_attribution.py
@@ -7,13 +7,13 @@
 import httpx
 import pytest
 
-from mustardward.components.entry.causes import CauseFinder
+from mustardward.components.entry.attribution import BudgetAttributor
 from mustardward.components.keys import FLEET_LOG
 from mustardward.core import Core
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.state.models.maintenance import Absence, Claim
 from mustardward.state.protocols import FleetLog
-from tests.fakes.entry import ReadyLog, answer_plainly, build_settings, running_entry
+from tests.fakes.entry import ReadyLog, build_settings, respond_ok, running_entry
 from tests.fakes.policy import build_state
 
 pytestmark = pytest.mark.anyio
@@ -22,7 +22,7 @@
 ABSENCE = Absence("dc-a-racks-1", "failed", "entry-1", 1)
 
 
-def build_finder(claimed: bool, absent: bool) -> CauseFinder:
+def build_finder(claimed: bool, absent: bool) -> BudgetAttributor:
     core = Core(build_settings(), DrivenTimerService(), None)  # type: ignore[arg-type]
     state = build_state(2, "racks", "dc-a")
     if claimed:
@@ -30,7 +30,7 @@
     if absent:
         state.absences[ABSENCE.instance_id] = ABSENCE
     core.put(FLEET_LOG, cast(FleetLog, ReadyLog(state=state)))
-    return CauseFinder(core)
+    return BudgetAttributor(core)
 
 
 @pytest.mark.parametrize(
@@ -67,7 +67,7 @@
     asks for one unknown organisation after another. Cause: each became a name in the
     reports and metrics.
     """
-    async with running_entry(answer_plainly) as (entry, _):
+    async with running_entry(respond_ok) as (entry, _):
         async with httpx.AsyncClient() as client:
             await client.get(f"{entry.url}/made-up/turn/")
             await client.get(f"{entry.url}/hvelv/turn/")
--- a/tests/components/entry/test_lanes.py
+++ b/tests/components/entry/test_connections.py
@@ -5,14 +5,17 @@
 import anyio
 import pytest
 
+from mustardward.components.entry.connections import (
+    WorkerConnection,
+    WorkerConnectionPool,
+)
 from mustardward.components.entry.const import WORKER_KEEPALIVE_SECONDS
-from mustardward.components.entry.lanes import Lane, WorkerLanes
 from mustardward.helpers.timer import DrivenTimerService
 
 pytestmark = pytest.mark.anyio
 
 
-def take_all(lanes: WorkerLanes) -> list[Lane]:
+def take_all(lanes: WorkerConnectionPool) -> list[WorkerConnection]:
     taken = []
     while (lane := lanes.take()) is not None:
         taken.append(lane)
@@ -20,7 +23,7 @@
 
 
 async def test_no_more_are_lent_than_the_worker_takes() -> None:
-    lanes = WorkerLanes("127.0.0.1:1", 3, DrivenTimerService())
+    lanes = WorkerConnectionPool("127.0.0.1:1", 3, DrivenTimerService())
     taken = take_all(lanes)
     lanes.give_back(taken[0])
     assert len(taken) == 3
@@ -35,7 +38,7 @@
     Sequence: a request ends by its deadline while its connection is being closed.
     Cause: the lane was counted back only after that.
     """
-    lanes = WorkerLanes("127.0.0.1:1", 1, DrivenTimerService())
+    lanes = WorkerConnectionPool("127.0.0.1:1", 1, DrivenTimerService())
     (lane,) = take_all(lanes)
     with anyio.CancelScope() as scope:
         scope.cancel()
@@ -45,7 +48,7 @@
 
 async def test_lanes_that_nothing_used_are_closed() -> None:
     timers = DrivenTimerService()
-    lanes = WorkerLanes("127.0.0.1:1", 2, timers)
+    lanes = WorkerConnectionPool("127.0.0.1:1", 2, timers)
     old, new = take_all(lanes)
     lanes.give_back(old)
     await timers.async_advance(WORKER_KEEPALIVE_SECONDS)
--- a/tests/components/entry/test_failures.py
+++ b/tests/components/entry/test_failures.py
@@ -14,15 +14,15 @@
     RequestRefusal,
 )
 from mustardward.components.entry.parse import parse_request
-from mustardward.components.entry.protocols import StoredAnswer
+from mustardward.components.entry.protocols import StoredResponse
 from mustardward.settings.models import RequestLimits
 from tests.fakes.entry import (
     FakeIntents,
     RunningEntry,
     SeenRequest,
     SocketStream,
-    answer_plainly,
-    plain_answer,
+    build_response,
+    respond_ok,
     running_entry,
 )
 
@@ -33,7 +33,7 @@
 
 async def refuse(stream: SocketStream, seen: SeenRequest) -> bool:
     extra = "mw-ran: no\r\nmw-refusal: busy\r\n"
-    await stream.send(plain_answer(seen, b"busy", 503, extra))
+    await stream.send(build_response(seen, b"busy", 503, extra))
     return True
 
 
@@ -42,7 +42,7 @@
 
 
 async def answer_half(stream: SocketStream, seen: SeenRequest) -> bool:
-    await stream.send(plain_answer(seen, b"whole answer")[:-6])
+    await stream.send(build_response(seen, b"whole answer")[:-6])
     return False
 
 
@@ -124,7 +124,7 @@
     Symptom: brass is etched twice. Sequence: the first worker takes the order and
     dies. Cause: the entry tries another worker though the first may have run it.
     """
-    async with running_entry(hang_up, answer_plainly) as (entry, (_, second)):
+    async with running_entry(hang_up, respond_ok) as (entry, (_, second)):
         ordered = await call(entry, "POST")
         read = await call(entry, "GET")
     assert problem(ordered) == (502, "outcome-unknown", "unknown")
@@ -133,7 +133,7 @@
 
 
 async def test_what_surely_did_not_run_is_tried_on_another_worker() -> None:
-    async with running_entry(refuse, answer_plainly) as (entry, (_, second)):
+    async with running_entry(refuse, respond_ok) as (entry, (_, second)):
         entry.router.addresses.insert(0, "127.0.0.1:1")
         answer = await call(entry, content=b"order")
     assert answer.content == b"done"
@@ -158,7 +158,7 @@
 
 
 async def test_a_small_answer_that_broke_off_is_tried_past() -> None:
-    async with running_entry(answer_half, answer_plainly) as (entry, (_, second)):
+    async with running_entry(answer_half, respond_ok) as (entry, (_, second)):
         read = await call(entry, "GET")
         ordered = await call(entry, "POST")
     assert read.content == b"done"
@@ -175,7 +175,7 @@
     """
 
     async def answer_twice(stream: SocketStream, seen: SeenRequest) -> bool:
-        await stream.send(plain_answer(seen) + plain_answer(seen, b"stray"))
+        await stream.send(build_response(seen) + build_response(seen, b"stray"))
         return True
 
     async with running_entry(answer_twice) as (entry, (worker,)):
@@ -207,15 +207,15 @@
     Symptom: a planner acts on a quote it was refused. Sequence: the worker answers
     once the deadline is past. Cause: the answer's arrival was not compared with it.
     """
-    async with running_entry(answer_plainly) as (entry, (worker,)):
+    async with running_entry(respond_ok) as (entry, (worker,)):
 
         async def answer_late(stream: SocketStream, seen: SeenRequest) -> bool:
             await entry.timers.async_advance(31.0)
-            return await answer_plainly(stream, seen)
+            return await respond_ok(stream, seen)
 
         worker.script = answer_late
         late = await call(entry)
-        worker.script = answer_plainly
+        worker.script = respond_ok
         after = await call(entry)
     assert problem(late) == (504, "deadline-exceeded", "unknown")
     assert after.content == b"done"
@@ -237,7 +237,7 @@
     the first worker, and the next gets what is left of it. Cause: the body was
     streamed, and its beginning is gone.
     """
-    async with running_entry(refuse, answer_plainly) as (entry, (_, second)):
+    async with running_entry(refuse, respond_ok) as (entry, (_, second)):
         answer = await call(entry, "PUT", content=b"x" * 200_000)
     assert problem(answer) == (503, "workers-busy", "no")
     assert second.seen == []
@@ -260,7 +260,7 @@
 
     limit = 1_500 if size < 10_000 else 200_000
     limits = RequestLimits(body_bytes=limit)
-    async with running_entry(answer_plainly, limits=limits) as (entry, (worker,)):
+    async with running_entry(respond_ok, limits=limits) as (entry, (worker,)):
         content = pieces() if chunked else b"x" * size
         answer = await call(entry, content=content)
         assert problem(answer) == expected
@@ -275,7 +275,7 @@
     body fills the server's queue. Cause: the end of the answer waits for that queue.
     """
     limits = RequestLimits(body_bytes=1_000)
-    async with running_entry(answer_plainly, limits=limits) as (entry, _):
+    async with running_entry(respond_ok, limits=limits) as (entry, _):
         stream = await anyio.connect_tcp("127.0.0.1", entry.listener.port)
         async with stream:
             await stream.send(
@@ -304,14 +304,14 @@
     headers: dict[str, str], path: str, expected: tuple[int, str, str]
 ) -> None:
     limits = RequestLimits(header_bytes=1_024)
-    async with running_entry(answer_plainly, limits=limits) as (entry, (worker,)):
+    async with running_entry(respond_ok, limits=limits) as (entry, (worker,)):
         answer = await call(entry, "GET", path, headers=headers)
     assert problem(answer) == expected
     assert worker.seen == []
 
 
 async def test_a_header_that_decides_may_come_once() -> None:
-    async with running_entry(answer_plainly) as (entry, (worker,)):
+    async with running_entry(respond_ok) as (entry, (worker,)):
         url = f"{entry.url}/hvelv/turn/"
         twice = [("idempotency-key", "a"), ("idempotency-key", "b")]
         async with httpx.AsyncClient() as client:
@@ -361,7 +361,7 @@
             "connection: x-hop\r\nx-hop: 1\r\nkeep-alive: 5\r\nx-kept: 2\r\n"
             "set-cookie: dairy=north\r\n"
         )
-        await stream.send(plain_answer(seen, extra=extra))
+        await stream.send(build_response(seen, extra=extra))
         return True
 
     sent = {
@@ -386,15 +386,15 @@
 
 async def test_a_key_is_opened_before_and_closed_after_the_attempt() -> None:
     intents = FakeIntents()
-    async with running_entry(answer_plainly, intents=intents) as (entry, (worker,)):
+    async with running_entry(respond_ok, intents=intents) as (entry, (worker,)):
         await call(entry, headers=KEY)
-        intents.stored = StoredAnswer(201, "text/plain", b"as before")
+        intents.stored = StoredResponse(201, "text/plain", b"as before")
         again = await call(entry, headers=KEY)
         other = await call(entry, headers=KEY, content=b"other")
     assert (again.status_code, again.content) == (201, b"as before")
     assert other.content == b"as before"
     assert len(worker.seen) == 1
-    assert intents.closed == [("yes", StoredAnswer(200, "", b"done"))]
+    assert intents.closed == [("yes", StoredResponse(200, "", b"done"))]
     assert intents.opened[0] == intents.opened[1] != intents.opened[2]
 
 
@@ -431,7 +431,7 @@
     lost, the next is refused by a limit as "not run". Cause: the refusal spoke of this
     try alone.
     """
-    async with running_entry(answer_plainly, intents=FakeIntents()) as (entry, _):
+    async with running_entry(respond_ok, intents=FakeIntents()) as (entry, _):
         entry.limiter.refusal = RequestRefusal("quota", 429, Ran.NO, "full", 1.0)
         keyed = await call(entry, headers=KEY)
         plain = await call(entry)
@@ -462,7 +462,7 @@
 
 
 async def test_leaving_tells_callers_to_close_and_still_serves_them() -> None:
-    async with running_entry(answer_plainly) as (entry, _):
+    async with running_entry(respond_ok) as (entry, _):
         entry.health.leave()
         answer = await call(entry)
     assert (answer.content, answer.headers["connection"]) == (b"done", "close")
@@ -474,7 +474,7 @@
     Symptom: connections pile up and a stop takes minutes. Sequence: a caller sends
     half of a body and falls silent. Cause: the body was read without an end in time.
     """
-    async with running_entry(answer_plainly) as (entry, (worker,)):
+    async with running_entry(respond_ok) as (entry, (worker,)):
         stream = await anyio.connect_tcp("127.0.0.1", entry.listener.port)
         async with stream:
             await stream.send(
@@ -496,7 +496,7 @@
     """
 
     async def answer_largely(stream: SocketStream, seen: SeenRequest) -> bool:
-        await stream.send(plain_answer(seen, b"x" * 50_000_000))
+        await stream.send(build_response(seen, b"x" * 50_000_000))
         return True
 
     with anyio.fail_after(20):
@@ -527,7 +527,7 @@
     async def answer_after_refusal(stream: SocketStream, seen: SeenRequest) -> bool:
         await refused.wait()
         await anyio.wait_all_tasks_blocked()
-        return await answer_plainly(stream, seen)
+        return await respond_ok(stream, seen)
 
     async def upload() -> AsyncIterator[bytes]:
         yield b"x" * 2_000
@@ -563,7 +563,7 @@
     Symptom: a pool is full although nothing runs in it. Sequence: a part raises what
     nobody expects. Cause: the request's place was given back on known ends only.
     """
-    async with running_entry(answer_plainly) as (entry, _):
+    async with running_entry(respond_ok) as (entry, _):
         monkeypatch.setattr(
             type(entry.router), "choose", lambda *_: {}["a part of ours"]
         )
--- a/tests/components/entry/test_path.py
+++ b/tests/components/entry/test_path.py
@@ -9,8 +9,8 @@
 from tests.fakes.entry import (
     SeenRequest,
     SocketStream,
-    answer_plainly,
-    plain_answer,
+    build_response,
+    respond_ok,
     running_entry,
 )
 
@@ -18,7 +18,7 @@
 
 
 async def test_a_request_reaches_the_worker_and_its_answer_the_caller() -> None:
-    async with running_entry(answer_plainly) as (entry, (worker,)):
+    async with running_entry(respond_ok) as (entry, (worker,)):
         async with httpx.AsyncClient() as client:
             answer = await client.post(
                 f"{entry.url}/hvelv/turn/racks/4?side=b",
@@ -50,7 +50,7 @@
     large = bytes(range(256)) * 4096
 
     async def echo(stream: SocketStream, seen: SeenRequest) -> bool:
-        await stream.send(plain_answer(seen, seen.body))
+        await stream.send(build_response(seen, seen.body))
         return True
 
     async with running_entry(echo) as (entry, _):
@@ -60,7 +60,7 @@
 
 
 async def test_connections_to_a_worker_are_used_again() -> None:
-    async with running_entry(answer_plainly) as (entry, (worker,)):
+    async with running_entry(respond_ok) as (entry, (worker,)):
         async with httpx.AsyncClient() as client:
             for _ in range(5):
                 await client.get(f"{entry.url}/hvelv/turn/")
@@ -68,14 +68,14 @@
 
 
 async def test_http2_callers_are_served() -> None:
-    async with running_entry(answer_plainly) as (entry, _):
+    async with running_entry(respond_ok) as (entry, _):
         async with httpx.AsyncClient(http1=False, http2=True) as client:
             answer = await client.get(f"{entry.url}/hvelv/turn/")
     assert (answer.http_version, answer.content) == ("HTTP/2", b"done")
 
 
 async def test_probes_tell_ready_from_leaving() -> None:
-    async with running_entry(answer_plainly) as (entry, _):
+    async with running_entry(respond_ok) as (entry, _):
         async with httpx.AsyncClient() as client:
             before = await client.get(f"{entry.url}/-/ready")
             entry.health.leave()
@@ -96,7 +96,7 @@
     open a connection for each request and close it. Cause: the server keeps its side
     until the idle timer runs out.
     """
-    async with running_entry(answer_plainly) as (entry, _):
+    async with running_entry(respond_ok) as (entry, _):
         for _ in range(10):
             async with httpx.AsyncClient() as client:
                 await client.get(f"{entry.url}/hvelv/turn/")
--- a/tests/components/entry/test_pause.py
+++ b/tests/components/entry/test_pause.py
@@ -13,7 +13,7 @@
 from mustardward.core import Core
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.state.protocols import FleetLog
-from tests.fakes.entry import answer_plainly, running_entry
+from tests.fakes.entry import respond_ok, running_entry
 
 pytestmark = pytest.mark.anyio
 
@@ -82,7 +82,7 @@
         tails.append(FakeTail(timers, confirmed_at=timers.monotonic()))
         return PauseGuard(cast(FleetLog, tails[0]), timers, core.tasks)
 
-    async with running_entry(answer_plainly, make_guard=make_guard) as (
+    async with running_entry(respond_ok, make_guard=make_guard) as (
         entry,
         (worker,),
     ):
--- a/tests/components/entry/test_further_tries.py
+++ b/tests/components/entry/test_retries.py
@@ -7,9 +7,9 @@
 import pytest
 from returns.result import Failure, Success
 
-from mustardward.components.entry.answer import StoredBody
 from mustardward.components.entry.models import AttemptOutcome, Ran, RequestRefusal
-from mustardward.components.entry.protocols import FailedAttempt, WorkerAnswer
+from mustardward.components.entry.protocols import FailedAttempt, WorkerResponse
+from mustardward.components.entry.response import BufferedBody
 from mustardward.components.routing.models import RemoteChoice
 from tests.fakes.entry import (
     FakeIntents,
@@ -17,8 +17,8 @@
     RunningEntry,
     SeenRequest,
     SocketStream,
-    answer_plainly,
-    plain_answer,
+    build_response,
+    respond_ok,
     running_entry,
 )
 from tests.fakes.policy import build_member
@@ -37,7 +37,7 @@
 
 
 async def fail(stream: SocketStream, seen: SeenRequest) -> bool:
-    await stream.send(plain_answer(seen, b"broken", 503))
+    await stream.send(build_response(seen, b"broken", 503))
     return True
 
 
@@ -50,7 +50,7 @@
 async def test_a_worker_failure_is_tried_past_if_that_is_safe(
     method: str, status: int
 ) -> None:
-    async with running_entry(fail, answer_plainly) as (entry, (_, second)):
+    async with running_entry(fail, respond_ok) as (entry, (_, second)):
         answer = await call(entry, method)
     assert answer.status_code == status
     assert len(second.seen) == (method == "GET")
@@ -63,7 +63,7 @@
     Symptom: the tablets wait at dawn. Sequence: the first worker chosen hangs. Cause:
     nothing else is tried before the deadline.
     """
-    async with running_entry(never_answer, answer_plainly) as (entry, workers):
+    async with running_entry(never_answer, respond_ok) as (entry, workers):
         entry.retries.hedge_seconds = 0.01
         answer = await call(entry, "GET")
     assert answer.content == b"done"
@@ -73,7 +73,7 @@
 
 
 async def test_a_fast_attempt_needs_no_second() -> None:
-    async with running_entry(answer_plainly, answer_plainly) as (entry, workers):
+    async with running_entry(respond_ok, respond_ok) as (entry, workers):
         entry.retries.hedge_seconds = 30.0
         answer = await call(entry, "GET")
     assert answer.content == b"done"
@@ -84,7 +84,7 @@
     result: object, headers: dict[str, str] | None = None
 ) -> tuple[httpx.Response, FakePeers]:
     peers = FakePeers(result)  # type: ignore[arg-type]
-    async with running_entry(answer_plainly, peers=peers, intents=FakeIntents()) as (
+    async with running_entry(respond_ok, peers=peers, intents=FakeIntents()) as (
         entry,
         _,
     ):
@@ -97,7 +97,7 @@
 
 async def test_an_overloaded_data_centre_lets_another_serve() -> None:
     headers = ((b"content-length", b"3"),)
-    result = Success(WorkerAnswer(200, headers, StoredBody(b"far")))
+    result = Success(WorkerResponse(200, headers, BufferedBody(b"far")))
     answer, peers = await forwarded(result)
     assert (answer.content, peers.forwarded) == (b"far", ["entry-9"])
 
--- a/tests/components/jobs/test_intents.py
+++ b/tests/components/jobs/test_intents.py
@@ -14,7 +14,7 @@
 from returns.pipeline import is_successful
 
 from mustardward.components.entry.models import Ran, RequestFacts
-from mustardward.components.entry.protocols import StoredAnswer
+from mustardward.components.entry.protocols import StoredResponse
 from mustardward.components.membership.models import Member, MemberStatus
 from mustardward.components.retries.intents import LogIntentGate
 from mustardward.components.retries.intents_home import KeyHomes, home_name
@@ -25,7 +25,7 @@
 
 pytestmark = pytest.mark.anyio
 
-ANSWER = StoredAnswer(201, "application/json", b"{}")
+ANSWER = StoredResponse(201, "application/json", b"{}")
 
 
 class FakeMembership:
@@ -187,7 +187,7 @@
     async with running_gates("a", "b") as world:
         facts = build_facts(world.timers)
         await world.gates["a"].async_open(facts)
-        assert world.gates["a"].truthful(facts, Ran.NO) is Ran.NO
+        assert world.gates["a"].reportable_ran(facts, Ran.NO) is Ran.NO
         await world.gates["a"].async_close(facts, "no", None)
         await settle()
         assert (await world.gates["b"].async_open(facts)).unwrap() is None
@@ -197,7 +197,7 @@
     async with running_gates("a") as world:
         facts = build_facts(world.timers)
         await world.gates["a"].async_open(facts)
-        large = StoredAnswer(200, "text/plain", b"x" * 5000)
+        large = StoredResponse(200, "text/plain", b"x" * 5000)
         await world.gates["a"].async_close(facts, "yes", large)
         await settle()
         refusal = (await world.gates["a"].async_open(facts)).failure()
@@ -217,7 +217,7 @@
         await world.gates["a"].async_open(facts)
         refusal = (await world.gates["b"].async_open(facts)).failure()
         assert (refusal.code, refusal.ran) == ("idempotency-log-out", Ran.UNKNOWN)
-        assert world.gates["b"].truthful(facts, Ran.NO) is Ran.UNKNOWN
+        assert world.gates["b"].reportable_ran(facts, Ran.NO) is Ran.UNKNOWN
 
 
 async def test_a_refused_append_with_a_confirmed_tail_is_truly_not_run() -> None:
@@ -240,7 +240,7 @@
         world.shared.out = True
         facts = build_facts(world.timers, idempotent=True)
         assert (await world.gates["a"].async_open(facts)).unwrap() is None
-        assert world.gates["a"].truthful(facts, Ran.NO) is Ran.UNKNOWN
+        assert world.gates["a"].reportable_ran(facts, Ran.NO) is Ran.UNKNOWN
 
 
 async def test_an_intent_whose_append_lost_its_answer_frees_its_key() -> None:
--- a/tests/components/jobs/test_intents_remote.py
+++ b/tests/components/jobs/test_intents_remote.py
@@ -12,7 +12,7 @@
 import pytest
 
 from mustardward.components.entry.models import Ran
-from mustardward.components.entry.protocols import StoredAnswer
+from mustardward.components.entry.protocols import StoredResponse
 from mustardward.components.membership.models import Member, MemberStatus
 from mustardward.components.peers.exceptions import PeerUnreachableError
 from mustardward.components.retries.intents import LogIntentGate
@@ -30,7 +30,7 @@
 
 pytestmark = pytest.mark.anyio
 
-ANSWER = StoredAnswer(201, "application/json", b"{}")
+ANSWER = StoredResponse(201, "application/json", b"{}")
 CENTRES = ("bergen", "voss")
 
 
--- a/tests/components/peers/builders.py
+++ b/tests/components/peers/builders.py
@@ -14,7 +14,7 @@
     RequestFacts,
     RequestRefusal,
 )
-from mustardward.components.entry.protocols import OutgoingRequest, WorkerAnswer
+from mustardward.components.entry.protocols import OutgoingRequest, WorkerResponse
 from mustardward.components.membership.models import Member, MemberStatus
 from mustardward.components.peers.protocols import peer_message
 from mustardward.components.peers.receiver import ForwardReceiver
@@ -112,13 +112,13 @@
 
     async def async_serve(
         self, facts: RequestFacts, request: OutgoingRequest
-    ) -> Result[WorkerAnswer, RequestRefusal]:
+    ) -> Result[WorkerResponse, RequestRefusal]:
         body = request.body
         whole = body if isinstance(body, bytes) else b"".join([c async for c in body])
         self.served.append((facts, request, whole))
         if self.refusal is not None:
             return Failure(self.refusal)
-        return Success(WorkerAnswer(201, ((b"x-a", b"b"),), self._chunks()))
+        return Success(WorkerResponse(201, ((b"x-a", b"b"),), self._chunks()))
 
     async def _chunks(self) -> AsyncIterator[bytes]:
         for index, chunk in enumerate(self.chunks):
--- a/tests/components/peers/test_forward.py
+++ b/tests/components/peers/test_forward.py
@@ -18,7 +18,7 @@
 from mustardward.components.entry.protocols import (
     FailedAttempt,
     OutgoingRequest,
-    WorkerAnswer,
+    WorkerResponse,
 )
 from mustardward.components.peers.const import MAXIMUM_HOPS
 from mustardward.components.peers.exceptions import PeerAnswerTruncatedError
@@ -39,7 +39,7 @@
 
 async def _async_forward(
     entry: RecordingEntry, facts: RequestFacts, request: OutgoingRequest
-) -> Result[WorkerAnswer, FailedAttempt]:
+) -> Result[WorkerResponse, FailedAttempt]:
     async with running_peers("a") as a, running_peers("b", entry) as b:
         result = await a.async_forward(build_member("b", b.address), facts, request)
         if isinstance(result, Success):
@@ -156,7 +156,7 @@
             await anyio.sleep(0.1)
             yield b"two"
 
-    async def async_read(answer: WorkerAnswer) -> None:
+    async def async_read(answer: WorkerResponse) -> None:
         await anyio.sleep(0.2)
         whole.extend([chunk async for chunk in answer.chunks])
 
@@ -197,13 +197,13 @@
     class HangingEntry(RecordingEntry):
         async def async_serve(
             self, facts: RequestFacts, request: OutgoingRequest
-        ) -> Result[WorkerAnswer, RequestRefusal]:
+        ) -> Result[WorkerResponse, RequestRefusal]:
             started.set()
             await anyio.sleep(30)
             return await super().async_serve(facts, request)
 
     started = anyio.Event()
-    results: list[Result[WorkerAnswer, FailedAttempt]] = []
+    results: list[Result[WorkerResponse, FailedAttempt]] = []
     async with running_peers("a") as a:
         async with running_peers("b", HangingEntry()) as b:
             member = build_member("b", b.address)
@@ -225,7 +225,7 @@
     class SilentEntry(RecordingEntry):
         async def async_serve(
             self, facts: RequestFacts, request: OutgoingRequest
-        ) -> Result[WorkerAnswer, RequestRefusal]:
+        ) -> Result[WorkerResponse, RequestRefusal]:
             await anyio.sleep(30)
             return await super().async_serve(facts, request)
 
--- a/tests/components/retries/test_policy.py
+++ b/tests/components/retries/test_policy.py
@@ -50,7 +50,7 @@
     """
     policy = RetryPolicyService(Random(1))
     decision = policy.decide(build_facts(idempotent=False), attempts, NOW)
-    assert decision.again is again
+    assert decision.should_retry is again
     assert again or decision.cause == "may-have-run"
 
 
@@ -68,7 +68,7 @@
     attempt: Attempt, again: bool
 ) -> None:
     decision = RetryPolicyService(Random(1)).decide(build_facts(), (attempt,), NOW)
-    assert decision.again is again
+    assert decision.should_retry is again
 
 
 def test_nothing_is_retried_past_its_deadline() -> None:
@@ -90,7 +90,7 @@
         facts = build_facts(f"request-{number}")
         policy.record_first(facts)
         tried: tuple[Attempt, ...] = (NOT_SENT,)
-        while policy.decide(facts, tried, NOW).again:
+        while policy.decide(facts, tried, NOW).should_retry:
             tried = (*tried, NOT_SENT)
         attempts += len(tried)
     assert attempts / 1000 <= 1.1
@@ -100,12 +100,12 @@
     policy = RetryPolicyService(Random(1))
     facts = build_facts()
     policy.record_first(facts)
-    while policy.decide(facts, (NOT_SENT,), NOW).again:
+    while policy.decide(facts, (NOT_SENT,), NOW).should_retry:
         pass
     for _ in range(200):
         policy.on_finished(finished())
     retries = 0
-    while policy.decide(facts, (NOT_SENT,), NOW).again:
+    while policy.decide(facts, (NOT_SENT,), NOW).should_retry:
         retries += 1
     assert 19 <= retries <= 21
 
--- a/tests/fakes/entry.py
+++ b/tests/fakes/entry.py
@@ -12,12 +12,13 @@
 from anyio.abc import SocketAttribute, SocketStream, TaskGroup
 from returns.result import Failure, Result, Success
 
-from mustardward.components.entry.causes import CauseFinder
+from mustardward.components.entry.application import CallerApplication
+from mustardward.components.entry.attribution import BudgetAttributor
 from mustardward.components.entry.const import CALLER_KEEPALIVE_SECONDS
+from mustardward.components.entry.dependencies import EntryDependencies
 from mustardward.components.entry.dispatcher import HttpDispatcher
-from mustardward.components.entry.exchange import FrontParts
-from mustardward.components.entry.front import CallerFront
-from mustardward.components.entry.health import Health
+from mustardward.components.entry.exchange import ApplicationDependencies
+from mustardward.components.entry.health import EntryHealth
 from mustardward.components.entry.models import (
     Attempt,
     Ran,
@@ -25,17 +26,16 @@
     RequestFinished,
     RequestRefusal,
 )
-from mustardward.components.entry.parts import EntryParts
 from mustardward.components.entry.pause import PauseGuard
 from mustardward.components.entry.protocols import (
     Choice,
     FailedAttempt,
-    IntentGate,
+    IdempotencyGuard,
     OutgoingRequest,
     Permit,
     RetryDecision,
-    StoredAnswer,
-    WorkerAnswer,
+    StoredResponse,
+    WorkerResponse,
 )
 from mustardward.components.entry.service import EntryService
 from mustardward.components.keys import FLEET_LOG
@@ -187,7 +187,7 @@
     def decide(
         self, facts: RequestFacts, attempts: tuple[Attempt, ...], now: float
     ) -> RetryDecision:
-        safe = facts.idempotent or attempts[-1].outcome.surely_not_run
+        safe = facts.idempotent or attempts[-1].outcome.definitely_not_run
         return RetryDecision(safe and len(attempts) < self.maximum)
 
     def record_first(self, facts: RequestFacts) -> None:
@@ -198,25 +198,25 @@
 class FakeIntents:
     """Hold intents in memory."""
 
-    stored: StoredAnswer | None = None
+    stored: StoredResponse | None = None
     refusal: RequestRefusal | None = None
     opened: list[str] = field(default_factory=list)
-    closed: list[tuple[str, StoredAnswer | None]] = field(default_factory=list)
+    closed: list[tuple[str, StoredResponse | None]] = field(default_factory=list)
     served_keyless: bool = False
 
-    def truthful(self, facts: RequestFacts, ran: Ran) -> Ran:
+    def reportable_ran(self, facts: RequestFacts, ran: Ran) -> Ran:
         return Ran.UNKNOWN if self.served_keyless else ran
 
     async def async_open(
         self, facts: RequestFacts
-    ) -> Result[StoredAnswer | None, RequestRefusal]:
+    ) -> Result[StoredResponse | None, RequestRefusal]:
         self.opened.append(facts.request_digest)
         if self.refusal is not None:
             return Failure(self.refusal)
         return Success(self.stored)
 
     async def async_close(
-        self, facts: RequestFacts, ran: str, answer: StoredAnswer | None
+        self, facts: RequestFacts, ran: str, answer: StoredResponse | None
     ) -> None:
         self.closed.append((ran, answer))
 
@@ -225,12 +225,12 @@
 class FakePeers:
     """Answer forwarded requests with what was set."""
 
-    result: Result[WorkerAnswer, FailedAttempt] | None = None
+    result: Result[WorkerResponse, FailedAttempt] | None = None
     forwarded: list[str] = field(default_factory=list)
 
     async def async_forward(
         self, member: Member, facts: RequestFacts, request: OutgoingRequest
-    ) -> Result[WorkerAnswer, FailedAttempt]:
+    ) -> Result[WorkerResponse, FailedAttempt]:
         self.forwarded.append(member.name)
         assert self.result is not None
         return self.result
@@ -255,7 +255,7 @@
 """Answer a request on its connection; false closes the connection."""
 
 
-def plain_answer(
+def build_response(
     seen: SeenRequest, body: bytes = b"done", status: int = 200, extra: str = ""
 ) -> bytes:
     """Return a whole answer as bytes."""
@@ -265,9 +265,9 @@
     ).encode() + body
 
 
-async def answer_plainly(stream: SocketStream, seen: SeenRequest) -> bool:
+async def respond_ok(stream: SocketStream, seen: SeenRequest) -> bool:
     """Answer 200 and keep the connection."""
-    await stream.send(plain_answer(seen))
+    await stream.send(build_response(seen))
     return True
 
 
@@ -275,7 +275,7 @@
 class RawWorker:
     """Read requests and answer them by a script, down to the byte."""
 
-    script: Script = answer_plainly
+    script: Script = respond_ok
     address: str = ""
     seen: list[SeenRequest] = field(default_factory=list)
     connections: int = 0
@@ -347,7 +347,7 @@
     core: Core
     timers: DrivenTimerService
     listener: HttpListener
-    health: Health
+    health: EntryHealth
     service: EntryService
     limiter: FakeLimiter
     router: FakeRouter
@@ -364,7 +364,7 @@
 async def running_entry(
     *scripts: Script,
     limits: RequestLimits | None = None,
-    intents: IntentGate | None = None,
+    intents: IdempotencyGuard | None = None,
     parameters: Parameters | None = None,
     peers: FakePeers | None = None,
     make_guard: Callable[[Core], PauseGuard] | None = None,
@@ -381,23 +381,25 @@
         limiter, retries = FakeLimiter(), FakeRetries()
         dispatcher = HttpDispatcher(timers)
         guard = None if make_guard is None else make_guard(core)
-        parts = EntryParts(limiter, router, retries, dispatcher, intents, peers, guard)
+        parts = EntryDependencies(
+            limiter, router, retries, dispatcher, intents, peers, guard
+        )
         service = EntryService(parts, timers, tasks)
         directory = FakeDirectory()
         if parameters is not None:
             directory.parameters = parameters
-        health = Health(core, guard)
-        front_parts = FrontParts(
+        health = EntryHealth(core, guard)
+        front_parts = ApplicationDependencies(
             service,
             directory,
             health,
             core.settings.limits,
             timers,
             core.events,
-            CauseFinder(core),
+            BudgetAttributor(core),
         )
         listener = HttpListener(
-            CallerFront(front_parts),
+            CallerApplication(front_parts),
             core.settings.callers,
             ListenerOptions(
                 header_bytes=core.settings.limits.header_bytes,
--- a/tests/fakes/peers.py
+++ b/tests/fakes/peers.py
@@ -13,7 +13,7 @@
 from mustardward.components.entry.protocols import (
     FailedAttempt,
     OutgoingRequest,
-    WorkerAnswer,
+    WorkerResponse,
 )
 from mustardward.components.membership.models import Member
 from mustardward.components.peers.exceptions import (
@@ -101,7 +101,7 @@
 
     async def async_forward(
         self, member: Member, facts: RequestFacts, request: OutgoingRequest
-    ) -> Result[WorkerAnswer, FailedAttempt]:
+    ) -> Result[WorkerResponse, FailedAttempt]:
         """Forward nothing."""
         return Failure(FailedAttempt(AttemptOutcome.NOT_SENT, "fake"))
 
--- a/tests/helpers/test_metrics.py
+++ b/tests/helpers/test_metrics.py
@@ -8,7 +8,7 @@
 import pytest
 
 from mustardward.components.entry import metrics as entry_metrics
-from mustardward.components.entry.health import Health
+from mustardward.components.entry.health import EntryHealth
 from mustardward.components.entry.models import Ran, RequestFinished
 from mustardward.core import Core
 from mustardward.helpers.metrics import METRICS, Metrics, open_metrics
@@ -37,7 +37,7 @@
         port = receiver.getsockname()[1]
         metrics = open_metrics(MetricsSettings(port=port, enabled=True), "entry-1")
         core = Core(build_settings(), DrivenTimerService(), None)  # type: ignore[arg-type]
-        entry_metrics.subscribe_metrics(core, metrics, Health(core))
+        entry_metrics.subscribe_metrics(core, metrics, EntryHealth(core))
         core.events.publish(build_finished(200, Ran.YES))
         core.events.publish(build_finished(201, Ran.YES))
         core.events.publish(
