--- a/mustardward/components/dispatch/poll_wait.py
+++ b/mustardward/components/dispatch/poll_wait.py
@@ -18,7 +18,7 @@
         return 0
     if any(task.phase is Phase.UNCERTAIN for task in worker.tasks.values()):
         return 0
-    if worker.leaving or worker.draining:
+    if worker.cordoned or worker.draining:
         return SHORT_POLL_MS
     if pacing.needs_frequent_polls(worker):
         return SHORT_POLL_MS
--- a/mustardward/components/fleet/services.py
+++ b/mustardward/components/fleet/services.py
@@ -258,8 +258,8 @@
         )
         for worker in self.scheduler.state.workers.values():
             should_cordon = is_cordoned(worker, cordoned)
-            if worker.leaving != should_cordon:
-                self.scheduler.set_leaving(worker.id, should_cordon, now)
+            if worker.cordoned != should_cordon:
+                self.scheduler.set_cordoned(worker.id, should_cordon, now)
 
     def _add_new_waves(self) -> None:
         for number, wave in self.configuration.waves.items():
--- a/mustardward/components/scheduling/crashes.py
+++ b/mustardward/components/scheduling/crashes.py
@@ -53,7 +53,7 @@
     A draining or cordoned worker is expected to end. One whose leases expired may be
     alive behind a network partition.
     """
-    return cause in _CRASH_CAUSES and not (worker.draining or worker.leaving)
+    return cause in _CRASH_CAUSES and not (worker.draining or worker.cordoned)
 
 
 def may_have_started(task: Task) -> bool:
--- a/mustardward/components/scheduling/demand.py
+++ b/mustardward/components/scheduling/demand.py
@@ -75,7 +75,7 @@
     steps: dict[int, StepRun] = {}
     for worker in state.workers.values():
         load = loads[worker.service]
-        is_usable = not worker.leaving and worker.id not in state.unusable_workers
+        is_usable = not worker.cordoned and worker.id not in state.unusable_workers
         if worker.confirmed and is_usable and not worker.absent:
             load.workers += 1
             load.capacity += worker.capacity.cpu
--- a/mustardward/components/scheduling/evacuation.py
+++ b/mustardward/components/scheduling/evacuation.py
@@ -41,7 +41,7 @@
     def run(self, now: float) -> None:
         """Issue the stop commands that are due."""
         for worker in self.state.workers.values():
-            if worker.leaving or worker.draining or worker.absent:
+            if worker.cordoned or worker.draining or worker.absent:
                 self._evacuate(worker, now)
 
     def _evacuate(self, worker: WorkerState, now: float) -> None:
@@ -62,5 +62,5 @@
         )
         if worker.draining:
             return now + remaining_seconds > worker.drains_at
-        since = worker.leaving_since if worker.leaving else worker.missing_since
+        since = worker.cordoned_since if worker.cordoned else worker.missing_since
         return since is not None and now - since > EVACUATION_GRACE_SECONDS
--- a/mustardward/components/scheduling/losses.py
+++ b/mustardward/components/scheduling/losses.py
@@ -46,7 +46,7 @@
         born=worker.born,
         cause=cause.value,
         draining=worker.draining,
-        leaving=worker.leaving,
+        leaving=worker.cordoned,
         tasks=len(runs),
         runs=",".join(runs[:MAX_RUNS_PER_LINE]),
     )
--- a/mustardward/components/scheduling/placement.py
+++ b/mustardward/components/scheduling/placement.py
@@ -118,7 +118,7 @@
     """Return whether new tasks may be assigned to a worker."""
     return (
         is_operational(worker)
-        and not worker.leaving
+        and not worker.cordoned
         and worker.refusing_until <= now
         and worker.quarantined_until <= now
     )
--- a/mustardward/components/scheduling/scheduler.py
+++ b/mustardward/components/scheduling/scheduler.py
@@ -169,12 +169,12 @@
         if worker is not None:
             self.reports.apply_report(worker, answer, sent_at, now)
 
-    def set_leaving(self, worker_id: str, leaving: bool, now: float) -> None:
+    def set_cordoned(self, worker_id: str, cordoned: bool, now: float) -> None:
         """Cordon a worker, which also evacuates it, or uncordon it."""
         worker = self.state.workers.get(worker_id)
-        if worker is not None and worker.leaving != leaving:
-            worker.leaving = leaving
-            worker.leaving_since = now
+        if worker is not None and worker.cordoned != cordoned:
+            worker.cordoned = cordoned
+            worker.cordoned_since = now
 
     def set_maintenance_due(self, worker_ids: set[str]) -> None:
         """Set which workers are due for maintenance."""
--- a/mustardward/components/scheduling/wait_inputs.py
+++ b/mustardward/components/scheduling/wait_inputs.py
@@ -24,7 +24,7 @@
 _UNUSABLE_CONDITIONS: Final[dict[str, Callable[[WorkerState, float], bool]]] = {
     "absent": lambda worker, now: worker.absent,
     "draining": lambda worker, now: worker.draining,
-    "leaving": lambda worker, now: worker.leaving,
+    "leaving": lambda worker, now: worker.cordoned,
     "quarantined": lambda worker, now: worker.quarantined_until > now,
     "refusing": lambda worker, now: worker.refusing_until > now,
     "stale": lambda worker, now: worker.stale,
--- a/mustardward/components/scheduling/worker_state.py
+++ b/mustardward/components/scheduling/worker_state.py
@@ -26,7 +26,7 @@
     :param missing_since: when its entry in the store was first missing, or None.
     :param absent: whether its entry is invalid or has been missing for too long, so
         that it gets no tasks until a valid entry appears.
-    :param leaving: whether the fleet has cordoned it.
+    :param cordoned: whether the fleet has cordoned it.
     :param maintenance_due: whether its instance has yet to be maintained.
     :param speed: its learned speed relative to the expected run times, at most 1.
     :param stale: whether it is unresponsive, so that its last report may be outdated.
@@ -54,9 +54,9 @@
     drains_at: float = 0.0
     missing_since: float | None = None
     absent: bool = False
-    leaving: bool = False
+    cordoned: bool = False
     maintenance_due: bool = False
-    leaving_since: float = 0.0
+    cordoned_since: float = 0.0
     refusing_until: float = 0.0
     quarantined_until: float = 0.0
     failed_jobs: set[str] = field(default_factory=set)
--- a/mustardward/components/scheduling/zone_chooser.py
+++ b/mustardward/components/scheduling/zone_chooser.py
@@ -112,7 +112,7 @@
         """Return the processors of usable workers in a job's pool by data centre."""
         capacity: Counter[str] = Counter()
         for worker in self.state.workers.values():
-            is_usable = worker.confirmed and not (worker.leaving or worker.draining)
+            is_usable = worker.confirmed and not (worker.cordoned or worker.draining)
             is_usable = is_usable and worker.id not in self.state.unusable_workers
             if worker.service == job.policy.service and is_usable and not worker.absent:
                 capacity[worker.zone] += worker.capacity.cpu
--- a/tests/components/dispatch/test_recovery_walks.py
+++ b/tests/components/dispatch/test_recovery_walks.py
@@ -338,7 +338,7 @@
 
 def describe(worker: WorkerState) -> str:
     """Describe a worker's state."""
-    flags = ("confirmed", "stale", "absent", "draining", "leaving", "unknown_runs")
+    flags = ("confirmed", "stale", "absent", "draining", "cordoned", "unknown_runs")
     on = [flag for flag in flags if getattr(worker, flag)]
     return f"{worker.id} {on} free={worker.free_cpu} orphans={len(worker.orphan_steps)}"
 
--- a/tests/components/fleet/test_cordons.py
+++ b/tests/components/fleet/test_cordons.py
@@ -103,9 +103,9 @@
     instances = [an_instance(number) for number in range(3)]
     fleet = FleetHarness(instances, outcome=OrderOutcome.REFUSED)
     fleet.apply_list(instances)
-    fleet.bench.scheduler.set_leaving("i-00", True, fleet.bench.now)
+    fleet.bench.scheduler.set_cordoned("i-00", True, fleet.bench.now)
     await fleet.fleet._async_move(Move("m-00", OTHER))
-    assert not fleet.worker("i-00").leaving
+    assert not fleet.worker("i-00").cordoned
 
 
 def test_a_drained_worker_is_uncordoned_if_its_wave_ends_without_it() -> None:
@@ -116,11 +116,11 @@
     (start,) = fleet.bench.plan_starts()
     fleet.wave_planner.runs[1] = a_wave([start.worker.replace("i", "m")])
     fleet.apply_list(instances)
-    assert fleet.worker(start.worker).leaving
+    assert fleet.worker(start.worker).cordoned
     fleet.apply_list([i for i in instances if i.id != start.worker])
     fleet.apply_list(instances)
     held = start.worker.replace("i", "m") in fleet.wave_planner.held_machines()
-    assert held or not fleet.worker(start.worker).leaving
+    assert held or not fleet.worker(start.worker).cordoned
 
 
 def a_draining_fleet() -> tuple[FleetHarness, str, str]:
@@ -132,7 +132,7 @@
     machine = start.worker.replace("i", "m")
     fleet.wave_planner.runs[1] = a_wave([machine])
     fleet.apply_list(instances)
-    assert fleet.worker(start.worker).leaving
+    assert fleet.worker(start.worker).cordoned
     return fleet, machine, start.worker
 
 
@@ -142,9 +142,9 @@
     up = dict(fleet.fleet._instances)
     number = int(machine[2:])
     fleet.apply_list([*up.values(), an_instance(number, state="down")])
-    assert not fleet.worker(worker_id).leaving
+    assert not fleet.worker(worker_id).cordoned
     fleet.apply_list(list(up.values()))
-    assert fleet.worker(worker_id).leaving
+    assert fleet.worker(worker_id).cordoned
 
 
 def test_a_worker_that_replaces_a_drained_one_is_drained_too() -> None:
@@ -153,7 +153,7 @@
     fleet.bench.worker("i-90")
     new = an_instance(int(machine[2:]), id="i-90")
     fleet.apply_list([*fleet.fleet._instances.values(), new])
-    assert fleet.worker("i-90").leaving
+    assert fleet.worker("i-90").cordoned
 
 
 def an_unanswered_move() -> tuple[FleetHarness, str]:
@@ -170,12 +170,12 @@
     """Guard against tasks that a move in progress would interrupt."""
     fleet, worker_id = an_unanswered_move()
     instances = list(fleet.fleet._instances.values())
-    assert fleet.worker(worker_id).leaving
+    assert fleet.worker(worker_id).cordoned
     fleet.fleet.pool_planner.record_accepted(
         worker_id.replace("i", "m"), fleet.bench.now
     )
     fleet.apply_list(instances)
-    assert fleet.worker(worker_id).leaving
+    assert fleet.worker(worker_id).cordoned
 
 
 def test_a_worker_is_uncordoned_if_its_move_is_never_listed() -> None:
@@ -190,7 +190,7 @@
     until = fleet.bench.now + MOVE_TIMEOUT_SECONDS
     while fleet.bench.now <= until:
         fleet.apply_list(instances)
-    assert not fleet.worker(worker_id).leaving
+    assert not fleet.worker(worker_id).cordoned
 
 
 @pytest.mark.anyio
@@ -205,7 +205,7 @@
     assert fleet.orders == [order, order]
     fleet.outcome = OrderOutcome.REFUSED
     await fleet.fleet._async_move(order)
-    assert not fleet.worker(worker_id).leaving
+    assert not fleet.worker(worker_id).cordoned
 
 
 def test_a_worker_that_starts_before_its_instance_moves_is_cordoned() -> None:
@@ -214,7 +214,7 @@
     fleet.bench.worker("i-90")
     new = an_instance(int(worker_id[2:]), id="i-90")
     fleet.apply_list([*fleet.fleet._instances.values(), new])
-    assert fleet.worker("i-90").leaving
+    assert fleet.worker("i-90").cordoned
 
 
 def test_a_worker_that_starts_after_its_instance_moved_is_not_cordoned() -> None:
@@ -223,7 +223,7 @@
     fleet.bench.worker("i-90", service=OTHER)
     moved = an_instance(int(worker_id[2:]), OTHER, id="i-90")
     fleet.apply_list([*fleet.fleet._instances.values(), moved])
-    assert not fleet.worker("i-90").leaving
+    assert not fleet.worker("i-90").cordoned
 
 
 def test_an_instance_without_its_worker_does_not_count_for_its_pool() -> None:
--- a/tests/components/fleet/test_unreadable_rows.py
+++ b/tests/components/fleet/test_unreadable_rows.py
@@ -61,9 +61,9 @@
     fleet.bench.plan_starts()
     first, second = an_instance(1), an_instance(2)
     fleet.apply_list(first, second)
-    assert worker.leaving
+    assert worker.cordoned
     fleet.apply_list(second, complete=False)
     fleet.apply_list(first, second)
     run = fleet.wave_planner.runs[1]
-    assert not worker.leaving or "m-01" in run.draining
+    assert not worker.cordoned or "m-01" in run.draining
     assert not run.done
--- a/tests/components/fleet/test_unusable.py
+++ b/tests/components/fleet/test_unusable.py
@@ -20,7 +20,7 @@
 from .builders import OTHER, POOL, STANDBY, an_instance
 from .test_cordons import FleetHarness
 
-BRIEF_STATES = {"leaving"}
+BRIEF_STATES = {"cordoned"}
 """Flags that fleet management sets itself; the pool planner counts its own orders."""
 
 
--- a/tests/components/scheduling/liveness_faults.py
+++ b/tests/components/scheduling/liveness_faults.py
@@ -177,16 +177,16 @@
     def _cordon_worker(self) -> None:
         """Cordon a worker, and later either uncordon or remove it."""
         worker = self._choose_worker()
-        self._set_leaving(worker, True)
+        self._set_cordoned(worker, True)
         if self._rng.random() < 0.6:
             self._schedule(
                 self._rng.uniform(0.2, 3.0),
-                lambda: self._set_leaving(worker, False),
+                lambda: self._set_cordoned(worker, False),
             )
             return
 
         def remove() -> None:
-            if self.world.workers.get(worker.id) is worker and worker.leaving:
+            if self.world.workers.get(worker.id) is worker and worker.cordoned:
                 number = self._slot_of(worker)
                 self._end_worker(worker)
                 if self._owner is not None:
--- a/tests/components/scheduling/liveness_mutants.py
+++ b/tests/components/scheduling/liveness_mutants.py
@@ -93,15 +93,15 @@
 
 
 def _never_uncordon(patch: pytest.MonkeyPatch) -> None:
-    set_leaving = Scheduler.set_leaving
+    set_cordoned = Scheduler.set_cordoned
 
     def cordon_only(
-        scheduler: Scheduler, worker_id: str, leaving: bool, now: float
+        scheduler: Scheduler, worker_id: str, cordoned: bool, now: float
     ) -> None:
-        if leaving:
-            set_leaving(scheduler, worker_id, leaving, now)
+        if cordoned:
+            set_cordoned(scheduler, worker_id, cordoned, now)
 
-    patch.setattr(Scheduler, "set_leaving", cordon_only)
+    patch.setattr(Scheduler, "set_cordoned", cordon_only)
 
 
 def _stay_stale(patch: pytest.MonkeyPatch) -> None:
--- a/tests/components/scheduling/liveness_owner.py
+++ b/tests/components/scheduling/liveness_owner.py
@@ -186,9 +186,9 @@
         """Apply the removal of a worker's entry."""
         self.scheduler.mark_worker_missing(worker_id, self.world.now)
 
-    def set_leaving(self, worker_id: str, leaving: bool) -> None:
+    def set_cordoned(self, worker_id: str, cordoned: bool) -> None:
         """Cordon or uncordon a worker."""
-        self.scheduler.set_leaving(worker_id, leaving, self.world.now)
+        self.scheduler.set_cordoned(worker_id, cordoned, self.world.now)
         self._wake.set()
 
     def remove_worker(self, worker_id: str) -> None:
--- a/tests/components/scheduling/liveness_runnable.py
+++ b/tests/components/scheduling/liveness_runnable.py
@@ -95,7 +95,7 @@
         step: SubmittedStep,
         name: TaskName,
     ) -> bool:
-        if worker.unreachable or worker.draining or worker.leaving:
+        if worker.unreachable or worker.draining or worker.cordoned:
             return False
         if step.required_label and step.required_label not in worker.labels:
             return False
--- a/tests/components/scheduling/liveness_walk.py
+++ b/tests/components/scheduling/liveness_walk.py
@@ -155,7 +155,7 @@
         lines += _job_lines(job) if job is not None else ["  unknown to the owner"]
         lines += [
             f"  worker {w.id} {w.service} {w.zone} free={w.free_cpu}/{w.free_mem} "
-            f"stale={w.stale} absent={w.absent} leaving={w.leaving} "
+            f"stale={w.stale} absent={w.absent} cordoned={w.cordoned} "
             f"draining={w.draining} confirmed={w.confirmed} "
             f"unknown={w.unknown_runs} orphans={len(w.orphan_steps)} "
             f"quarantine={w.quarantined_until:.1f} described={w.described} "
--- a/tests/components/scheduling/liveness_workers.py
+++ b/tests/components/scheduling/liveness_workers.py
@@ -115,10 +115,10 @@
             if self._owner is not None:
                 self._owner.mark_worker_missing(worker_id)
 
-    def _set_leaving(self, worker: ModelWorker, leaving: bool) -> None:
-        worker.leaving = leaving
+    def _set_cordoned(self, worker: ModelWorker, cordoned: bool) -> None:
+        worker.cordoned = cordoned
         if self._owner is not None:
-            self._owner.set_leaving(worker.id, leaving)
+            self._owner.set_cordoned(worker.id, cordoned)
 
     def _choose_worker(self) -> ModelWorker:
         return self._rng.choice(list(self.world.workers.values()))
@@ -159,7 +159,7 @@
             else:
                 slot = self._slots[self._slot_of(worker)]
                 worker.capacity = slot.capacity
-                self._set_leaving(worker, False)
+                self._set_cordoned(worker, False)
         for number in range(len(self._slots)):
             if number not in self._workers_by_slot:
                 self._start_worker(number)
--- a/tests/components/scheduling/liveness_world.py
+++ b/tests/components/scheduling/liveness_world.py
@@ -92,7 +92,7 @@
     lease_until: float = 0.0
     unreachable: bool = False
     draining: bool = False
-    leaving: bool = False
+    cordoned: bool = False
     dies_at: float = math.inf
     _changed: anyio.Event = field(default_factory=anyio.Event)
 
--- a/tests/components/scheduling/test_crashes.py
+++ b/tests/components/scheduling/test_crashes.py
@@ -191,7 +191,7 @@
     assert bench.task(0, job=OTHER).phase is Phase.RUNNING
 
 
-@pytest.mark.parametrize("how", ["draining", "leaving", "ordered", "leases"])
+@pytest.mark.parametrize("how", ["draining", "cordoned", "ordered", "leases"])
 def test_requested_end_is_no_crash(how: str) -> None:
     """Guards against giving up sound tasks in a rolling replacement of workers."""
     bench = SchedulerBench()
@@ -199,7 +199,7 @@
     bench.add(a_job(a_step(count=1)))
     (start,) = bench.plan_starts()
     worker.draining = how == "draining"
-    worker.leaving = how == "leaving"
+    worker.cordoned = how == "cordoned"
     causes = {"ordered": LossCause.ORDERED, "leases": LossCause.LEASES_EXPIRED}
     cause = causes.get(how, LossCause.UNLISTED)
     bench.scheduler.remove_worker("w1", cause, bench.now)
--- a/tests/components/scheduling/test_evacuation.py
+++ b/tests/components/scheduling/test_evacuation.py
@@ -23,16 +23,16 @@
 
 def test_one_task_of_a_step_is_stopped_at_a_time() -> None:
     bench, tasks = long_running_on_three_workers()
-    bench.scheduler.set_leaving("w1", True, bench.now)
-    bench.scheduler.set_leaving("w2", True, bench.now)
+    bench.scheduler.set_cordoned("w1", True, bench.now)
+    bench.scheduler.set_cordoned("w2", True, bench.now)
     assert len(bench.plan_stops()) == 1
     assert bench.plan_stops() == []
 
 
 def test_next_task_is_stopped_once_the_first_serves_again() -> None:
     bench, tasks = long_running_on_three_workers()
-    bench.scheduler.set_leaving("w1", True, bench.now)
-    bench.scheduler.set_leaving("w2", True, bench.now)
+    bench.scheduler.set_cordoned("w1", True, bench.now)
+    bench.scheduler.set_cordoned("w2", True, bench.now)
     (stop,) = bench.plan_stops()
     assert stop.task is not None
     bench.end(stop.task, "stopped")
@@ -52,7 +52,7 @@
     """
     bench, tasks = long_running_on_three_workers()
     bench.scheduler.state.workers["w1"].stale = True
-    bench.scheduler.set_leaving("w2", True, bench.now)
+    bench.scheduler.set_cordoned("w2", True, bench.now)
     assert bench.plan_stops() == []
 
 
@@ -68,7 +68,7 @@
     bench.add(a_job(a_step(count=2, long_running=True, may_miss=1)))
     for start in bench.plan_starts():
         bench.report_serving(start.task)
-    bench.scheduler.set_leaving("w1", True, bench.now)
+    bench.scheduler.set_cordoned("w1", True, bench.now)
     assert len(bench.plan_stops()) == 1
     bench.scheduler.state.workers["w1"].stale = True
     assert bench.plan_stops() == []
@@ -82,7 +82,7 @@
     """
     bench, tasks = long_running_on_three_workers()
     bench.now += 3.0
-    bench.scheduler.set_leaving("w2", True, bench.now)
+    bench.scheduler.set_cordoned("w2", True, bench.now)
     assert bench.plan_stops() == []
     for task in tasks:
         bench.report_serving(task)
@@ -96,7 +96,7 @@
     bench.add(a_job(a_step(count=2, long_running=True, may_miss=1)))
     assert len(bench.plan_starts()) == 2
     bench.worker("w2")
-    bench.scheduler.set_leaving("w1", True, bench.now)
+    bench.scheduler.set_cordoned("w1", True, bench.now)
     assert bench.plan_stops() == []
     bench.report_serving(bench.task(0))
     bench.report_serving(bench.task(1))
--- a/tests/components/scheduling/test_planning.py
+++ b/tests/components/scheduling/test_planning.py
@@ -99,7 +99,7 @@
     bench = SchedulerBench()
     bench.worker("w1", state="draining", remaining_ms=2000)
     bench.worker("w2")
-    bench.scheduler.set_leaving("w2", True, bench.now)
+    bench.scheduler.set_cordoned("w2", True, bench.now)
     bench.add(a_job())
     assert bench.plan_starts() == []
 
@@ -252,11 +252,11 @@
     """
     bench = SchedulerBench(policy=QueuePolicy(service=POOL, target_seconds=1.0))
     worker = bench.worker("w1", capacity=Room(cpu=1000, mem_mb=8000))
-    bench.scheduler.set_leaving("w1", True, bench.now)
+    bench.scheduler.set_cordoned("w1", True, bench.now)
     bench.add(a_job(a_step(count=1), job=OTHER, accepted_at=bench.now))
     bench.now += 5.0
     bench.add(a_job(a_step(count=1), job=THIRD, accepted_at=bench.now))
-    bench.scheduler.set_leaving(worker.id, False, bench.now)
+    bench.scheduler.set_cordoned(worker.id, False, bench.now)
     (start,) = bench.plan_starts()
     assert start.task.name.job == THIRD
 
--- a/tests/components/scheduling/test_recovery_walks.py
+++ b/tests/components/scheduling/test_recovery_walks.py
@@ -160,8 +160,8 @@
     def leave(self) -> None:
         """Cordon or uncordon a worker."""
         name = self.rng.choice(list(self.workers))
-        leaving = self.bench.scheduler.state.workers[name].leaving
-        self.bench.scheduler.set_leaving(name, not leaving, self.bench.now)
+        cordoned = self.bench.scheduler.state.workers[name].cordoned
+        self.bench.scheduler.set_cordoned(name, not cordoned, self.bench.now)
 
     def crash(self) -> None:
         """End a worker and add another one in its place."""
@@ -260,7 +260,7 @@
         """End all faults and let some time pass."""
         for name, model in self.workers.items():
             model.unresponsive = False
-            self.bench.scheduler.set_leaving(name, False, self.bench.now)
+            self.bench.scheduler.set_cordoned(name, False, self.bench.now)
         for _ in range(round(RECOVERY_SECONDS / TICK_SECONDS)):
             self.begin_append()
             self.finish_append()
--- a/tests/components/scheduling/test_wait_tracker.py
+++ b/tests/components/scheduling/test_wait_tracker.py
@@ -89,7 +89,7 @@
 def no_usable_worker() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1").stale = True
-    bench.worker("w2").leaving = True
+    bench.worker("w2").cordoned = True
     second = bench.worker("w3")
     second.stale = second.draining = True
     bench.add(a_job())
@@ -174,7 +174,7 @@
 @SCENARIOS.register(Reason.FITS_NOWHERE)
 def fits_nowhere() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
-    bench.worker("w1").leaving = True
+    bench.worker("w1").cordoned = True
     bench.worker("w2", capacity=Room(cpu=500, mem_mb=8000))
     bench.add(a_job(job=OTHER))
     bench.add(a_job(a_step(count=9)))
@@ -386,7 +386,7 @@
     [
         ("unconfirmed", ("confirmed", False)),
         ("draining", ("draining", True)),
-        ("leaving", ("leaving", True)),
+        ("leaving", ("cordoned", True)),
         ("absent", ("absent", True)),
         ("stale", ("stale", True)),
         ("unknown-runs", ("unknown_runs", True)),
