--- a/tests/components/explain/test_log_lines.py
+++ b/tests/components/explain/test_log_lines.py
@@ -13,7 +13,12 @@
 from mustardward.components.scheduling.wait_tracker import Reason
 
 from ..scheduling.builders import JOB
-from ..scheduling.test_wait_tracker import OTHER, SCENARIOS, starts_of, wait_on
+from ..scheduling.test_wait_tracker import (
+    OTHER,
+    SCENARIOS,
+    plan_for,
+    plan_unanswered_starts,
+)
 
 
 def written(caplog: pytest.LogCaptureFixture, at: float = 1000.0) -> list[str]:
@@ -130,9 +135,9 @@
 def test_runs_of_a_job_are_in_its_story(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level("INFO", "absl")
     bench, _ = SCENARIOS[Reason.STARTS_USED_UP]()
-    for start in starts_of(bench):
+    for start in plan_unanswered_starts(bench):
         bench.accept(start)
-    wait_on(bench, 0.5)
+    plan_for(bench, 0.5)
     story = read_story((("n", text) for text in written(caplog)), JOB)
     (started,) = [item for item in story.lines if item.happening == "runs_started"]
     assert "count=2" in started.inputs
--- a/tests/components/scheduling/liveness_mutants.py
+++ b/tests/components/scheduling/liveness_mutants.py
@@ -107,9 +107,9 @@
 def _stay_stale(patch: pytest.MonkeyPatch) -> None:
     apply_report = Reports.apply_report
 
-    def stay(own: Reports, worker: Any, *others: Any) -> None:
+    def stay(reports: Reports, worker: Any, *others: Any) -> None:
         stale = worker.stale
-        apply_report(own, worker, *others)
+        apply_report(reports, worker, *others)
         worker.stale = stale
 
     patch.setattr(Reports, "apply_report", stay)
--- a/tests/components/scheduling/test_accounting_walks.py
+++ b/tests/components/scheduling/test_accounting_walks.py
@@ -47,7 +47,7 @@
     def _hold(self, name: str) -> None:
         worker = self.worker_models[name]
         known = self.scheduler.state.workers.get(name)
-        if worker.silent or known is None or known.born != worker.born:
+        if worker.unreachable or known is None or known.born != worker.born:
             return
         worker.token = max(worker.token, self.epoch)
         rows = [RunningTask(t, r, "", 50.0, 0.0) for t, r in worker.running.items()]
@@ -107,7 +107,7 @@
         self.jobs[name] = job
         self.scheduler.add_job(job, self.now, self.now)
 
-    def counts_match(self) -> None:
+    def check_usage(self) -> None:
         """Compare rooms, quotas and counts with a recount of the runs."""
         state = self.scheduler.state
         used: Counter[str] = Counter()
@@ -145,12 +145,12 @@
         lambda: walk.hold(rng.choice(WORKERS)),
         lambda: walk.hold(rng.choice(WORKERS)),
         lambda: walk.execute_late(rng.choice(WORKERS), rng.randint(0, 3)),
-        lambda: walk.toggle_cut(rng.choice(WORKERS)),
-        lambda: walk.lapse(),
+        lambda: walk.toggle_reachable(rng.choice(WORKERS)),
+        lambda: walk.expire_leases(),
         lambda: walk.restart(rng.choice(WORKERS)),
         lambda: walk.configure(rng.choice(ORGANISATIONS), rng.randint(1, 6)),
         lambda: walk.take_over(),
-        lambda: walk.release(),
+        lambda: walk.end_takeover_hold(),
         lambda: walk.resize(rng.choice(WORKERS)),
         lambda: walk.orphan(rng.choice(WORKERS)),
         lambda: walk.repeat_end(rng.choice(WORKERS)),
@@ -160,7 +160,7 @@
     ]
     for _ in range(steps):
         rng.choice(events)()
-        walk.counts_match()
+        walk.check_usage()
     return walk
 
 
--- a/tests/components/scheduling/test_quota_walks.py
+++ b/tests/components/scheduling/test_quota_walks.py
@@ -1,11 +1,11 @@
-"""Check quotas and single runs over any order of events, against what really runs.
-
-The model holds what runs on each worker, whatever the owner knows of it: orders are
-answered, lost, or carried out late; workers fall silent, start again under their ids,
-and lose their leases; owners change; quotas are raised and lowered. Protections are
-taken out one by one, and each must be missed. Walks are drawn from seeds, so that they
-are the same each time; ``python -m tests.components.scheduling.test_quota_walks
-FIRST LAST`` walks others.
+"""Check in random walks that no quota is exceeded and no task runs twice at a time.
+
+The model holds the actual runs of each worker, independently of the owner's state.
+Starts are executed, lost, or executed late; workers become unreachable, restart under
+their ids, and lose their leases; owners change; quotas are raised and lowered. Mutants
+each remove one protection, and the walks have to detect each of them. Walks are
+reproducible by their seeds; run others by
+``python -m tests.components.scheduling.test_quota_walks FIRST LAST``.
 """
 
 from __future__ import annotations
@@ -39,15 +39,15 @@
 
 WORKERS = ("w0", "w1", "w2")
 ORGANISATIONS = ("dairy", "gauges")
-LEASE = 4.0
-ALWAYS = 1e9
+LEASE_SECONDS = 4.0
+NEVER = 1e9
 
 
 @dataclass
 class _Order:
-    """Hold an order that is under way.
+    """Model a start command in flight.
 
-    :param quota: what its organisation might have running when it was given.
+    :param quota: the quota of its organisation when it was sent, in cores.
     """
 
     task: TaskName
@@ -57,12 +57,14 @@
 
 
 @dataclass
-class _Worker:
-    """Hold what really runs on a worker.
-
-    :param unsent: stops that did not reach it; they are repeated until they do.
-    :param fresh: whether the owner has told it nothing since it started. Nothing keeps
-        an order that is carried out in that very moment from running twice.
+class _WorkerModel:
+    """Model a worker with its actual runs.
+
+    :param ended_at: the event numbers at which the runs in ``ended`` ended.
+    :param unsent_stops: stops that did not reach it, and are repeated until they do.
+    :param uncontacted: whether no call of the owner has reached it since it started. A
+        delayed start that it executes before the first call may run a task twice, which
+        nothing prevents.
     """
 
     born: int = 1
@@ -71,32 +73,32 @@
     ended: list[EndedTask] = field(default_factory=list)
     ended_at: list[int] = field(default_factory=list)
     closed: dict[TaskName, int] = field(default_factory=dict)
-    late: list[_Order] = field(default_factory=list)
-    silent: bool = False
-    unsent: list[Stop] = field(default_factory=list)
-    fresh: bool = False
+    late_orders: list[_Order] = field(default_factory=list)
+    unreachable: bool = False
+    unsent_stops: list[Stop] = field(default_factory=list)
+    uncontacted: bool = False
 
 
 class QuotaWalk:
-    """Drive an owner among workers that do as the model says."""
+    """Drive an owner with model workers through random events."""
 
     def __init__(self, seed: int) -> None:
-        """Begin with an owner that has heard of all workers."""
+        """Start with an owner that has received a report of each worker."""
         self.random = random.Random(seed)
         self.now = 1000.0
         self.epoch = 1
-        self.worker_models = {name: _Worker() for name in WORKERS}
+        self.worker_models = {name: _WorkerModel() for name in WORKERS}
         self.quotas = dict.fromkeys(ORGANISATIONS, 3)
         self.jobs: dict[str, LedgerJob] = {}
-        self.moment = 0
+        self.event_number = 0
         self.known_done: set[TaskName] = set()
         self.started_at: dict[TaskName, int] = {}
-        self.scheduler = self._owner()
+        self.scheduler = self._build_scheduler()
         for name in WORKERS:
             self._update_worker(name)
             self._hold(name)
 
-    def _owner(self) -> Scheduler:
+    def _build_scheduler(self) -> Scheduler:
         return Scheduler(
             self.epoch,
             lambda queue: QueuePolicy(service=POOL, max_attempts=50),
@@ -112,7 +114,7 @@
         self.scheduler.update_worker(name, entry, self.now)
 
     def submit(self, organisation: str, count: int) -> None:
-        """Accept a job."""
+        """Accept a job unless there are six."""
         if len(self.jobs) >= 6:
             return
         name = f"{len(self.jobs):016x}"
@@ -123,24 +125,24 @@
         job.progress = Progress(JobState.RUNNING)
 
     def plan(self, outcomes: list[str]) -> None:
-        """Plan, and let each order be answered, lost, or carried out later."""
+        """Plan, and execute, lose or delay each start by the given outcomes."""
         for number, command in enumerate(self.scheduler.plan(self.now, self.now)):
             if isinstance(command, Start):
                 self._send_start(command, outcomes[number % len(outcomes)])
             elif isinstance(command, Stop):
                 self._send_stop(command)
         for worker in self.worker_models.values():
-            worker.fresh = worker.fresh and worker.silent
+            worker.uncontacted = worker.uncontacted and worker.unreachable
 
     def _send_start(self, start: Start, outcome: str) -> None:
         worker = self.worker_models[start.worker]
         quota = self.quotas[start.task.step.job.organisation]
         order = _Order(start.task.name, start.run, self.epoch, quota)
         reports = self.scheduler.reports
-        if worker.silent or outcome == "lost":
+        if worker.unreachable or outcome == "lost":
             reports.start_unknown(start.task, start.run)
         elif outcome == "late":
-            worker.late.append(order)
+            worker.late_orders.append(order)
             reports.start_unknown(start.task, start.run)
         else:
             reason = self._execute(worker, order)
@@ -148,9 +150,9 @@
 
     def _send_stop(self, stop: Stop) -> None:
         worker = self.worker_models[stop.worker]
-        if worker.silent:
-            worker.unsent.append(stop)
-        if worker.silent or worker.token > self.epoch:
+        if worker.unreachable:
+            worker.unsent_stops.append(stop)
+        if worker.unreachable or worker.token > self.epoch:
             return
         worker.token = self.epoch
         if worker.running.get(stop.name) == stop.run:
@@ -159,7 +161,7 @@
         if stop.task is not None:
             self.scheduler.reports.stop_answered(stop.task, stop.run, self.now)
 
-    def _execute(self, worker: _Worker, order: _Order) -> str:
+    def _execute(self, worker: _WorkerModel, order: _Order) -> str:
         if order.token < worker.token:
             return "fence"
         worker.token = order.token
@@ -171,44 +173,46 @@
 
     def _check_start(self, order: _Order) -> None:
         name = order.task
-        assert name not in self.known_done, "started after it was known as done"
-        self.moment += 1
-        self.started_at[name] = self.moment
-        twice = sum(name in worker.running for worker in self.worker_models.values())
-        assert twice <= 1, "runs twice"
+        assert name not in self.known_done, "started although known to be done"
+        self.event_number += 1
+        self.started_at[name] = self.event_number
+        run_count = sum(
+            name in worker.running for worker in self.worker_models.values()
+        )
+        assert run_count <= 1, "runs twice"
         organisation = self.jobs[name.job].record.organisation
         running = sum(
             self.jobs[task.job].record.organisation == organisation
             for worker in self.worker_models.values()
             for task in worker.running
         )
-        # One task more is allowed: of an organisation whose quota is less than a task.
-        most = max(1, self.quotas[organisation], order.quota)
-        assert running <= most, "quota passed"
+        # An organisation whose quota is smaller than one task may still run one.
+        max_running = max(1, self.quotas[organisation], order.quota)
+        assert running <= max_running, "quota exceeded"
 
-    def _end(self, worker: _Worker, name: TaskName, how: str) -> None:
+    def _end(self, worker: _WorkerModel, name: TaskName, how: str) -> None:
         run = worker.running.pop(name)
         worker.closed[name] = max(run, worker.closed.get(name, 0))
         number = len(worker.ended) + 1
         worker.ended.append(EndedTask(number, name, run, how, ""))
-        self.moment += 1
-        worker.ended_at.append(self.moment)
+        self.event_number += 1
+        worker.ended_at.append(self.event_number)
 
     def finish(self, name: str) -> None:
-        """Let a task end."""
+        """Complete a random run of a worker."""
         worker = self.worker_models[name]
         if worker.running:
             task = self.random.choice(sorted(worker.running, key=encode_task))
             self._end(worker, task, "done")
 
     def hold(self, name: str) -> None:
-        """Let a worker report, unless it can't be reached."""
+        """Apply a worker's report, unless it is unreachable."""
         self._hold(name)
 
     def _hold(self, name: str) -> None:
         worker = self.worker_models[name]
         known = self.scheduler.state.workers.get(name)
-        if worker.silent or known is None or known.born != worker.born:
+        if worker.unreachable or known is None or known.born != worker.born:
             return
         worker.token = max(worker.token, self.epoch)
         rows = [RunningTask(t, r, "", 50.0, 0.0) for t, r in worker.running.items()]
@@ -220,37 +224,37 @@
         self.scheduler.apply_worker_report(name, answer, self.now, self.now)
 
     def execute_late(self, name: str, number: int) -> None:
-        """Carry out an order that was left unanswered."""
+        """Execute a delayed start, to which the owner got no response."""
         worker = self.worker_models[name]
-        if number < len(worker.late) and not worker.fresh:
-            self._execute(worker, worker.late.pop(number))
+        if number < len(worker.late_orders) and not worker.uncontacted:
+            self._execute(worker, worker.late_orders.pop(number))
 
-    def toggle_cut(self, name: str) -> None:
-        """Let a worker fall silent, or speak again."""
+    def toggle_reachable(self, name: str) -> None:
+        """Make a worker unreachable, or reachable again."""
         worker = self.worker_models[name]
-        worker.silent = not worker.silent
+        worker.unreachable = not worker.unreachable
         known = self.scheduler.state.workers.get(name)
         if known is not None:
-            known.stale = worker.silent
-            if not worker.silent:
-                unsent, worker.unsent = worker.unsent, []
-                for stop in unsent:
+            known.stale = worker.unreachable
+            if not worker.unreachable:
+                unsent_stops, worker.unsent_stops = worker.unsent_stops, []
+                for stop in unsent_stops:
                     self._send_stop(stop)
-        elif not worker.silent:
+        elif not worker.unreachable:
             self._update_worker(name)
 
-    def lapse(self) -> None:
-        """Let the leases of all silent workers run out."""
-        if not any(worker.silent for worker in self.worker_models.values()):
+    def expire_leases(self) -> None:
+        """Expire the leases of all unreachable workers, which are then removed."""
+        if not any(worker.unreachable for worker in self.worker_models.values()):
             return
         for name in WORKERS:
             self._hold(name)
-        self.now += 2 * LEASE
+        self.now += 2 * LEASE_SECONDS
         for name, worker in self.worker_models.items():
-            if worker.silent:
+            if worker.unreachable:
                 worker.running.clear()
-                worker.late.clear()
-                # What ended under a lease that lapsed unread counts for nothing.
+                worker.late_orders.clear()
+                # Ends that no owner has read before the lease expired are void.
                 worker.ended.clear()
                 worker.ended_at.clear()
                 self.scheduler.remove_worker(name, LossCause.UNLISTED, self.now)
@@ -259,62 +263,64 @@
         )
 
     def restart(self, name: str) -> None:
-        """Start a worker again under its id; what it was told is still under way.
+        """Restart a worker under its id while the owner's delayed starts are in flight.
 
-        What an owner before told it is not: nothing keeps such an order from the moment
-        between a worker's start and its first answer to the owner after.
+        Delayed starts of previous owners are dropped, since nothing prevents a worker
+        from executing them before the first call of the current owner.
         """
         old = self.worker_models[name]
-        self.worker_models[name] = _Worker(
+        self.worker_models[name] = _WorkerModel(
             old.born + 1,
-            late=[order for order in old.late if order.token == self.epoch],
-            silent=old.silent,
-            unsent=old.unsent,
-            fresh=True,
+            late_orders=[
+                order for order in old.late_orders if order.token == self.epoch
+            ],
+            unreachable=old.unreachable,
+            unsent_stops=old.unsent_stops,
+            uncontacted=True,
         )
         self._update_worker(name)
 
     def configure(self, organisation: str, quota: int) -> None:
-        """Raise or lower a quota."""
+        """Set a quota."""
         self.quotas[organisation] = quota
 
     def take_over(self) -> None:
-        """Let another owner take over, that has heard of no worker."""
+        """Replace the owner by one that has received no worker reports."""
         self.epoch += 1
         for worker in self.worker_models.values():
-            worker.unsent.clear()
+            worker.unsent_stops.clear()
         for job_id, progress in self.scheduler.take_dirty(self.now, self.now):
             self.jobs[job_id].progress = progress
-        self.scheduler = self._owner()
+        self.scheduler = self._build_scheduler()
         state = self.scheduler.state
-        state.takeover_hold_until = ALWAYS
+        state.takeover_hold_until = NEVER
         state.taken_over_at = self.now
         for name in WORKERS:
             self._update_worker(name)
         for job in self.jobs.values():
             self.scheduler.add_job(job, self.now, self.now)
 
-    def restart_under_orders(self, name: str) -> None:
-        """Restart a worker while orders are under way, which it then carries out."""
+    def restart_with_pending_orders(self, name: str) -> None:
+        """Restart a worker that then executes starts for its previous incarnation."""
         self.plan(["late"])
         self.restart(name)
         self._hold(name)
         self.plan(["answered"])
-        for _ in range(len(self.worker_models[name].late)):
+        for _ in range(len(self.worker_models[name].late_orders)):
             self.execute_late(name, 0)
 
-    def take_over_behind_a_cut(self, name: str, organisation: str) -> None:
-        """Let another owner take over that does not reach one worker."""
+    def take_over_during_partition(self, name: str, organisation: str) -> None:
+        """Replace the owner by one that can't reach one worker."""
         self.plan(["answered"])
-        self.worker_models[name].silent = True
+        self.worker_models[name].unreachable = True
         self.take_over()
         for other in WORKERS:
             self._hold(other)
         self.submit(organisation, 3)
         self.plan(["answered"])
 
-    def release(self) -> None:
-        """End the hold of a takeover once all workers were heard of."""
+    def end_takeover_hold(self) -> None:
+        """End the hold after a takeover if all workers are confirmed."""
         state = self.scheduler.state
         for name in WORKERS:
             if name not in state.workers:
@@ -323,8 +329,8 @@
         if all(worker.confirmed for worker in state.workers.values()):
             state.takeover_hold_until = 0.0
 
-    def counts_match(self) -> None:
-        """Compare the count with one made anew from all that is held."""
+    def check_usage(self) -> None:
+        """Compare the used quotas with a recount of all runs."""
         state = self.scheduler.state
         for organisation in ORGANISATIONS:
             counted = sum(
@@ -346,62 +352,62 @@
 
 def _walk(seed: int, steps: int = 40) -> None:
     walk = QuotaWalk(seed)
-    draw = walk.random
+    rng = walk.random
     events: list[Callable[[], None]] = [
-        lambda: walk.submit(draw.choice(ORGANISATIONS), draw.randint(1, 4)),
-        lambda: walk.plan([draw.choice(OUTCOMES) for _ in range(12)]),
+        lambda: walk.submit(rng.choice(ORGANISATIONS), rng.randint(1, 4)),
+        lambda: walk.plan([rng.choice(OUTCOMES) for _ in range(12)]),
         lambda: walk.plan(["answered"]),
-        lambda: walk.finish(draw.choice(WORKERS)),
-        lambda: walk.hold(draw.choice(WORKERS)),
-        lambda: walk.execute_late(draw.choice(WORKERS), draw.randint(0, 3)),
-        lambda: walk.toggle_cut(draw.choice(WORKERS)),
-        lambda: walk.lapse(),
-        lambda: walk.restart(draw.choice(WORKERS)),
-        lambda: walk.configure(draw.choice(ORGANISATIONS), draw.randint(1, 6)),
+        lambda: walk.finish(rng.choice(WORKERS)),
+        lambda: walk.hold(rng.choice(WORKERS)),
+        lambda: walk.execute_late(rng.choice(WORKERS), rng.randint(0, 3)),
+        lambda: walk.toggle_reachable(rng.choice(WORKERS)),
+        lambda: walk.expire_leases(),
+        lambda: walk.restart(rng.choice(WORKERS)),
+        lambda: walk.configure(rng.choice(ORGANISATIONS), rng.randint(1, 6)),
         lambda: walk.take_over(),
-        lambda: walk.restart_under_orders(draw.choice(WORKERS)),
-        lambda: walk.take_over_behind_a_cut(
-            draw.choice(WORKERS), draw.choice(ORGANISATIONS)
+        lambda: walk.restart_with_pending_orders(rng.choice(WORKERS)),
+        lambda: walk.take_over_during_partition(
+            rng.choice(WORKERS), rng.choice(ORGANISATIONS)
         ),
-        lambda: walk.release(),
+        lambda: walk.end_takeover_hold(),
     ]
     for _ in range(steps):
-        draw.choice(events)()
-        walk.counts_match()
+        rng.choice(events)()
+        walk.check_usage()
 
 
 @pytest.mark.parametrize("first", range(0, 600, 100))
-def test_no_order_of_events_passes_a_quota_or_runs_a_task_twice(first: int) -> None:
+def test_no_order_of_events_exceeds_a_quota_or_runs_a_task_twice(first: int) -> None:
     for seed in range(first, first + 100):
         _walk(seed)
 
 
-def _count_only_running(patch: pytest.MonkeyPatch) -> None:
-    """Let what is being started or stopped count for nothing."""
+def _ignore_uncertain(patch: pytest.MonkeyPatch) -> None:
+    """Do not count uncertain runs."""
     reserve, release = Quotas.reserve, Quotas.release
     mark_uncertain = SchedulerState.mark_uncertain
 
-    def forget(state: SchedulerState, task: object) -> None:
+    def mark_and_release(state: SchedulerState, task: object) -> None:
         mark_uncertain(state, task)  # type: ignore[arg-type]
         step = task.step  # type: ignore[attr-defined]
         release(state.quotas, step.job.organisation, step.requested)
         reserve(state.quotas, "", step.requested)
 
-    patch.setattr(SchedulerState, "mark_uncertain", forget)
+    patch.setattr(SchedulerState, "mark_uncertain", mark_and_release)
 
 
 def _ignore_unconfirmed(patch: pytest.MonkeyPatch) -> None:
-    """Let what an owner before may have started count for nothing."""
+    """Do not count unconfirmed runs of the previous owner."""
     patch.setattr(Planner, "_unconfirmed_runs", lambda planner, now: iter(()))
 
 
 def _ignore_orphans(patch: pytest.MonkeyPatch) -> None:
-    """Let runs that are no task's any more count for nothing."""
+    """Do not count orphan runs."""
     patch.setattr(SchedulerState, "add_orphan_run", lambda state, worker, name: None)
 
 
 def _trust_restarts(patch: pytest.MonkeyPatch) -> None:
-    """Let unanswered orders end with the incarnation that they were meant for."""
+    """Treat uncertain starts as lost once their worker has restarted."""
 
     def replace(state: SchedulerState, old: object, new: object, now: float) -> None:
         state.drop_worker(old, now)  # type: ignore[arg-type]
@@ -411,12 +417,12 @@
 
 
 def _allow_all(patch: pytest.MonkeyPatch) -> None:
-    """Let any organisation start what it likes."""
+    """Disregard all quotas."""
     patch.setattr(Quotas, "allows", lambda quotas, name, room, count=1: True)
 
 
 def _ignore_takeover_hold(patch: pytest.MonkeyPatch) -> None:
-    """Let jobs of an owner before start at once."""
+    """Start jobs of the previous owner without waiting for its leases."""
     patch.setattr(
         SchedulerState, "is_held_after_takeover", lambda state, job, now: False
     )
@@ -425,7 +431,7 @@
 @pytest.mark.parametrize(
     "mutate",
     [
-        _count_only_running,
+        _ignore_uncertain,
         _ignore_unconfirmed,
         _trust_restarts,
         _allow_all,
@@ -442,8 +448,8 @@
 
 
 if __name__ == "__main__":
-    for fresh in range(int(sys.argv[1]), int(sys.argv[2])):
+    for seed in range(int(sys.argv[1]), int(sys.argv[2])):
         try:
-            _walk(fresh)
+            _walk(seed)
         except AssertionError as error:
-            print(f"seed={fresh} {error}")
+            print(f"seed={seed} {error}")
--- a/tests/components/scheduling/test_wait_logger.py
+++ b/tests/components/scheduling/test_wait_logger.py
@@ -1,4 +1,4 @@
-"""Test how much is told of steps that wait, and what the metrics have of it."""
+"""Test how many log lines and which metrics are written of waiting steps."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 from mustardward.platform.models import ENDED_DONE, Room
 
 from .builders import JOB, SchedulerBench, a_job, a_step
-from .test_wait_tracker import logged_waits, starts_of, wait_on
+from .test_wait_tracker import logged_waits, plan_for, plan_unanswered_starts
 
 JOBS = 100
 
 
-def a_bench_that_waits(jobs: int = JOBS) -> SchedulerBench:
-    """Return one whose only worker has room and may not be used."""
+def a_bench_with_waiting_jobs(jobs: int = JOBS) -> SchedulerBench:
+    """Return a bench whose only worker has room but is unusable."""
     bench = SchedulerBench()
     bench.worker("w1").stale = True
     for number in range(jobs):
         bench.add(a_job(job=f"{number:016x}"))
         bench.now += 0.001
-    wait_on(bench)
+    plan_for(bench)
     return bench
 
 
@@ -45,37 +45,37 @@
 def test_check_writes_a_bounded_number_of_lines_the_oldest_first(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """Guards against a log that is full of waits when a pool is held up."""
-    bench = a_bench_that_waits()
+    """Guards against a log that is flooded when a whole pool waits."""
+    bench = a_bench_with_waiting_jobs()
     lines = logged_waits(bench, caplog)
     assert [int(line["job"], 16) for line in lines] == list(range(MAX_LINES))
-    (untold,) = logged_waits(bench, caplog, "task_waits_omitted")
-    assert untold["count"] == str(JOBS - 2 * MAX_LINES)
+    (omitted,) = logged_waits(bench, caplog, "task_waits_omitted")
+    assert omitted["count"] == str(JOBS - 2 * MAX_LINES)
 
 
 def test_large_pool_gets_fewer_lines_per_check(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """Guards against an owner that is late since it looks at thousands of workers."""
+    """Guards against an owner that is blocked while it scans thousands of workers."""
     bench = SchedulerBench()
     for number in range(MAX_WORKERS_SCANNED // 2 + 1):
         bench.worker(f"w{number}").stale = True
     for number in range(9):
         bench.add(a_job(job=f"{number:016x}"))
-    wait_on(bench)
+    plan_for(bench)
     assert len(logged_waits(bench, caplog)) == 2
-    (untold,) = logged_waits(bench, caplog, "task_waits_omitted")
-    assert untold["count"] == "5"
+    (omitted,) = logged_waits(bench, caplog, "task_waits_omitted")
+    assert omitted["count"] == "5"
 
 
 def test_each_step_is_logged_in_turn_and_not_again_soon(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    bench = a_bench_that_waits()
+    bench = a_bench_with_waiting_jobs()
     logged: Counter[str] = Counter()
     for _ in range(int(WAIT_LOG_INTERVAL_SECONDS)):
         logged.update(line["job"] for line in logged_waits(bench, caplog))
-        wait_on(bench, 1.0)
+        plan_for(bench, 1.0)
     assert len(logged) == JOBS
     assert set(logged.values()) == {1}
     assert logged_waits(bench, caplog, "task_waits_omitted") == []
@@ -84,37 +84,37 @@
 def test_a_step_is_logged_again_while_it_waits_on(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    bench = a_bench_that_waits(jobs=1)
+    bench = a_bench_with_waiting_jobs(jobs=1)
     logged = []
     for _ in range(10):
         logged += logged_waits(bench, caplog)
-        wait_on(bench, 1.0)
+        plan_for(bench, 1.0)
     assert len(logged) == 2
 
 
 def test_waits_are_counted_by_reason_in_each_check(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """Also what no line told of, and under the reason that its line told."""
+    """Waits without a log line count too, and each counts under its logged reason."""
     before = wait_count(Reason.NO_USABLE_WORKER)
-    bench = a_bench_that_waits()
+    bench = a_bench_with_waiting_jobs()
     logged_waits(bench, caplog)
     assert wait_count(Reason.NO_USABLE_WORKER) - before == JOBS
     before = wait_count(Reason.RULES)
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(required_label="ssd")))
-    wait_on(bench)
+    plan_for(bench)
     logged_waits(bench, caplog)
-    wait_on(bench, 1.0)
+    plan_for(bench, 1.0)
     logged_waits(bench, caplog)
     assert wait_count(Reason.RULES) - before == 2
 
 
-def test_the_gauge_has_the_oldest_wait_until_it_is_over(
+def test_the_gauge_shows_the_oldest_wait_until_it_ends(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    bench = a_bench_that_waits(jobs=2)
+    bench = a_bench_with_waiting_jobs(jobs=2)
     logged_waits(bench, caplog)
     assert oldest_seconds() == pytest.approx(4.002)
     bench.scheduler.state.workers["w1"].stale = False
@@ -124,14 +124,14 @@
     assert oldest_seconds() == 0.0
 
 
-def test_the_gauge_has_an_order_without_an_end(
+def test_the_gauge_shows_an_unfinished_command(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job())
-    starts_of(bench)
-    wait_on(bench, 2 * WAIT_LOG_AFTER_SECONDS)
+    plan_unanswered_starts(bench)
+    plan_for(bench, 2 * WAIT_LOG_AFTER_SECONDS)
     logged_waits(bench, caplog)
     assert oldest_seconds() == 2 * WAIT_LOG_AFTER_SECONDS
 
@@ -139,8 +139,8 @@
 def test_checks_keep_nothing_of_ended_jobs(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """Guards against memory that grows with each job."""
-    bench = a_bench_that_waits(jobs=9)
+    """Guards against a memory leak."""
+    bench = a_bench_with_waiting_jobs(jobs=9)
     logged_waits(bench, caplog)
     wait_logger = bench.scheduler.wait_logger
     assert wait_logger._logged and wait_logger.wait_tracker._decisions
@@ -151,7 +151,7 @@
         bench.store()
     bench.plan()
     assert not bench.scheduler.state.jobs
-    wait_on(bench, WAIT_LOG_INTERVAL_SECONDS)
+    plan_for(bench, WAIT_LOG_INTERVAL_SECONDS)
     logged_waits(bench, caplog)
     assert not wait_logger._logged
     assert not wait_logger._record_sent_at
@@ -170,11 +170,11 @@
 def test_room_is_what_one_worker_has(
     free: list[tuple[int, int, int]], logged: int, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Cores of one worker and memory of another are no room for a task."""
+    """Free cores of one worker and free memory of another are not room for a task."""
     bench = SchedulerBench()
     for number, (cpu, mem_mb, gpu) in enumerate(free):
         worker = bench.worker(f"w{number}", capacity=Room(cpu, mem_mb, gpu))
         worker.stale = True
     bench.add(a_job())
-    wait_on(bench)
+    plan_for(bench)
     assert [line["job"] for line in logged_waits(bench, caplog)] == [JOB] * logged
--- a/tests/components/scheduling/test_wait_tracker.py
+++ b/tests/components/scheduling/test_wait_tracker.py
@@ -1,4 +1,4 @@
-"""Test that each hold of a step is told by its own reason, with what decided it."""
+"""Test that each wait of a step is logged with its reason and the inputs of it."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 SCENARIOS: Final[Registry[Reason, Scenario]] = Registry("scenes")
 
 
-def wait_on(
+def plan_for(
     bench: SchedulerBench, seconds: float = 4.0, max_starts: int = sys.maxsize
 ) -> None:
-    """Let time go by, with a plan each half of a second."""
+    """Advance the time with a plan every half second."""
     for _ in range(int(2 * seconds)):
         bench.now += 0.5
         bench.scheduler.plan(bench.now, bench.now, max_starts)
@@ -38,7 +38,7 @@
 def logged_waits(
     bench: SchedulerBench, caplog: pytest.LogCaptureFixture, event: str = "task_waiting"
 ) -> list[dict[str, str]]:
-    """Return the pairs of the lines that a look writes."""
+    """Return the key-value pairs of each line of an event that a scan logs."""
     caplog.set_level("INFO", "absl")
     caplog.clear()
     bench.scheduler.wait_logger.log_due(bench.now)
@@ -47,28 +47,28 @@
 
 
 def long_running_job(job: str, count: int = 2, cpu: int = 1000) -> LedgerJob:
-    """Return a job whose tasks last, one a worker at most."""
+    """Return a job of long-running tasks, at most one per worker."""
     step = a_step(count=count, cpu=cpu, long_running=True, max_per_server=1)
     return a_job(step, job=job)
 
 
-def suspected(crashes: int = 2, **changes: object) -> LedgerJob:
-    """Return a job under whose first task workers crashed."""
+def suspected_job(crashes: int = 2, **changes: object) -> LedgerJob:
+    """Return a job with a task that ran on workers when they crashed."""
     job = a_job(a_step(**{"count": 1, **changes}))
     marks = tuple(f"old-{number}" for number in range(crashes))
     job.progress = Progress(JobState.RUNNING, tasks=[TaskMark(0, 0, 0, (), "", marks)])
     return job
 
 
-def fill_in_part(bench: SchedulerBench, count: int = 1) -> None:
-    """Start a long task on some workers, which leaves three cores of each."""
+def start_large_tasks(bench: SchedulerBench, count: int = 1) -> None:
+    """Start some long tasks that leave three cores of their workers free."""
     step = a_step(count=count, cpu=5000, estimate_ms=60_000)
     bench.add(a_job(step, job="00000000000000cc"))
     bench.plan_starts()
 
 
-def starts_of(bench: SchedulerBench) -> list[Start]:
-    """Plan, and leave the starts without an answer."""
+def plan_unanswered_starts(bench: SchedulerBench) -> list[Start]:
+    """Plan, and return the starts without a response to them."""
     return [command for command in bench.plan() if isinstance(command, Start)]
 
 
@@ -77,9 +77,9 @@
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(), stored=False)
-    wait_on(bench, 1.0)
+    plan_for(bench, 1.0)
     bench.scheduler.take_dirty(bench.now, bench.now)
-    wait_on(bench)
+    plan_for(bench)
     return bench, {"dirty": "false", "sent_seconds": "4", "reason_seconds": "4.5"}
 
 
@@ -91,7 +91,7 @@
     second = bench.worker("w3")
     second.stale = second.draining = True
     bench.add(a_job())
-    wait_on(bench)
+    plan_for(bench)
     return bench, {
         "unusable": "draining:1,leaving:1,stale:2",
         "heard_seconds": "4",
@@ -105,7 +105,7 @@
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job())
-    wait_on(bench, max_starts=0)
+    plan_for(bench, max_starts=0)
     return bench, {"most_starts": "0", "allowed": "1"}
 
 
@@ -120,7 +120,7 @@
     job = a_job()
     job.progress = Progress(JobState.RUNNING, zones=["z1", "z2"])
     bench.add(job)
-    wait_on(bench)
+    plan_for(bench)
     return bench, {
         "held_seconds_left": "5",
         "taken_over_seconds": "4",
@@ -133,9 +133,9 @@
 def awaits_evaluation() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1")
-    bench.add(suspected(crashes=3))
+    bench.add(suspected_job(crashes=3))
     bench.task(0).evaluation_due_at = bench.now + 60.0
-    wait_on(bench)
+    plan_for(bench)
     return bench, {"suspicion": "3", "unjudged": "1", "overdue_seconds": "-56"}
 
 
@@ -145,8 +145,8 @@
     bench.worker("w1")
     bench.add(a_job(a_step(count=1, estimate_ms=60_000), job=OTHER))
     bench.plan_starts()
-    bench.add(suspected())
-    wait_on(bench)
+    bench.add(suspected_job())
+    plan_for(bench)
     return bench, {"suspects": "1", "suspicion": "2", "empty_workers": "-"}
 
 
@@ -155,12 +155,12 @@
     bench = SchedulerBench()
     bench.worker("w1")
     bench.worker("w2")
-    fill_in_part(bench, count=2)
+    start_large_tasks(bench, count=2)
     for number in (1, 2):
         bench.add(long_running_job(f"{number:016x}", count=1, cpu=6000))
     bench.plan_starts()
     bench.add(a_job())
-    wait_on(bench)
+    plan_for(bench)
     return bench, {
         "kept": "2",
         "kept_for_lasting": "2",
@@ -176,7 +176,7 @@
     bench.worker("w2", capacity=Room(cpu=500, mem_mb=8000))
     bench.add(a_job(job=OTHER))
     bench.add(a_job(a_step(count=9)))
-    wait_on(bench)
+    plan_for(bench)
     return bench, {
         "found_by": OTHER,
         "found_reason": "no-room-where-it-may-start",
@@ -190,7 +190,7 @@
     bench = SchedulerBench(policy=QueuePolicy(service=POOL, advice=True))
     bench.worker("w1")
     bench.add(a_job())
-    wait_on(bench)
+    plan_for(bench)
     return bench, {"asked_seconds": "1.5", "tickets": "0"}
 
 
@@ -200,7 +200,7 @@
     bench.worker("w1")
     bench.add(a_job(organisation="dairy"))
     bench.plan_starts()
-    wait_on(bench)
+    plan_for(bench)
     return bench, {
         "organisation": "dairy",
         "used_cpu": "1000",
@@ -216,11 +216,11 @@
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(gang=True)))
-    first, second = starts_of(bench)
+    first, second = plan_unanswered_starts(bench)
     bench.accept(second)
     bench.scheduler.reports.start_refused(first.task, first.run, bench.now)
     bench.scheduler.wait_logger.log_due(bench.now)
-    wait_on(bench)
+    plan_for(bench)
     return bench, {
         "members": "stopping:1,waiting:1",
         "order_phase": "stopping",
@@ -237,20 +237,20 @@
     bench.worker("w1")
     bench.worker("w2")
     bench.add(a_job(a_step(count=3, cpu=5000, gang=True)))
-    wait_on(bench)
+    plan_for(bench)
     return bench, {"members": "3", "allowed": "2", "same_rack": "false"}
 
 
 @SCENARIOS.register(Reason.NO_ROOM)
 def no_room() -> tuple[SchedulerBench, dict[str, str]]:
-    """Let a job lose its next data centres between two records of it."""
+    """Remove the next data centres of a job before they are stored."""
     bench = SchedulerBench()
     bench.worker("w1", zone="z1", capacity=Room(cpu=500, mem_mb=8000))
     bench.worker("w2", zone="z2")
     bench.add(a_job())
     job = bench.task(0).step.job
     job.zones, job.stored_zones = None, frozenset({"z1"})
-    wait_on(bench)
+    plan_for(bench)
     return bench, {"zones": "-", "open_zones": "z1", "allowed": "1", "kept": "0"}
 
 
@@ -262,9 +262,9 @@
     bench.store()
     bench.scheduler.state.workers["w1"].stale = True
     bench.worker("w2", zone="z2")
-    wait_on(bench, 1.0)
+    plan_for(bench, 1.0)
     bench.scheduler.take_dirty(bench.now, bench.now)
-    wait_on(bench)
+    plan_for(bench)
     return bench, {
         "zones": "z1,z2",
         "open_zones": "z1",
@@ -283,7 +283,7 @@
     bench.store()
     bench.scheduler.state.workers["w1"].stale = True
     bench.worker("w2", zone="z2")
-    wait_on(bench)
+    plan_for(bench)
     return bench, {
         "open_zones": "z1",
         "zones": "z1",
@@ -298,7 +298,7 @@
     bench.worker("w1")
     bench.worker("w2")
     bench.add(a_job(a_step(required_label="ssd")))
-    wait_on(bench)
+    plan_for(bench)
     return bench, {"required_label": "ssd", "without_label": "2", "able": "2"}
 
 
@@ -318,7 +318,7 @@
     bench.worker("w1")
     bench.add(a_job())
     bench.scheduler.state.ready.clear()
-    wait_on(bench)
+    plan_for(bench)
     return bench, {"ready": "2", "allowed": "1"}
 
 
@@ -328,17 +328,17 @@
     bench.worker("w1")
     bench.add(a_job())
     bench.task(0).step.waiting.clear()
-    wait_on(bench)
+    plan_for(bench)
     return bench, {"ready": "0", "off_queue": "2"}
 
 
 @SCENARIOS.register(Reason.COMMAND_UNFINISHED)
-def unfinished_order() -> tuple[SchedulerBench, dict[str, str]]:
+def command_unfinished() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=1)))
-    starts_of(bench)
-    wait_on(bench)
+    plan_unanswered_starts(bench)
+    plan_for(bench)
     return bench, {
         "ready": "0",
         "starting": "1",
@@ -352,13 +352,13 @@
 
 @SCENARIOS.register(Reason.NOT_RECORDED)
 def not_recorded() -> tuple[SchedulerBench, dict[str, str]]:
-    """Put a step among the ready ones behind the planner's back."""
+    """Add a step to the ready steps after the last plan."""
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job())
     step = bench.task(0).step
     bench.scheduler.state.ready.clear()
-    wait_on(bench)
+    plan_for(bench)
     bench.scheduler.state.ready[id(step)] = step
     return bench, {"reason_seconds": "-"}
 
@@ -371,7 +371,7 @@
 def test_a_step_that_waits_is_logged_with_its_reason_and_inputs(
     reason: Reason, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Guards against a job that waits without a line that says why."""
+    """Guards against a job that waits without a log line that explains it."""
     bench, inputs = SCENARIOS[reason]()
     (line,) = [pairs for pairs in logged_waits(bench, caplog) if pairs["job"] == JOB]
     assert line["reason"] == reason.value
@@ -395,12 +395,12 @@
 def test_what_makes_a_worker_unusable_is_named(
     name: str, value: tuple[str, object], caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Also where a worker without room is usable, so that the pool's is looked at."""
+    """The pool also has a usable worker without room, so that both are examined."""
     bench = SchedulerBench()
     setattr(bench.worker("w1"), *value)
     bench.worker("w2", capacity=Room(cpu=500, mem_mb=8000))
     bench.add(a_job())
-    wait_on(bench)
+    plan_for(bench)
     (line,) = logged_waits(bench, caplog)
     assert line["reason"] == Reason.NO_USABLE_WORKER.value
     assert line["unusable"] == f"{name}:1"
@@ -409,15 +409,15 @@
 def test_reserved_worker_among_full_ones_is_logged_as_reserved(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """Guards against a pool that seems to have no room, and keeps all of it."""
+    """Guards against reserved room that is logged as if the pool had no room."""
     bench = SchedulerBench()
     bench.worker("w1")
-    fill_in_part(bench)
+    start_large_tasks(bench)
     bench.add(long_running_job(OTHER, count=1, cpu=6000))
     bench.plan_starts()
     bench.worker("w2", capacity=Room(cpu=500, mem_mb=8000))
     bench.add(a_job())
-    wait_on(bench)
+    plan_for(bench)
     (line,) = [pairs for pairs in logged_waits(bench, caplog) if pairs["job"] == JOB]
     assert line["reason"] == Reason.RESERVED_FOR_OTHERS.value
     assert line["kept_for"] == f"w1:{OTHER}"
@@ -426,14 +426,14 @@
 def test_worker_reserved_for_the_step_itself_is_not_reserved_for_others(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """Guards against a step that is told to wait for itself."""
+    """Guards against a step that is logged as waiting for itself."""
     bench = SchedulerBench()
     bench.worker("w1", zone="z1", capacity=Room(cpu=500, mem_mb=8000))
     bench.worker("w2", zone="z2")
     bench.add(a_job(a_step(long_running=True)))
     job = bench.task(0).step.job
     job.zones = job.stored_zones = frozenset({"z1"})
-    wait_on(bench)
+    plan_for(bench)
     (line,) = logged_waits(bench, caplog)
     assert line["reason"] == Reason.NO_ROOM.value
     assert (line["open_zones"], line["kept"]) == ("z1", "0")
@@ -443,17 +443,17 @@
 def test_worker_reserved_for_suspects_is_logged_with_their_job(
     isolating: bool, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Whether the suspects run there or wait until it is empty."""
+    """The suspects either run on it or wait until it is empty."""
     bench = SchedulerBench()
     bench.worker("w1")
     if not isolating:
         third = "00000000000000cc"
         bench.add(a_job(a_step(count=1, estimate_ms=2400), job=third))
         bench.plan_starts()
-    bench.add(suspected())
+    bench.add(suspected_job())
     bench.plan_starts()
     bench.add(a_job(job=OTHER))
-    wait_on(bench)
+    plan_for(bench)
     (line,) = [pairs for pairs in logged_waits(bench, caplog) if pairs["job"] == OTHER]
     assert line["reason"] == Reason.RESERVED_FOR_OTHERS.value
     assert line["kept_for"] == f"w1:{JOB}"
@@ -478,7 +478,7 @@
     bench.worker("w1")
     bench.add(a_job(a_step(**step)))
     bench.plan_starts()
-    wait_on(bench)
+    plan_for(bench)
     (line,) = logged_waits(bench, caplog)
     assert line["reason"] == Reason.RULES.value
     assert {name: line[name] for name in inputs} == inputs
@@ -490,15 +490,15 @@
 def test_suspects_whose_own_worker_is_too_small_are_logged(
     step: dict[str, object], caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Other workers have room, beside jobs that a crash would take along."""
+    """The other worker has room, but runs a job that a crash would affect."""
     bench = SchedulerBench()
     bench.worker("w1", capacity=Room(cpu=500, mem_mb=8000))
     bench.worker("w2")
     bench.add(a_job(a_step(count=1, estimate_ms=60_000), job=OTHER))
     (start,) = bench.plan_starts()
     assert start.worker == "w2"
-    bench.add(suspected(**step))
-    wait_on(bench)
+    bench.add(suspected_job(**step))
+    plan_for(bench)
     (line,) = [pairs for pairs in logged_waits(bench, caplog) if pairs["job"] == JOB]
     assert line["reason"] == Reason.SUSPECTS_WAIT.value
     assert line["suspicion"] == "2"
@@ -511,7 +511,7 @@
     bench.worker("w1")
     bench.worker("w2")
     bench.add(a_job(a_step(count=16)))
-    wait_on(bench, max_starts=1)
+    plan_for(bench, max_starts=1)
     (line,) = logged_waits(bench, caplog)
     assert line["reason"] == Reason.STARTS_USED_UP.value
     assert (line["ready"], line["most_starts"]) == ("8", "1")
@@ -527,7 +527,7 @@
     bench.plan()
     step = bench.task(0).step
     bench.scheduler.set_tickets(step, {"w1": "t"}, bench.now + 9.0)
-    wait_on(bench)
+    plan_for(bench)
     (line,) = logged_waits(bench, caplog)
     assert line["reason"] == Reason.RULES.value
     assert (line["advice"], line["tickets"]) == ("true", "1")
@@ -539,11 +539,11 @@
 def test_a_stop_without_an_end_is_logged(
     phase: Phase, acknowledged: bool, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Guards against tasks that stay between two phases while their job waits."""
+    """Guards against tasks that stay in a transient phase while their job waits."""
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=3)))
-    first, *others = starts_of(bench)
+    first, *others = plan_unanswered_starts(bench)
     for start in others:
         bench.accept(start)
     bench.scheduler.reports.start_sent(first.task, first.run)
@@ -555,7 +555,7 @@
     assert logged_waits(bench, caplog) == []
     if acknowledged:
         bench.scheduler.reports.stop_answered(first.task, first.run, bench.now)
-    wait_on(bench)
+    plan_for(bench)
     (line,) = logged_waits(bench, caplog)
     assert line["reason"] == Reason.COMMAND_UNFINISHED.value
     assert line["order_phase"] == phase.value
@@ -565,31 +565,31 @@
     assert line["acknowledged_seconds"] == ("4" if acknowledged else "-")
 
 
-def test_a_job_that_is_over_and_can_not_be_stopped_is_logged(
+def test_a_cancelled_job_that_can_not_be_stopped_is_logged(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """It keeps its room, and nothing else says so."""
+    """Its room stays reserved, which no other log line shows."""
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=1)))
     bench.plan_starts()
     bench.scheduler.cancel_job(JOB)
     logged_waits(bench, caplog)
-    wait_on(bench)
+    plan_for(bench)
     (line,) = logged_waits(bench, caplog)
     assert line["reason"] == Reason.COMMAND_UNFINISHED.value
 
 
-def test_a_step_waits_for_its_order_too_where_its_pool_is_full(
+def test_an_unfinished_command_is_logged_also_in_a_full_pool(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """Room that lacks is no reason to tell; an order without an end is."""
+    """Missing room is not logged as a reason, but an unfinished command is."""
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=9)))
-    for start in starts_of(bench)[1:]:
+    for start in plan_unanswered_starts(bench)[1:]:
         bench.accept(start)
-    wait_on(bench)
+    plan_for(bench)
     (line,) = logged_waits(bench, caplog)
     assert line["reason"] == Reason.COMMAND_UNFINISHED.value
     assert (line["ready"], line["starting"], line["running"]) == ("1", "1", "7")
@@ -600,9 +600,9 @@
     worker = bench.worker("w1")
     worker.stale = True
     bench.add(a_job())
-    wait_on(bench, 2.0)
+    plan_for(bench, 2.0)
     worker.stale = False
-    wait_on(bench, 2.0, max_starts=0)
+    plan_for(bench, 2.0, max_starts=0)
     (line,) = logged_waits(bench, caplog)
     assert line["reason"] == Reason.STARTS_USED_UP.value
     assert (line["seconds"], line["reason_seconds"]) == ("4", "1.5")
@@ -611,14 +611,14 @@
 def test_nothing_is_logged_of_work_that_runs_or_waits_for_room(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """A full pool is told by its load; lines of each job would tell no more."""
+    """The log line of the pool's load shows that it is full, so no job needs a line."""
     bench = SchedulerBench()
     bench.worker("w1")
     bench.worker("other", service="pool-b")
     bench.add(a_job(a_step(count=9), a_step(after=[0])))
     starts = bench.plan_starts()
     bench.hold("w1", running=[a_row(start.task, 1.0) for start in starts])
-    wait_on(bench, 10.0)
+    plan_for(bench, 10.0)
     assert len(starts) == 8
     assert logged_waits(bench, caplog) == []
 
@@ -627,13 +627,13 @@
     bench = SchedulerBench()
     bench.worker("w1").stale = True
     bench.add(a_job())
-    wait_on(bench, WAIT_LOG_AFTER_SECONDS)
+    plan_for(bench, WAIT_LOG_AFTER_SECONDS)
     assert logged_waits(bench, caplog) == []
-    wait_on(bench, 0.5)
+    plan_for(bench, 0.5)
     assert len(logged_waits(bench, caplog)) == 1
 
 
-def test_room_on_a_worker_whose_entry_is_gone_is_none(
+def test_room_on_a_worker_whose_entry_is_missing_does_not_count(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     bench = SchedulerBench()
@@ -641,5 +641,5 @@
     bench.scheduler.mark_worker_missing("w1", bench.now)
     bench.scheduler.state.workers["w1"].stale = True
     bench.add(a_job())
-    wait_on(bench)
+    plan_for(bench)
     assert logged_waits(bench, caplog) == []
--- a/tests/components/scheduling/test_zone_chooser.py
+++ b/tests/components/scheduling/test_zone_chooser.py
@@ -1,4 +1,4 @@
-"""Test in which data centres a job may start, and what that is worth at a takeover."""
+"""Test in which data centres a job may start, in operation and after a takeover."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def a_bench(workers: int = 1, **changes: object) -> SchedulerBench:
-    """Return a bench with so many workers in each of three data centres."""
+    """Return a bench with three data centres of equally many workers."""
     bench = SchedulerBench(**changes)  # type: ignore[arg-type]
     for zone in ZONES:
         for number in range(workers):
@@ -28,7 +28,7 @@
 
 
 def store(bench: SchedulerBench) -> dict[str, Progress]:
-    """Store what is due, and return it."""
+    """Store the progress that is due, and return it."""
     records = dict(bench.scheduler.take_dirty(bench.now, bench.now))
     bench.scheduler.mark_stored(records)
     return records
@@ -39,7 +39,7 @@
 
 
 def stored_job(*zones: str, job: str = JOB) -> LedgerJob:
-    """Return a job that an owner before may have started in these data centres."""
+    """Return a job that the previous owner may have started in these data centres."""
     found = a_job(job=job)
     found.progress = Progress(JobState.RUNNING, zones=list(zones))
     return found
@@ -56,15 +56,15 @@
 
 
 def test_job_starts_in_another_data_centre_only_once_that_is_stored() -> None:
-    """Else the next owner would take it for accounted for, and start it again."""
+    """Otherwise the next owner may start it again while it runs there."""
     bench = a_bench()
     bench.add(a_job(a_step(count=12)), stored=False)
     first = store(bench)[JOB].zones
     starts = bench.plan_starts()
     assert len(starts) == 8
     assert bench.plan_starts() == []
-    told = bench.scheduler.take_dirty(bench.now, bench.now)
-    ((_, progress),) = told
+    due = bench.scheduler.take_dirty(bench.now, bench.now)
+    ((_, progress),) = due
     assert set(first) < set(progress.zones) and len(progress.zones) == 2
     assert bench.plan_starts() == []
     bench.scheduler.mark_stored([JOB])
@@ -73,7 +73,7 @@
     assert len(more) == 4
 
 
-def test_jobs_that_come_together_are_spread_over_the_data_centres() -> None:
+def test_simultaneous_jobs_are_spread_over_the_data_centres() -> None:
     bench = a_bench(workers=2)
     for number in range(6):
         bench.add(a_job(a_step(count=4), job=f"{number:016x}"), stored=False)
@@ -81,8 +81,8 @@
     assert sorted(zones) == sorted(ZONES * 2)
 
 
-def test_a_job_goes_where_workers_can_run_it() -> None:
-    """Guards against jobs that wait for a data centre whose workers run nothing."""
+def test_a_job_is_assigned_to_a_data_centre_with_usable_workers() -> None:
+    """Guards against jobs that wait for a data centre whose workers are unusable."""
     bench = a_bench()
     bench.scheduler.state.unusable_workers = frozenset({"z1-0", "z2-0"})
     for number in range(3):
@@ -90,7 +90,7 @@
     assert {tuple(record.zones) for record in store(bench).values()} == {("z3",)}
 
 
-def test_a_job_goes_where_its_data_is() -> None:
+def test_a_job_is_assigned_to_the_data_centre_of_its_data() -> None:
     bench = SchedulerBench()
     for zone, rack in (("z1", "r1"), ("z2", "r2")):
         bench.worker(zone, zone=zone, labels=["a", rack])
@@ -107,12 +107,13 @@
     assert len(bench.plan_starts()) == 4
 
 
-def test_a_data_centre_that_is_cut_off_holds_up_only_its_own_jobs() -> None:
-    """Symptom: for 5 s after a change of owner nothing started of 201 jobs.
+def test_a_partitioned_data_centre_delays_only_its_own_jobs() -> None:
+    """Guards against a takeover after which no job starts for 5 s.
 
-    Sequence: a data centre was cut off with the owner in it; the next owner heard of
-    all workers elsewhere at once, and of those behind the cut never. Cause: starts are
-    not stored, so each job that the owner before had taken in might run behind the cut.
+    A network partition separates the data centre of the previous owner. The new owner
+    gets reports of all other workers at once, but none from there. Starts are not
+    stored, so without stored data centres each of the previous owner's jobs (201 in one
+    case) might still run in the partitioned one.
     """
     bench = SchedulerBench(epoch=2)
     state = bench.scheduler.state
@@ -131,7 +132,7 @@
     assert {start.task.step.job.record.id for start in starts} >= {f"{2:016x}"}
 
 
-def test_job_of_a_lost_data_centre_starts_elsewhere_once_that_is_stored() -> None:
+def test_job_of_an_unusable_data_centre_starts_elsewhere_once_that_is_stored() -> None:
     bench = a_bench()
     bench.add(a_job(), stored=False)
     (zone,) = store(bench)[JOB].zones
@@ -142,8 +143,8 @@
     assert len(bench.plan_starts()) == 2
 
 
-def test_room_for_one_task_does_not_send_every_waiting_job_there() -> None:
-    """Each job that goes on in one data centre more is held up by one cut more."""
+def test_room_for_one_task_is_not_assigned_to_every_waiting_job() -> None:
+    """Each further data centre of a job is another whose partition would delay it."""
     bench = a_bench()
     for worker in bench.scheduler.state.workers.values():
         worker.free_cpu = 0
@@ -165,28 +166,28 @@
 
 @given(st.integers(0, 10_000))
 def test_nothing_starts_in_a_data_centre_that_is_not_stored(seed: int) -> None:
-    """Whatever comes when: a start follows a record that names its data centre."""
-    chance = random.Random(seed)
-    bench = a_bench(workers=chance.randint(1, 2))
+    """In any order of events, the stored record names a data centre before a start."""
+    rng = random.Random(seed)
+    bench = a_bench(workers=rng.randint(1, 2))
     log: dict[str, set[str]] = {}
     appending: dict[str, Progress] = {}
     for number in range(40):
-        move = chance.randrange(5)
-        if move == 0:
-            step = a_step(count=chance.randint(1, 9), cpu=chance.choice([1000, 3000]))
+        event = rng.randrange(5)
+        if event == 0:
+            step = a_step(count=rng.randint(1, 9), cpu=rng.choice([1000, 3000]))
             bench.add(a_job(step, job=f"{number:016x}"), stored=False)
-        elif move == 1 and not appending:
+        elif event == 1 and not appending:
             appending = dict(bench.scheduler.take_dirty(bench.now, bench.now))
-        elif move == 2:
+        elif event == 2:
             for job, record in appending.items():
                 log[job] = set(record.zones)
             bench.scheduler.mark_stored(appending)
             appending = {}
-        elif move == 3:
+        elif event == 3:
             for worker in _busy(list(bench.scheduler.state.workers.values()))[:1]:
                 bench.end(next(iter(worker.tasks.values())), ENDED_DONE)
         else:
-            worker = chance.choice(list(bench.scheduler.state.workers.values()))
+            worker = rng.choice(list(bench.scheduler.state.workers.values()))
             worker.stale = not worker.stale
         bench.now += 0.01
         for start in bench.plan_starts():
@@ -195,7 +196,7 @@
 
 
 def test_ended_job_has_no_assigned_work() -> None:
-    """Else work would go to the data centre with the fewest jobs since the begin."""
+    """Otherwise jobs go to the data centre with the least work since the start."""
     bench = a_bench()
     zone_chooser = bench.scheduler.intake.zone_chooser
     for number in range(5):
@@ -209,8 +210,8 @@
     assert zone_chooser._work_by_job == {}
 
 
-def test_a_step_that_takes_no_processor_finds_a_full_worker_elsewhere() -> None:
-    """What fills takes what others leave unused, so a full worker has room for it."""
+def test_a_filling_step_may_start_on_a_full_worker_of_another_data_centre() -> None:
+    """A filling task reserves no processors, so a full worker has room for it."""
     bench = a_bench()
     bench.add(a_job(a_step(fills=True)), stored=False)
     (zone,) = store(bench)[JOB].zones
