--- /dev/null
+++ b/mustardward/components/forwarding/failover.py
@@ -0,0 +1,300 @@
+"""Answer callers from the local log replica, or through a peer if the log fails."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+import anyio
+
+from ...helpers.instruments import PEER_ANSWERS
+from ...helpers.logging import get_logger
+from ...helpers.policies import switchable
+from ...helpers.timer import TimerService
+from ...platform import callers
+from ..front.const import ANSWER_MARGIN_SECONDS
+from ..front.models import Reply, Request
+from ..front.refusals import longest_outage
+from ..front.services import FrontService
+from .completions import CompletionTracker
+from .const import (
+    CHECK_METHOD,
+    ENDED_METHOD,
+    HEDGE_DELAY_SECONDS,
+    ISOLATED_RETRY_SECONDS,
+    OUTAGE_SECONDS,
+    OUTCOME_UNKNOWN_STATUS,
+    RELAY_METHOD,
+    WITNESS_METHOD,
+)
+from .models import PeerReply, PeerRequest
+from .relay import StoreRelay
+from .services import Forwarder, PeerOutcome
+
+_LOGGER = get_logger(__name__)
+
+_UNCERTAIN_STATUSES = (503, 504)
+
+
+async def _async_answer_locally(
+    failover: FailoverHandler, /, request: Request
+) -> Reply:
+    return await failover.front.async_answer(request)
+
+
+async def _async_forward_nothing(
+    failover: FailoverHandler, /, request: Request
+) -> PeerOutcome:
+    return PeerOutcome(None, may_have_effect=False)
+
+
+async def _async_forward_always(
+    failover: FailoverHandler, /, request: Request
+) -> PeerOutcome:
+    return await failover.async_forward(request)
+
+
+async def _async_never_complete(failover: FailoverHandler, /, request: Request) -> bool:
+    return False
+
+
+@dataclass(slots=True, eq=False)
+class FailoverHandler:
+    """Answer callers whether or not the log is reachable from this entry node."""
+
+    front: FrontService
+    forwarder: Forwarder
+    timers: TimerService
+    completions: CompletionTracker
+    relay: StoreRelay
+    _newest_peer_version: int = 0
+    _isolated_until: float = 0.0
+
+    def _version(self) -> int:
+        config = self.front.configuration.config
+        return config.version if config is not None else 0
+
+    def _is_outdated(self) -> bool:
+        """Return whether a peer answered for this node by a newer configuration.
+
+        An answer by the local one would then take callers back to an older version.
+        """
+        return self._version() < self._newest_peer_version
+
+    def is_log_unreachable(self) -> bool:
+        """Return whether the log has been unreachable for over OUTAGE_SECONDS."""
+        front = self.front
+        outage = longest_outage(
+            self.timers.monotonic(),
+            front.follower.failing_since,
+            front.config_follower.failing_since,
+            front.appender.failing_since,
+        )
+        return outage > OUTAGE_SECONDS
+
+    async def async_answer(self, request: Request) -> Reply:
+        """Return the answer to a caller's request."""
+        if request.method != "GET":
+            return await self._async_answer_or_forward(request)
+        failed_before = self.front.log_failing
+        if failed_before and await self._async_is_complete(request):
+            return self.front.done_reply()
+        reply = await self._async_answer_or_forward(request)
+        if failed_before or not self.front.log_failing:
+            return reply
+        # This very request discovered that the log fails.
+        return (
+            self.front.done_reply() if await self._async_is_complete(request) else reply
+        )
+
+    @switchable(
+        "ends-ahead",
+        "a job that completes during a store outage is reported as done",
+        without=_async_never_complete,
+    )
+    async def _async_is_complete(self, request: Request) -> bool:
+        """Return whether a request is for a job that is known to be done."""
+        job_id = self.front.unfinished_job_id(request)
+        return job_id is not None and await self.completions.async_is_complete(job_id)
+
+    async def _async_answer_or_forward(self, request: Request) -> Reply:
+        if not self.is_log_unreachable() and not self._is_outdated():
+            return await self._async_answer_hedged(request)
+        outcome = await self._async_forward_unless_isolated(request)
+        if outcome.reply is not None:
+            reply = _from_peer_reply(outcome.reply)
+            return _mask_uncertain_refusal(request, reply, outcome.may_have_effect)
+        if request.method == "GET" and not self._is_outdated():
+            return await self.front.async_answer(request)
+        # The request can't be stored from here. Refusing it at once, rather than at its
+        # deadline, leaves its caller time to retry at another entry node.
+        reply = self.front.unreachable_reply(request)
+        return _mask_uncertain_refusal(request, reply, outcome.may_have_effect)
+
+    async def async_answer_peer(self, request: PeerRequest) -> PeerReply:
+        """Answer a peer, unless the log is unreachable from here too."""
+        if request.method in (ENDED_METHOD, WITNESS_METHOD):
+            return self.completions.answer_peer(request)
+        if request.method == RELAY_METHOD:
+            return await self.relay.async_answer_peer(request)
+        if self.is_log_unreachable():
+            return PeerReply(503, b"", confirmed=False)
+        if request.method == CHECK_METHOD:
+            return PeerReply(200, b"")
+        if request.version > self._version():
+            # An answer by an older configuration than the sender's could take the
+            # caller back to an older version.
+            return PeerReply(503, b"", confirmed=False)
+        deadline = self.timers.monotonic() + request.timeout_seconds
+        front_request = Request(
+            request.method,
+            request.host,
+            request.path,
+            request.body,
+            deadline,
+            request.key,
+        )
+        reply = await self.front.async_answer(front_request)
+        confirmed = reply.status not in _UNCERTAIN_STATUSES
+        return PeerReply(
+            reply.status, reply.body, reply.retry_after, confirmed, self._version()
+        )
+
+    @switchable(
+        "hedged-appends",
+        "a request that is slow to be answered here is sent to a peer too",
+        without=_async_answer_locally,
+    )
+    async def _async_answer_hedged(self, request: Request) -> Reply:
+        """Answer here, and forward the request to a peer too if that takes long.
+
+        Both attempts have the same job id, so that the job is accepted once.
+        """
+        replies: list[Reply] = []
+        outcomes: list[PeerOutcome] = []
+        async with anyio.create_task_group() as tasks:
+
+            async def async_answer_locally() -> None:
+                reply = await self.front.async_answer(request)
+                replies.append(reply)
+                if reply.status not in _UNCERTAIN_STATUSES:
+                    tasks.cancel_scope.cancel()
+                elif not outcomes:
+                    # The local attempt failed early: forward the request now.
+                    forward_now.set()
+
+            async def async_forward_late() -> None:
+                with anyio.move_on_after(HEDGE_DELAY_SECONDS):
+                    await forward_now.wait()
+                outcomes.append(PeerOutcome(None, True))
+                outcomes[0] = await self.async_forward(request)
+                if outcomes[0].reply is not None or self.is_log_unreachable():
+                    tasks.cancel_scope.cancel()
+
+            forward_now = anyio.Event()
+            tasks.start_soon(async_answer_locally)
+            tasks.start_soon(async_forward_late)
+        for reply in replies:
+            if reply.status not in _UNCERTAIN_STATUSES:
+                return reply
+        unknown = bool(outcomes) and outcomes[0].may_have_effect
+        if outcomes and outcomes[0].reply is not None:
+            # A local attempt that is in flight or unanswered may still take effect.
+            maybe_stored = not replies or replies[0].status == OUTCOME_UNKNOWN_STATUS
+            return self._outcome_reply(
+                request, _from_peer_reply(outcomes[0].reply), unknown or maybe_stored
+            )
+        local_reply = replies[0] if replies else _unknown_reply()
+        return self._outcome_reply(request, local_reply, unknown)
+
+    def _outcome_reply(self, request: Request, reply: Reply, unknown: bool) -> Reply:
+        """Return the reply for a caller; log it if the outcome is unknown."""
+        masked = _mask_uncertain_refusal(request, reply, unknown)
+        if masked.status == OUTCOME_UNKNOWN_STATUS:
+            _LOGGER.warning("outcome_unknown", request=request.path, outcome="cut-off")
+        return masked
+
+    @switchable(
+        "refused-alone",
+        "callers are refused at once if no peer could reach the log a moment ago",
+        without=_async_forward_always,
+    )
+    async def _async_forward_unless_isolated(self, request: Request) -> PeerOutcome:
+        """Forward a request, unless no peer could reach the log a moment ago.
+
+        Each request tries one peer after the other, and partitioned peers only fail by
+        a timeout, so that callers would run out of time although it is known that
+        nothing can be stored. Only one request per interval tries the peers; all others
+        are refused at once.
+        """
+        now = self.timers.monotonic()
+        if now < self._isolated_until:
+            return PeerOutcome(None, may_have_effect=False)
+        if self._isolated_until:
+            self._isolated_until = now + ISOLATED_RETRY_SECONDS
+        outcome = await self.async_forward(request)
+        found = outcome.reply is not None
+        self._isolated_until = (
+            0.0 if found else self.timers.monotonic() + ISOLATED_RETRY_SECONDS
+        )
+        return outcome
+
+    @switchable(
+        "peer-answers",
+        "an entry node that can't reach the log answers through one that can",
+        without=_async_forward_nothing,
+    )
+    async def async_forward(self, request: Request) -> PeerOutcome:
+        """Forward a request to peers, one after the other."""
+        remaining_seconds = (
+            request.deadline - self.timers.monotonic() - ANSWER_MARGIN_SECONDS
+        )
+        peer_request = PeerRequest(
+            request.method,
+            request.host,
+            request.path,
+            request.body,
+            max(0.0, remaining_seconds),
+            max(self._version(), self._newest_peer_version),
+            request.key,
+        )
+        outcome = await self.forwarder.async_forward(peer_request)
+        if outcome.reply is not None:
+            self._newest_peer_version = max(
+                self._newest_peer_version, outcome.reply.version
+            )
+        PEER_ANSWERS.labels(str(outcome.reply is not None).lower()).inc()
+        _LOGGER.info(
+            "request_forwarded",
+            method=request.method,
+            path=request.path,
+            status=outcome.reply.status if outcome.reply else None,
+        )
+        return outcome
+
+
+def _from_peer_reply(reply: PeerReply) -> Reply:
+    return Reply(reply.status, reply.body, reply.retry_after)
+
+
+def _unknown_reply() -> Reply:
+    body = callers.encode_error("outcome-unknown", "ask again with the same id")
+    return Reply(OUTCOME_UNKNOWN_STATUS, body)
+
+
+def _mask_uncertain_refusal(request: Request, reply: Reply, unknown: bool) -> Reply:
+    """Replace a refusal by "outcome unknown" if the request may have taken effect.
+
+    Otherwise a job could run although its caller was refused: an append is in flight at
+    an entry node that was just partitioned; a peer that gets the request too refuses
+    it, because the caller's key or the queue was removed meanwhile; then the append is
+    stored.
+
+    :param unknown: whether another attempt at the request may have taken effect.
+    """
+    if unknown and _is_refusal(reply) and request.method != "GET":
+        return _unknown_reply()
+    return reply
+
+
+def _is_refusal(reply: Reply) -> bool:
+    return reply.status == 503 or 400 <= reply.status < 500
--- a/mustardward/components/ownership/services.py
+++ b/mustardward/components/ownership/services.py
@@ -17,10 +17,10 @@
     SequenceError,
 )
 from ...platform.store import Producer
-from ..ledger.const import KEY_OWNER, RETRY_SECONDS, SHARD, TOPIC
+from ..ledger.append_watcher import async_call_or_observe
+from ..ledger.const import KEY_OWNER, RETRY_DELAY_SECONDS, SHARD, TOPIC
 from ..ledger.ledger import encode
 from ..ledger.models import OwnerRecord
-from ..ledger.sighting import async_or_seen
 from .const import (
     HANDOVER_DELAY_SECONDS,
     HANDOVER_INTERVAL_SECONDS,
@@ -94,8 +94,8 @@
     async def _async_should_still_claim(self) -> bool:
         """Return whether to claim even after reading the current end of the log."""
         dependencies = self._dependencies
-        if not await dependencies.follower.async_confirm():
-            await dependencies.timers.async_sleep(RETRY_SECONDS)
+        if not await dependencies.follower.async_catch_up():
+            await dependencies.timers.async_sleep(RETRY_DELAY_SECONDS)
             return False
         now = dependencies.timers.monotonic()
         self._election.observe(dependencies.ledger.owner, now)
@@ -117,8 +117,8 @@
         if not await self._async_append(record):
             return None
         while dependencies.ledger.owner.epoch < epoch:
-            if not await dependencies.follower.async_confirm():
-                await dependencies.timers.async_sleep(RETRY_SECONDS)
+            if not await dependencies.follower.async_catch_up():
+                await dependencies.timers.async_sleep(RETRY_DELAY_SECONDS)
         won = dependencies.ledger.owner.claim == claim
         _LOGGER.info("shard_claimed", epoch=epoch, won=won)
         return Owner(dependencies, epoch, claim, previous) if won else None
@@ -128,7 +128,7 @@
         producer = Producer(f"owner/{SHARD}", record.epoch, 0)
         while dependencies.ledger.owner.epoch < record.epoch:
             try:
-                await async_or_seen(
+                await async_call_or_observe(
                     dependencies.timers,
                     partial(
                         dependencies.store.async_append,
@@ -136,22 +136,22 @@
                         [(KEY_OWNER, encode(record))],
                         producer,
                     ),
-                    dependencies.follower.async_confirm,
+                    dependencies.follower.async_catch_up,
                     lambda: dependencies.ledger.owner.epoch >= record.epoch,
                 )
                 return True
             except (FencedError, SequenceError):
-                await dependencies.follower.async_confirm()
+                await dependencies.follower.async_catch_up()
                 return False
             except (CallRefusedError, CallUnknownError) as error:
                 _LOGGER.warning("claim_unanswered", detail=error.detail)
-                await dependencies.timers.async_sleep(RETRY_SECONDS)
+                await dependencies.timers.async_sleep(RETRY_DELAY_SECONDS)
         return True
 
     async def _async_run_owner(self, owner: Owner) -> None:
         self.owner = owner
         OWNED_EPOCH.set(owner.epoch)
-        self._dependencies.follower.hurry(OWNER_POLL_SECONDS)
+        self._dependencies.follower.override_interval(OWNER_POLL_SECONDS)
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._async_hand_over, owner)
@@ -161,4 +161,4 @@
             self.owner = None
             OWNED_EPOCH.set(0)
             OLDEST_WAIT_SECONDS.set(0)
-            self._dependencies.follower.hurry(None)
+            self._dependencies.follower.override_interval(None)
--- a/mustardward/components/scheduling/intake.py
+++ b/mustardward/components/scheduling/intake.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass, field
 
+from ..ledger.bitset import unpack_indices
 from ..ledger.ledger import LedgerJob
-from ..ledger.marks import unpack
-from ..ledger.models import JobState, Progress, StepMark
+from ..ledger.models import JobState, Progress, StepProgress
 from .const import LATE_FACTOR
 from .inflow import RECENT_SECONDS, Amount
 from .models import Job, Phase, QueuePolicy, StepRun, Task
@@ -180,11 +180,11 @@
         self.state.update_suspicion(job)
         self._make_started_occurrences(job)
 
-    def _restore_done(self, job: Job, step_progress: StepMark) -> None:
+    def _restore_done(self, job: Job, step_progress: StepProgress) -> None:
         step = self.get_step(job, step_progress.occurrence, step_progress.step)
         if step is None:
             return
-        for index in unpack(step_progress.done):
+        for index in unpack_indices(step_progress.done):
             if index >= len(step.tasks):
                 return
             task = step.tasks[index]
--- a/tests/components/dispatch/test_recovery.py
+++ b/tests/components/dispatch/test_recovery.py
@@ -10,9 +10,9 @@
 import pytest
 
 from mustardward.components.dispatch.const import LEASE_SECONDS
+from mustardward.components.ledger.bitset import pack_indices
 from mustardward.components.ledger.ledger import LedgerJob
-from mustardward.components.ledger.marks import pack
-from mustardward.components.ledger.models import JobState, Progress, StepMark
+from mustardward.components.ledger.models import JobState, Progress, StepProgress
 from mustardward.components.ownership.directory import WorkerDirectory
 from mustardward.components.scheduling.models import Phase
 from mustardward.platform.bodies import StartBody
@@ -79,7 +79,7 @@
     unfinished = a_job(
         a_step(count=2, cpu=ROOM.cpu, mem_mb=ROOM.mem_mb), job=PREVIOUS_JOB
     )
-    marks = [StepMark(0, 0, pack([0]))]
+    marks = [StepProgress(0, 0, pack_indices([0]))]
     unfinished.progress = Progress(JobState.RUNNING, marks, [])
     async with a_takeover(running=f"{PREVIOUS_JOB}.0.0.0", job=unfinished) as harness:
         harness.scheduler.cancel_job(PREVIOUS_JOB)
--- a/tests/components/scheduling/test_crashes.py
+++ b/tests/components/scheduling/test_crashes.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from mustardward.components.ledger.models import JobState, Progress, TaskMark
+from mustardward.components.ledger.models import JobState, Progress, TaskProgress
 from mustardward.components.scheduling.commands import Start
 from mustardward.components.scheduling.const import (
     CLEARED_AFTER_RUNS,
@@ -61,7 +61,9 @@
     """Submit a job with one task under which workers have crashed."""
     job = a_job(a_step(count=1))
     marks = tuple(f"old-{number}" for number in range(crashes))
-    job.progress = Progress(JobState.RUNNING, tasks=[TaskMark(0, 0, 0, (), "", marks)])
+    job.progress = Progress(
+        JobState.RUNNING, tasks=[TaskProgress(0, 0, 0, (), "", marks)]
+    )
     bench.add(job)
 
 
@@ -280,7 +282,7 @@
     """Guards against clearing a suspect by runs that were stopped on request."""
     bench = SchedulerBench()
     job = a_job(a_step(count=1, long_running=True))
-    marks = [TaskMark(0, 0, 0, (), "", ("old-0", "old-1"))]
+    marks = [TaskProgress(0, 0, 0, (), "", ("old-0", "old-1"))]
     job.progress = Progress(JobState.RUNNING, tasks=marks)
     bench.add(job)
     bench.worker("w1")
@@ -300,7 +302,7 @@
     """Guards against clearing a suspect by runs from before its last crash."""
     bench = SchedulerBench()
     job = a_job(a_step(count=1, long_running=True))
-    marks = [TaskMark(0, 0, 0, (), "", ("old-0",))]
+    marks = [TaskProgress(0, 0, 0, (), "", ("old-0",))]
     job.progress = Progress(JobState.RUNNING, tasks=marks)
     bench.add(job)
     for _ in range(CLEARED_AFTER_RUNS - 1):
@@ -351,7 +353,7 @@
     bench = SchedulerBench()
     add_suspected_job(bench)
     other = a_job(a_step(count=1), job=OTHER)
-    marks = [TaskMark(0, 0, 0, (), "", ("old-0", "old-1"))]
+    marks = [TaskProgress(0, 0, 0, (), "", ("old-0", "old-1"))]
     other.progress = Progress(JobState.RUNNING, tasks=marks)
     bench.add(other)
     for number in range(8):
