--- a/bench/history/removals.py
+++ b/bench/history/removals.py
@@ -11,7 +11,7 @@
 
 def remove_fencing() -> None:
     """Accept every lease as that of a new attempt, and act on any that was held."""
-    from mustardward.components.jobs.keeper import AttemptKeeper
+    from mustardward.components.jobs.keeper import AttemptManager
     from mustardward.state.handlers import jobs
     from mustardward.state.handlers.all import WORK_HANDLERS
 
@@ -25,11 +25,11 @@
             body = replace(body, previous_generation=job.generation)
         return original(state, context, body)
 
-    def owned(self: Any, attempt: Any) -> Any:
+    def owned_job(self: Any, attempt: Any) -> Any:
         return self.log.state.jobs.get(attempt.job_id)
 
     WORK_HANDLERS._entries["job.lease"] = lease_job
-    setattr(AttemptKeeper, "owned", owned)  # noqa: B010
+    setattr(AttemptManager, "owned_job", owned_job)  # noqa: B010
 
 
 def remove_intent() -> None:
--- a/bench/jobs_cost.py
+++ b/bench/jobs_cost.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import Any
 
-from mustardward.components.jobs.models import Need, empty_room
+from mustardward.components.jobs.models import Need, total_capacity
 from mustardward.components.jobs.placement import (
     Candidate,
     PoolView,
@@ -43,7 +43,7 @@
     spent = 0.0
     placed = 0
     for number in range(ROUNDS):
-        view = PoolView([empty_room(item) for item in instances], 1_000_000)
+        view = PoolView([total_capacity(item) for item in instances], 1_000_000)
         candidates = [
             Candidate(f"job-{n}", f"organisation-{n % 9}", Need(1, 1, 0), 0.0)
             for n in range(PLACEMENTS)
@@ -61,11 +61,11 @@
     for number in range(tasks):
         job_id = await world.async_submit(entry, f"plan-{number}")
         world.workers.seconds[job_id] = 1e6
-    while len(entry.keeper.held) < tasks:
+    while len(entry.attempt_manager.attempts) < tasks:
         await world.async_run(1)
     await world.async_run(1000)
-    for attempt in entry.keeper.held.values():
-        attempt.renewed = world.timers.monotonic()
+    for attempt in entry.attempt_manager.attempts.values():
+        attempt.renewed_at = world.timers.monotonic()
     began = time.process_time()
     for _ in range(ROUNDS):
         await entry.scheduler.async_tick()
--- a/bench/jobs_mutants.py
+++ b/bench/jobs_mutants.py
@@ -7,7 +7,8 @@
 
 from returns.result import Failure, Success
 
-from mustardward.components.jobs import calls, keeper
+from mustardward.components.jobs import calls
+from mustardward.components.jobs import keeper as attempt_manager
 from mustardward.standin.protocol.models import TaskReport
 from mustardward.state.handlers import jobs as handlers
 from mustardward.state.models.jobs import AttemptEnd, EndAttempt
@@ -33,16 +34,16 @@
             return Failure(calls.CallFailure.NO_EFFECT)
         return outcome
 
-    keeper.async_outcome = async_outcome  # type: ignore[attr-defined]
+    attempt_manager.async_outcome = async_outcome  # type: ignore[attr-defined]
 
 
 def trust_lease_after_pause() -> None:
     """Start a task after a pause without a look at the log."""
 
-    async def async_sure(self: Any, attempt: Any) -> bool:
+    async def async_verify_lease(self: Any, attempt: Any) -> bool:
         return True
 
-    keeper.AttemptKeeper._async_sure = async_sure  # type: ignore[method-assign]
+    attempt_manager.AttemptManager._async_verify_lease = async_verify_lease  # type: ignore[method-assign]
 
 
 MUTANTS: Final[dict[str, Callable[[], None]]] = {
--- a/mustardward/components/jobs/api.py
+++ b/mustardward/components/jobs/api.py
@@ -93,7 +93,7 @@
     )
     service = request.core.get(JOBS)
     view = _or_raise(await service.async_submit(submission, request.actor))
-    return ApiAnswer(plain_view(view), status=202)
+    return ApiAnswer(view_to_json(view), status=202)
 
 
 @api_route("GET", "/jobs", "List the jobs that wait for an operator, with counts")
@@ -102,7 +102,7 @@
     views = request.core.get(JOBS).stuck()
     counts = request.core.get(WORK_LOG).state.open_jobs
     body = {
-        "stuck": [plain_view(view) for view in views],
+        "stuck": [view_to_json(view) for view in views],
         "unfinished": dict(sorted(counts.items())),
     }
     return ApiAnswer(body)
@@ -111,14 +111,14 @@
 @api_route("GET", "/jobs/{job_id}", "Show a job")
 async def async_show(request: ApiRequest) -> ApiAnswer:
     """Return a job's status."""
-    return ApiAnswer(plain_view(_view(request)))
+    return ApiAnswer(view_to_json(_view(request)))
 
 
 @api_route("GET", "/jobs/{job_id}/result", "Return a finished job's result")
 async def async_result(request: ApiRequest) -> ApiAnswer:
     """Return the whole result, or the status of a job that has none yet."""
     view = _view(request)
-    body = plain_view(view)
+    body = view_to_json(view)
     body["result_base64"] = base64.b64encode(view.result).decode()
     return ApiAnswer(body, status=200 if view.status == "done" else 202)
 
@@ -131,7 +131,7 @@
     _or_raise(
         await service.async_cancel(view.organisation, view.job_id, "", request.actor)
     )
-    return ApiAnswer(plain_view(_view(request)))
+    return ApiAnswer(view_to_json(_view(request)))
 
 
 @api_route("POST", "/job-groups/cancel", "Cancel a group of jobs", CancelGroupModel)
@@ -150,10 +150,10 @@
     """Take an operator's word that the job may run again."""
     service = request.core.get(JOBS)
     view = _or_raise(await service.async_retry(request.path["job_id"], request.actor))
-    return ApiAnswer(plain_view(view))
+    return ApiAnswer(view_to_json(view))
 
 
-def plain_view(view: JobView) -> dict[str, Any]:
+def view_to_json(view: JobView) -> dict[str, Any]:
     """Return a view without its result as JSON can hold it."""
     body = {item.name: getattr(view, item.name) for item in fields(view)}
     del body["result"]
--- a/mustardward/components/jobs/board.py
+++ b/mustardward/components/jobs/board.py
@@ -10,9 +10,9 @@
 from ...state.handlers.job_index import job_status
 from ...state.models.jobs import Job
 from ...state.work import WorkState
-from .const import SKIP_EACH_LOOK
+from .const import MAX_STALE_ENTRIES_PER_PEEK
 
-RUNNING = ("running", "cancelling")
+RUNNING_STATUSES = ("running", "cancelling")
 
 
 @dataclass(slots=True, eq=False)
@@ -24,31 +24,31 @@
     """
 
     heap: list[tuple[int, str]] = field(default_factory=list)
-    since: dict[str, float] = field(default_factory=dict)
+    waiting_since: dict[str, float] = field(default_factory=dict)
 
     def push(self, job: Job, now: float) -> None:
         """Queue a job by the order of its acceptance."""
-        if job.job_id not in self.since:
-            self.since[job.job_id] = now
+        if job.job_id not in self.waiting_since:
+            self.waiting_since[job.job_id] = now
             heapq.heappush(self.heap, (job.accepted_sequence, job.job_id))
 
-    def look(self, count: int, is_waiting: Callable[[str], bool]) -> list[str]:
+    def peek(self, count: int, is_waiting: Callable[[str], bool]) -> list[str]:
         """Return up to ``count`` waiting jobs from the front."""
         found: list[tuple[int, str]] = []
         skipped = 0
-        while self.heap and len(found) < count and skipped < SKIP_EACH_LOOK:
+        while self.heap and len(found) < count and skipped < MAX_STALE_ENTRIES_PER_PEEK:
             entry = heapq.heappop(self.heap)
             if is_waiting(entry[1]):
                 found.append(entry)
                 continue
-            del self.since[entry[1]]
+            del self.waiting_since[entry[1]]
             skipped += 1
         for entry in found:
             heapq.heappush(self.heap, entry)
         return [job_id for _, job_id in found]
 
 
-class JobBoard:
+class JobIndex:
     """Know which jobs wait, which run where, and since when this process knows.
 
     :param state: the folded state to begin with, which is walked over once.
@@ -79,9 +79,9 @@
     def refresh(self, job_id: str, now: float) -> None:
         """File a job where its present state belongs."""
         job = self._state.jobs.get(job_id)
-        running = job is not None and job.status in RUNNING
-        self._file_running(job_id, job if running else None)
-        self._file_holder(job_id, job.holder if job is not None and running else "")
+        running = job is not None and job.status in RUNNING_STATUSES
+        self._index_worker(job_id, job if running else None)
+        self._index_holder(job_id, job.holder if job is not None and running else "")
         if job is not None and self.is_waiting(job_id):
             queues = self._queues.setdefault(job.pool, {})
             queues.setdefault(job.organisation, WaitingQueue()).push(job, now)
@@ -95,11 +95,11 @@
         """Return the pools that jobs may wait for."""
         return tuple(self._queues)
 
-    def fronts(self, pool: str, count: int) -> Iterator[tuple[str, list[str]]]:
+    def queue_heads(self, pool: str, count: int) -> Iterator[tuple[str, list[str]]]:
         """Iterate over organisations with the front of their waiting jobs."""
         queues = self._queues.get(pool, {})
         for organisation, queue in list(queues.items()):
-            jobs = queue.look(count, self.is_waiting)
+            jobs = queue.peek(count, self.is_waiting)
             if jobs:
                 yield organisation, jobs
             elif not queue.heap:
@@ -107,10 +107,12 @@
         if not queues:
             self._queues.pop(pool, None)
 
-    def waited(self, pool: str, organisation: str, job_id: str, now: float) -> float:
+    def waited_seconds(
+        self, pool: str, organisation: str, job_id: str, now: float
+    ) -> float:
         """Return for how many seconds this process has known a job to wait."""
         queue = self._queues.get(pool, {}).get(organisation)
-        return now - queue.since.get(job_id, now) if queue is not None else 0.0
+        return now - queue.waiting_since.get(job_id, now) if queue is not None else 0.0
 
     def worker_of(self, job_id: str) -> str:
         """Return where a job runs, or nothing."""
@@ -124,7 +126,7 @@
         """Return the entries that hold leases."""
         return tuple(self._by_holder)
 
-    def held_by(self, holder: str) -> frozenset[str]:
+    def leased_by(self, holder: str) -> frozenset[str]:
         """Return the jobs whose lease an entry holds."""
         return frozenset(self._by_holder.get(holder, ()))
 
@@ -132,29 +134,29 @@
         """Return how many jobs of an organisation run in a pool."""
         return self._running.get((pool, organisation), 0)
 
-    def _file_running(self, job_id: str, job: Job | None) -> None:
+    def _index_worker(self, job_id: str, job: Job | None) -> None:
         worker = job.worker if job is not None else ""
-        before = self._worker_of.get(job_id, "")
-        if worker == before:
+        previous = self._worker_of.get(job_id, "")
+        if worker == previous:
             return
-        if before:
-            self._unfile(job_id, before)
+        if previous:
+            self._remove_from_worker(job_id, previous)
         if job is not None:
             self._worker_of[job_id] = worker
             self._by_worker.setdefault(worker, set()).add(job_id)
             self._add_running(job, 1)
 
-    def _file_holder(self, job_id: str, holder: str) -> None:
-        before = self._holder_of.pop(job_id, "")
-        if before:
-            self._by_holder[before].discard(job_id)
-            if not self._by_holder[before]:
-                del self._by_holder[before]
+    def _index_holder(self, job_id: str, holder: str) -> None:
+        previous = self._holder_of.pop(job_id, "")
+        if previous:
+            self._by_holder[previous].discard(job_id)
+            if not self._by_holder[previous]:
+                del self._by_holder[previous]
         if holder:
             self._holder_of[job_id] = holder
             self._by_holder.setdefault(holder, set()).add(job_id)
 
-    def _unfile(self, job_id: str, worker: str) -> None:
+    def _remove_from_worker(self, job_id: str, worker: str) -> None:
         del self._worker_of[job_id]
         jobs = self._by_worker[worker]
         jobs.discard(job_id)
--- a/mustardward/components/jobs/giveback.py
+++ b/mustardward/components/jobs/giveback.py
@@ -12,15 +12,20 @@
 from ...standin.protocol.models import TaskReport, TaskState
 from ...standin.protocol.protocols import WorkerService
 from ...state.models.jobs import EndAttempt, Job
-from .attempt import end_by_ignorance, end_by_report, end_by_silence, end_stalled
+from .attempt import (
+    end_for_unknown_task,
+    end_from_report,
+    end_if_unreachable,
+    end_stalled,
+)
 from .calls import CallFailure, CallOutcome, async_outcome_within
-from .const import GIVE_BACK_SECONDS
-from .models import HeldAttempt
+from .const import EVICTION_CALL_TIMEOUT_SECONDS
+from .models import LeasedAttempt
 
 TaskCall = Callable[[str, str, int], Awaitable[TaskReport]]
 
 
-class Keeper(Protocol):
+class AttemptContext(Protocol):
     """Define what giving a task back needs of who holds its lease."""
 
     @property
@@ -33,20 +38,20 @@
         """Return the timer service."""
         ...
 
-    async def async_end(self, attempt: HeldAttempt, end: EndAttempt) -> None:
+    async def async_end(self, attempt: LeasedAttempt, end: EndAttempt) -> None:
         """State an attempt's end."""
         ...
 
 
 @dataclass(frozen=True, slots=True, eq=False)
-class GiveBack:
+class TaskEviction:
     """Take one attempt's task off its worker."""
 
-    keeper: Keeper
-    attempt: HeldAttempt
+    context: AttemptContext
+    attempt: LeasedAttempt
     job: Job
 
-    async def async_for_urgent(self) -> bool:
+    async def async_free_slot(self) -> bool:
         """Free the task's slot; tell whether that worked."""
         if await self._async_checkpoint():
             return True
@@ -62,23 +67,23 @@
 
     async def async_cancel(self) -> None:
         """Stop a cancelled job's task; if it was done already, that is its outcome."""
-        outcome = await self._async_call(self.keeper.workers.async_stop)
+        outcome = await self._async_call(self.context.workers.async_stop)
         if isinstance(outcome, Success):
             await self._async_settle(outcome.unwrap())
         elif outcome.failure() is CallFailure.REFUSED:
-            await self._async_end(end_by_ignorance(self.attempt, self.job))
+            await self._async_end(end_for_unknown_task(self.attempt, self.job))
         else:
-            now = self.keeper.timers.monotonic()
-            end = end_by_silence(self.attempt, self.job, now)
+            now = self.context.timers.monotonic()
+            end = end_if_unreachable(self.attempt, self.job, now)
             if end is not None:
                 await self._async_end(end)
 
-    async def async_after_stall(self, suspect: bool) -> None:
+    async def async_end_stalled(self, suspect: bool) -> None:
         """Take a task off that makes no progress, and hold that against the worker."""
-        self.attempt.checkpoint_asked = True
-        outcome = await self._async_call(self.keeper.workers.async_checkpoint)
+        self.attempt.checkpoint_requested = True
+        outcome = await self._async_call(self.context.workers.async_checkpoint)
         if not isinstance(outcome, Success) and self.job.idempotent:
-            outcome = await self._async_call(self.keeper.workers.async_stop)
+            outcome = await self._async_call(self.context.workers.async_stop)
         if not isinstance(outcome, Success):
             return
         report = outcome.unwrap()
@@ -89,14 +94,14 @@
         await self._async_settle(report)
 
     async def _async_checkpoint(self) -> bool:
-        self.attempt.checkpoint_asked = True
-        return await self._async_try(self.keeper.workers.async_checkpoint)
+        self.attempt.checkpoint_requested = True
+        return await self._async_try(self.context.workers.async_checkpoint)
 
     async def _async_throttle(self) -> bool:
-        return await self._async_try(self.keeper.workers.async_throttle)
+        return await self._async_try(self.context.workers.async_throttle)
 
     async def _async_stop(self) -> bool:
-        return await self._async_try(self.keeper.workers.async_stop)
+        return await self._async_try(self.context.workers.async_stop)
 
     async def _async_try(self, call: TaskCall) -> bool:
         outcome = await self._async_call(call)
@@ -110,12 +115,12 @@
 
     async def _async_settle(self, report: TaskReport) -> None:
         self.attempt.throttled = report.state is TaskState.THROTTLED
-        end = end_by_report(self.attempt, self.job, report, False)
+        end = end_from_report(self.attempt, self.job, report, False)
         if end is not None:
             await self._async_end(end)
 
     async def _async_end(self, end: EndAttempt) -> None:
-        await self.keeper.async_end(self.attempt, end)
+        await self.context.async_end(self.attempt, end)
 
     async def _async_call(self, call: TaskCall) -> CallOutcome:
         attempt = self.attempt
@@ -124,5 +129,5 @@
             return await call(attempt.address, attempt.job_id, attempt.task_generation)
 
         return await async_outcome_within(
-            self.keeper.timers, GIVE_BACK_SECONDS, async_call
+            self.context.timers, EVICTION_CALL_TIMEOUT_SECONDS, async_call
         )
--- a/mustardward/components/jobs/held_back.py
+++ b/mustardward/components/jobs/held_back.py
@@ -5,24 +5,24 @@
 from collections import deque
 
 
-class HeldBackSlots:
+class SlotCooldown:
     """Keep freed slots from being filled again before urgent work used them."""
 
-    def __init__(self, hold_seconds: float) -> None:
-        self._hold_seconds = hold_seconds
-        self._freed: dict[str, deque[float]] = {}
+    def __init__(self, cooldown_seconds: float) -> None:
+        self._cooldown_seconds = cooldown_seconds
+        self._freed_at: dict[str, deque[float]] = {}
 
-    def note(self, pool: str, now: float) -> None:
+    def record_freed(self, pool: str, now: float) -> None:
         """Count one slot that a task gave back."""
-        self._freed.setdefault(pool, deque()).append(now)
+        self._freed_at.setdefault(pool, deque()).append(now)
 
     def count(self, pool: str, now: float) -> int:
         """Return how many slots are held back now."""
-        freed = self._freed.get(pool)
-        if freed is None:
+        freed_at = self._freed_at.get(pool)
+        if freed_at is None:
             return 0
-        while freed and freed[0] <= now - self._hold_seconds:
-            freed.popleft()
-        if not freed:
-            del self._freed[pool]
-        return len(freed)
+        while freed_at and freed_at[0] <= now - self._cooldown_seconds:
+            freed_at.popleft()
+        if not freed_at:
+            del self._freed_at[pool]
+        return len(freed_at)
--- a/mustardward/components/jobs/judge.py
+++ b/mustardward/components/jobs/judge.py
@@ -6,42 +6,42 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-SUSPECT_AFTER: Final = 3
+SUSPECT_AFTER_JOBS: Final = 3
 """Distinct jobs that have to go wrong on a worker, with none finished since."""
 
-SUSPECT_SHARE: Final = 0.25
+MAX_QUARANTINED_SHARE: Final = 0.25
 """Largest share of a pool's workers that may be kept from work at once."""
 
 PROBATION_SECONDS: Final = 120.0
 
 
 @dataclass(slots=True)
-class _Record:
+class _WorkerRecord:
     """Hold what happened on one worker since its last finished job."""
 
-    gone_wrong: set[str] = field(default_factory=set)
+    failed_jobs: set[str] = field(default_factory=set)
     suspect_since: float | None = None
 
 
-class WorkerJudge:
+class WorkerQuarantine:
     """Keep new tasks from workers that start everything and finish nothing."""
 
     def __init__(self) -> None:
-        self._records: dict[str, _Record] = {}
+        self._records: dict[str, _WorkerRecord] = {}
 
-    def note_finished(self, instance_id: str) -> None:
+    def record_finished(self, instance_id: str) -> None:
         """Clear a worker: it finished a job."""
         self._records.pop(instance_id, None)
 
-    def note_wrong(self, instance_id: str, job_id: str, now: float) -> None:
+    def record_failure(self, instance_id: str, job_id: str, now: float) -> None:
         """Count a job that failed, stalled or was lost on a worker.
 
         One bad job that is tried over and over is no sign against a worker, so only
         distinct jobs count.
         """
-        record = self._records.setdefault(instance_id, _Record())
-        record.gone_wrong.add(job_id)
-        if len(record.gone_wrong) >= SUSPECT_AFTER:
+        record = self._records.setdefault(instance_id, _WorkerRecord())
+        record.failed_jobs.add(job_id)
+        if len(record.failed_jobs) >= SUSPECT_AFTER_JOBS:
             record.suspect_since = now
 
     def is_suspect(self, instance_id: str) -> bool:
@@ -49,7 +49,7 @@
         record = self._records.get(instance_id)
         return record is not None and record.suspect_since is not None
 
-    def kept_out(self, instance_ids: Collection[str], now: float) -> frozenset[str]:
+    def quarantined(self, instance_ids: Collection[str], now: float) -> frozenset[str]:
         """Return the workers of a pool that get no new task now.
 
         The longest suspect come back on probation; and never more than a share is
@@ -62,6 +62,6 @@
             and record.suspect_since is not None
             and now - record.suspect_since < PROBATION_SECONDS
         ]
-        allowed = int(SUSPECT_SHARE * len(instance_ids))
+        allowed = int(MAX_QUARANTINED_SHARE * len(instance_ids))
         suspects.sort(key=lambda item: (-item[0], item[1]))
         return frozenset(instance_id for _, instance_id in suspects[:allowed])
--- a/mustardward/components/jobs/keeper.py
+++ b/mustardward/components/jobs/keeper.py
@@ -18,27 +18,27 @@
 from ...state.models.pools import Instance
 from ...state.protocols import WorkLog
 from .attempt import (
-    end_by_ignorance,
-    end_by_report,
-    end_by_silence,
+    build_task_order,
+    end_for_unknown_task,
+    end_from_report,
+    end_if_unreachable,
     end_not_run,
-    order_of,
 )
 from .calls import CallFailure, async_outcome
 from .const import (
-    ARRIVAL_SECONDS,
-    CONCURRENT_CALLS,
-    CONFIRM_SECONDS,
-    FRESH_SECONDS,
+    CONFIRM_TIMEOUT_SECONDS,
     LEASE_SECONDS,
-    POLL_SHARE,
-    RENEW_SECONDS,
+    MAX_CONCURRENT_CALLS,
+    MAX_TAIL_AGE_SECONDS,
+    POLL_INTERVAL_SHARE,
+    RENEWAL_INTERVAL_SECONDS,
+    START_ARRIVAL_SECONDS,
     TICK_SECONDS,
 )
-from .giveback import GiveBack
-from .lessons import Lessons
-from .models import HeldAttempt
-from .silence import SilentWorkers
+from .giveback import TaskEviction
+from .lessons import AttemptStatistics
+from .models import LeasedAttempt
+from .silence import UnresponsiveWorkers
 
 _LOGGER = get_logger(__name__)
 
@@ -46,7 +46,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class AttemptKeeper:
+class AttemptManager:
     """Hold attempts and act on them; the log says which of them are still ours.
 
     :param identity: the name of this incarnation as leases carry it.
@@ -57,67 +57,67 @@
     workers: WorkerService
     timers: TimerService
     identity: str
-    usable: Callable[[str], bool]
-    lessons: Lessons
-    held: dict[str, HeldAttempt] = field(default_factory=dict)
-    silent: SilentWorkers = field(init=False)
-    _paused: bool = False
+    is_usable: Callable[[str], bool]
+    statistics: AttemptStatistics
+    attempts: dict[str, LeasedAttempt] = field(default_factory=dict)
+    unresponsive: UnresponsiveWorkers = field(init=False)
+    _must_confirm_tail: bool = False
 
     def __post_init__(self) -> None:
-        self.silent = SilentWorkers(self.timers)
+        self.unresponsive = UnresponsiveWorkers(self.timers)
 
-    def on_pause(self, lost_seconds: float) -> None:
+    def on_pause(self, pause_seconds: float) -> None:
         """Distrust every lease until the log's tail is confirmed again."""
-        self._paused = True
-        _LOGGER.warning("job_leases_unsure", lost_seconds=lost_seconds)
+        self._must_confirm_tail = True
+        _LOGGER.warning("job_leases_unverified", pause_seconds=pause_seconds)
 
     def add(
         self, job: Job, generation: int, instance: Instance, taken_over: bool
-    ) -> HeldAttempt:
+    ) -> LeasedAttempt:
         """Hold the attempt that a lease just made ours."""
         now = self.timers.monotonic()
-        attempt = HeldAttempt(
+        attempt = LeasedAttempt(
             job_id=job.job_id,
             generation=generation,
             task_generation=job.task_generation,
             instance_id=instance.instance_id,
             address=instance.address,
             pool_generation=instance.generation,
-            began=now,
-            lapses_by=now + LEASE_SECONDS,
-            started=taken_over,
-            unsure=taken_over,
-            contact=now,
-            progressed=now,
+            began_at=now,
+            lease_expires_by=now + LEASE_SECONDS,
+            start_sent=taken_over,
+            uncertain=taken_over,
+            contacted_at=now,
+            progressed_at=now,
             from_checkpoint=bool(job.checkpoint),
         )
-        self.held[job.job_id] = attempt
+        self.attempts[job.job_id] = attempt
         return attempt
 
     async def async_tick(self) -> None:
         """Look after every attempt that is due."""
-        limiter = anyio.CapacityLimiter(CONCURRENT_CALLS)
+        limiter = anyio.CapacityLimiter(MAX_CONCURRENT_CALLS)
 
-        async def async_one(attempt: HeldAttempt) -> None:
+        async def async_one(attempt: LeasedAttempt) -> None:
             async with limiter:
                 await self.async_step(attempt)
 
-        due = [item for item in self.held.values() if self._needs_something(item)]
+        due = [item for item in self.attempts.values() if self._needs_step(item)]
         async with anyio.create_task_group() as group:
             for attempt in due:
                 group.start_soon(async_one, attempt)
 
-    def _needs_something(self, attempt: HeldAttempt) -> bool:
+    def _needs_step(self, attempt: LeasedAttempt) -> bool:
         # Most tasks only run; a coroutine for each of them at each tick would cost
         # more than all calls to workers.
-        job = self.owned(attempt)
-        if job is None or attempt.ending is not None:
+        job = self.owned_job(attempt)
+        if job is None or attempt.pending_end is not None:
             return True
-        if not attempt.started or attempt.unsure or self._is_due(attempt):
+        if not attempt.start_sent or attempt.uncertain or self._is_poll_due(attempt):
             return True
         return job_status(self.log.state, job) == "cancelling"
 
-    async def async_step(self, attempt: HeldAttempt) -> None:
+    async def async_step(self, attempt: LeasedAttempt) -> None:
         """Do what an attempt needs next, unless something is being done with it."""
         if attempt.busy:
             return
@@ -127,160 +127,162 @@
         finally:
             attempt.busy = False
 
-    async def _async_step(self, attempt: HeldAttempt) -> None:
-        job = self.owned(attempt)
+    async def _async_step(self, attempt: LeasedAttempt) -> None:
+        job = self.owned_job(attempt)
         if job is None:
             self._drop(attempt, "fenced")
-        elif attempt.ending is not None:
-            await self.async_end(attempt, attempt.ending)
-        elif attempt.started and attempt.instance_id in self.silent:
-            await self._async_on_silence(attempt, job)
+        elif attempt.pending_end is not None:
+            await self.async_end(attempt, attempt.pending_end)
+        elif attempt.start_sent and attempt.instance_id in self.unresponsive:
+            await self._async_handle_unreachable(attempt, job)
         elif job_status(self.log.state, job) == "cancelling":
             await self._async_cancel(attempt, job)
-        elif not attempt.started:
+        elif not attempt.start_sent:
             await self._async_start(attempt, job)
-        elif attempt.unsure:
-            await self._async_find_out(attempt, job)
-        elif self._is_due(attempt):
+        elif attempt.uncertain:
+            await self._async_query_task(attempt, job)
+        elif self._is_poll_due(attempt):
             await self._async_renew(attempt, job)
 
-    def owned(self, attempt: HeldAttempt) -> Job | None:
+    def owned_job(self, attempt: LeasedAttempt) -> Job | None:
         """Return the attempt's job if the log still gives it to this process."""
         job = self.log.state.jobs.get(attempt.job_id)
         if job is None or job.generation != attempt.generation:
             return None
         return job if job.status in ("running", "cancelling") else None
 
-    async def async_end(self, attempt: HeldAttempt, end: EndAttempt) -> None:
+    async def async_end(self, attempt: LeasedAttempt, end: EndAttempt) -> None:
         """State an end until the log answers; the first one decided on stays."""
-        attempt.ending = attempt.ending or end
+        attempt.pending_end = attempt.pending_end or end
         job = self.log.state.jobs.get(attempt.job_id)
         result = await self.log.async_propose(
-            attempt.ending,
+            attempt.pending_end,
             actor=self.identity,
             record_id=f"end/{attempt.job_id}/{attempt.generation}",
             priority=END_PRIORITY,
         )
         if isinstance(result, Success):
-            self.lessons.learn(attempt, attempt.ending, job)
-            self._drop(attempt, attempt.ending.outcome)
+            self.statistics.record_end(attempt, attempt.pending_end, job)
+            self._drop(attempt, attempt.pending_end.outcome)
         elif isinstance(result.failure(), RecordRefusedError):
             self._drop(attempt, result.failure().code)
 
-    async def _async_sure(self, attempt: HeldAttempt) -> bool:
+    async def _async_verify_lease(self, attempt: LeasedAttempt) -> bool:
         # A process that was stopped after its lease was accepted wakes without a sign
         # of it, while another may long have taken the job over. A start from here
         # would then run it twice; so the tail is read first, and the lease after it.
-        stale = self.log.tail_age_seconds() > FRESH_SECONDS
-        if self._paused or stale or not self.log.may_decide:
-            if not await self.log.async_confirm_tail(CONFIRM_SECONDS):
+        stale = self.log.tail_age_seconds() > MAX_TAIL_AGE_SECONDS
+        if self._must_confirm_tail or stale or not self.log.may_decide:
+            if not await self.log.async_confirm_tail(CONFIRM_TIMEOUT_SECONDS):
                 return False
-            self._paused = False
-        return self.owned(attempt) is not None
+            self._must_confirm_tail = False
+        return self.owned_job(attempt) is not None
 
-    async def _async_start(self, attempt: HeldAttempt, job: Job) -> None:
-        if not await self._async_sure(attempt):
+    async def _async_start(self, attempt: LeasedAttempt, job: Job) -> None:
+        if not await self._async_verify_lease(attempt):
             return
-        if not self.usable(attempt.instance_id):
+        if not self.is_usable(attempt.instance_id):
             await self.async_end(attempt, end_not_run(attempt, "worker not usable"))
             return
-        attempt.started = True
+        attempt.start_sent = True
         now = self.timers.monotonic()
-        attempt.lapses_by = now + LEASE_SECONDS
-        order = order_of(attempt, job)
+        attempt.lease_expires_by = now + LEASE_SECONDS
+        order = build_task_order(attempt, job)
         outcome = await async_outcome(self.workers.async_start(attempt.address, order))
         if isinstance(outcome, Success):
-            await self._async_on_report(attempt, job, outcome.unwrap(), now)
+            await self._async_handle_report(attempt, job, outcome.unwrap(), now)
         elif outcome.failure() is CallFailure.UNKNOWN:
             # The worker may have started it: only a report by the task's id can tell.
             # A second start instead could run it again after a reboot there.
-            attempt.unsure = True
-            attempt.lapses_by = self.timers.monotonic() + LEASE_SECONDS
+            attempt.uncertain = True
+            attempt.lease_expires_by = self.timers.monotonic() + LEASE_SECONDS
         else:
             reason = f"start {outcome.failure()}"
             await self.async_end(attempt, end_not_run(attempt, reason))
 
-    async def _async_find_out(self, attempt: HeldAttempt, job: Job) -> None:
+    async def _async_query_task(self, attempt: LeasedAttempt, job: Job) -> None:
         now = self.timers.monotonic()
         outcome = await async_outcome(
             self.workers.async_report(attempt.address, attempt.job_id)
         )
         if isinstance(outcome, Success):
-            attempt.unsure = False
-            await self._async_on_report(attempt, job, outcome.unwrap(), now)
+            attempt.uncertain = False
+            await self._async_handle_report(attempt, job, outcome.unwrap(), now)
             return
-        known_not = outcome.failure() is CallFailure.REFUSED
-        if known_not and (job.idempotent or now - attempt.began >= ARRIVAL_SECONDS):
-            await self.async_end(attempt, end_by_ignorance(attempt, job))
-        elif not known_not:
-            self.silent.note(attempt.instance_id)
-            await self._async_on_silence(attempt, job)
+        is_unknown_task = outcome.failure() is CallFailure.REFUSED
+        if is_unknown_task and (
+            job.idempotent or now - attempt.began_at >= START_ARRIVAL_SECONDS
+        ):
+            await self.async_end(attempt, end_for_unknown_task(attempt, job))
+        elif not is_unknown_task:
+            self.unresponsive.add(attempt.instance_id)
+            await self._async_handle_unreachable(attempt, job)
 
-    def _is_due(self, attempt: HeldAttempt) -> bool:
+    def _is_poll_due(self, attempt: LeasedAttempt) -> bool:
         # Looked at often while young: how long a task runs is not known beforehand,
         # and what ended unseen keeps its slot and its caller waiting.
         now = self.timers.monotonic()
-        share = POLL_SHARE * (now - attempt.began)
-        wait = min(RENEW_SECONDS, max(TICK_SECONDS, share))
-        return now - attempt.renewed >= wait
+        interval = POLL_INTERVAL_SHARE * (now - attempt.began_at)
+        wait = min(RENEWAL_INTERVAL_SECONDS, max(TICK_SECONDS, interval))
+        return now - attempt.renewed_at >= wait
 
-    async def _async_renew(self, attempt: HeldAttempt, job: Job) -> None:
+    async def _async_renew(self, attempt: LeasedAttempt, job: Job) -> None:
         now = self.timers.monotonic()
-        if now - attempt.contact > LEASE_SECONDS:
+        if now - attempt.contacted_at > LEASE_SECONDS:
             # From here on only reports, so that the lease surely lapses some time.
-            attempt.unsure = True
+            attempt.uncertain = True
             return
-        attempt.renewed = now
+        attempt.renewed_at = now
         outcome = await async_outcome(
             self.workers.async_renew(
                 attempt.address, attempt.job_id, attempt.task_generation, LEASE_SECONDS
             )
         )
         if isinstance(outcome, Success):
-            await self._async_on_report(attempt, job, outcome.unwrap(), now)
+            await self._async_handle_report(attempt, job, outcome.unwrap(), now)
             return
         if outcome.failure() is CallFailure.UNKNOWN:
-            attempt.lapses_by = self.timers.monotonic() + LEASE_SECONDS
+            attempt.lease_expires_by = self.timers.monotonic() + LEASE_SECONDS
         if outcome.failure() in (CallFailure.REFUSED, CallFailure.FENCED):
-            attempt.unsure = True
+            attempt.uncertain = True
         else:
-            self.silent.note(attempt.instance_id)
-        await self._async_on_silence(attempt, job)
+            self.unresponsive.add(attempt.instance_id)
+        await self._async_handle_unreachable(attempt, job)
 
-    async def _async_on_silence(self, attempt: HeldAttempt, job: Job) -> None:
-        end = end_by_silence(attempt, job, self.timers.monotonic())
+    async def _async_handle_unreachable(self, attempt: LeasedAttempt, job: Job) -> None:
+        end = end_if_unreachable(attempt, job, self.timers.monotonic())
         if end is not None:
             await self.async_end(attempt, end)
 
-    async def _async_on_report(
-        self, attempt: HeldAttempt, job: Job, report: TaskReport, asked: float
+    async def _async_handle_report(
+        self, attempt: LeasedAttempt, job: Job, report: TaskReport, requested_at: float
     ) -> None:
-        self.silent.clear(attempt.instance_id)
-        attempt.contact = asked
-        attempt.renewed = asked
-        attempt.lapses_by = max(
-            attempt.lapses_by, self.timers.monotonic() + LEASE_SECONDS
+        self.unresponsive.discard(attempt.instance_id)
+        attempt.contacted_at = requested_at
+        attempt.renewed_at = requested_at
+        attempt.lease_expires_by = max(
+            attempt.lease_expires_by, self.timers.monotonic() + LEASE_SECONDS
         )
         attempt.throttled = report.state is TaskState.THROTTLED
         if report.progress > attempt.progress:
             attempt.progress = report.progress
-            attempt.progressed = self.timers.monotonic()
-        suspect = self.lessons.judge.is_suspect(attempt.instance_id)
-        end = end_by_report(attempt, job, report, suspect)
+            attempt.progressed_at = self.timers.monotonic()
+        suspect = self.statistics.quarantine.is_suspect(attempt.instance_id)
+        end = end_from_report(attempt, job, report, suspect)
         if end is not None:
             await self.async_end(attempt, end)
-        elif self.lessons.is_stalled(attempt, job):
-            await GiveBack(self, attempt, job).async_after_stall(suspect)
+        elif self.statistics.is_stalled(attempt, job):
+            await TaskEviction(self, attempt, job).async_end_stalled(suspect)
 
-    async def _async_cancel(self, attempt: HeldAttempt, job: Job) -> None:
-        if not attempt.started:
+    async def _async_cancel(self, attempt: LeasedAttempt, job: Job) -> None:
+        if not attempt.start_sent:
             await self.async_end(attempt, end_not_run(attempt, "cancelled"))
             return
-        await GiveBack(self, attempt, job).async_cancel()
+        await TaskEviction(self, attempt, job).async_cancel()
 
-    def _drop(self, attempt: HeldAttempt, cause: str) -> None:
-        if self.held.get(attempt.job_id) is attempt:
-            del self.held[attempt.job_id]
+    def _drop(self, attempt: LeasedAttempt, cause: str) -> None:
+        if self.attempts.get(attempt.job_id) is attempt:
+            del self.attempts[attempt.job_id]
         _LOGGER.info(
             "job_attempt_ended",
             job=attempt.job_id,
--- a/mustardward/components/jobs/lessons.py
+++ b/mustardward/components/jobs/lessons.py
@@ -7,24 +7,24 @@
 
 from ...helpers.timer import TimerService
 from ...state.models.jobs import AttemptEnd, EndAttempt, Job
-from .const import BUSY_SECONDS, STALL_SECONDS
-from .judge import WorkerJudge
-from .models import HeldAttempt
+from .const import BUSY_WORKER_SECONDS, MIN_STALL_SECONDS
+from .judge import WorkerQuarantine
+from .models import LeasedAttempt
 from .quantiles import RunTimes
 
 STALL_FACTOR = 2.0
 
 
 @dataclass(slots=True, eq=False)
-class Lessons:
+class AttemptStatistics:
     """Hold what this process has learnt; it is lost with it, and only advice.
 
     :param run_key: returns the key by which a job's run time is learnt.
     """
 
     timers: TimerService
-    run_key: Callable[[Job], str]
-    judge: WorkerJudge = field(default_factory=WorkerJudge)
+    run_time_key: Callable[[Job], str]
+    quarantine: WorkerQuarantine = field(default_factory=WorkerQuarantine)
     run_times: RunTimes = field(default_factory=RunTimes)
     _busy_until: dict[str, float] = field(default_factory=dict)
 
@@ -36,24 +36,26 @@
     def expected_seconds(self, job: Job, quantile: float) -> float:
         """Return a quantile of the job's run time."""
         return self.run_times.estimate(
-            self.run_key(job), job.declared_seconds, quantile
+            self.run_time_key(job), job.declared_seconds, quantile
         )
 
-    def is_stalled(self, attempt: HeldAttempt, job: Job) -> bool:
+    def is_stalled(self, attempt: LeasedAttempt, job: Job) -> bool:
         """Tell whether a task has made no progress for longer than it should run."""
-        quiet = self.timers.monotonic() - attempt.progressed
-        if quiet <= STALL_SECONDS:
+        stalled_seconds = self.timers.monotonic() - attempt.progressed_at
+        if stalled_seconds <= MIN_STALL_SECONDS:
             return False
-        return quiet > STALL_FACTOR * self.expected_seconds(job, 0.99)
+        return stalled_seconds > STALL_FACTOR * self.expected_seconds(job, 0.99)
 
-    def learn(self, attempt: HeldAttempt, end: EndAttempt, job: Job | None) -> None:
+    def record_end(
+        self, attempt: LeasedAttempt, end: EndAttempt, job: Job | None
+    ) -> None:
         """Learn from an attempt whose end the log accepted."""
         now = self.timers.monotonic()
         if end.outcome == AttemptEnd.DONE:
-            self.judge.note_finished(attempt.instance_id)
+            self.quarantine.record_finished(attempt.instance_id)
             if job is not None and not attempt.from_checkpoint:
-                self.run_times.note(self.run_key(job), now - attempt.began)
+                self.run_times.record(self.run_time_key(job), now - attempt.began_at)
         if end.outcome == AttemptEnd.REFUSED:
-            self._busy_until[attempt.instance_id] = now + BUSY_SECONDS
+            self._busy_until[attempt.instance_id] = now + BUSY_WORKER_SECONDS
         if end.outcome in (AttemptEnd.FAILED, AttemptEnd.LOST):
-            self.judge.note_wrong(attempt.instance_id, attempt.job_id, now)
+            self.quarantine.record_failure(attempt.instance_id, attempt.job_id, now)
--- a/mustardward/components/jobs/metrics.py
+++ b/mustardward/components/jobs/metrics.py
@@ -11,7 +11,7 @@
 from ...state.fold import RecordOutcome
 from ...state.models.jobs import CloseIntent, EndAttempt
 from ...state.protocols import WorkLog
-from .keeper import AttemptKeeper
+from .keeper import AttemptManager
 
 UNFINISHED: Final[Metric] = declare_metric(
     "jobs_unfinished",
@@ -44,7 +44,7 @@
 
 
 def subscribe_metrics(
-    metrics: Metrics, log: WorkLog, keeper: AttemptKeeper
+    metrics: Metrics, log: WorkLog, attempt_manager: AttemptManager
 ) -> list[Callable[[], None]]:
     """Begin to feed; return what ends it."""
 
@@ -60,7 +60,7 @@
         state = log.state
         metrics.gauge(UNFINISHED, sum(state.open_jobs.values()))
         metrics.gauge(STUCK, len(state.stuck))
-        metrics.gauge(LEASES, len(keeper.held))
+        metrics.gauge(LEASES, len(attempt_manager.attempts))
         metrics.gauge(KEYS, len(state.intents))
 
     return [log.listen(on_record), metrics.add_source(set_gauges)]
--- a/mustardward/components/jobs/models.py
+++ b/mustardward/components/jobs/models.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class WorkerRoom:
+class WorkerCapacity:
     """Hold what is left on one worker for long work.
 
     ``due`` tells that a running wave will take the worker soon.
@@ -45,7 +45,7 @@
             and self.accelerators >= need.accelerators
         )
 
-    def take(self, need: Need) -> None:
+    def reserve(self, need: Need) -> None:
         """Count a task in; a need larger than what is left leaves it negative."""
         self.slots -= 1
         self.cores -= need.cores
@@ -55,12 +55,12 @@
 
 def could_ever_fit(instance: Instance, need: Need) -> bool:
     """Tell whether an empty worker would be large enough."""
-    return empty_room(instance).fits(need)
+    return total_capacity(instance).fits(need)
 
 
-def empty_room(instance: Instance) -> WorkerRoom:
+def total_capacity(instance: Instance) -> WorkerCapacity:
     """Return the whole of a worker."""
-    return WorkerRoom(
+    return WorkerCapacity(
         instance,
         instance.slots,
         instance.cores,
@@ -70,7 +70,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class HeldAttempt:
+class LeasedAttempt:
     """Hold one attempt whose lease this process has; times are monotonic seconds.
 
     ``lapses_by`` is when the worker's lease has surely ended unless renewed.
@@ -84,19 +84,19 @@
     instance_id: str
     address: str
     pool_generation: int
-    began: float
-    lapses_by: float
-    started: bool = False
-    unsure: bool = False
-    renewed: float = 0.0
-    contact: float = 0.0
+    began_at: float
+    lease_expires_by: float
+    start_sent: bool = False
+    uncertain: bool = False
+    renewed_at: float = 0.0
+    contacted_at: float = 0.0
     from_checkpoint: bool = False
     progress: float = 0.0
-    progressed: float = 0.0
-    checkpoint_asked: bool = False
+    progressed_at: float = 0.0
+    checkpoint_requested: bool = False
     throttled: bool = False
     busy: bool = False
-    ending: EndAttempt | None = None
+    pending_end: EndAttempt | None = None
 
 
 @dataclass(frozen=True, slots=True)
--- a/mustardward/components/jobs/placement.py
+++ b/mustardward/components/jobs/placement.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from .const import AGING_SECONDS, CANDIDATES, RESERVE_AFTER_SECONDS
-from .models import Need, WorkerRoom
+from .const import AGING_SECONDS, RESERVE_AFTER_SECONDS, WORKER_SAMPLE_SIZE
+from .models import Need, WorkerCapacity
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,21 +30,21 @@
     ``running`` and ``weights`` are by organisation.
     """
 
-    rooms: list[WorkerRoom]
+    capacities: list[WorkerCapacity]
     slots_left: int
     running: dict[str, int] = field(default_factory=dict)
     weights: dict[str, float] = field(default_factory=dict)
-    reserved: str = ""
+    reserved_worker: str = ""
 
-    def place(self, candidate: Candidate, room: WorkerRoom) -> None:
+    def place(self, candidate: Candidate, capacity: WorkerCapacity) -> None:
         """Count a placement in."""
-        room.take(candidate.need)
+        capacity.reserve(candidate.need)
         self.slots_left -= 1
         count = self.running.get(candidate.organisation, 0)
         self.running[candidate.organisation] = count + 1
 
 
-def claim(view: PoolView, candidate: Candidate) -> float:
+def fair_share_rank(view: PoolView, candidate: Candidate) -> float:
     """Return a candidate's claim to the next slot; the lowest goes first.
 
     An organisation with few running jobs for its weight goes first, and waiting makes
@@ -56,82 +56,93 @@
     return share - candidate.waited_seconds / AGING_SECONDS
 
 
-def choose_room(
+def choose_worker(
     view: PoolView, candidate: Candidate, random: Random
-) -> WorkerRoom | None:
+) -> WorkerCapacity | None:
     """Return the tightest of a few random workers with room, else any with room.
 
     The tightest keeps whole workers free for jobs that need one. A worker that a wave
     will take soon comes last: what starts there would have to move again.
     """
-    usable = view.rooms
-    sample = random.sample(usable, min(CANDIDATES, len(usable)))
-    fitting = [room for room in sample if _may_use(view, candidate, room)]
-    if all(room.due for room in fitting):
-        fitting = [room for room in usable if _may_use(view, candidate, room)]
+    capacities = view.capacities
+    sample = random.sample(capacities, min(WORKER_SAMPLE_SIZE, len(capacities)))
+    fitting = [capacity for capacity in sample if _can_place(view, candidate, capacity)]
+    if all(capacity.due for capacity in fitting):
+        fitting = [
+            capacity for capacity in capacities if _can_place(view, candidate, capacity)
+        ]
     return min(
         fitting,
-        key=lambda room: (room.due, room.cores, room.slots, room.instance.instance_id),
+        key=lambda capacity: (
+            capacity.due,
+            capacity.cores,
+            capacity.slots,
+            capacity.instance.instance_id,
+        ),
         default=None,
     )
 
 
-def reserve_for(view: PoolView, candidate: Candidate) -> None:
+def reserve_worker(view: PoolView, candidate: Candidate) -> None:
     """Keep the emptiest worker that could ever take a long-waiting job free for it.
 
     Without that, small jobs take each slot as it falls free, and a job that needs most
     of a worker waits for ever while the pool is never idle.
     """
-    if view.reserved or candidate.waited_seconds < RESERVE_AFTER_SECONDS:
+    if view.reserved_worker or candidate.waited_seconds < RESERVE_AFTER_SECONDS:
         return
-    able = [
-        room
-        for room in view.rooms
-        if room.instance.cores >= candidate.need.cores
-        and room.instance.memory_gigabytes >= candidate.need.memory_gigabytes
-        and room.instance.accelerators >= candidate.need.accelerators
-        and room.instance.instance_id not in candidate.excluded
+    large_enough = [
+        capacity
+        for capacity in view.capacities
+        if capacity.instance.cores >= candidate.need.cores
+        and capacity.instance.memory_gigabytes >= candidate.need.memory_gigabytes
+        and capacity.instance.accelerators >= candidate.need.accelerators
+        and capacity.instance.instance_id not in candidate.excluded
     ]
     best = max(
-        able,
-        key=lambda room: (room.cores, room.slots, room.instance.instance_id),
+        large_enough,
+        key=lambda capacity: (
+            capacity.cores,
+            capacity.slots,
+            capacity.instance.instance_id,
+        ),
         default=None,
     )
     if best is not None:
-        view.reserved = best.instance.instance_id
+        view.reserved_worker = best.instance.instance_id
 
 
-def _may_use(view: PoolView, candidate: Candidate, room: WorkerRoom) -> bool:
-    instance_id = room.instance.instance_id
-    if instance_id == view.reserved or instance_id in candidate.excluded:
+def _can_place(view: PoolView, candidate: Candidate, capacity: WorkerCapacity) -> bool:
+    instance_id = capacity.instance.instance_id
+    if instance_id == view.reserved_worker or instance_id in candidate.excluded:
         return False
-    return room.fits(candidate.need)
+    return capacity.fits(candidate.need)
 
 
 def plan_placements(
     view: PoolView, candidates: Sequence[Candidate], limit: int, random: Random
-) -> list[tuple[Candidate, WorkerRoom]]:
+) -> list[tuple[Candidate, WorkerCapacity]]:
     """Return which jobs to start where, the strongest claim first."""
-    placed: list[tuple[Candidate, WorkerRoom]] = []
-    hopeless: set[Need] = set()
-    waiting = [(claim(view, item), item.job_id, item) for item in candidates]
+    placed: list[tuple[Candidate, WorkerCapacity]] = []
+    unplaceable: set[Need] = set()
+    waiting = [(fair_share_rank(view, item), item.job_id, item) for item in candidates]
     heapq.heapify(waiting)
     while waiting and view.slots_left > 0 and len(placed) < limit:
-        filed, job_id, candidate = heapq.heappop(waiting)
-        present = claim(view, candidate)
+        queued_rank, job_id, candidate = heapq.heappop(waiting)
+        current_rank = fair_share_rank(view, candidate)
         # A claim only weakens while its organisation is given slots, so filing it
         # again keeps the order without sorting everything anew for each slot.
-        if present > filed:
-            heapq.heappush(waiting, (present, job_id, candidate))
+        if current_rank > queued_rank:
+            heapq.heappush(waiting, (current_rank, job_id, candidate))
             continue
-        if candidate.need in hopeless:
+        if candidate.need in unplaceable:
             continue
-        room = choose_room(view, candidate, random)
-        if room is not None:
-            view.place(candidate, room)
-            placed.append((candidate, room))
+        capacity = choose_worker(view, candidate, random)
+        if capacity is not None:
+            view.place(candidate, capacity)
+            placed.append((candidate, capacity))
             continue
         if not candidate.excluded:
-            hopeless.add(candidate.need)
-        reserve_for(view, candidate)
+            unplaceable.add(candidate.need)
+        reserve_worker(view, candidate)
     return placed
--- a/mustardward/components/jobs/pool_view.py
+++ b/mustardward/components/jobs/pool_view.py
@@ -14,11 +14,11 @@
 from ...state.models.templates import Organisation, Urgency
 from ...state.protocols import FleetLog
 from ...state.wave_queries import is_due, running_waves
-from .board import JobBoard
-from .models import Need, WorkerRoom, could_ever_fit, empty_room, need_of
+from .board import JobIndex
+from .models import Need, WorkerCapacity, could_ever_fit, need_of, total_capacity
 from .placement import PoolView
 
-_WORK_MAY_END: Final = (ClaimStage.CLAIMED, ClaimStage.DRAINING)
+_DRAINING_STAGES: Final = (ClaimStage.CLAIMED, ClaimStage.DRAINING)
 
 
 @dataclass(slots=True, eq=False)
@@ -33,24 +33,24 @@
 
     fleet: FleetLog
     data_centre: str
-    may_get_work: Callable[[str], bool]
+    is_eligible: Callable[[str], bool]
     _sequence: int = -1
     _by_pool: dict[str, list[Instance]] = field(default_factory=dict)
-    _reserve: dict[str, float] = field(default_factory=dict)
+    _urgent_reserves: dict[str, float] = field(default_factory=dict)
 
     def instances(self, pool: str) -> list[Instance]:
         """Return the instances of a pool here, usable or not."""
         self._refresh()
         return self._by_pool.get(pool, [])
 
-    def reserve(self, pool: str) -> float:
+    def urgent_reserve(self, pool: str) -> float:
         """Return the share of each worker's slots that long work leaves free.
 
         It is the largest urgent reserve of the organisations whose requests the pool
         answers, whatever their class: long work waits, a caller does not.
         """
         self._refresh()
-        return self._reserve.get(pool, 0.0)
+        return self._urgent_reserves.get(pool, 0.0)
 
     def can_ever_run(self, pool: str, need: Need) -> bool:
         """Tell whether some worker of the pool is large enough when empty."""
@@ -62,7 +62,7 @@
         instance = state.instances.get(instance_id)
         if instance is None or instance.removed or instance_id in state.claims:
             return False
-        return not self.must_vacate(instance_id) and self.may_get_work(instance_id)
+        return not self.must_vacate(instance_id) and self.is_eligible(instance_id)
 
     def must_vacate(self, instance_id: str) -> bool:
         """Tell whether the fleet's state takes a worker out of use."""
@@ -70,34 +70,36 @@
         instance = state.instances.get(instance_id)
         claim = state.claims.get(instance_id)
         # A claim that only begins gives running work the time to end by itself.
-        claimed = claim is not None and claim.stage not in _WORK_MAY_END
-        taken = claimed or instance_id in state.moves
-        return taken or instance is None or instance.removed
+        claimed = claim is not None and claim.stage not in _DRAINING_STAGES
+        unavailable = claimed or instance_id in state.moves
+        return unavailable or instance is None or instance.removed
 
-    def view(self, pool: str, board: JobBoard, now_out: frozenset[str]) -> PoolView:
+    def view(
+        self, pool: str, job_index: JobIndex, excluded: frozenset[str]
+    ) -> PoolView:
         """Return what the pool offers now; ``now_out`` workers get nothing."""
-        rooms = []
+        capacities = []
         total = 0
         busy = 0
         waves = running_waves(self.fleet.state)
         for instance in self.instances(pool):
             if not self.is_usable(instance.instance_id):
                 continue
-            room, count = _room(instance, board)
+            capacity, count = _remaining_capacity(instance, job_index)
             # Kept on each worker: a request finds it wherever it is sent, and need
             # not try one full worker after the other.
-            room.slots -= round(instance.slots * self.reserve(pool))
+            capacity.slots -= round(instance.slots * self.urgent_reserve(pool))
             total += instance.slots
             busy += count
-            room.due = is_due(waves, instance.instance_id)
-            if instance.instance_id not in now_out:
-                rooms.append(room)
-        allowed = math.floor(total * (1.0 - self.reserve(pool)))
+            capacity.due = is_due(waves, instance.instance_id)
+            if instance.instance_id not in excluded:
+                capacities.append(capacity)
+        allowed = math.floor(total * (1.0 - self.urgent_reserve(pool)))
         weights = {
             name: organisation.parameters.quota.weight
             for name, organisation in self.fleet.state.organisations.items()
         }
-        return PoolView(rooms, allowed - busy, {}, weights)
+        return PoolView(capacities, allowed - busy, {}, weights)
 
     def _refresh(self) -> None:
         if self._sequence == self.fleet.sequence:
@@ -108,30 +110,32 @@
             if instance.data_centre == self.data_centre and not instance.removed:
                 by_pool.setdefault(instance.pool, []).append(instance)
         self._by_pool = by_pool
-        self._reserve = _reserves(state)
+        self._urgent_reserves = _compute_urgent_reserves(state)
         self._sequence = self.fleet.sequence
 
 
-def _room(instance: Instance, board: JobBoard) -> tuple[WorkerRoom, int]:
-    room = empty_room(instance)
+def _remaining_capacity(
+    instance: Instance, job_index: JobIndex
+) -> tuple[WorkerCapacity, int]:
+    capacity = total_capacity(instance)
     jobs: list[Job] = []
-    for job_id in board.running_on(instance.instance_id):
-        job = board.state.jobs.get(job_id)
+    for job_id in job_index.running_on(instance.instance_id):
+        job = job_index.state.jobs.get(job_id)
         if job is not None:
             jobs.append(job)
-            room.take(need_of(job))
-    return room, len(jobs)
+            capacity.reserve(need_of(job))
+    return capacity, len(jobs)
 
 
-def _reserves(state: FleetState) -> dict[str, float]:
+def _compute_urgent_reserves(state: FleetState) -> dict[str, float]:
     reserves: dict[str, float] = {}
     for organisation in state.organisations.values():
         share = organisation.parameters.urgent_reserve
-        for pool in _answering_pools(organisation):
+        for pool in _request_pools(organisation):
             reserves[pool] = max(share, reserves.get(pool, 0.0))
     return reserves
 
 
-def _answering_pools(organisation: Organisation) -> set[str]:
+def _request_pools(organisation: Organisation) -> set[str]:
     services = organisation.parameters.services
     return {item.pool for item in services if item.urgency is not Urgency.LONG}
--- a/mustardward/components/jobs/preemption.py
+++ b/mustardward/components/jobs/preemption.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from .const import NEARLY_DONE, PROTECT_AFTER_PREEMPTIONS
+from .const import NEARLY_DONE_PROGRESS, PROTECT_AFTER_PREEMPTIONS
 
 
 @dataclass(frozen=True, slots=True)
@@ -13,7 +13,7 @@
     """Hold what the choice needs to know of a running task."""
 
     job_id: str
-    began: float
+    began_at: float
     progress: float
     preemptions: int
     idempotent: bool
@@ -27,10 +27,10 @@
     long job would be the victim each time and never end.
     """
     candidates = [task for task in tasks if not task.throttled]
-    return sorted(candidates, key=_loss)[:count]
+    return sorted(candidates, key=_eviction_cost)[:count]
 
 
-def _loss(task: Victim) -> tuple[bool, bool, int, float, str]:
+def _eviction_cost(task: Victim) -> tuple[bool, bool, int, float, str]:
     protected = task.preemptions >= PROTECT_AFTER_PREEMPTIONS
-    nearly_done = task.progress >= NEARLY_DONE
-    return protected, nearly_done, task.preemptions, -task.began, task.job_id
+    nearly_done = task.progress >= NEARLY_DONE_PROGRESS
+    return protected, nearly_done, task.preemptions, -task.began_at, task.job_id
--- a/mustardward/components/jobs/presence.py
+++ b/mustardward/components/jobs/presence.py
@@ -9,13 +9,13 @@
 from ..membership.protocols import Membership
 from ..retries.intents_home import home_name
 
-GRACE_SECONDS: Final = 15.0
+HOLDER_GRACE_SECONDS: Final = 15.0
 """How long a holder may be out of sight before its tasks are taken over."""
 
-FORGET_SECONDS: Final = 3_600.0
+RETENTION_SECONDS: Final = 3_600.0
 
 
-class HolderPresence:
+class HolderLiveness:
     """Follow which holders of leases are in sight.
 
     A holder that is suspect may live, but to wait for proof of its death would let its
@@ -32,9 +32,9 @@
         self._timers = timers
         self._membership = membership
         self._identity = identity
-        self._seen: dict[str, float] = {}
+        self._last_seen: dict[str, float] = {}
 
-    def is_present(self, holder: str) -> bool:
+    def is_live(self, holder: str) -> bool:
         """Tell whether a holder was alive within the grace."""
         if holder == self._identity:
             return True
@@ -42,9 +42,9 @@
         status = self._status(holder)
         if status is MemberStatus.LEAVING:
             return False
-        if status is MemberStatus.ALIVE or holder not in self._seen:
-            self._note(holder, now)
-        return now - self._seen[holder] < GRACE_SECONDS
+        if status is MemberStatus.ALIVE or holder not in self._last_seen:
+            self._record_seen(holder, now)
+        return now - self._last_seen[holder] < HOLDER_GRACE_SECONDS
 
     def _status(self, holder: str) -> MemberStatus | None:
         if self._membership is None:
@@ -54,7 +54,7 @@
                 return item.status
         return None
 
-    def _note(self, holder: str, now: float) -> None:
-        self._seen[holder] = now
-        oldest = now - FORGET_SECONDS
-        self._seen = {k: v for k, v in self._seen.items() if v > oldest}
+    def _record_seen(self, holder: str, now: float) -> None:
+        self._last_seen[holder] = now
+        oldest = now - RETENTION_SECONDS
+        self._last_seen = {k: v for k, v in self._last_seen.items() if v > oldest}
--- a/mustardward/components/jobs/quantiles.py
+++ b/mustardward/components/jobs/quantiles.py
@@ -5,9 +5,9 @@
 from collections import OrderedDict, deque
 from typing import Final
 
-KEEP_SAMPLES: Final = 64
-KEEP_KEYS: Final = 1_024
-ENOUGH_SAMPLES: Final = 5
+MAX_SAMPLES: Final = 64
+MAX_KEYS: Final = 1_024
+MIN_SAMPLES: Final = 5
 
 PRIOR_FACTOR: Final = 10.0
 """How far off a declared run time is taken to be while nothing is learnt."""
@@ -19,12 +19,12 @@
     def __init__(self) -> None:
         self._samples: OrderedDict[str, deque[float]] = OrderedDict()
 
-    def note(self, key: str, seconds: float) -> None:
+    def record(self, key: str, seconds: float) -> None:
         """Learn from one job that ran to its end."""
-        samples = self._samples.setdefault(key, deque(maxlen=KEEP_SAMPLES))
+        samples = self._samples.setdefault(key, deque(maxlen=MAX_SAMPLES))
         samples.append(seconds)
         self._samples.move_to_end(key)
-        while len(self._samples) > KEEP_KEYS:
+        while len(self._samples) > MAX_KEYS:
             self._samples.popitem(last=False)
 
     def estimate(self, key: str, declared_seconds: float, quantile: float) -> float:
@@ -34,7 +34,7 @@
         is, its tail as ten times longer.
         """
         samples = self._samples.get(key, ())
-        if len(samples) < ENOUGH_SAMPLES:
+        if len(samples) < MIN_SAMPLES:
             factor: float = PRIOR_FACTOR ** max(0.0, 2.0 * quantile - 1.0)
             return declared_seconds * factor
         ordered = sorted(samples)
--- a/mustardward/components/jobs/services.py
+++ b/mustardward/components/jobs/services.py
@@ -14,7 +14,7 @@
 from ...state.models.jobs import AcceptJob, CancelJobs, Job, RetryJob
 from ...state.models.templates import Organisation
 from ...state.protocols import FleetLog, WorkLog
-from .const import MAXIMUM_OPEN_BYTES, MAXIMUM_OPEN_JOBS, MAXIMUM_PAYLOAD_BYTES
+from .const import MAX_OPEN_BYTES, MAX_OPEN_JOBS, MAX_PAYLOAD_BYTES
 from .errors import (
     JobBindingError,
     JobQuotaError,
@@ -25,7 +25,7 @@
 from .models import JobView, Need, Submission
 from .pool_view import PoolIndex
 from .scheduler import JobScheduler
-from .slots import SlotReturns
+from .slots import SlotReclaimer
 
 SUBMIT_TIMEOUT_SECONDS: Final = 5.0
 CANCEL_PRIORITY: Final = 0
@@ -42,8 +42,8 @@
     fleet: FleetLog
     pools: PoolIndex
     scheduler: JobScheduler
-    slots: SlotReturns
-    draw_id: Callable[[], str]
+    reclaimer: SlotReclaimer
+    generate_id: Callable[[], str]
 
     async def async_submit(
         self, submission: Submission, actor: str
@@ -56,7 +56,7 @@
         pool = self._check(submission)
         if isinstance(pool, MustardwardError):
             return Failure(pool)
-        job_id = full_job_id(submission, self.draw_id)
+        job_id = full_job_id(submission, self.generate_id)
         result = await self.log.async_propose(
             _accept(submission, job_id, pool),
             actor=actor,
@@ -104,7 +104,7 @@
 
     async def async_free_slots(self, pool: str, count: int) -> int:
         """Take slots back for urgent work; return how many are free now."""
-        return await self.slots.async_free(pool, count)
+        return await self.reclaimer.async_free(pool, count)
 
     def _check(self, submission: Submission) -> str | MustardwardError:
         if not (self.log.ready and self.fleet.ready):
@@ -113,9 +113,9 @@
         pool = _pool_of(organisation, submission.service)
         if organisation is None or pool is None:
             return JobBindingError(f"service={submission.service}")
-        if len(submission.payload) > MAXIMUM_PAYLOAD_BYTES:
-            return JobTooLargeError(f"maximum={MAXIMUM_PAYLOAD_BYTES}")
-        full = None if self._is_known(submission) else self._fullness(organisation)
+        if len(submission.payload) > MAX_PAYLOAD_BYTES:
+            return JobTooLargeError(f"maximum={MAX_PAYLOAD_BYTES}")
+        full = None if self._is_known(submission) else self._check_limits(organisation)
         if full is not None:
             return full
         # A job that no worker can take would wait for ever and tell nobody.
@@ -123,21 +123,21 @@
             return JobUnplaceableError(f"pool={pool} need={_need(submission)}")
         return pool
 
-    def _fullness(self, organisation: Organisation) -> MustardwardError | None:
+    def _check_limits(self, organisation: Organisation) -> MustardwardError | None:
         state = self.log.state
         open_jobs = state.open_jobs.get(organisation.name, 0)
         limit = organisation.parameters.quota.long_jobs
         if open_jobs >= limit:
             return JobQuotaError(f"unfinished={open_jobs} limit={limit}")
         total = sum(state.open_jobs.values())
-        if total >= MAXIMUM_OPEN_JOBS or state.payload_bytes >= MAXIMUM_OPEN_BYTES:
+        if total >= MAX_OPEN_JOBS or state.payload_bytes >= MAX_OPEN_BYTES:
             return JobStoreFullError(f"jobs={total} bytes={state.payload_bytes}")
         return None
 
     def _is_known(self, submission: Submission) -> bool:
         if not submission.job_id:
             return False
-        job_id = full_job_id(submission, self.draw_id)
+        job_id = full_job_id(submission, self.generate_id)
         return job_id in self.log.state.jobs
 
     def _view(self, job: Job) -> JobView:
@@ -157,12 +157,12 @@
         )
 
 
-def full_job_id(submission: Submission, draw_id: Callable[[], str]) -> str:
+def full_job_id(submission: Submission, generate_id: Callable[[], str]) -> str:
     """Return the id within the organisation's own space.
 
     Two organisations may choose the same id; neither may learn of the other's job.
     """
-    return f"{submission.organisation}.{submission.job_id or draw_id()}"
+    return f"{submission.organisation}.{submission.job_id or generate_id()}"
 
 
 def _pool_of(organisation: Organisation | None, service: str) -> str | None:
--- a/mustardward/components/jobs/setup.py
+++ b/mustardward/components/jobs/setup.py
@@ -23,31 +23,33 @@
 from ..retries.intents_home import home_name
 from ..routing.models import WorkerBusy
 from .const import TICK_SECONDS
-from .keeper import AttemptKeeper
-from .lessons import Lessons
+from .keeper import AttemptManager
+from .lessons import AttemptStatistics
 from .metrics import subscribe_metrics
 from .pool_view import PoolIndex
-from .presence import HolderPresence
+from .presence import HolderLiveness
 from .scheduler import JobScheduler
 from .services import LogJobService
-from .slots import SlotReturns
-from .wishes import SlotWishes
+from .slots import SlotReclaimer
+from .wishes import SlotDemand
 
 
 async def async_setup_jobs(core: Core) -> Unload:
     """Publish the job service, start its ticks, and return what undoes that."""
-    scheduler = _make_scheduler(core)
-    slots = SlotReturns(scheduler, core.timers, core.find(MEMBERSHIP), core.find(PEERS))
+    scheduler = _build_scheduler(core)
+    reclaimer = SlotReclaimer(
+        scheduler, core.timers, core.find(MEMBERSHIP), core.find(PEERS)
+    )
     service = LogJobService(
         log=core.get(WORK_LOG),
         fleet=core.get(FLEET_LOG),
         pools=scheduler.pools,
         scheduler=scheduler,
-        slots=slots,
-        draw_id=lambda: uuid4().hex,
+        reclaimer=reclaimer,
+        generate_id=lambda: uuid4().hex,
     )
     core.put(JOBS, service)
-    undo = _subscribe(core, scheduler, slots)
+    undo = _subscribe(core, scheduler, reclaimer)
 
     async def async_unload() -> None:
         core.remove(JOBS)
@@ -57,38 +59,38 @@
     return async_unload
 
 
-def _make_scheduler(core: Core) -> JobScheduler:
+def _build_scheduler(core: Core) -> JobScheduler:
     entry = core.settings.entry
     fleet = core.get(FLEET_LOG)
     membership = core.find(MEMBERSHIP)
     incarnation = membership.own.incarnation if membership else 0
     identity = home_name(entry.name, incarnation)
-    may_get_work = membership.instance_may_get_work if membership else _always
-    pools = PoolIndex(fleet, entry.data_centre, may_get_work)
-    keeper = AttemptKeeper(
+    is_eligible = membership.instance_may_get_work if membership else _always_true
+    pools = PoolIndex(fleet, entry.data_centre, is_eligible)
+    attempt_manager = AttemptManager(
         log=core.get(WORK_LOG),
         workers=core.get(WORKER_SERVICE),
         timers=core.timers,
         identity=identity,
-        usable=pools.is_usable,
-        lessons=Lessons(core.timers, lambda job: _run_key(core, job)),
+        is_usable=pools.is_usable,
+        statistics=AttemptStatistics(core.timers, lambda job: _run_time_key(core, job)),
     )
     return JobScheduler(
         log=core.get(WORK_LOG),
-        keeper=keeper,
+        attempt_manager=attempt_manager,
         pools=pools,
         timers=core.timers,
-        owns_duty=membership.owns_duty if membership else _always,
-        holder_present=HolderPresence(core.timers, membership, identity).is_present,
+        owns_duty=membership.owns_duty if membership else _always_true,
+        is_holder_live=HolderLiveness(core.timers, membership, identity).is_live,
         random=Random(identity),
     )
 
 
 def _subscribe(
-    core: Core, scheduler: JobScheduler, slots: SlotReturns
+    core: Core, scheduler: JobScheduler, reclaimer: SlotReclaimer
 ) -> list[Callable[[], None]]:
-    wishes = SlotWishes(
-        returns=slots,
+    demand = SlotDemand(
+        reclaimer=reclaimer,
         pools=scheduler.pools,
         timers=core.timers,
         pool_of=lambda organisation, service: _pool_of(core, organisation, service),
@@ -102,16 +104,18 @@
     metrics = core.find(METRICS)
     feeds: list[Callable[[], None]] = []
     if metrics is not None:
-        feeds = subscribe_metrics(metrics, core.get(WORK_LOG), scheduler.keeper)
+        feeds = subscribe_metrics(
+            metrics, core.get(WORK_LOG), scheduler.attempt_manager
+        )
     return [
         *feeds,
-        slots.start(),
+        reclaimer.start(),
         core.get(WORK_LOG).listen(scheduler.on_record),
         timers.subscribe("jobs.tick", TICK_SECONDS, scheduler.async_tick),
-        timers.subscribe_pause(scheduler.keeper.on_pause),
-        core.events.listen(SlotReclaimRequested, wishes.on_wanted),
-        core.events.listen(WorkerBusy, wishes.on_busy),
-        core.events.listen(RequestFinished, wishes.on_finished),
+        timers.subscribe_pause(scheduler.attempt_manager.on_pause),
+        core.events.listen(SlotReclaimRequested, demand.on_reclaim_requested),
+        core.events.listen(WorkerBusy, demand.on_busy),
+        core.events.listen(RequestFinished, demand.on_finished),
         core.events.listen(InstanceLeaving, on_leaving),
     ]
 
@@ -122,7 +126,7 @@
     return next((item.pool for item in services if item.service == service), None)
 
 
-def _run_key(core: Core, job: Job) -> str:
+def _run_time_key(core: Core, job: Job) -> str:
     # Organisations made from one template run the same services, so what one teaches
     # holds for the next.
     organisation = core.get(FLEET_LOG).state.organisations.get(job.organisation)
@@ -130,5 +134,5 @@
     return f"{template}/{job.service}"
 
 
-def _always(name: str) -> bool:
+def _always_true(name: str) -> bool:
     return True
--- a/mustardward/components/jobs/silence.py
+++ b/mustardward/components/jobs/silence.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from ...helpers.timer import TimerService
-from .const import SILENT_SECONDS
+from .const import UNRESPONSIVE_SECONDS
 
 
-class SilentWorkers:
+class UnresponsiveWorkers:
     """Hold the workers that gave no answer a moment ago.
 
     The tasks of a dead rack would each wait for a time-out at each tick, and nothing
@@ -17,11 +17,11 @@
         self._timers = timers
         self._until: dict[str, float] = {}
 
-    def note(self, instance_id: str) -> None:
+    def add(self, instance_id: str) -> None:
         """Ask a worker nothing more for a moment."""
-        self._until[instance_id] = self._timers.monotonic() + SILENT_SECONDS
+        self._until[instance_id] = self._timers.monotonic() + UNRESPONSIVE_SECONDS
 
-    def clear(self, instance_id: str) -> None:
+    def discard(self, instance_id: str) -> None:
         """Ask a worker again: it answered."""
         self._until.pop(instance_id, None)
 
--- a/mustardward/components/jobs/slots.py
+++ b/mustardward/components/jobs/slots.py
@@ -22,19 +22,19 @@
 SETTLE_SECONDS: Final = 0.5
 """Time in which urgent work takes freed slots, before more are asked for."""
 
-PEER_SECONDS: Final = 2.5
+PEER_TIMEOUT_SECONDS: Final = 2.5
 
 
 @dataclass(frozen=True, slots=True)
-class FreedSlots:
+class FreeSlotsReply:
     """Answer how many slots an entry freed."""
 
     slots: int
 
 
-@peer_message("jobs.free-slots", FreedSlots)
+@peer_message("jobs.free-slots", FreeSlotsReply)
 @dataclass(frozen=True, slots=True)
-class FreeSlots:
+class FreeSlotsRequest:
     """Ask an entry to take slots back from the tasks whose leases it holds."""
 
     pool: str
@@ -42,53 +42,55 @@
 
 
 @dataclass(slots=True, eq=False)
-class SlotReturns:
+class SlotReclaimer:
     """Share a wish for slots out among the entries that hold tasks of the pool."""
 
     scheduler: JobScheduler
     timers: TimerService
     membership: Membership | None = None
     peers: Peers | None = None
-    _settled_at: dict[str, float] = field(default_factory=dict)
+    _next_reclaim_at: dict[str, float] = field(default_factory=dict)
 
     def start(self) -> Callable[[], None]:
         """Begin to answer other entries; return what ends that."""
         if self.peers is None:
             return lambda: None
-        return self.peers.handle(FreeSlots, self._async_answer)
+        return self.peers.handle(FreeSlotsRequest, self._async_handle_request)
 
-    async def async_free(self, pool: str, wanted: int) -> int:
+    async def async_free(self, pool: str, count: int) -> int:
         """Take slots back; return how many are free now.
 
         The wish is repeated as long as urgent work waits; each repetition before the
         freed slots could be used would cost one more task its slot.
         """
         now = self.timers.monotonic()
-        if now < self._settled_at.get(pool, 0.0):
+        if now < self._next_reclaim_at.get(pool, 0.0):
             return 0
-        self._settled_at[pool] = now + PEER_SECONDS
+        self._next_reclaim_at[pool] = now + PEER_TIMEOUT_SECONDS
         freed: list[int] = []
         async with anyio.create_task_group() as group:
-            for holder, slots in self._shares(pool, wanted).items():
-                group.start_soon(self._async_ask, holder, FreeSlots(pool, slots), freed)
-        self._settled_at[pool] = self.timers.monotonic() + SETTLE_SECONDS
+            for holder, slots in self._split_by_holder(pool, count).items():
+                group.start_soon(
+                    self._async_request, holder, FreeSlotsRequest(pool, slots), freed
+                )
+        self._next_reclaim_at[pool] = self.timers.monotonic() + SETTLE_SECONDS
         return sum(freed)
 
-    def _shares(self, pool: str, wanted: int) -> dict[str, int]:
+    def _split_by_holder(self, pool: str, count: int) -> dict[str, int]:
         counts = self.scheduler.tasks_by_holder(pool)
-        own = self.scheduler.keeper.identity
+        own = self.scheduler.attempt_manager.identity
         shares = {}
         for holder in sorted(counts, key=lambda name: (name != own, name)):
-            slots = min(wanted, counts[holder])
+            slots = min(count, counts[holder])
             if slots > 0:
                 shares[holder] = slots
-                wanted -= slots
+                count -= slots
         return shares
 
-    async def _async_ask(
-        self, holder: str, message: FreeSlots, freed: list[int]
+    async def _async_request(
+        self, holder: str, message: FreeSlotsRequest, freed: list[int]
     ) -> None:
-        if holder == self.scheduler.keeper.identity:
+        if holder == self.scheduler.attempt_manager.identity:
             freed.append(
                 await self.scheduler.async_free_slots(message.pool, message.slots)
             )
@@ -97,11 +99,11 @@
         if member is None or self.peers is None:
             return
         try:
-            answer = await self.peers.async_call(member, message, PEER_SECONDS)
+            reply = await self.peers.async_call(member, message, PEER_TIMEOUT_SECONDS)
         except PeerError as error:
-            _LOGGER.info("job_slots_peer_silent", peer=member.name, code=error.code)
+            _LOGGER.info("job_slots_peer_unreachable", peer=member.name, code=error.code)
             return
-        freed.append(answer.slots)
+        freed.append(reply.slots)
 
     def _member(self, holder: str) -> Member | None:
         if self.membership is None:
@@ -111,6 +113,8 @@
                 return item
         return None
 
-    async def _async_answer(self, caller: str, message: FreeSlots) -> FreedSlots:
+    async def _async_handle_request(
+        self, caller: str, message: FreeSlotsRequest
+    ) -> FreeSlotsReply:
         freed = await self.scheduler.async_free_slots(message.pool, message.slots)
-        return FreedSlots(freed)
+        return FreeSlotsReply(freed)
--- a/mustardward/components/jobs/wishes.py
+++ b/mustardward/components/jobs/wishes.py
@@ -12,26 +12,26 @@
 from ..limits.models import SlotReclaimRequested
 from ..routing.models import WorkerBusy
 from .pool_view import PoolIndex
-from .slots import SETTLE_SECONDS, SlotReturns
+from .slots import SETTLE_SECONDS, SlotReclaimer
 
-LONG_SHARE: Final = 0.25
+MIN_JOB_SLOT_SHARE: Final = 0.25
 """Share of a pool's slots that long work keeps against requests that are not urgent."""
 
-REFUSED_FOR_SLOTS: Final = frozenset({"workers-busy", "no-capacity", "overloaded"})
-BUSY_WORKERS: Final = 2
+SLOT_REFUSAL_CAUSES: Final = frozenset({"workers-busy", "no-capacity", "overloaded"})
+MIN_BUSY_WORKERS: Final = 2
 """Distinct workers that have to refuse one request before long work gives way.
 
 One full worker says nothing while its neighbours have room, and each slot taken back
 moves a job.
 """
 
-MAXIMUM_WISHES: Final = 256
+MAX_PENDING_REQUESTS: Final = 256
 
 Start = Callable[..., Any]
 
 
 @dataclass(slots=True, eq=False)
-class _Wish:
+class _PendingRequest:
     """Hold what one request met in a pool."""
 
     urgent: bool
@@ -40,81 +40,85 @@
 
 
 @dataclass(slots=True, eq=False)
-class SlotWishes:
+class SlotDemand:
     """Turn what requests meet into slots that long work gives back.
 
     :param pool_of: returns the pool of an organisation's service.
     :param start: starts a coroutine function in the background.
     """
 
-    returns: SlotReturns
+    reclaimer: SlotReclaimer
     pools: PoolIndex
     timers: TimerService
     pool_of: Callable[[str, str], str | None]
     start: Start
-    _wishes: dict[str, dict[str, _Wish]] = field(default_factory=dict)
-    _serving: set[str] = field(default_factory=set)
+    _pending: dict[str, dict[str, _PendingRequest]] = field(default_factory=dict)
+    _reclaiming: set[str] = field(default_factory=set)
 
-    def on_wanted(self, event: SlotReclaimRequested) -> None:
+    def on_reclaim_requested(self, event: SlotReclaimRequested) -> None:
         """Follow urgent requests that wait to be admitted."""
         for number in range(event.slots):
-            wish = self._wish(event.pool, f"waiting-{number}", True)
-            wish.refused = True
-        self._serve(event.pool)
+            request = self._get_pending(event.pool, f"waiting-{number}", True)
+            request.refused = True
+        self._start_reclaim(event.pool)
 
     def on_busy(self, event: WorkerBusy) -> None:
         """Follow a request that a worker had no slot for."""
         if event.urgency is Urgency.LONG:
             return
         urgent = event.urgency is Urgency.URGENT
-        wish = self._wish(event.pool, event.request_id, urgent)
-        wish.busy.add(event.instance_id)
-        if len(wish.busy) >= self._enough(event.pool):
-            self._serve(event.pool)
+        request = self._get_pending(event.pool, event.request_id, urgent)
+        request.busy.add(event.instance_id)
+        if len(request.busy) >= self._required_busy_workers(event.pool):
+            self._start_reclaim(event.pool)
 
     def on_finished(self, event: RequestFinished) -> None:
         """Follow a request that was refused because there was no slot."""
-        if event.cause not in REFUSED_FOR_SLOTS or event.urgency is Urgency.LONG:
+        if event.cause not in SLOT_REFUSAL_CAUSES or event.urgency is Urgency.LONG:
             return
         pool = self.pool_of(event.organisation, event.service)
         if pool is None:
             return
         urgent = event.urgency is Urgency.URGENT
-        self._wish(pool, event.request_id, urgent).refused = True
-        self._serve(pool)
+        self._get_pending(pool, event.request_id, urgent).refused = True
+        self._start_reclaim(pool)
 
-    def _wish(self, pool: str, request_id: str, urgent: bool) -> _Wish:
-        wishes = self._wishes.setdefault(pool, {})
+    def _get_pending(self, pool: str, request_id: str, urgent: bool) -> _PendingRequest:
+        pending = self._pending.setdefault(pool, {})
         # Most requests that meet one full worker find room at the next, and their
         # wishes are never asked for.
-        if request_id not in wishes and len(wishes) >= MAXIMUM_WISHES:
-            del wishes[next(iter(wishes))]
-        return wishes.setdefault(request_id, _Wish(urgent))
+        if request_id not in pending and len(pending) >= MAX_PENDING_REQUESTS:
+            del pending[next(iter(pending))]
+        return pending.setdefault(request_id, _PendingRequest(urgent))
 
-    def _serve(self, pool: str) -> None:
-        if pool not in self._serving:
-            self._serving.add(pool)
-            self.start(self._async_serve, pool)
+    def _start_reclaim(self, pool: str) -> None:
+        if pool not in self._reclaiming:
+            self._reclaiming.add(pool)
+            self.start(self._async_reclaim, pool)
 
-    async def _async_serve(self, pool: str) -> None:
+    async def _async_reclaim(self, pool: str) -> None:
         try:
-            while slots := self._due(pool, self._wishes.pop(pool, {})):
-                await self.returns.async_free(pool, slots)
+            while slots := self._slots_to_reclaim(pool, self._pending.pop(pool, {})):
+                await self.reclaimer.async_free(pool, slots)
                 await self.timers.async_sleep(SETTLE_SECONDS)
         finally:
-            self._serving.discard(pool)
-
-    def _due(self, pool: str, wishes: dict[str, _Wish]) -> int:
-        enough = self._enough(pool)
-        due = [w for w in wishes.values() if w.refused or len(w.busy) >= enough]
-        urgent = sum(wish.urgent for wish in due)
-        running = sum(self.returns.scheduler.tasks_by_holder(pool).values())
-        kept = int(LONG_SHARE * self._slots(pool))
-        normal = min(len(due) - urgent, max(0, running - urgent - kept))
+            self._reclaiming.discard(pool)
+
+    def _slots_to_reclaim(self, pool: str, pending: dict[str, _PendingRequest]) -> int:
+        required = self._required_busy_workers(pool)
+        unserved = [
+            item
+            for item in pending.values()
+            if item.refused or len(item.busy) >= required
+        ]
+        urgent = sum(request.urgent for request in unserved)
+        running = sum(self.reclaimer.scheduler.tasks_by_holder(pool).values())
+        reserved = int(MIN_JOB_SLOT_SHARE * self._slots(pool))
+        normal = min(len(unserved) - urgent, max(0, running - urgent - reserved))
         return min(urgent + normal, running)
 
-    def _enough(self, pool: str) -> int:
-        return min(BUSY_WORKERS, max(1, len(self.pools.instances(pool))))
+    def _required_busy_workers(self, pool: str) -> int:
+        return min(MIN_BUSY_WORKERS, max(1, len(self.pools.instances(pool))))
 
     def _slots(self, pool: str) -> int:
         return sum(item.slots for item in self.pools.instances(pool))
--- a/tests/components/jobs/test_decisions.py
+++ b/tests/components/jobs/test_decisions.py
@@ -5,8 +5,8 @@
 from random import Random
 from typing import Any
 
-from mustardward.components.jobs.judge import PROBATION_SECONDS, WorkerJudge
-from mustardward.components.jobs.models import Need, empty_room
+from mustardward.components.jobs.judge import PROBATION_SECONDS, WorkerQuarantine
+from mustardward.components.jobs.models import Need, total_capacity
 from mustardward.components.jobs.placement import (
     Candidate,
     PoolView,
@@ -18,11 +18,11 @@
 
 
 def build_view(workers: int, slots_left: int = 99) -> PoolView:
-    rooms = [
-        empty_room(Instance(f"w{n}", "dc-1", "rack", "address", "casting", 1))
+    capacities = [
+        total_capacity(Instance(f"w{n}", "dc-1", "rack", "address", "casting", 1))
         for n in range(workers)
     ]
-    return PoolView(rooms, slots_left)
+    return PoolView(capacities, slots_left)
 
 
 def build_candidate(job_id: str, waited: float = 0.0, **fields: Any) -> Candidate:
@@ -32,7 +32,7 @@
 
 def placed(view: PoolView, *candidates: Candidate) -> list[tuple[str, str]]:
     plan = plan_placements(view, candidates, 64, Random(1))
-    return [(item.job_id, room.instance.instance_id) for item, room in plan]
+    return [(item.job_id, capacity.instance.instance_id) for item, capacity in plan]
 
 
 def test_small_jobs_fill_one_worker_before_they_open_the_next() -> None:
@@ -61,12 +61,12 @@
 
 def test_a_job_that_waited_long_gets_a_worker_kept_free() -> None:
     view = build_view(2)
-    for room in view.rooms:
-        room.take(Need(20, 1, 0))
+    for capacity in view.capacities:
+        capacity.reserve(Need(20, 1, 0))
     large = build_candidate("large", waited=600.0, need=Need(32, 1, 0))
     small = [build_candidate(f"small-{n}", need=Need(4, 1, 0)) for n in range(6)]
     workers = {worker for _, worker in placed(view, large, *small)}
-    assert len(workers) == 1 and view.reserved not in workers
+    assert len(workers) == 1 and view.reserved_worker not in workers
 
 
 def test_workers_on_which_a_job_failed_are_left_out() -> None:
@@ -78,7 +78,7 @@
 def test_victims_are_those_that_lose_least() -> None:
     def victim(name: str, **fields: Any) -> Victim:
         values: dict[str, Any] = {
-            "began": 0.0,
+            "began_at": 0.0,
             "progress": 0.1,
             "preemptions": 0,
             "idempotent": True,
@@ -89,8 +89,8 @@
     tasks = [
         victim("gave-way-often", preemptions=3),
         victim("nearly-done", progress=0.95),
-        victim("old", began=1.0),
-        victim("young", began=9.0),
+        victim("old", began_at=1.0),
+        victim("young", began_at=9.0),
         victim("throttled", throttled=True),
     ]
     chosen = [item.job_id for item in choose_victims(tasks, 9)]
@@ -102,21 +102,21 @@
     assert times.estimate("plans", 60.0, 0.5) == 60.0
     assert times.estimate("plans", 60.0, 0.99) > 500.0
     for seconds in (6.0, 600.0, 610.0, 590.0, 605.0):
-        times.note("plans", seconds)
+        times.record("plans", seconds)
     assert times.estimate("plans", 60.0, 0.5) == 600.0
     assert times.estimate("plans", 60.0, 0.99) == 610.0
 
 
 def test_one_bad_job_never_condemns_a_worker_and_few_are_kept_out() -> None:
-    judge = WorkerJudge()
+    quarantine = WorkerQuarantine()
     names = [f"w{n}" for n in range(8)]
     for _ in range(9):
-        judge.note_wrong("w0", "bad-job", 0.0)
-    assert not judge.is_suspect("w0")
+        quarantine.record_failure("w0", "bad-job", 0.0)
+    assert not quarantine.is_suspect("w0")
     for number, name in enumerate(names[:4]):
         for job in ("a", "b", "c"):
-            judge.note_wrong(name, job, float(number))
-    assert judge.kept_out(names, 5.0) == {"w2", "w3"}
-    assert judge.kept_out(names, 5.0 + PROBATION_SECONDS) == frozenset()
-    judge.note_finished("w3")
-    assert not judge.is_suspect("w3")
+            quarantine.record_failure(name, job, float(number))
+    assert quarantine.quarantined(names, 5.0) == {"w2", "w3"}
+    assert quarantine.quarantined(names, 5.0 + PROBATION_SECONDS) == frozenset()
+    quarantine.record_finished("w3")
+    assert not quarantine.is_suspect("w3")
--- a/tests/components/jobs/test_faulty_runs.py
+++ b/tests/components/jobs/test_faulty_runs.py
@@ -6,7 +6,7 @@
 
 from bench import jobs_mutants
 from bench.jobs_world import FaultyRun
-from mustardward.components.jobs import keeper
+from mustardward.components.jobs import keeper as attempt_manager
 from mustardward.state.handlers import jobs as handlers
 
 pytestmark = pytest.mark.anyio
@@ -30,8 +30,8 @@
 ) -> None:
     for owner, name in (
         (handlers, "_event_when_not_idempotent"),
-        (keeper, "async_outcome"),
-        (keeper.AttemptKeeper, "_async_sure"),
+        (attempt_manager, "async_outcome"),
+        (attempt_manager.AttemptManager, "_async_verify_lease"),
     ):
         monkeypatch.setattr(owner, name, getattr(owner, name))
     jobs_mutants.MUTANTS[mutant]()
--- a/tests/components/jobs/test_presence.py
+++ b/tests/components/jobs/test_presence.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from mustardward.components.jobs.presence import GRACE_SECONDS, HolderPresence
+from mustardward.components.jobs.presence import HOLDER_GRACE_SECONDS, HolderLiveness
 from mustardward.components.membership.models import Member, MemberStatus
 from mustardward.helpers.timer import DrivenTimerService
 
@@ -28,21 +28,21 @@
     timers = DrivenTimerService()
     members = [MEMBER]
     membership: Any = SimpleNamespace(members=lambda: tuple(members))
-    presence = HolderPresence(timers, membership, "a/1")
-    assert presence.is_present("b/7")
+    liveness = HolderLiveness(timers, membership, "a/1")
+    assert liveness.is_live("b/7")
     members[0] = replace(MEMBER, status=status)
-    timers.pause(GRACE_SECONDS - 1)
-    assert presence.is_present("b/7")
+    timers.pause(HOLDER_GRACE_SECONDS - 1)
+    assert liveness.is_live("b/7")
     timers.pause(2)
-    assert not presence.is_present("b/7")
+    assert not liveness.is_live("b/7")
     members[0] = MEMBER
-    assert presence.is_present("b/7")
+    assert liveness.is_live("b/7")
 
 
 def test_a_leaving_holder_hands_over_at_once_and_oneself_is_always_there() -> None:
     leaving = replace(MEMBER, status=MemberStatus.LEAVING)
     membership: Any = SimpleNamespace(members=lambda: (leaving,))
-    presence = HolderPresence(DrivenTimerService(), membership, "a/1")
-    assert not presence.is_present("b/7")
-    assert presence.is_present("a/1")
-    assert presence.is_present("b/6")
+    liveness = HolderLiveness(DrivenTimerService(), membership, "a/1")
+    assert not liveness.is_live("b/7")
+    assert liveness.is_live("a/1")
+    assert liveness.is_live("b/6")
--- a/tests/components/jobs/test_scheduling.py
+++ b/tests/components/jobs/test_scheduling.py
@@ -35,7 +35,7 @@
     await world.async_run(40)
     view = entry.service.status(job_id).unwrap()
     assert (view.status, view.result, view.attempts) == ("done", b"done", 1)
-    assert entry.keeper.held == {}
+    assert entry.attempt_manager.attempts == {}
 
 
 async def test_a_submission_repeated_after_a_lost_answer_is_accepted_once() -> None:
@@ -71,7 +71,7 @@
     world = JobsWorld()
     a = world.add_entry("a")
     job_id = await world.async_submit(a, "plan-1", idempotent=False)
-    a.keeper._paused = True
+    a.attempt_manager._must_confirm_tail = True
     world.shared.out = True
     await world.async_run(1)
     world.shared.out = False
@@ -84,9 +84,9 @@
     await world.async_run(15)
     assert status(b, job_id) == "held"
     world.timers.pause(LEASE_SECONDS)
-    await a.keeper.async_tick()
+    await a.attempt_manager.async_tick()
     assert world.workers.runs(job_id) == 0
-    assert a.keeper.held == {}
+    assert a.attempt_manager.attempts == {}
 
 
 async def test_a_paused_holder_with_the_log_out_starts_nothing() -> None:
@@ -96,11 +96,11 @@
     attempt = await a.scheduler._async_lease(a.log.state.jobs[job_id], "worker-0")
     world.timers.pause(60.0)
     world.shared.out = True
-    await a.keeper.async_tick()
+    await a.attempt_manager.async_tick()
     assert world.workers.runs(job_id) == 0
-    assert attempt is not None and not attempt.started
+    assert attempt is not None and not attempt.start_sent
     world.shared.out = False
-    await a.keeper.async_tick()
+    await a.attempt_manager.async_tick()
     assert world.workers.runs(job_id) == 1
 
 
@@ -175,7 +175,7 @@
     ]
     await world.async_run(600)
     assert {status(entry, job_id) for job_id in jobs} == {"done"}
-    assert entry.keeper.lessons.judge.is_suspect("worker-1")
+    assert entry.attempt_manager.statistics.quarantine.is_suspect("worker-1")
     await world.async_submit(entry, "late")
     await world.async_run(2)
     assert worker_of(entry, "derwent.late") != "worker-1"
@@ -281,9 +281,9 @@
     assert await entry.service.async_free_slots("casting", 1) == 1
     assert await entry.service.async_free_slots("casting", 1) == 0
     await world.async_run(5)
-    assert len(entry.keeper.held) == 1
+    assert len(entry.attempt_manager.attempts) == 1
     await world.async_run(6)
-    assert len(entry.keeper.held) == 2
+    assert len(entry.attempt_manager.attempts) == 2
 
 
 async def test_a_job_that_may_not_run_twice_is_never_stopped_for_urgent_work() -> None:
@@ -405,7 +405,7 @@
     calls = world.workers.calls
     await world.async_run(60)
     assert world.workers.calls - calls <= 8 * 60 / 5
-    assert len(entry.keeper.held) == 8
+    assert len(entry.attempt_manager.attempts) == 8
 
 
 async def test_a_worker_that_hangs_gives_its_slot_back_in_time() -> None:
@@ -491,7 +491,7 @@
     await world.async_run(2)
     worker = world.workers.at[worker_of(entry, job_id)]
     task = worker.tasks[job_id]
-    stray: Any = TaskReport(job_id, 1, TaskState.DONE, 1.0, "", b"stray")
-    task.report = stray
+    stale_report: Any = TaskReport(job_id, 1, TaskState.DONE, 1.0, "", b"stray")
+    task.report = stale_report
     await world.async_run(90)
     assert entry.service.status(job_id).unwrap().result == b"done"
--- a/tests/components/jobs/test_slots.py
+++ b/tests/components/jobs/test_slots.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from mustardward.components.jobs.held_back import HeldBackSlots
-from mustardward.components.jobs.slots import FreeSlots, SlotReturns
+from mustardward.components.jobs.held_back import SlotCooldown
+from mustardward.components.jobs.slots import FreeSlotsRequest, SlotReclaimer
 from mustardward.components.membership.models import Member, MemberStatus
 from mustardward.components.peers.exceptions import PeerUnreachableError
 from tests.fakes.jobs_world import JobsWorld
@@ -19,14 +19,14 @@
 class OnePeer:
     """Pass calls to the one other entry, or fail as an unreachable one."""
 
-    def __init__(self, target: SlotReturns, reachable: bool) -> None:
+    def __init__(self, target: SlotReclaimer, reachable: bool) -> None:
         self._target = target
         self._reachable = reachable
 
     async def async_call(self, member: Member, message: Any, timeout: float) -> Any:
         if not self._reachable:
             raise PeerUnreachableError(member.name)
-        return await self._target._async_answer("a", message)
+        return await self._target._async_handle_request("a", message)
 
 
 @pytest.mark.parametrize(("reachable", "freed"), [(True, 2), (False, 0)])
@@ -47,23 +47,23 @@
     a = world.add_entry("a")
     member = Member("b", "dc-1", "127.0.0.1:1", 1, MemberStatus.ALIVE)
     membership: Any = SimpleNamespace(live=lambda: (member,))
-    peers: Any = OnePeer(SlotReturns(b.scheduler, world.timers), reachable)
-    wishes = SlotReturns(a.scheduler, world.timers, membership, peers)
-    assert await wishes.async_free("casting", 2) == freed
-    assert len(b.keeper.held) == 4 - freed
+    peers: Any = OnePeer(SlotReclaimer(b.scheduler, world.timers), reachable)
+    reclaimer = SlotReclaimer(a.scheduler, world.timers, membership, peers)
+    assert await reclaimer.async_free("casting", 2) == freed
+    assert len(b.attempt_manager.attempts) == 4 - freed
 
 
 async def test_a_peers_question_is_about_its_own_tasks() -> None:
     world = JobsWorld(workers_count=1, slots=4)
     entry = world.add_entry("a")
-    answer = await SlotReturns(entry.scheduler, world.timers)._async_answer(
-        "b", FreeSlots("casting", 3)
+    answer = await SlotReclaimer(entry.scheduler, world.timers)._async_handle_request(
+        "b", FreeSlotsRequest("casting", 3)
     )
     assert answer.slots == 0
 
 
 def test_held_back_slots_are_counted_for_a_while() -> None:
-    held = HeldBackSlots(10.0)
-    held.note("casting", 0.0)
-    held.note("casting", 5.0)
-    assert [held.count("casting", now) for now in (5.0, 11.0, 15.0)] == [2, 1, 0]
+    cooldown = SlotCooldown(10.0)
+    cooldown.record_freed("casting", 0.0)
+    cooldown.record_freed("casting", 5.0)
+    assert [cooldown.count("casting", now) for now in (5.0, 11.0, 15.0)] == [2, 1, 0]
--- a/tests/components/jobs/test_wishes.py
+++ b/tests/components/jobs/test_wishes.py
@@ -11,8 +11,8 @@
 import pytest
 
 from mustardward.components.entry.models import Ran, RequestFinished
-from mustardward.components.jobs.slots import SlotReturns
-from mustardward.components.jobs.wishes import MAXIMUM_WISHES, SlotWishes
+from mustardward.components.jobs.slots import SlotReclaimer
+from mustardward.components.jobs.wishes import MAX_PENDING_REQUESTS, SlotDemand
 from mustardward.components.limits.models import SlotReclaimRequested
 from mustardward.components.routing.models import WorkerBusy
 from mustardward.state.models.templates import Urgency
@@ -22,7 +22,7 @@
 
 
 @asynccontextmanager
-async def full_world() -> AsyncIterator[SimpleNamespace]:
+async def running_demand() -> AsyncIterator[SimpleNamespace]:
     """Fill two workers of four slots with long work."""
     world = JobsWorld(workers_count=2, slots=4)
     entry = world.add_entry("a")
@@ -31,8 +31,8 @@
         world.workers.seconds[job_id] = 1000.0
     await world.async_run(3)
     async with anyio.create_task_group() as tasks:
-        wishes = SlotWishes(
-            returns=SlotReturns(entry.scheduler, world.timers),
+        demand = SlotDemand(
+            reclaimer=SlotReclaimer(entry.scheduler, world.timers),
             pools=entry.scheduler.pools,
             timers=world.timers,
             pool_of=lambda organisation, service: POOL,
@@ -44,9 +44,9 @@
                 await world.timers.async_advance(0.1)
                 for _ in range(20):
                     await anyio.lowlevel.checkpoint()
-            return len(entry.keeper.held)
+            return len(entry.attempt_manager.attempts)
 
-        yield SimpleNamespace(wishes=wishes, held=async_held)
+        yield SimpleNamespace(demand=demand, held=async_held)
         tasks.cancel_scope.cancel()
 
 
@@ -61,39 +61,39 @@
     slot. Sequence: the limits admit them, each worker refuses, and nobody tells long
     work. Cause: it only gave way to requests that waited to be admitted.
     """
-    async with full_world() as world:
+    async with running_demand() as world:
         for number in range(3):
             for worker in ("worker-0", "worker-1"):
                 request = f"request-{number}"
-                world.wishes.on_busy(busy(worker, request, Urgency.URGENT))
+                world.demand.on_busy(busy(worker, request, Urgency.URGENT))
         assert await world.held() == 5
 
 
 async def test_one_full_worker_moves_no_job() -> None:
-    async with full_world() as world:
-        for number in range(MAXIMUM_WISHES + 9):
-            world.wishes.on_busy(busy("worker-0", f"r{number}", Urgency.URGENT))
+    async with running_demand() as world:
+        for number in range(MAX_PENDING_REQUESTS + 9):
+            world.demand.on_busy(busy("worker-0", f"r{number}", Urgency.URGENT))
         assert await world.held() == 8
-        assert len(world.wishes._wishes[POOL]) == MAXIMUM_WISHES
+        assert len(world.demand._pending[POOL]) == MAX_PENDING_REQUESTS
 
 
 async def test_long_work_keeps_a_share_against_what_is_not_urgent() -> None:
-    async with full_world() as world:
+    async with running_demand() as world:
         for number in range(20):
             for worker in ("worker-0", "worker-1"):
-                world.wishes.on_busy(busy(worker, f"r{number}", Urgency.NORMAL))
+                world.demand.on_busy(busy(worker, f"r{number}", Urgency.NORMAL))
         assert await world.held() == 2
 
 
 async def test_requests_of_the_long_class_take_nothing() -> None:
-    async with full_world() as world:
+    async with running_demand() as world:
         for worker in ("worker-0", "worker-1"):
-            world.wishes.on_busy(busy(worker, "request", Urgency.LONG))
+            world.demand.on_busy(busy(worker, "request", Urgency.LONG))
         assert await world.held() == 8
 
 
 async def test_refused_and_waiting_requests_count_too() -> None:
-    async with full_world() as world:
+    async with running_demand() as world:
         refused = RequestFinished(
             "request",
             "derwent",
@@ -105,7 +105,7 @@
             0,
             "no-capacity",
         )
-        world.wishes.on_finished(refused)
+        world.demand.on_finished(refused)
         assert await world.held() == 7
-        world.wishes.on_wanted(SlotReclaimRequested(POOL, 2))
+        world.demand.on_reclaim_requested(SlotReclaimRequested(POOL, 2))
         assert await world.held() == 5
--- a/tests/fakes/jobs_world.py
+++ b/tests/fakes/jobs_world.py
@@ -7,13 +7,13 @@
 from types import SimpleNamespace
 from typing import Any
 
-from mustardward.components.jobs.keeper import AttemptKeeper
-from mustardward.components.jobs.lessons import Lessons
+from mustardward.components.jobs.keeper import AttemptManager
+from mustardward.components.jobs.lessons import AttemptStatistics
 from mustardward.components.jobs.models import Submission
 from mustardward.components.jobs.pool_view import PoolIndex
 from mustardward.components.jobs.scheduler import JobScheduler
 from mustardward.components.jobs.services import LogJobService
-from mustardward.components.jobs.slots import SlotReturns
+from mustardward.components.jobs.slots import SlotReclaimer
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.state.fleet import FleetState
 from mustardward.state.models.pools import Instance
@@ -38,7 +38,7 @@
 
     name: str
     log: FakeWorkLog
-    keeper: AttemptKeeper
+    attempt_manager: AttemptManager
     scheduler: JobScheduler
     service: LogJobService
     frozen: bool = False
@@ -97,37 +97,37 @@
     def add_entry(self, name: str) -> Entry:
         log = FakeWorkLog(self.shared, name)
         pools = PoolIndex(self.fleet, "dc-1", lambda instance_id: True)
-        keeper = AttemptKeeper(
+        attempt_manager = AttemptManager(
             log=log,
             workers=self.workers,
             timers=self.timers,
             identity=f"{name}/1",
-            usable=pools.is_usable,
-            lessons=Lessons(
+            is_usable=pools.is_usable,
+            statistics=AttemptStatistics(
                 self.timers, lambda job: f"{job.organisation}/{job.service}"
             ),
         )
         scheduler = JobScheduler(
             log=log,
-            keeper=keeper,
+            attempt_manager=attempt_manager,
             pools=pools,
             timers=self.timers,
             owns_duty=lambda duty: self._first_alive() == name,
-            holder_present=self._is_present,
+            is_holder_live=self._is_present,
             random=Random(7),
         )
         log.listen(scheduler.on_record)
-        self.timers.subscribe_pause(keeper.on_pause)
+        self.timers.subscribe_pause(attempt_manager.on_pause)
         ids = iter(range(1_000_000))
         service = LogJobService(
             log,
             self.fleet,
             pools,
             scheduler,
-            SlotReturns(scheduler, self.timers),
+            SlotReclaimer(scheduler, self.timers),
             lambda: f"{name}-{next(ids)}",
         )
-        self.entries[name] = Entry(name, log, keeper, scheduler, service)
+        self.entries[name] = Entry(name, log, attempt_manager, scheduler, service)
         return self.entries[name]
 
     def remove_entry(self, name: str) -> Entry:
