--- a/bench/capacity/measures.py
+++ b/bench/capacity/measures.py
@@ -17,7 +17,7 @@
 from mustardward.components.limits.admission import PoolAdmission
 from mustardward.components.limits.latency import LatencyEstimate
 from mustardward.components.limits.models import PoolCapacity, Ticket
-from mustardward.components.maintenance.selection import SelectionFacts, select_claims
+from mustardward.components.maintenance.selection import SelectionContext, select_claims
 from mustardward.components.membership.messages import (
     Exchange,
     InstanceNote,
@@ -126,13 +126,13 @@
     """Return the time of one planning round over a wave that covers the fleet."""
     state = build_fleet(workers).state
     wave = Wave("wave", (), "running", 1, set(state.instances))
-    facts = SelectionFacts(
+    facts = SelectionContext(
         data_centre="dc-0",
         wall=0.0,
-        evidence=Counter(),
+        unreported=Counter(),
         concurrency=lambda pool: 4,
-        burden=lambda instance: 0.0,
-        most=16,
+        drain_cost=lambda instance: 0.0,
+        limit=16,
     )
     return best_seconds(lambda: select_claims(state, wave, facts)) * 1e3
 
--- a/bench/history/removals.py
+++ b/bench/history/removals.py
@@ -44,10 +44,10 @@
 
 def remove_budget_recheck() -> None:
     """Neither refuse a reboot nor give a claim back for failures since the claim."""
-    from mustardward.components.maintenance.claim_steps import ClaimSteps
+    from mustardward.components.maintenance.claim_steps import ClaimProcessor
     from mustardward.state.handlers import maintenance
 
-    setattr(ClaimSteps, "refusal", lambda *arguments: None)  # noqa: B010
+    setattr(ClaimProcessor, "check_budget", lambda *arguments: None)  # noqa: B010
     if not hasattr(maintenance, "check_held"):
         raise AttributeError("the protection has another name now")
     setattr(maintenance, "check_held", lambda *arguments: None)  # noqa: B010
--- a/bench/planner.py
+++ b/bench/planner.py
@@ -33,7 +33,7 @@
     weigh,
 )
 from mustardward.components.maintenance.plan_bounds import canary_bound, rollout_bound
-from mustardward.components.maintenance.plan_models import Measures, PlanInput
+from mustardward.components.maintenance.plan_models import PlanInput, PlanMetrics
 from mustardward.components.maintenance.planner import plan_wave
 from mustardward.state.budgets import BudgetIndex, check_budgets, index_of
 
@@ -51,11 +51,11 @@
     over_bound: list[float] = field(default_factory=list)
     over_canary_bound: list[float] = field(default_factory=list)
     over_moves: list[float] = field(default_factory=list)
-    plans: list[Measures] = field(default_factory=list)
-    singles: list[Measures] = field(default_factory=list)
-    racks: list[Measures] = field(default_factory=list)
-    moves_first: list[Measures] = field(default_factory=list)
-    buffer_first: list[Measures] = field(default_factory=list)
+    plans: list[PlanMetrics] = field(default_factory=list)
+    singles: list[PlanMetrics] = field(default_factory=list)
+    racks: list[PlanMetrics] = field(default_factory=list)
+    moves_first: list[PlanMetrics] = field(default_factory=list)
+    buffer_first: list[PlanMetrics] = field(default_factory=list)
     refused: int = 0
     left: int = 0
     racks_broken: int = 0
@@ -68,26 +68,26 @@
     """
     facts = case.facts
     plan = plan_wave(facts)
-    tally.left += len(plan.never)
+    tally.left += len(plan.blocked)
     tally.refused += FoldCheck(facts).run(facts, plan)
     single = one_at_a_time(facts)
     racks = rack_by_rack(facts)
     tally.racks_broken += racks.broken
-    tally.plans.append(plan.measures)
-    tally.singles.append(single.measures)
-    tally.racks.append(racks.measures)
-    seconds = plan.measures.rollout_seconds
+    tally.plans.append(plan.metrics)
+    tally.singles.append(single.metrics)
+    tally.racks.append(racks.metrics)
+    seconds = plan.metrics.rollout_seconds
     tally.over_bound.append(seconds / rollout_bound(facts))
     tally.over_canary_bound.append(seconds / canary_bound(facts))
-    theirs = max(1, min(single.measures.moves, racks.measures.moves))
-    tally.over_moves.append(plan.measures.moves / theirs)
-    for weights, measures in (
+    theirs = max(1, min(single.metrics.moves, racks.metrics.moves))
+    tally.over_moves.append(plan.metrics.moves / theirs)
+    for weights, metrics in (
         (MOVES_FIRST, tally.moves_first),
         (BUFFER_FIRST, tally.buffer_first),
     ):
         steered = weigh(facts, weights)
         plan = plan_wave(steered)
-        measures.append(plan.measures)
+        metrics.append(plan.metrics)
         if fold_steered:
             tally.refused += FoldCheck(steered).run(steered, plan)
 
@@ -127,11 +127,11 @@
     return sum(1 for value in values if value > aim) / len(values)
 
 
-def _sums(measures: list[Measures]) -> tuple[float, float, float]:
+def _sums(metrics: list[PlanMetrics]) -> tuple[float, float, float]:
     return (
-        sum(item.buffer for item in measures),
-        sum(item.rollout_seconds for item in measures),
-        sum(item.moves for item in measures),
+        sum(item.buffer for item in metrics),
+        sum(item.rollout_seconds for item in metrics),
+        sum(item.moves for item in metrics),
     )
 
 
--- a/bench/planner_baselines.py
+++ b/bench/planner_baselines.py
@@ -11,12 +11,12 @@
 from returns.result import Success
 
 from mustardward.components.maintenance.plan_models import (
-    Measures,
     Plan,
     PlanInput,
     PlanInstance,
+    PlanMetrics,
 )
-from mustardward.components.maintenance.plan_tasks import TaskTable
+from mustardward.components.maintenance.plan_tasks import TaskSimulation
 from mustardward.components.maintenance.plan_units import PlanBudgets
 from mustardward.state.fleet import FleetState
 from mustardward.state.fold import Fold
@@ -40,7 +40,7 @@
 class Baseline:
     """Hold a baseline's measures and how many floors it broke."""
 
-    measures: Measures
+    metrics: PlanMetrics
     broken: int
 
 
@@ -48,7 +48,7 @@
     """Take one instance after another."""
     due = [item for item in facts.instances if item.instance_id in facts.due]
     seconds, moves, broken = _batches(facts, [[item] for item in due])
-    return Baseline(Measures(1, seconds, moves), broken)
+    return Baseline(PlanMetrics(1, seconds, moves), broken)
 
 
 def rack_by_rack(facts: PlanInput) -> Baseline:
@@ -79,19 +79,19 @@
     for item in facts.instances:
         units[item.unit] += 1
     buffer = sum(math.ceil(FIXED_BUFFER * size) for size in units.values())
-    return Baseline(Measures(buffer, seconds, moves), broken)
+    return Baseline(PlanMetrics(buffer, seconds, moves), broken)
 
 
 def _batches(
     facts: PlanInput, batches: list[list[PlanInstance]]
 ) -> tuple[float, int, int]:
     budgets = PlanBudgets(facts)
-    tasks = TaskTable(facts, prefer_finished=False)
+    tasks = TaskSimulation(facts, prefer_finished=False)
     now = 0.0
     moves = broken = 0
     for batch in batches:
         for item in batch:
-            budgets.take(item)
+            budgets.remove(item)
         longest = 0.0
         for item in batch:
             drain, moved = tasks.drain(item, now, 0.0)
@@ -103,7 +103,7 @@
                 broken += 1
         now += longest + facts.reboot_seconds
         for item in batch:
-            budgets.give(item)
+            budgets.restore(item)
             tasks.finish(item)
     return now, moves, broken
 
@@ -124,8 +124,12 @@
         revision = self._fold.state.waves["w"].revision
         refused += self._put(SignalWave("w", "start"), revision)
         steps = list(enumerate(plan.steps))
-        turns = [(step.begins, 1, order, step.instance_id) for order, step in steps]
-        turns += [(step.ends, 0, order, step.instance_id) for order, step in steps]
+        turns = [
+            (step.start_seconds, 1, order, step.instance_id) for order, step in steps
+        ]
+        turns += [
+            (step.end_seconds, 0, order, step.instance_id) for order, step in steps
+        ]
         for _, begins, _, name in sorted(turns):
             if begins:
                 refused += self._put(TakeClaim("w", name, "e#1", 1))
--- a/bench/planner_cases.py
+++ b/bench/planner_cases.py
@@ -11,7 +11,7 @@
     PlanInput,
     PlanInstance,
     PlanTask,
-    Unit,
+    PoolUnit,
 )
 from mustardward.state.models.templates import Parameters, PlanWeights, ServiceBinding
 
@@ -123,7 +123,7 @@
         rack = f"shared-{(worker * shape.pools + pool) // RACK_SIZE}"
     return PlanInstance(
         instance_id=f"dc{centre:02d}-p{pool:02d}-w{worker:03d}",
-        unit=Unit(f"p{pool:02d}", f"dc{centre:02d}"),
+        unit=PoolUnit(f"p{pool:02d}", f"dc{centre:02d}"),
         rack=rack,
         slots=SLOTS,
     )
--- a/mustardward/components/keys.py
+++ b/mustardward/components/keys.py
@@ -31,7 +31,7 @@
     from .entry.service import EntryService
     from .explain.service import Explainer
     from .jobs.protocols import JobService
-    from .maintenance.pool_look import PoolLook
+    from .maintenance.pool_look import PoolProber
     from .membership.protocols import Membership
     from .peers.protocols import Peers
     from .reports.service import BurnReporter
@@ -59,7 +59,7 @@
 BURN_REPORTER: Final[ComponentKey[BurnReporter]] = ComponentKey("reports")
 JOBS: Final[ComponentKey[JobService]] = ComponentKey("jobs")
 ENTRY: Final[ComponentKey[EntryService]] = ComponentKey("entry")
-POOL_LOOK: Final[ComponentKey[PoolLook]] = ComponentKey("maintenance.look")
+POOL_PROBER: Final[ComponentKey[PoolProber]] = ComponentKey("maintenance.look")
 DRAIN: Final[ComponentKey[Drain]] = ComponentKey("entry.drain")
 API: Final[ComponentKey[HttpListener]] = ComponentKey("api")
 METRICS: Final[ComponentKey[Metrics]] = ComponentKey("metrics")
--- a/mustardward/components/maintenance/absence_reporter.py
+++ b/mustardward/components/maintenance/absence_reporter.py
@@ -18,13 +18,13 @@
     DOWN_AFTER_SECONDS,
     DUTY_ABSENCES,
     LIST_INTERVAL_SECONDS,
-    LIST_SECONDS_PER_INSTANCE,
-    LOOKS_PER_STEP,
-    RETURN_BACKOFF_MAXIMUM_SECONDS,
+    LIST_INTERVAL_SECONDS_PER_INSTANCE,
+    MAX_CHECKS_PER_STEP,
+    MAX_RETURN_BACKOFF_SECONDS,
     RETURN_BACKOFF_SECONDS,
     UNREACHABLE_AFTER_SECONDS,
 )
-from .models import ExecutorParts
+from .models import ExecutorDependencies
 
 _LOGGER = get_logger(__name__)
 
@@ -46,62 +46,66 @@
     and change nothing.
     """
 
-    def __init__(self, parts: ExecutorParts, listing: ListingService | None) -> None:
-        self._parts = parts
+    def __init__(
+        self, dependencies: ExecutorDependencies, listing: ListingService | None
+    ) -> None:
+        self._dependencies = dependencies
         self._listing = listing
-        self._since: dict[str, float] = {}
-        self._missing: set[str] = set()
-        self._next_list = float("-inf")
+        self._suspected_since: dict[str, float] = {}
+        self._unlisted: set[str] = set()
+        self._next_list_at = float("-inf")
         self._backoffs: dict[str, _Backoff] = {}
 
     async def async_step(self) -> None:
         """Look for changes and report all that there are in one record."""
-        log = self._parts.log
-        if not log.ready or not self._parts.membership.owns_duty(DUTY_ABSENCES):
-            self._since.clear()
+        log = self._dependencies.log
+        if not log.ready or not self._dependencies.membership.owns_duty(DUTY_ABSENCES):
+            self._suspected_since.clear()
             return
-        await self._async_read_list()
+        await self._async_update_list()
         changes: list[AbsenceChange] = []
         async with anyio.create_task_group() as group:
-            for name in self._overdue_suspects()[:LOOKS_PER_STEP]:
-                group.start_soon(self._async_look_at_suspect, name, changes)
-            for name in self._due_absences()[:LOOKS_PER_STEP]:
-                group.start_soon(self._async_look_at_absent, name, changes)
+            for name in self._overdue_suspects()[:MAX_CHECKS_PER_STEP]:
+                group.start_soon(self._async_check_suspect, name, changes)
+            for name in self._due_absences()[:MAX_CHECKS_PER_STEP]:
+                group.start_soon(self._async_check_absent, name, changes)
         if changes and log.may_decide:
             changes.sort(key=lambda change: change.instance_id)
-            body = ReportAbsences(self._parts.data_centre, tuple(changes))
-            await log.async_propose(body, actor=self._parts.executor)
+            body = ReportAbsences(self._dependencies.data_centre, tuple(changes))
+            await log.async_propose(body, actor=self._dependencies.executor)
 
     def _overdue_suspects(self) -> list[str]:
-        now = self._parts.timers.monotonic()
+        now = self._dependencies.timers.monotonic()
         suspects = self._suspects()
-        self._since = {name: self._since.get(name, now) for name in suspects}
+        self._suspected_since = {
+            name: self._suspected_since.get(name, now) for name in suspects
+        }
         return sorted(
             name
-            for name, since in self._since.items()
-            if now - since >= DOWN_AFTER_SECONDS
+            for name, first_seen in self._suspected_since.items()
+            if now - first_seen >= DOWN_AFTER_SECONDS
         )
 
     def _suspects(self) -> set[str]:
-        parts = self._parts
-        state = parts.log.state
+        dependencies = self._dependencies
+        state = dependencies.log.state
         index = index_of(state)
-        suspected = parts.membership.instances_held_back() | self._missing
+        suspected = dependencies.membership.instances_held_back() | self._unlisted
         return {
             name
             for name in suspected
             if (instance := state.instances.get(name)) is not None
-            and instance.data_centre == parts.data_centre
+            and instance.data_centre == dependencies.data_centre
             and index.is_available(name)
         }
 
     def _due_absences(self) -> list[str]:
-        state = self._parts.log.state
-        now = self._parts.timers.monotonic()
+        state = self._dependencies.log.state
+        now = self._dependencies.timers.monotonic()
         absent = {
             name
             for name, absence in state.absences.items()
-            if state.instances[name].data_centre == self._parts.data_centre
+            if state.instances[name].data_centre == self._dependencies.data_centre
             and not is_quarantine(absence)
             and name not in state.claims
         }
@@ -109,76 +113,81 @@
             self._backoffs[name] = _Backoff(now + RETURN_BACKOFF_SECONDS)
         return sorted(name for name in absent if self._backoffs[name].due <= now)
 
-    async def _async_read_list(self) -> None:
-        now = self._parts.timers.monotonic()
-        if self._listing is None or now < self._next_list:
+    async def _async_update_list(self) -> None:
+        now = self._dependencies.timers.monotonic()
+        if self._listing is None or now < self._next_list_at:
             return
         try:
-            listed = await self._listing.async_list(self._parts.data_centre)
+            listed = await self._listing.async_list(self._dependencies.data_centre)
         except PlatformError:
             return
-        wait = max(LIST_INTERVAL_SECONDS, LIST_SECONDS_PER_INSTANCE * len(listed))
-        self._next_list = now + wait
+        wait = max(
+            LIST_INTERVAL_SECONDS, LIST_INTERVAL_SECONDS_PER_INSTANCE * len(listed)
+        )
+        self._next_list_at = now + wait
         present = {item.instance_id for item in listed}
-        self._missing = self._parts.log.state.instances.keys() - present
+        self._unlisted = self._dependencies.log.state.instances.keys() - present
 
-    async def _async_look_at_suspect(
+    async def _async_check_suspect(
         self, name: str, changes: list[AbsenceChange]
     ) -> None:
-        now = self._parts.timers.monotonic()
-        suspected = now - self._since[name]
+        now = self._dependencies.timers.monotonic()
+        suspected_seconds = now - self._suspected_since[name]
         try:
-            power = await self._parts.power.async_get(name)
+            power = await self._dependencies.power.async_get(name)
         except PlatformRefusedError:
             # The platform knows no such instance, so it will not come back by itself.
             changes.append(AbsenceChange(name, False, 0, CAUSE_FAILED))
             return
         except PlatformError:
-            if suspected >= UNREACHABLE_AFTER_SECONDS and name not in self._missing:
+            if (
+                suspected_seconds >= UNREACHABLE_AFTER_SECONDS
+                and name not in self._unlisted
+            ):
                 changes.append(AbsenceChange(name, False, 0, CAUSE_FAILED))
             return
         if power.state in (PowerState.DRAINING, PowerState.DRAINED):
-            await self._async_return_forgotten(power)
-        cause = _cause(power.state, suspected)
-        if cause and not (power.state is PowerState.SERVING and name in self._missing):
+            await self._async_return_orphaned(power)
+        cause = _cause(power.state, suspected_seconds)
+        if cause and not (power.state is PowerState.SERVING and name in self._unlisted):
             changes.append(AbsenceChange(name, False, power.boot, cause))
 
-    async def _async_look_at_absent(
+    async def _async_check_absent(
         self, name: str, changes: list[AbsenceChange]
     ) -> None:
-        now = self._parts.timers.monotonic()
+        now = self._dependencies.timers.monotonic()
         backoff = self._backoffs[name]
         try:
-            power = await self._parts.power.async_get(name)
+            power = await self._dependencies.power.async_get(name)
         except PlatformError:
             backoff.due = now + RETURN_BACKOFF_SECONDS
             return
-        absence = self._parts.log.state.absences.get(name)
+        absence = self._dependencies.log.state.absences.get(name)
         if power.state in (PowerState.DRAINING, PowerState.DRAINED):
-            await self._async_return_forgotten(power)
+            await self._async_return_orphaned(power)
         if absence is None or power.state is not PowerState.SERVING:
             backoff.due = now + RETURN_BACKOFF_SECONDS
             return
         # The platform may call an instance serving that no entry reaches. It would go
         # in and out of the log for ever; so each return makes the next one later.
-        backoff.seconds = min(backoff.seconds * 2, RETURN_BACKOFF_MAXIMUM_SECONDS)
+        backoff.seconds = min(backoff.seconds * 2, MAX_RETURN_BACKOFF_SECONDS)
         backoff.due = now + backoff.seconds
         changes.append(AbsenceChange(name, True, power.boot, absence.cause))
 
-    async def _async_return_forgotten(self, power: InstancePower) -> None:
+    async def _async_return_orphaned(self, power: InstancePower) -> None:
         """Return an instance that a claim or move of ours drained and nobody holds.
 
         Its executor died between the record that ended it and the call, or a cancelled
         move left it drained; without this it would stay out of use for ever.
         """
-        log = self._parts.log
+        log = self._dependencies.log
         held = {*log.state.claims, *log.state.moves}
-        ours = 0 < power.generation <= log.sequence
-        if power.instance_id in held or not ours or not log.may_decide:
+        is_own_generation = 0 < power.generation <= log.sequence
+        if power.instance_id in held or not is_own_generation or not log.may_decide:
             return
         operation = f"forgotten.{power.instance_id}.{power.generation}"
         try:
-            await self._parts.power.async_return(
+            await self._dependencies.power.async_return(
                 power.instance_id, operation, power.generation
             )
         except PlatformError as error:
--- a/mustardward/components/maintenance/api.py
+++ b/mustardward/components/maintenance/api.py
@@ -17,7 +17,7 @@
 from ..api.routes import ApiAnswer, ApiRequest, api_route
 from ..keys import FLEET_LOG, WORK_LOG
 from .plan_bounds import canary_bound, rollout_bound
-from .plan_facts import gather_facts, running_tasks
+from .plan_facts import build_plan_input, running_tasks
 from .plan_models import Plan, PlanInput
 from .planner import async_plan_wave
 
@@ -63,14 +63,16 @@
 async def async_list(request: ApiRequest) -> ApiAnswer:
     """Return a line for each wave."""
     state = request.core.get(FLEET_LOG).state
-    return ApiAnswer([_line(state, wave) for _, wave in sorted(state.waves.items())])
+    return ApiAnswer(
+        [_summarize(state, wave) for _, wave in sorted(state.waves.items())]
+    )
 
 
 @api_route("GET", "/waves/{wave_id}", "Show how far a wave is")
 async def async_show(request: ApiRequest) -> ApiAnswer:
     """Return a wave with its claims, and what holds it back."""
     state = request.core.get(FLEET_LOG).state
-    wave = _find(state, request.path["wave_id"])
+    wave = _get_wave(state, request.path["wave_id"])
     claims = [
         {
             "instance": claim.instance_id,
@@ -86,9 +88,9 @@
         "failed_instances": sorted(wave.failed),
         "pending_absent": sorted(wave.pending & state.absences.keys()),
         "claims": claims,
-        "held_back_by": _held_back(state, wave),
+        "held_back_by": _binding_budgets(state, wave),
     }
-    return ApiAnswer({**_line(state, wave), **details})
+    return ApiAnswer({**_summarize(state, wave), **details})
 
 
 @api_route("POST", "/waves/{wave_id}", "Schedule a wave", WaveModel)
@@ -112,7 +114,7 @@
     signal = request.path["signal"]
     if signal not in OPERATOR_SIGNALS:
         raise SignalUnknownError(f"signal={signal} of={','.join(OPERATOR_SIGNALS)}")
-    wave = _find(request.core.get(FLEET_LOG).state, request.path["wave_id"])
+    wave = _get_wave(request.core.get(FLEET_LOG).state, request.path["wave_id"])
     model: SignalModel = request.model
     base = wave.revision if model.base_revision is None else model.base_revision
     body = SignalWave(wave.wave_id, signal, model.reason)
@@ -132,27 +134,27 @@
     due = frozenset(model.instances) or frozenset(
         name for name, item in state.instances.items() if item.pool in pools
     )
-    facts = gather_facts(
+    plan_input = build_plan_input(
         state, pools, due, running_tasks(work.state if work else None), model.canary
     )
-    return ApiAnswer(describe_plan(facts, await async_plan_wave(facts)))
+    return ApiAnswer(describe_plan(plan_input, await async_plan_wave(plan_input)))
 
 
-def describe_plan(facts: PlanInput, plan: Plan) -> dict[str, Any]:
+def describe_plan(plan_input: PlanInput, plan: Plan) -> dict[str, Any]:
     """Return a plan as JSON can hold it."""
     return {
-        "rollout_seconds": plan.measures.rollout_seconds,
-        "rollout_bound_seconds": rollout_bound(facts),
-        "canary_bound_seconds": canary_bound(facts),
-        "buffer_instances": plan.measures.buffer,
-        "moves": plan.measures.moves,
+        "rollout_seconds": plan.metrics.rollout_seconds,
+        "rollout_bound_seconds": rollout_bound(plan_input),
+        "canary_bound_seconds": canary_bound(plan_input),
+        "buffer_instances": plan.metrics.buffer,
+        "moves": plan.metrics.moves,
         "steps": [
             {
                 "instance": step.instance_id,
                 "pool": step.unit.pool,
                 "data_centre": step.unit.data_centre,
-                "begins": step.begins,
-                "ends": step.ends,
+                "begins": step.start_seconds,
+                "ends": step.end_seconds,
                 "moves": step.moves,
             }
             for step in plan.steps
@@ -171,7 +173,7 @@
             }
             for unit, budget in sorted(plan.binding.items())
         ],
-        "never": list(plan.never),
+        "never": list(plan.blocked),
     }
 
 
@@ -191,14 +193,14 @@
     )
 
 
-def _find(state: FleetState, wave_id: str) -> Wave:
+def _get_wave(state: FleetState, wave_id: str) -> Wave:
     wave = state.waves.get(wave_id)
     if wave is None:
         raise WaveUnknownError(f"wave={wave_id}")
     return wave
 
 
-def _line(state: FleetState, wave: Wave) -> dict[str, Any]:
+def _summarize(state: FleetState, wave: Wave) -> dict[str, Any]:
     return {
         "wave": wave.wave_id,
         "status": wave.status,
@@ -212,7 +214,7 @@
     }
 
 
-def _held_back(state: FleetState, wave: Wave) -> list[dict[str, Any]]:
+def _binding_budgets(state: FleetState, wave: Wave) -> list[dict[str, Any]]:
     """Return the budgets that let no further pending instance go."""
     index = index_of(state)
     units = {
--- a/mustardward/components/maintenance/claim_records.py
+++ b/mustardward/components/maintenance/claim_records.py
@@ -13,14 +13,16 @@
 from ..explain.models import SubjectKind
 from .const import CLAIM_PRIORITY
 from .decisions import DecisionJournal
-from .models import ExecutorParts, Outcome
+from .models import ExecutorDependencies, Outcome
 
 
-class ClaimRecords:
+class ClaimRecorder:
     """Write claims' stages and ends into the log under their generations."""
 
-    def __init__(self, parts: ExecutorParts, journal: DecisionJournal) -> None:
-        self._parts = parts
+    def __init__(
+        self, dependencies: ExecutorDependencies, journal: DecisionJournal
+    ) -> None:
+        self._dependencies = dependencies
         self._journal = journal
 
     async def async_advance(self, claim: Claim, stage: ClaimStage) -> bool:
@@ -34,11 +36,11 @@
         """End a claim."""
         body = ReleaseClaim(claim.instance_id, claim.generation, outcome, boot, reason)
         if await self._async_propose(claim, body, f"claim-{outcome}"):
-            self.note(claim, f"claim-{outcome}", reason or outcome)
+            self.record(claim, f"claim-{outcome}", reason or outcome)
 
-    def note(self, claim: Claim, decision: str, cause: str, *inputs: str) -> None:
+    def record(self, claim: Claim, decision: str, cause: str, *inputs: str) -> None:
         """Announce a decision on a claim."""
-        self._journal.note(
+        self._journal.record(
             SubjectKind.INSTANCE,
             claim.instance_id,
             decision,
@@ -51,11 +53,11 @@
     async def _async_propose(
         self, claim: Claim, body: AdvanceClaim | ReleaseClaim, decision: str
     ) -> bool:
-        result = await self._parts.log.async_propose(
-            body, actor=self._parts.executor, priority=CLAIM_PRIORITY
+        result = await self._dependencies.log.async_propose(
+            body, actor=self._dependencies.executor, priority=CLAIM_PRIORITY
         )
         if isinstance(result, Failure):
             error = result.failure()
-            self.note(claim, f"{decision}-refused", error.code, error.detail)
+            self.record(claim, f"{decision}-refused", error.code, error.detail)
             return False
         return True
--- a/mustardward/components/maintenance/decisions.py
+++ b/mustardward/components/maintenance/decisions.py
@@ -15,7 +15,7 @@
 
 _LOGGER = get_logger(__name__)
 
-_REMEMBERED: Final = 4096
+_MAX_SUBJECTS: Final = 4096
 """Subjects whose last decision is kept, so that it is not announced twice."""
 
 
@@ -25,11 +25,11 @@
     def __init__(self, events: EventBus, log: FleetLog) -> None:
         self._events = events
         self._log = log
-        self._last: OrderedDict[tuple[SubjectKind, str], tuple[str, str]] = (
+        self._last_decisions: OrderedDict[tuple[SubjectKind, str], tuple[str, str]] = (
             OrderedDict()
         )
 
-    def note(
+    def record(
         self,
         kind: SubjectKind,
         subject_id: str,
@@ -38,12 +38,12 @@
         *inputs: str,
     ) -> None:
         """Announce a decision, unless it is the last one again."""
-        if self._last.get((kind, subject_id)) == (decision, cause):
+        if self._last_decisions.get((kind, subject_id)) == (decision, cause):
             return
-        self._last[kind, subject_id] = (decision, cause)
-        self._last.move_to_end((kind, subject_id))
-        if len(self._last) > _REMEMBERED:
-            self._last.popitem(last=False)
+        self._last_decisions[kind, subject_id] = (decision, cause)
+        self._last_decisions.move_to_end((kind, subject_id))
+        if len(self._last_decisions) > _MAX_SUBJECTS:
+            self._last_decisions.popitem(last=False)
         offset = self._log.next_offset - 1
         self._events.publish(
             DecisionMade(kind, subject_id, decision, cause, inputs, offset)
@@ -57,10 +57,12 @@
         )
 
 
-def note_selection(journal: DecisionJournal, wave: Wave, selection: Selection) -> None:
+def record_selection(
+    journal: DecisionJournal, wave: Wave, selection: Selection
+) -> None:
     """Announce what holds a wave back, if something does."""
     for pool, budget in selection.binding.items():
-        journal.note(
+        journal.record(
             SubjectKind.WAVE,
             wave.wave_id,
             "claim-held-back",
@@ -70,9 +72,9 @@
             f"scope={budget.scope}",
             f"margin={budget.margin}",
         )
-    if selection.closed:
-        pools = ",".join(sorted(selection.closed))
-        journal.note(
+    if selection.closed_pools:
+        pools = ",".join(sorted(selection.closed_pools))
+        journal.record(
             SubjectKind.WAVE,
             wave.wave_id,
             "claim-held-back",
--- a/mustardward/components/maintenance/evidence.py
+++ b/mustardward/components/maintenance/evidence.py
@@ -9,7 +9,7 @@
 from ..membership.protocols import Membership
 
 
-def unreported_down(
+def count_unreported_failures(
     state: FleetState, membership: Membership, data_centre: str
 ) -> Counter[str]:
     """Count, by pool, instances that look down here and count as available.
--- a/mustardward/components/maintenance/messages.py
+++ b/mustardward/components/maintenance/messages.py
@@ -8,15 +8,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PoolLooked:
+class PoolProbed:
     """Reply how far the log is once what was seen is folded."""
 
     next_offset: int
 
 
-@peer_message("maintenance.look", PoolLooked)
+@peer_message("maintenance.look", PoolProbed)
 @dataclass(frozen=True, slots=True)
-class LookAtPool:
+class ProbePool:
     """Ask an entry to look at its data centre's workers of a pool."""
 
     pool: str
--- a/mustardward/components/maintenance/models.py
+++ b/mustardward/components/maintenance/models.py
@@ -13,7 +13,7 @@
 from ...state.protocols import FleetLog
 from ..membership.models import Member
 from ..membership.protocols import Membership
-from .const import TAIL_FRESH_SECONDS
+from .const import MAX_START_TAIL_AGE_SECONDS
 
 
 class Outcome(StrEnum):
@@ -24,12 +24,12 @@
     FAILED = "failed"
 
 
-async def async_look_at_nothing(pool: str) -> None:
+async def async_skip_probe(pool: str) -> None:
     """Take what is folded for the whole truth."""
 
 
 @dataclass(frozen=True, slots=True)
-class ExecutorParts:
+class ExecutorDependencies:
     """Hold the parts that an executor calls.
 
     ``executor`` names this process and its start: a process that was replaced under the
@@ -46,12 +46,12 @@
     timers: TimerService
     events: EventBus
     vacate: Callable[[str], Awaitable[bool]]
-    look: Callable[[str], Coroutine[Any, Any, None]] = async_look_at_nothing
+    probe: Callable[[str], Coroutine[Any, Any, None]] = async_skip_probe
 
-    def may_begin(self) -> bool:
+    def may_start(self) -> bool:
         """Tell whether something new may begin: the tail was confirmed just now."""
         log = self.log
-        fresh = log.tail_age_seconds() <= TAIL_FRESH_SECONDS
+        fresh = log.tail_age_seconds() <= MAX_START_TAIL_AGE_SECONDS
         return log.ready and log.may_decide and fresh
 
 
--- a/mustardward/components/maintenance/pacing.py
+++ b/mustardward/components/maintenance/pacing.py
@@ -7,17 +7,17 @@
 from ...state.models.pools import Instance
 
 
-class Pacing(Protocol):
+class RolloutStrategy(Protocol):
     """Say how many instances to take at once, which first, and how long to wait."""
 
     def concurrency(self, pool: str) -> int:
         """Return how many instances of a pool may be out at once here."""
         ...
 
-    def patience(self, pool: str) -> float:
+    def grace_seconds(self, pool: str) -> float:
         """Return the seconds for which work may end by itself in a drain."""
         ...
 
-    def burden(self, instance: Instance) -> float:
+    def drain_cost(self, instance: Instance) -> float:
         """Return the cost of taking an instance now; the least goes first."""
         ...
--- a/mustardward/components/maintenance/plan_facts.py
+++ b/mustardward/components/maintenance/plan_facts.py
@@ -9,8 +9,8 @@
 from ...state.fleet import FleetState
 from ...state.models.maintenance import Wave
 from ...state.work import WorkState
-from .const import DRAIN_SECONDS, REBOOT_SECONDS
-from .plan_models import PlanInput, PlanInstance, PlanTask, Unit
+from .const import PLANNED_DRAIN_SECONDS, PLANNED_REBOOT_SECONDS
+from .plan_models import PlanInput, PlanInstance, PlanTask, PoolUnit
 
 _RUNNING = "running"
 
@@ -31,7 +31,7 @@
     return found
 
 
-def gather_facts(
+def build_plan_input(
     state: FleetState,
     pools: Iterable[str],
     due: frozenset[str],
@@ -48,7 +48,7 @@
     instances = tuple(
         PlanInstance(
             instance_id=name,
-            unit=Unit(item.pool, item.data_centre),
+            unit=PoolUnit(item.pool, item.data_centre),
             rack=item.rack,
             tasks=tuple(tasks.get(name, ())),
             slots=item.slots,
@@ -62,13 +62,13 @@
         due=due & {item.instance_id for item in instances if item.available},
         users={pool: dict(index.users(pool)) for pool in wanted},
         canary=canary,
-        reboot_seconds=REBOOT_SECONDS,
-        drain_seconds=DRAIN_SECONDS,
-        silent=frozenset(state.silent),
+        reboot_seconds=PLANNED_REBOOT_SECONDS,
+        drain_seconds=PLANNED_DRAIN_SECONDS,
+        unreachable_data_centres=frozenset(state.silent),
     )
 
 
-def wave_facts(state: FleetState, wave: Wave, tasks: Tasks) -> PlanInput:
+def build_wave_input(state: FleetState, wave: Wave, tasks: Tasks) -> PlanInput:
     """Return the facts for the whole of a wave as if it began now.
 
     The paces follow from the whole and not from what is left, so that they stay the
@@ -78,4 +78,4 @@
         name for name, claim in state.claims.items() if claim.wave_id == wave.wave_id
     )
     due = frozenset(wave.pending | wave.done) | held
-    return gather_facts(state, wave.pools, due, tasks, wave.canary, held)
+    return build_plan_input(state, wave.pools, due, tasks, wave.canary, held)
--- a/mustardward/components/maintenance/plan_models.py
+++ b/mustardward/components/maintenance/plan_models.py
@@ -9,7 +9,7 @@
 from ...state.models.templates import Parameters
 
 
-class Unit(NamedTuple):
+class PoolUnit(NamedTuple):
     """Name the instances that a pool has in one data centre."""
 
     pool: str
@@ -23,13 +23,13 @@
     """
 
     remaining: float
-    length: float
+    duration: float
 
-    def left_at(self, now: float) -> float:
+    def remaining_at(self, now: float) -> float:
         """Return how long the task that runs then still has to go."""
         if now < self.remaining:
             return self.remaining - now
-        return self.length - (now - self.remaining) % self.length
+        return self.duration - (now - self.remaining) % self.duration
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +37,7 @@
     """Hold one instance with the long tasks that it runs as the wave begins."""
 
     instance_id: str
-    unit: Unit
+    unit: PoolUnit
     rack: str
     tasks: tuple[PlanTask, ...] = ()
     slots: int = 8
@@ -58,7 +58,7 @@
     canary: int = 1
     reboot_seconds: float = 180.0
     drain_seconds: float = 5.0
-    silent: frozenset[str] = frozenset()
+    unreachable_data_centres: frozenset[str] = frozenset()
 
     @property
     def cycle_seconds(self) -> float:
@@ -67,14 +67,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class RolloutLimits:
     """Say how a unit is taken: how many at once, and how long work may end by itself.
 
     ``patience`` is in seconds.
     """
 
     concurrency: int
-    patience: float
+    grace_seconds: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,14 +82,14 @@
     """Hold one instance's turn, in seconds from the start of the wave."""
 
     instance_id: str
-    unit: Unit
-    begins: float
-    ends: float
+    unit: PoolUnit
+    start_seconds: float
+    end_seconds: float
     moves: int
 
 
 @dataclass(frozen=True, slots=True)
-class Measures:
+class PlanMetrics:
     """Hold the three measures of a plan.
 
     ``buffer`` is the sum over all units of the most instances out at once, which is
@@ -110,6 +110,6 @@
     """
 
     steps: tuple[PlanStep, ...]
-    measures: Measures
-    binding: dict[Unit, Budget] = field(default_factory=dict)
-    never: tuple[str, ...] = ()
+    metrics: PlanMetrics
+    binding: dict[PoolUnit, Budget] = field(default_factory=dict)
+    blocked: tuple[str, ...] = ()
--- a/mustardward/components/maintenance/plan_paces.py
+++ b/mustardward/components/maintenance/plan_paces.py
@@ -13,100 +13,112 @@
 
 from ...state.models.templates import PlanWeights
 from .plan_bounds import rounds
-from .plan_models import Pace, PlanInput, PlanInstance, Unit
-from .plan_units import PlanBudgets, group_by_unit, weights_of
+from .plan_models import PlanInput, PlanInstance, PoolUnit, RolloutLimits
+from .plan_units import PlanBudgets, combine_weights, group_by_unit
 
-STRETCH: Final = 1.25
+MAX_DURATION_RATIO: Final = 1.25
 """How much longer than its bound a wave may take for the sake of other measures."""
 
-MAXIMUM_PATIENCE_SECONDS: Final = 3600.0
+MAX_GRACE_SECONDS: Final = 3600.0
 
 
 @dataclass(frozen=True, slots=True)
-class _Facts:
+class _UnitInput:
     """Hold what the choice for one unit is made from."""
 
     items: list[PlanInstance]
-    most: int
-    bound: float
-    target: float
-    cycle: float
+    max_unavailable: int
+    bound_seconds: float
+    target_seconds: float
+    cycle_seconds: float
     weights: PlanWeights
 
 
-def choose_paces(facts: PlanInput) -> dict[Unit, Pace]:
+def choose_limits(plan_input: PlanInput) -> dict[PoolUnit, RolloutLimits]:
     """Return the pace of each unit; none for one that no budget lets go."""
-    budgets = PlanBudgets(facts)
-    units = group_by_unit(facts)
-    most = {unit: budgets.most_at_once(unit) for unit in units}
-    bound = max(
-        (rounds(len(items), most[unit]) for unit, items in units.items()), default=0
+    budgets = PlanBudgets(plan_input)
+    units = group_by_unit(plan_input)
+    max_unavailable = {unit: budgets.max_unavailable(unit) for unit in units}
+    bound_cycles = max(
+        (rounds(len(items), max_unavailable[unit]) for unit, items in units.items()),
+        default=0,
     )
-    paces = {}
+    limits = {}
     for unit, items in units.items():
-        if most[unit] == 0:
+        if max_unavailable[unit] == 0:
             continue
-        weights = weights_of(facts.users.get(unit.pool, {}))
-        target = _target(bound, weights) * facts.cycle_seconds
-        paces[unit] = _choose(
-            _Facts(
+        weights = combine_weights(plan_input.users.get(unit.pool, {}))
+        target_seconds = (
+            _target_cycles(bound_cycles, weights) * plan_input.cycle_seconds
+        )
+        limits[unit] = _choose_unit_limits(
+            _UnitInput(
                 items,
-                most[unit],
-                bound * facts.cycle_seconds,
-                target,
-                facts.cycle_seconds,
+                max_unavailable[unit],
+                bound_cycles * plan_input.cycle_seconds,
+                target_seconds,
+                plan_input.cycle_seconds,
                 weights,
             )
         )
-    return paces
+    return limits
 
 
-def _target(bound: int, weights: PlanWeights) -> float:
+def _target_cycles(bound_cycles: int, weights: PlanWeights) -> float:
     """Return the cycles in which a unit has to be through once the canary is back.
 
     The canary's cycle comes out of the time that may be spent beyond the bound.
     """
     if weights.rollout >= max(weights.buffer, weights.moves):
-        return bound
-    return max(float(bound), bound * STRETCH - 1)
+        return bound_cycles
+    return max(float(bound_cycles), bound_cycles * MAX_DURATION_RATIO - 1)
 
 
-def _choose(facts: _Facts) -> Pace:
-    return min(_paces(facts), key=lambda pace: (_cost(facts, pace), pace.concurrency))
+def _choose_unit_limits(unit: _UnitInput) -> RolloutLimits:
+    return min(
+        _candidates(unit), key=lambda limits: (_cost(unit, limits), limits.concurrency)
+    )
 
 
-def _paces(facts: _Facts) -> Iterator[Pace]:
+def _candidates(unit: _UnitInput) -> Iterator[RolloutLimits]:
     """Yield paces that keep the target, from the fastest on."""
-    for concurrency in range(facts.most, 0, -1):
-        turns = rounds(len(facts.items), concurrency)
-        if turns * facts.cycle > facts.target and concurrency < facts.most:
+    for concurrency in range(unit.max_unavailable, 0, -1):
+        rounds_needed = rounds(len(unit.items), concurrency)
+        if (
+            rounds_needed * unit.cycle_seconds > unit.target_seconds
+            and concurrency < unit.max_unavailable
+        ):
             return
-        yield Pace(concurrency, 0.0)
-        for seconds in (facts.bound, facts.target):
-            spare = seconds / turns - facts.cycle
+        yield RolloutLimits(concurrency, 0.0)
+        for seconds in (unit.bound_seconds, unit.target_seconds):
+            spare = seconds / rounds_needed - unit.cycle_seconds
             if spare > 0:
-                yield Pace(concurrency, min(spare, MAXIMUM_PATIENCE_SECONDS))
+                yield RolloutLimits(concurrency, min(spare, MAX_GRACE_SECONDS))
 
 
-def _cost(facts: _Facts, pace: Pace) -> float:
-    turns = rounds(len(facts.items), pace.concurrency)
+def _cost(unit: _UnitInput, limits: RolloutLimits) -> float:
+    rounds_needed = rounds(len(unit.items), limits.concurrency)
     # Within the bound of the tightest unit, time costs the wave nothing.
-    seconds = max(facts.bound, turns * (facts.cycle + pace.patience))
+    seconds = max(
+        unit.bound_seconds, rounds_needed * (unit.cycle_seconds + limits.grace_seconds)
+    )
     return (
-        facts.weights.buffer * pace.concurrency / facts.most
-        + facts.weights.moves * _moved_share(facts, pace)
-        + facts.weights.rollout * seconds / facts.target
+        unit.weights.buffer * limits.concurrency / unit.max_unavailable
+        + unit.weights.moves * _moved_share(unit, limits)
+        + unit.weights.rollout * seconds / unit.target_seconds
     )
 
 
-def _moved_share(facts: _Facts, pace: Pace) -> float:
+def _moved_share(unit: _UnitInput, limits: RolloutLimits) -> float:
     """Return the share of tasks that are still running when patience is over.
 
     A task is met at any point of its run, so one twice as long as the patience moves
     in half of the cases.
     """
-    lengths = [task.length for item in facts.items for task in item.tasks]
-    if not lengths:
+    durations = [task.duration for item in unit.items for task in item.tasks]
+    if not durations:
         return 0.0
-    moved = sum(max(0.0, 1.0 - pace.patience / length) for length in lengths)
-    return moved / len(lengths)
+    moved = sum(
+        max(0.0, 1.0 - limits.grace_seconds / duration) for duration in durations
+    )
+    return moved / len(durations)
--- a/mustardward/components/maintenance/plan_units.py
+++ b/mustardward/components/maintenance/plan_units.py
@@ -12,32 +12,32 @@
     budget_of,
 )
 from ...state.models.templates import Parameters, PlanWeights
-from .plan_models import PlanInput, PlanInstance, Unit
+from .plan_models import PlanInput, PlanInstance, PoolUnit
 
 
 class PlanBudgets:
     """Keep the counters of all units while a plan takes and returns instances."""
 
-    def __init__(self, facts: PlanInput) -> None:
-        self._users = facts.users
-        self._silent = facts.silent
+    def __init__(self, plan_input: PlanInput) -> None:
+        self._users = plan_input.users
+        self._unreachable_data_centres = plan_input.unreachable_data_centres
         self._counters: dict[str, dict[str, PoolCounter]] = defaultdict(dict)
-        for item in facts.instances:
+        for item in plan_input.instances:
             self._counter(item.unit).add(item.rack, item.available, 1)
 
-    def take(self, item: PlanInstance) -> None:
+    def remove(self, item: PlanInstance) -> None:
         """Count an instance out."""
         counter = self._counter(item.unit)
         counter.add(item.rack, True, -1)
         counter.add(item.rack, False, 1)
 
-    def give(self, item: PlanInstance) -> None:
+    def restore(self, item: PlanInstance) -> None:
         """Count an instance in again."""
         counter = self._counter(item.unit)
         counter.add(item.rack, False, -1)
         counter.add(item.rack, True, 1)
 
-    def tightest(self, unit: Unit) -> Budget | None:
+    def tightest(self, unit: PoolUnit) -> Budget | None:
         """Return the budget with the least margin, or nothing if nobody uses it."""
         users = self._users.get(unit.pool, {})
         counts = {
@@ -54,27 +54,27 @@
             default=None,
         )
 
-    def margin(self, unit: Unit) -> int:
+    def margin(self, unit: PoolUnit) -> int:
         """Return how many more instances of a unit may be taken out."""
         tightest = self.tightest(unit)
         return self._count(unit).total if tightest is None else tightest.margin
 
-    def rack_available(self, item: PlanInstance) -> int:
+    def available_in_rack(self, item: PlanInstance) -> int:
         """Return how many instances of the unit are available in an item's rack."""
         return self._counter(item.unit).racks.get(item.rack, 0)
 
-    def most_at_once(self, unit: Unit) -> int:
+    def max_unavailable(self, unit: PoolUnit) -> int:
         """Return how many instances could at most be out at once.
 
         Instances go from the largest rack first, since that lowers the reserve.
         """
         racks = sorted(self._counter(unit).racks.values())
-        taken = 0
+        removed = 0
         count = self._count(unit)
         users = self._users.get(unit.pool, {})
         while racks:
             largest = racks[-1]
-            reduced = ScopeCount(count.total, count.unavailable + taken, largest)
+            reduced = ScopeCount(count.total, count.unavailable + removed, largest)
             margins = (
                 budget_of(name, parameters, unit.pool, "", reduced).margin
                 for name, parameters in users.items()
@@ -85,13 +85,13 @@
             if racks[-1] == 0:
                 racks.pop()
             racks.sort()
-            taken += 1
-        return taken
+            removed += 1
+        return removed
 
-    def _counter(self, unit: Unit) -> PoolCounter:
+    def _counter(self, unit: PoolUnit) -> PoolCounter:
         return self._counters[unit.pool].setdefault(unit.data_centre, PoolCounter())
 
-    def _count(self, unit: Unit) -> ScopeCount:
+    def _count(self, unit: PoolUnit) -> ScopeCount:
         counter = self._counter(unit)
         return ScopeCount(counter.total, counter.unavailable, counter.largest)
 
@@ -99,7 +99,7 @@
         total = unavailable = largest = 0
         for data_centre, counter in self._counters[pool].items():
             total += counter.total
-            if data_centre in self._silent:
+            if data_centre in self._unreachable_data_centres:
                 unavailable += counter.total
                 continue
             unavailable += counter.unavailable
@@ -107,16 +107,16 @@
         return ScopeCount(total, unavailable, largest)
 
 
-def group_by_unit(facts: PlanInput) -> dict[Unit, list[PlanInstance]]:
+def group_by_unit(plan_input: PlanInput) -> dict[PoolUnit, list[PlanInstance]]:
     """Return the instances to maintain, by unit, in order of their ids."""
-    units: dict[Unit, list[PlanInstance]] = defaultdict(list)
-    for item in sorted(facts.instances, key=lambda one: one.instance_id):
-        if item.instance_id in facts.due:
+    units: dict[PoolUnit, list[PlanInstance]] = defaultdict(list)
+    for item in sorted(plan_input.instances, key=lambda one: one.instance_id):
+        if item.instance_id in plan_input.due:
             units[item.unit].append(item)
     return dict(units)
 
 
-def weights_of(users: dict[str, Parameters]) -> PlanWeights:
+def combine_weights(users: dict[str, Parameters]) -> PlanWeights:
     """Return the weights of a pool: the mean over its organisations' shares.
 
     Each organisation counts with its quota's weight, whatever the size of its numbers.
@@ -124,13 +124,13 @@
     buffer = rollout = moves = 0.0
     for parameters in users.values():
         weights = parameters.weights
-        whole = weights.buffer + weights.rollout + weights.moves
-        if whole > 0:
-            share = parameters.quota.weight / whole
+        total = weights.buffer + weights.rollout + weights.moves
+        if total > 0:
+            share = parameters.quota.weight / total
             buffer += weights.buffer * share
             rollout += weights.rollout * share
             moves += weights.moves * share
-    whole = buffer + rollout + moves
-    if whole == 0:
+    total = buffer + rollout + moves
+    if total == 0:
         return PlanWeights(1 / 3, 1 / 3, 1 / 3)
-    return PlanWeights(buffer / whole, rollout / whole, moves / whole)
+    return PlanWeights(buffer / total, rollout / total, moves / total)
--- a/mustardward/components/maintenance/planned_pacing.py
+++ b/mustardward/components/maintenance/planned_pacing.py
@@ -9,15 +9,15 @@
 from ...state.models.maintenance import WaveStatus
 from ...state.models.pools import Instance
 from ...state.work import WorkState
-from .const import DEFAULT_PATIENCE_SECONDS, PACE_SECONDS, TASKS_SECONDS
-from .plan_facts import Tasks, running_tasks, wave_facts
-from .plan_models import Pace, Unit
-from .plan_paces import choose_paces
+from .const import DEFAULT_GRACE_SECONDS, LIMITS_TTL_SECONDS, TASK_COUNT_TTL_SECONDS
+from .plan_facts import Tasks, build_wave_input, running_tasks
+from .plan_models import PoolUnit, RolloutLimits
+from .plan_paces import choose_limits
 
-_UNBOUND = Pace(1, DEFAULT_PATIENCE_SECONDS)
+_DEFAULT_LIMITS = RolloutLimits(1, DEFAULT_GRACE_SECONDS)
 
 
-class PlannedPacing:
+class PlannedRolloutStrategy:
     """Choose paces for the running waves from time to time.
 
     They only order and slow down: whether an instance may be taken is decided by the
@@ -27,60 +27,64 @@
     def __init__(
         self,
         data_centre: str,
-        find_state: Callable[[], FleetState],
-        find_work: Callable[[], WorkState | None],
+        get_state: Callable[[], FleetState],
+        get_work: Callable[[], WorkState | None],
         timers: TimerService,
     ) -> None:
         self._data_centre = data_centre
-        self._find_state = find_state
-        self._find_work = find_work
+        self._get_state = get_state
+        self._get_work = get_work
         self._timers = timers
-        self._paces: dict[Unit, Pace] = {}
+        self._limits_by_unit: dict[PoolUnit, RolloutLimits] = {}
         self._tasks: Tasks = {}
-        self._counted = float("-inf")
-        self._chosen: tuple[float, frozenset[str]] = (float("-inf"), frozenset())
+        self._tasks_counted_at = float("-inf")
+        self._last_choice: tuple[float, frozenset[str]] = (float("-inf"), frozenset())
 
     def concurrency(self, pool: str) -> int:
         """Return how many instances of a pool may be out at once here."""
-        return self._pace(pool).concurrency
+        return self._get_limits(pool).concurrency
 
-    def patience(self, pool: str) -> float:
+    def grace_seconds(self, pool: str) -> float:
         """Return the seconds for which work may end by itself in a drain."""
-        return self._pace(pool).patience
+        return self._get_limits(pool).grace_seconds
 
-    def burden(self, instance: Instance) -> float:
+    def drain_cost(self, instance: Instance) -> float:
         """Return the number of jobs that a drain of the instance might move."""
-        return float(len(self._running().get(instance.instance_id, ())))
+        return float(len(self._count_tasks().get(instance.instance_id, ())))
 
-    def _pace(self, pool: str) -> Pace:
+    def _get_limits(self, pool: str) -> RolloutLimits:
         self._refresh()
-        return self._paces.get(Unit(pool, self._data_centre), _UNBOUND)
+        return self._limits_by_unit.get(
+            PoolUnit(pool, self._data_centre), _DEFAULT_LIMITS
+        )
 
     def _refresh(self) -> None:
-        state = self._find_state()
+        state = self._get_state()
         running = frozenset(
             wave.wave_id
             for wave in state.waves.values()
             if wave.status == WaveStatus.RUNNING
         )
         now = self._timers.monotonic()
-        since, waves = self._chosen
-        if waves == running and now - since < PACE_SECONDS:
+        chosen_at, waves = self._last_choice
+        if waves == running and now - chosen_at < LIMITS_TTL_SECONDS:
             return
-        self._chosen = (now, running)
-        self._paces = {}
-        tasks = self._running()
+        self._last_choice = (now, running)
+        self._limits_by_unit = {}
+        tasks = self._count_tasks()
         for wave_id in sorted(running):
-            facts = wave_facts(state, state.waves[wave_id], tasks)
-            for unit, pace in choose_paces(facts).items():
-                held = self._paces.get(unit, pace)
-                self._paces[unit] = max(
-                    held, pace, key=lambda one: (one.concurrency, one.patience)
+            plan_input = build_wave_input(state, state.waves[wave_id], tasks)
+            for unit, limits in choose_limits(plan_input).items():
+                current = self._limits_by_unit.get(unit, limits)
+                self._limits_by_unit[unit] = max(
+                    current,
+                    limits,
+                    key=lambda item: (item.concurrency, item.grace_seconds),
                 )
 
-    def _running(self) -> Tasks:
+    def _count_tasks(self) -> Tasks:
         now = self._timers.monotonic()
-        if now - self._counted >= TASKS_SECONDS:
-            self._counted = now
-            self._tasks = running_tasks(self._find_work())
+        if now - self._tasks_counted_at >= TASK_COUNT_TTL_SECONDS:
+            self._tasks_counted_at = now
+            self._tasks = running_tasks(self._get_work())
         return self._tasks
--- a/mustardward/components/maintenance/pool_look.py
+++ b/mustardward/components/maintenance/pool_look.py
@@ -26,19 +26,19 @@
 from ..peers.protocols import Peers
 from .const import (
     CLAIM_PRIORITY,
-    LOOK_FRESH_SECONDS,
-    LOOK_PEER_SECONDS,
-    LOOK_SECONDS,
-    LOOK_TRIES,
-    LOOKS_AT_ONCE,
+    MAX_CONCURRENT_PROBES,
+    PEER_PROBE_TIMEOUT_SECONDS,
+    PROBE_ATTEMPTS,
+    PROBE_TIMEOUT_SECONDS,
+    PROBE_TTL_SECONDS,
 )
-from .messages import LookAtPool, PoolLooked
-from .models import ExecutorParts
+from .messages import PoolProbed, ProbePool
+from .models import ExecutorDependencies
 
 _LOGGER = get_logger(__name__)
 
 
-class PoolLook:
+class PoolProber:
     """Ask a pool's workers for a sign of life, here and in other data centres.
 
     :param parts: the log, membership and clock of this process.
@@ -48,99 +48,110 @@
 
     def __init__(
         self,
-        parts: ExecutorParts,
+        dependencies: ExecutorDependencies,
         workers: WorkerService,
         find_peers: Callable[[], Peers | None],
     ) -> None:
-        self._parts = parts
+        self._dependencies = dependencies
         self._workers = workers
         self._find_peers = find_peers
-        self._looked: dict[str, float] = {}
+        self._probed_at: dict[str, float] = {}
 
-    async def async_look(self, pool: str) -> None:
+    async def async_probe(self, pool: str) -> None:
         """Fold what is down in a pool, here and wherever an entry can be reached.
 
         A data centre that cannot be reached is left out; once it is silent for long,
         the fold counts all of it as unavailable.
         """
         async with anyio.create_task_group() as group:
-            group.start_soon(self.async_look_here, pool)
-            for member in self._elsewhere(pool):
-                group.start_soon(self._async_ask, member, pool)
+            group.start_soon(self.async_probe_local, pool)
+            for member in self._remote_entries(pool):
+                group.start_soon(self._async_probe_remote, member, pool)
 
-    async def async_look_here(self, pool: str) -> None:
+    async def async_probe_local(self, pool: str) -> None:
         """Fold what is down in a pool in this data centre."""
-        now = self._parts.timers.monotonic()
-        if now - self._looked.get(pool, float("-inf")) < LOOK_FRESH_SECONDS:
+        now = self._dependencies.timers.monotonic()
+        if now - self._probed_at.get(pool, float("-inf")) < PROBE_TTL_SECONDS:
             return
-        self._looked[pool] = now
-        silent = await self._async_silent(self._mates(pool))
-        if not silent or not self._parts.log.may_decide:
+        self._probed_at[pool] = now
+        unresponsive = await self._async_find_unresponsive(
+            self._available_instances(pool)
+        )
+        if not unresponsive or not self._dependencies.log.may_decide:
             return
-        changes = [await self._async_change(name) for name in sorted(silent)]
-        _LOGGER.warning("pool_looked", pool=pool, silent=",".join(sorted(silent)))
-        body = ReportAbsences(self._parts.data_centre, tuple(changes))
-        await self._parts.log.async_propose(
-            body, actor=self._parts.executor, priority=CLAIM_PRIORITY
+        changes = [
+            await self._async_build_change(name) for name in sorted(unresponsive)
+        ]
+        _LOGGER.warning(
+            "unresponsive_workers_found",
+            pool=pool,
+            instances=",".join(sorted(unresponsive)),
+        )
+        body = ReportAbsences(self._dependencies.data_centre, tuple(changes))
+        await self._dependencies.log.async_propose(
+            body, actor=self._dependencies.executor, priority=CLAIM_PRIORITY
         )
 
-    async def async_answer(self, caller: str, message: Any) -> PoolLooked:
+    async def async_handle(self, caller: str, message: Any) -> PoolProbed:
         """Answer another entry that is about to take an instance of a pool."""
-        if isinstance(message, LookAtPool):
-            await self.async_look_here(message.pool)
-        return PoolLooked(self._parts.log.next_offset)
+        if isinstance(message, ProbePool):
+            await self.async_probe_local(message.pool)
+        return PoolProbed(self._dependencies.log.next_offset)
 
-    def _mates(self, pool: str) -> list[Instance]:
-        state = self._parts.log.state
+    def _available_instances(self, pool: str) -> list[Instance]:
+        state = self._dependencies.log.state
         index = index_of(state)
         return [
             state.instances[name]
-            for name in index.instances_of(self._parts.data_centre)
+            for name in index.instances_of(self._dependencies.data_centre)
             if state.instances[name].pool == pool and index.is_available(name)
         ]
 
-    def _elsewhere(self, pool: str) -> list[Member]:
+    def _remote_entries(self, pool: str) -> list[Member]:
         """Return one live entry of each other data centre that has part of a pool."""
-        state = self._parts.log.state
-        found: list[Member] = []
+        state = self._dependencies.log.state
+        entries: list[Member] = []
         for data_centre in index_of(state).data_centres(pool):
-            if data_centre == self._parts.data_centre or data_centre in state.silent:
+            if (
+                data_centre == self._dependencies.data_centre
+                or data_centre in state.silent
+            ):
                 continue
             live = {
                 member.name: member
-                for member in self._parts.membership.live(data_centre)
+                for member in self._dependencies.membership.live(data_centre)
             }
             name = rendezvous_owner(f"look:{pool}", live)
             if name is not None:
-                found.append(live[name])
-        return found
+                entries.append(live[name])
+        return entries
 
-    async def _async_ask(self, member: Member, pool: str) -> None:
+    async def _async_probe_remote(self, member: Member, pool: str) -> None:
         peers = self._find_peers()
         if peers is None:
             return
         try:
-            await peers.async_call(member, LookAtPool(pool), LOOK_PEER_SECONDS)
+            await peers.async_call(member, ProbePool(pool), PEER_PROBE_TIMEOUT_SECONDS)
         except (PeerError, PeerOutcomeUnknownError) as error:
-            _LOGGER.info("look_unanswered", peer=member.name, cause=error.code)
+            _LOGGER.info("pool_probe_failed", peer=member.name, cause=error.code)
 
-    async def _async_silent(self, mates: list[Instance]) -> set[str]:
-        silent: set[str] = set()
-        limiter = anyio.CapacityLimiter(LOOKS_AT_ONCE)
+    async def _async_find_unresponsive(self, candidates: list[Instance]) -> set[str]:
+        unresponsive: set[str] = set()
+        limiter = anyio.CapacityLimiter(MAX_CONCURRENT_PROBES)
 
-        async def look(instance: Instance) -> None:
+        async def probe(instance: Instance) -> None:
             async with limiter:
-                if not await self._async_answers(instance):
-                    silent.add(instance.instance_id)
+                if not await self._async_is_responsive(instance):
+                    unresponsive.add(instance.instance_id)
 
         async with anyio.create_task_group() as group:
-            for instance in mates:
-                group.start_soon(look, instance)
-        return silent
+            for instance in candidates:
+                group.start_soon(probe, instance)
+        return unresponsive
 
-    async def _async_answers(self, instance: Instance) -> bool:
-        for _ in range(LOOK_TRIES):
-            with anyio.move_on_after(LOOK_SECONDS):
+    async def _async_is_responsive(self, instance: Instance) -> bool:
+        for _ in range(PROBE_ATTEMPTS):
+            with anyio.move_on_after(PROBE_TIMEOUT_SECONDS):
                 try:
                     await self._workers.async_usage(instance.address)
                     return True
@@ -148,9 +159,9 @@
                     continue
         return False
 
-    async def _async_change(self, instance_id: str) -> AbsenceChange:
+    async def _async_build_change(self, instance_id: str) -> AbsenceChange:
         try:
-            boot = (await self._parts.power.async_get(instance_id)).boot
+            boot = (await self._dependencies.power.async_get(instance_id)).boot
         except PlatformError:
             boot = 0
         return AbsenceChange(instance_id, False, boot, CAUSE_FAILED)
--- a/mustardward/components/maintenance/selection.py
+++ b/mustardward/components/maintenance/selection.py
@@ -13,7 +13,7 @@
 from ...state.instance_status import instance_status
 from ...state.models.maintenance import Wave
 from ...state.models.pools import Instance
-from .windows import windows_allow
+from .windows import is_maintenance_allowed
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,12 +26,12 @@
 
     chosen: tuple[str, ...]
     binding: dict[str, Budget]
-    closed: frozenset[str]
-    growth_reached: bool = False
+    closed_pools: frozenset[str]
+    wave_limit_reached: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class SelectionFacts:
+class SelectionContext:
     """Hold what a choice is made from besides the folded state.
 
     :param evidence: instances by pool that look down and are not folded as such.
@@ -42,15 +42,15 @@
 
     data_centre: str
     wall: float
-    evidence: Counter[str]
+    unreported: Counter[str]
     concurrency: Callable[[str], int]
-    burden: Callable[[Instance], float]
-    most: int
+    drain_cost: Callable[[Instance], float]
+    limit: int
     excluded: frozenset[str] = frozenset()
 
 
 @dataclass(frozen=True, slots=True)
-class SelectionBasis:
+class SelectionKey:
     """Hold what a selection came from: the same basis gives the same selection.
 
     Windows and paces depend on time, so the period counts too.
@@ -58,53 +58,60 @@
 
     next_offset: int
     period: int
-    evidence: frozenset[tuple[str, int]]
+    unreported: frozenset[tuple[str, int]]
 
 
-def select_claims(state: FleetState, wave: Wave, facts: SelectionFacts) -> Selection:
+def select_claims(
+    state: FleetState, wave: Wave, context: SelectionContext
+) -> Selection:
     """Return the instances of one data centre that a wave should claim now."""
-    left = min(facts.most, wave_limit(wave) - index_of(state).claims_of(wave.wave_id))
-    if left <= 0:
-        return Selection((), {}, frozenset(), growth_reached=True)
+    remaining = min(
+        context.limit, wave_limit(wave) - index_of(state).claims_of(wave.wave_id)
+    )
+    if remaining <= 0:
+        return Selection((), {}, frozenset(), wave_limit_reached=True)
     chosen: list[str] = []
     binding: dict[str, Budget] = {}
-    closed: set[str] = set()
-    candidates = _candidates(state, wave, facts)
+    closed_pools: set[str] = set()
+    candidates = _candidates(state, wave, context)
     for pool in sorted(candidates, key=lambda name: (-len(candidates[name]), name)):
-        if not windows_allow(index_of(state).users(pool).values(), facts.wall):
-            closed.add(pool)
+        if not is_maintenance_allowed(
+            index_of(state).users(pool).values(), context.wall
+        ):
+            closed_pools.add(pool)
             continue
         ordered = sorted(
-            candidates[pool], key=lambda item: (facts.burden(item), item.instance_id)
+            candidates[pool],
+            key=lambda item: (context.drain_cost(item), item.instance_id),
         )
         names = [item.instance_id for item in ordered]
-        free = [name for name in names if name in state.absences]
-        costly = [name for name in names if name not in state.absences]
-        allowed, budget = _allowed(state, pool, facts)
+        quarantined = [name for name in names if name in state.absences]
+        available = [name for name in names if name not in state.absences]
+        allowed, budget = _available_claims(state, pool, context)
         if allowed <= 0 and budget is not None:
             binding[pool] = budget
-        wanted = costly[: max(0, allowed)]
-        if len(wave.done) >= wave.canary and _is_whole(budget):
-            wanted = [*free, *wanted]
-        chosen.extend(wanted[: left - len(chosen)])
-    return Selection(tuple(chosen), binding, frozenset(closed))
+        selected = available[: max(0, allowed)]
+        if len(wave.done) >= wave.canary and _is_within(budget):
+            selected = [*quarantined, *selected]
+        chosen.extend(selected[: remaining - len(chosen)])
+    return Selection(tuple(chosen), binding, frozenset(closed_pools))
 
 
 def _candidates(
-    state: FleetState, wave: Wave, facts: SelectionFacts
+    state: FleetState, wave: Wave, context: SelectionContext
 ) -> dict[str, list[Instance]]:
     index = index_of(state)
     found: dict[str, list[Instance]] = defaultdict(list)
-    for instance_id in index.instances_of(facts.data_centre):
-        if instance_id not in wave.pending or instance_id in facts.excluded:
+    for instance_id in index.instances_of(context.data_centre):
+        if instance_id not in wave.pending or instance_id in context.excluded:
             continue
         instance = state.instances[instance_id]
-        if index.is_available(instance_id) or _is_free(state, instance_id):
+        if index.is_available(instance_id) or _is_quarantined(state, instance_id):
             found[instance.pool].append(instance)
     return found
 
 
-def _is_free(state: FleetState, instance_id: str) -> bool:
+def _is_quarantined(state: FleetState, instance_id: str) -> bool:
     """Tell whether an instance is in quarantine only: taking it costs no budget.
 
     It never serves as a canary: that it fails would say nothing about the wave.
@@ -112,21 +119,21 @@
     return instance_status(state, instance_id) == "quarantined"
 
 
-def _is_whole(budget: Budget | None) -> bool:
+def _is_within(budget: Budget | None) -> bool:
     return budget is None or budget.margin >= 0
 
 
-def _allowed(
-    state: FleetState, pool: str, facts: SelectionFacts
+def _available_claims(
+    state: FleetState, pool: str, context: SelectionContext
 ) -> tuple[int, Budget | None]:
     index = index_of(state)
-    out = sum(1 for _ in claimed_in(state, pool, facts.data_centre))
-    planned = facts.concurrency(pool) - out
-    tightest = index.tightest(state, pool, facts.data_centre)
+    out = sum(1 for _ in claimed_in(state, pool, context.data_centre))
+    concurrency_left = context.concurrency(pool) - out
+    tightest = index.tightest(state, pool, context.data_centre)
     if tightest is None:
-        return planned, None
-    margin = tightest.margin - facts.evidence[pool]
-    return min(planned, margin), tightest if margin <= 0 else None
+        return concurrency_left, None
+    margin = tightest.margin - context.unreported[pool]
+    return min(concurrency_left, margin), tightest if margin <= 0 else None
 
 
 def claimed_in(state: FleetState, pool: str, data_centre: str) -> Iterator[Instance]:
@@ -137,7 +144,7 @@
             yield instance
 
 
-def give_back_order(stage: str) -> int:
+def abort_rank(stage: str) -> int:
     """Return the rank in which claims go back when failures eat the margin.
 
     A drained instance serves again at once and nothing of its work is disturbed; one
--- a/mustardward/components/maintenance/services.py
+++ b/mustardward/components/maintenance/services.py
@@ -27,24 +27,24 @@
     WaveStatus,
 )
 from ..explain.models import SubjectKind
-from .claim_steps import ClaimSteps
-from .const import CLAIM_PRIORITY, MAXIMUM_CLAIMS_AT_ONCE, RESELECT_SECONDS
-from .decisions import DecisionJournal, note_selection
-from .evidence import unreported_down
-from .models import ExecutorParts, executor_name
-from .pacing import Pacing
+from .claim_steps import ClaimProcessor
+from .const import CLAIM_PRIORITY, MAX_CLAIMS_PER_STEP, RESELECT_INTERVAL_SECONDS
+from .decisions import DecisionJournal, record_selection
+from .evidence import count_unreported_failures
+from .models import ExecutorDependencies, executor_name
+from .pacing import RolloutStrategy
 from .selection import (
     Selection,
-    SelectionBasis,
-    SelectionFacts,
-    give_back_order,
+    SelectionContext,
+    SelectionKey,
+    abort_rank,
     select_claims,
 )
 
 _LOGGER = get_logger(__name__)
 
 _CLAIMABLE: Final = (PowerState.SERVING, PowerState.DRAINING, PowerState.DRAINED)
-_CHANGES_WAVES: Final = (ScheduleWave, SignalWave, ReleaseClaim, ReportAbsences)
+_WAVE_CHANGES: Final = (ScheduleWave, SignalWave, ReleaseClaim, ReportAbsences)
 
 
 class WaveExecutor:
@@ -54,14 +54,18 @@
     calls are idempotent and fenced.
     """
 
-    def __init__(self, parts: ExecutorParts, pacing: Pacing) -> None:
-        self._parts = parts
-        self._pacing = pacing
-        self._journal = DecisionJournal(parts.events, parts.log)
-        self._steps = ClaimSteps(parts, self._journal, pacing.patience)
-        self._refused_at: dict[str, int] = {}
-        self._nothing_at: dict[str, SelectionBasis] = {}
-        self._statuses: dict[str, str] = {}
+    def __init__(
+        self, dependencies: ExecutorDependencies, strategy: RolloutStrategy
+    ) -> None:
+        self._dependencies = dependencies
+        self._strategy = strategy
+        self._journal = DecisionJournal(dependencies.events, dependencies.log)
+        self._claims = ClaimProcessor(
+            dependencies, self._journal, strategy.grace_seconds
+        )
+        self._refused_offsets: dict[str, int] = {}
+        self._empty_selections: dict[str, SelectionKey] = {}
+        self._known_statuses: dict[str, str] = {}
 
     @property
     def journal(self) -> DecisionJournal:
@@ -70,30 +74,30 @@
 
     async def async_step(self) -> None:
         """Look at every wave and claim once, and do what is due."""
-        if not self._parts.log.ready:
+        if not self._dependencies.log.ready:
             return
-        self._steps.forget_ended()
+        self._claims.prune()
         await self._async_adopt_orphans()
-        await self._async_give_back_overdrawn()
+        await self._async_abort_over_budget()
         async with anyio.create_task_group() as group:
             for claim in self._own_claims():
-                group.start_soon(self._steps.async_step, claim)
-        if self._parts.may_begin():
-            for wave in self._duties():
+                group.start_soon(self._claims.async_step, claim)
+        if self._dependencies.may_start():
+            for wave in self._owned_waves():
                 await self._async_step_wave(wave)
 
-    def note_outcome(self, outcome: RecordOutcome) -> None:
+    def handle_outcome(self, outcome: RecordOutcome) -> None:
         """Announce a wave that the fold stopped, and why."""
-        if not isinstance(outcome.body, _CHANGES_WAVES):
+        if not isinstance(outcome.body, _WAVE_CHANGES):
             return
-        for wave in self._parts.log.state.waves.values():
-            before = self._statuses.get(wave.wave_id)
-            self._statuses[wave.wave_id] = wave.status
-            if before is None or before == wave.status:
+        for wave in self._dependencies.log.state.waves.values():
+            previous = self._known_statuses.get(wave.wave_id)
+            self._known_statuses[wave.wave_id] = wave.status
+            if previous is None or previous == wave.status:
                 continue
-            if not self._parts.membership.owns_duty(f"wave:{wave.wave_id}"):
+            if not self._dependencies.membership.owns_duty(f"wave:{wave.wave_id}"):
                 continue
-            self._journal.note(
+            self._journal.record(
                 SubjectKind.WAVE,
                 wave.wave_id,
                 f"wave-{wave.status}",
@@ -103,75 +107,77 @@
                 f"pending={len(wave.pending)}",
             )
 
-    def _duties(self) -> list[Wave]:
+    def _owned_waves(self) -> list[Wave]:
         return [
             wave
-            for _, wave in sorted(self._parts.log.state.waves.items())
+            for _, wave in sorted(self._dependencies.log.state.waves.items())
             if wave.status in (WaveStatus.SCHEDULED, WaveStatus.RUNNING)
-            and self._parts.membership.owns_duty(f"wave:{wave.wave_id}")
+            and self._dependencies.membership.owns_duty(f"wave:{wave.wave_id}")
         ]
 
     def _local_claims(self) -> list[Claim]:
-        state = self._parts.log.state
+        state = self._dependencies.log.state
         return [
             claim
             for claim in state.claims.values()
-            if state.instances[claim.instance_id].data_centre == self._parts.data_centre
+            if state.instances[claim.instance_id].data_centre
+            == self._dependencies.data_centre
         ]
 
     def _own_claims(self) -> list[Claim]:
         return [
             claim
             for claim in self._local_claims()
-            if claim.executor == self._parts.executor
+            if claim.executor == self._dependencies.executor
         ]
 
     async def _async_adopt_orphans(self) -> None:
-        membership = self._parts.membership
+        membership = self._dependencies.membership
         live = {
-            executor_name(member) for member in membership.live(self._parts.data_centre)
+            executor_name(member)
+            for member in membership.live(self._dependencies.data_centre)
         }
         for claim in self._local_claims():
             # The holder may only be paused: its claim stays, and gets a generation
             # that fences it when it wakes.
-            if claim.executor in live or not self._parts.log.may_decide:
+            if claim.executor in live or not self._dependencies.log.may_decide:
                 continue
             if not membership.owns_duty(f"wave:{claim.wave_id}"):
                 continue
-            body = AdoptClaim(claim.instance_id, claim.generation, self._parts.executor)
-            await self._parts.log.async_propose(
-                body, actor=self._parts.executor, priority=CLAIM_PRIORITY
+            body = AdoptClaim(
+                claim.instance_id, claim.generation, self._dependencies.executor
+            )
+            await self._dependencies.log.async_propose(
+                body, actor=self._dependencies.executor, priority=CLAIM_PRIORITY
             )
 
-    async def _async_give_back_overdrawn(self) -> None:
+    async def _async_abort_over_budget(self) -> None:
         """Give back as many claims as failures took margin, drained ones first."""
-        overdrawn = self._overdrawn()
+        over_budget = self._claims_over_budget()
         async with anyio.create_task_group() as group:
-            for claim, refusal in overdrawn:
-                group.start_soon(self._async_give_back, claim, refusal)
+            for claim, refusal in over_budget:
+                group.start_soon(self._async_abort, claim, refusal)
 
-    def _overdrawn(self) -> list[tuple[Claim, BudgetExceededError]]:
+    def _claims_over_budget(self) -> list[tuple[Claim, BudgetExceededError]]:
         claims = [
             claim for claim in self._own_claims() if claim.stage != ClaimStage.REBOOTING
         ]
         if not claims:
             return []
-        evidence = self._evidence()
+        unreported = self._count_unreported()
         found = []
         for claim in sorted(
-            claims, key=lambda item: (give_back_order(item.stage), -item.taken)
+            claims, key=lambda item: (abort_rank(item.stage), -item.taken)
         ):
-            pool = self._parts.log.state.instances[claim.instance_id].pool
-            refusal = self._steps.refusal(claim, evidence)
+            pool = self._dependencies.log.state.instances[claim.instance_id].pool
+            refusal = self._claims.check_budget(claim, unreported)
             if refusal is not None:
-                evidence[pool] -= 1
+                unreported[pool] -= 1
                 found.append((claim, refusal))
         return found
 
-    async def _async_give_back(
-        self, claim: Claim, refusal: BudgetExceededError
-    ) -> None:
-        self._journal.note(
+    async def _async_abort(self, claim: Claim, refusal: BudgetExceededError) -> None:
+        self._journal.record(
             SubjectKind.INSTANCE,
             claim.instance_id,
             "claim-given-back",
@@ -179,32 +185,35 @@
             refusal.detail,
         )
         try:
-            await self._steps.async_give_back(claim, refusal.code)
+            await self._claims.async_abort(claim, refusal.code)
         except PlatformError as error:
             _LOGGER.warning(
-                "give_back_postponed", instance=claim.instance_id, cause=error.code
+                "claim_abort_postponed", instance=claim.instance_id, cause=error.code
             )
 
     async def _async_step_wave(self, wave: Wave) -> None:
         if wave.status == WaveStatus.SCHEDULED:
-            if self._parts.timers.wall() >= wave.not_before:
+            if self._dependencies.timers.wall() >= wave.not_before:
                 await self._async_signal(wave, "start")
             return
-        if is_finished(self._parts.log.state, wave):
+        if is_finished(self._dependencies.log.state, wave):
             await self._async_signal(wave, "finish")
             return
-        if self._refused_at.get(wave.wave_id) == self._parts.log.next_offset:
+        if (
+            self._refused_offsets.get(wave.wave_id)
+            == self._dependencies.log.next_offset
+        ):
             # Nothing was folded since the refusal, so the answer would be the same.
             return
-        evidence = self._evidence()
-        basis = self._basis(evidence)
-        if self._nothing_at.get(wave.wave_id) == basis:
+        unreported = self._count_unreported()
+        selection_key = self._build_selection_key(unreported)
+        if self._empty_selections.get(wave.wave_id) == selection_key:
             return
-        selection = self._select(wave, evidence)
+        selection = self._select(wave, unreported)
         if selection.chosen:
-            await self._async_look(selection.chosen)
-            selection = self._select(wave, evidence)
-        note_selection(self._journal, wave, selection)
+            await self._async_probe_pools(selection.chosen)
+            selection = self._select(wave, unreported)
+        record_selection(self._journal, wave, selection)
         proposed: list[str] = []
         async with anyio.create_task_group() as group:
             for instance_id in selection.chosen:
@@ -212,42 +221,44 @@
         if not proposed:
             # Nothing may be taken, or the pool service knows none of it: the next step
             # would search all that is pending for the same end.
-            self._nothing_at[wave.wave_id] = basis
+            self._empty_selections[wave.wave_id] = selection_key
 
-    async def _async_look(self, chosen: tuple[str, ...]) -> None:
+    async def _async_probe_pools(self, chosen: tuple[str, ...]) -> None:
         """Fold what is down beside the chosen instances before any is claimed."""
-        instances = self._parts.log.state.instances
+        instances = self._dependencies.log.state.instances
         pools = {instances[name].pool for name in chosen}
         async with anyio.create_task_group() as group:
             for pool in sorted(pools):
-                group.start_soon(self._parts.look, pool)
+                group.start_soon(self._dependencies.probe, pool)
 
-    def _basis(self, evidence: Counter[str]) -> SelectionBasis:
-        period = int(self._parts.timers.monotonic() / RESELECT_SECONDS)
-        seen = frozenset(evidence.items())
-        return SelectionBasis(self._parts.log.next_offset, period, seen)
+    def _build_selection_key(self, unreported: Counter[str]) -> SelectionKey:
+        period = int(self._dependencies.timers.monotonic() / RESELECT_INTERVAL_SECONDS)
+        failures = frozenset(unreported.items())
+        return SelectionKey(self._dependencies.log.next_offset, period, failures)
 
-    def _select(self, wave: Wave, evidence: Counter[str]) -> Selection:
-        state = self._parts.log.state
-        facts = SelectionFacts(
-            data_centre=self._parts.data_centre,
-            wall=self._parts.timers.wall(),
-            evidence=evidence,
-            concurrency=self._pacing.concurrency,
-            burden=self._pacing.burden,
-            most=MAXIMUM_CLAIMS_AT_ONCE,
-            excluded=self._steps.shunned(),
+    def _select(self, wave: Wave, unreported: Counter[str]) -> Selection:
+        state = self._dependencies.log.state
+        context = SelectionContext(
+            data_centre=self._dependencies.data_centre,
+            wall=self._dependencies.timers.wall(),
+            unreported=unreported,
+            concurrency=self._strategy.concurrency,
+            drain_cost=self._strategy.drain_cost,
+            limit=MAX_CLAIMS_PER_STEP,
+            excluded=self._claims.excluded_instances(),
         )
-        return select_claims(state, wave, facts)
+        return select_claims(state, wave, context)
 
-    def _evidence(self) -> Counter[str]:
-        parts = self._parts
-        return unreported_down(parts.log.state, parts.membership, parts.data_centre)
+    def _count_unreported(self) -> Counter[str]:
+        dependencies = self._dependencies
+        return count_unreported_failures(
+            dependencies.log.state, dependencies.membership, dependencies.data_centre
+        )
 
     async def _async_signal(self, wave: Wave, signal: str) -> None:
-        await self._parts.log.async_propose(
+        await self._dependencies.log.async_propose(
             SignalWave(wave.wave_id, signal),
-            actor=self._parts.executor,
+            actor=self._dependencies.executor,
             base_revision=wave.revision,
         )
 
@@ -255,21 +266,23 @@
         self, wave: Wave, instance_id: str, proposed: list[str]
     ) -> None:
         try:
-            power = await self._parts.power.async_get(instance_id)
+            power = await self._dependencies.power.async_get(instance_id)
         except PlatformError as error:
             _LOGGER.warning("claim_postponed", instance=instance_id, cause=error.code)
             return
         if power.state not in _CLAIMABLE:
             return
         proposed.append(instance_id)
-        body = TakeClaim(wave.wave_id, instance_id, self._parts.executor, power.boot)
-        result = await self._parts.log.async_propose(
-            body, actor=self._parts.executor, priority=CLAIM_PRIORITY
+        body = TakeClaim(
+            wave.wave_id, instance_id, self._dependencies.executor, power.boot
+        )
+        result = await self._dependencies.log.async_propose(
+            body, actor=self._dependencies.executor, priority=CLAIM_PRIORITY
         )
         if isinstance(result, Failure):
             refusal = result.failure()
-            self._refused_at[wave.wave_id] = self._parts.log.next_offset
-            self._journal.note(
+            self._refused_offsets[wave.wave_id] = self._dependencies.log.next_offset
+            self._journal.record(
                 SubjectKind.INSTANCE,
                 instance_id,
                 "claim-refused",
--- a/mustardward/components/maintenance/setup.py
+++ b/mustardward/components/maintenance/setup.py
@@ -12,62 +12,66 @@
     LISTING_SERVICE,
     MEMBERSHIP,
     PEERS,
-    POOL_LOOK,
+    POOL_PROBER,
     POWER_SERVICE,
     WORK_LOG,
     WORKER_SERVICE,
 )
 from . import api  # noqa: F401
 from .absence_reporter import AbsenceReporter
-from .const import REPORT_SECONDS, STEP_SECONDS
-from .messages import LookAtPool
-from .models import ExecutorParts, executor_name
-from .planned_pacing import PlannedPacing
-from .pool_look import PoolLook
+from .const import REPORT_INTERVAL_SECONDS, STEP_INTERVAL_SECONDS
+from .messages import ProbePool
+from .models import ExecutorDependencies, executor_name
+from .planned_pacing import PlannedRolloutStrategy
+from .pool_look import PoolProber
 from .services import WaveExecutor
-from .silence_reporter import SilenceReporter
+from .silence_reporter import ReachabilityReporter
 
 
 async def async_setup_maintenance(core: Core) -> Unload:
     """Start the executor and the reporters, and return what stops them."""
-    without_look = make_parts(core)
-    look = PoolLook(without_look, core.get(WORKER_SERVICE), lambda: core.find(PEERS))
-    parts = replace(without_look, look=look.async_look)
-    core.put(POOL_LOOK, look)
-    pacing = PlannedPacing(
-        parts.data_centre,
+    base_dependencies = build_executor_dependencies(core)
+    probe = PoolProber(
+        base_dependencies, core.get(WORKER_SERVICE), lambda: core.find(PEERS)
+    )
+    dependencies = replace(base_dependencies, probe=probe.async_probe)
+    core.put(POOL_PROBER, probe)
+    strategy = PlannedRolloutStrategy(
+        dependencies.data_centre,
         lambda: core.get(FLEET_LOG).state,
         lambda: work.state if (work := core.find(WORK_LOG)) else None,
         core.timers,
     )
-    executor = WaveExecutor(parts, pacing)
-    absences = AbsenceReporter(parts, core.find(LISTING_SERVICE))
-    silence = SilenceReporter(parts)
-    undo = [
-        core.get(PEERS).handle(LookAtPool, look.async_answer),
-        parts.log.listen(executor.note_outcome),
-        parts.log.listen(silence.note_outcome),
-        core.timers.subscribe("maintenance.step", STEP_SECONDS, executor.async_step),
+    executor = WaveExecutor(dependencies, strategy)
+    absences = AbsenceReporter(dependencies, core.find(LISTING_SERVICE))
+    reachability = ReachabilityReporter(dependencies)
+    unsubscribers = [
+        core.get(PEERS).handle(ProbePool, probe.async_handle),
+        dependencies.log.listen(executor.handle_outcome),
+        dependencies.log.listen(reachability.handle_outcome),
+        core.timers.subscribe(
+            "maintenance.step", STEP_INTERVAL_SECONDS, executor.async_step
+        ),
         core.timers.subscribe(
-            "maintenance.absences", REPORT_SECONDS, absences.async_step
+            "maintenance.absences", REPORT_INTERVAL_SECONDS, absences.async_step
         ),
         core.timers.subscribe(
-            "maintenance.silence", REPORT_SECONDS, silence.async_step
+            "maintenance.silence", REPORT_INTERVAL_SECONDS, reachability.async_step
         ),
     ]
 
     async def async_unload() -> None:
-        for unsubscribe in reversed(undo):
+        for unsubscribe in reversed(unsubscribers):
             unsubscribe()
-        core.remove(POOL_LOOK)
+        core.remove(POOL_PROBER)
 
     return async_unload
 
 
-def make_parts(core: Core) -> ExecutorParts:
+def build_executor_dependencies(core: Core) -> ExecutorDependencies:
     """Return what executors of waves and moves call."""
     membership = core.get(MEMBERSHIP)
-    return ExecutorParts(
+    return ExecutorDependencies(
         executor=executor_name(membership.own),
         data_centre=core.settings.entry.data_centre,
         log=core.get(FLEET_LOG),
@@ -75,11 +79,11 @@
         membership=membership,
         timers=core.timers,
         events=core.events,
-        vacate=_vacate_with(core),
+        vacate=_build_vacate(core),
     )
 
 
-def _vacate_with(core: Core) -> Callable[[str], Awaitable[bool]]:
+def _build_vacate(core: Core) -> Callable[[str], Awaitable[bool]]:
     async def async_vacate(instance_id: str) -> bool:
         jobs = core.find(JOBS)
         return jobs is None or await jobs.async_vacate(instance_id)
--- a/mustardward/components/maintenance/silence_reporter.py
+++ b/mustardward/components/maintenance/silence_reporter.py
@@ -4,11 +4,11 @@
 
 from ...state.fold import RecordOutcome
 from ...state.models.maintenance import ReportSilence
-from .const import CONTRADICTION_SECONDS, DUTY_SILENCE
-from .models import ExecutorParts
+from .const import DUTY_REACHABILITY, REACHABLE_HOLD_SECONDS
+from .models import ExecutorDependencies
 
 
-class SilenceReporter:
+class ReachabilityReporter:
     """Fold which data centres cannot report their failures.
 
     Only a data centre itself says that it speaks again: a record of its own shows that
@@ -16,35 +16,37 @@
     else call each other silent and speaking in turn, a record a second.
     """
 
-    def __init__(self, parts: ExecutorParts) -> None:
-        self._parts = parts
-        self._spoke: dict[str, float] = {}
+    def __init__(self, dependencies: ExecutorDependencies) -> None:
+        self._dependencies = dependencies
+        self._reachable_at: dict[str, float] = {}
 
     async def async_step(self) -> None:
         """Report what changed."""
-        if not self._parts.may_begin():
+        if not self._dependencies.may_start():
             return
-        if not self._parts.membership.owns_duty(DUTY_SILENCE):
+        if not self._dependencies.membership.owns_duty(DUTY_REACHABILITY):
             return
         for body in self._changes():
-            await self._parts.log.async_propose(body, actor=self._parts.executor)
+            await self._dependencies.log.async_propose(
+                body, actor=self._dependencies.executor
+            )
 
-    def note_outcome(self, outcome: RecordOutcome) -> None:
+    def handle_outcome(self, outcome: RecordOutcome) -> None:
         """Remember that a data centre said it speaks."""
         if isinstance(outcome.body, ReportSilence) and not outcome.body.silent:
-            now = self._parts.timers.monotonic()
-            self._spoke[outcome.body.data_centre] = now
+            now = self._dependencies.timers.monotonic()
+            self._reachable_at[outcome.body.data_centre] = now
 
     def _changes(self) -> list[ReportSilence]:
-        state = self._parts.log.state
-        own = self._parts.data_centre
-        now = self._parts.timers.monotonic()
+        state = self._dependencies.log.state
+        own = self._dependencies.data_centre
+        now = self._dependencies.timers.monotonic()
         changes = [ReportSilence(own, False)] if own in state.silent else []
-        centres = {instance.data_centre for instance in state.instances.values()}
-        for centre in sorted(centres - state.silent - {own}):
-            contradicted = now - self._spoke.get(centre, float("-inf"))
-            if contradicted < CONTRADICTION_SECONDS:
+        data_centres = {instance.data_centre for instance in state.instances.values()}
+        for data_centre in sorted(data_centres - state.silent - {own}):
+            reachable_for = now - self._reachable_at.get(data_centre, float("-inf"))
+            if reachable_for < REACHABLE_HOLD_SECONDS:
                 continue
-            if self._parts.membership.is_silent(centre):
-                changes.append(ReportSilence(centre, True))
+            if self._dependencies.membership.is_silent(data_centre):
+                changes.append(ReportSilence(data_centre, True))
         return changes
--- a/mustardward/components/maintenance/windows.py
+++ b/mustardward/components/maintenance/windows.py
@@ -12,24 +12,24 @@
 """Weekday of the first day of the epoch: a Thursday."""
 
 
-def window_is_open(window: MaintenanceWindow, wall: float) -> bool:
+def is_window_open(window: MaintenanceWindow, now: float) -> bool:
     """Tell whether a window is open; one that began yesterday may run on."""
-    day, second = divmod(int(wall), _DAY_SECONDS)
+    day, second_of_day = divmod(int(now), _DAY_SECONDS)
     for days_ago in range(window.length_seconds // _DAY_SECONDS + 2):
         weekday = (day - days_ago + _EPOCH_WEEKDAY) % 7
-        passed = second + days_ago * _DAY_SECONDS - window.start_second
-        if weekday in window.weekdays and 0 <= passed < window.length_seconds:
+        elapsed = second_of_day + days_ago * _DAY_SECONDS - window.start_second
+        if weekday in window.weekdays and 0 <= elapsed < window.length_seconds:
             return True
     return False
 
 
-def windows_allow(users: Iterable[Parameters], wall: float) -> bool:
+def is_maintenance_allowed(users: Iterable[Parameters], now: float) -> bool:
     """Tell whether every organisation allows maintenance now.
 
     An organisation without windows allows it at any time.
     """
     return all(
         not parameters.windows
-        or any(window_is_open(window, wall) for window in parameters.windows)
+        or any(is_window_open(window, now) for window in parameters.windows)
         for parameters in users
     )
--- a/mustardward/components/pools/acknowledge.py
+++ b/mustardward/components/pools/acknowledge.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from ..maintenance.models import ExecutorParts
+from ..maintenance.models import ExecutorDependencies
 from .messages import Acknowledgement, AskAcknowledgement
 
 
@@ -15,7 +15,9 @@
     chosen before has to be over as well.
     """
 
-    def __init__(self, parts: ExecutorParts, in_flight: Callable[[str], int]) -> None:
+    def __init__(
+        self, parts: ExecutorDependencies, in_flight: Callable[[str], int]
+    ) -> None:
         self._parts = parts
         self._in_flight = in_flight
 
--- a/mustardward/components/pools/api.py
+++ b/mustardward/components/pools/api.py
@@ -15,7 +15,7 @@
 from ...state.models.pools import CancelMove, Instance, Move, RequestMove
 from ...state.records import NO_BASE
 from ..api.routes import ApiAnswer, ApiRequest, api_route
-from ..keys import FLEET_LOG, MEMBERSHIP, POOL_LOOK
+from ..keys import FLEET_LOG, MEMBERSHIP, POOL_PROBER
 from ..maintenance.models import executor_name
 
 
@@ -109,10 +109,10 @@
     instance = request.core.get(FLEET_LOG).state.instances.get(model.instance_id)
     if instance is None:
         raise PoolUnknownError(f"instance={model.instance_id}")
-    look = request.core.find(POOL_LOOK)
+    look = request.core.find(POOL_PROBER)
     if look is not None:
         # A move takes an instance out as a wave does; see maintenance/pool_look.py.
-        await look.async_look(instance.pool)
+        await look.async_probe(instance.pool)
     members = request.core.get(MEMBERSHIP).members(instance.data_centre)
     if not members:
         raise EntriesUnknownError(f"data_centre={instance.data_centre}")
--- a/mustardward/components/pools/services.py
+++ b/mustardward/components/pools/services.py
@@ -15,7 +15,7 @@
 from ..explain.models import SubjectKind
 from ..maintenance.const import CONFIRM_TIMEOUT_SECONDS
 from ..maintenance.decisions import DecisionJournal
-from ..maintenance.models import ExecutorParts, executor_name
+from ..maintenance.models import ExecutorDependencies, executor_name
 from ..membership.models import Member
 from ..peers.protocols import Peers
 from .acknowledge import Acknowledger
@@ -48,7 +48,10 @@
     """
 
     def __init__(
-        self, parts: ExecutorParts, peers: Peers | None, acknowledger: Acknowledger
+        self,
+        parts: ExecutorDependencies,
+        peers: Peers | None,
+        acknowledger: Acknowledger,
     ) -> None:
         self._parts = parts
         self._peers = peers
@@ -59,7 +62,7 @@
 
     async def async_step(self) -> None:
         """Take each move of this process's duty a step further."""
-        if not self._parts.may_begin():
+        if not self._parts.may_start():
             return
         moves = self._duties()
         self._progress = {
@@ -202,7 +205,7 @@
         self._note(move, "move-waiting", "entries-not-acknowledged", waiting)
 
     def _note(self, move: Move, decision: str, cause: str, waiting: str = "") -> None:
-        self._journal.note(
+        self._journal.record(
             SubjectKind.INSTANCE,
             move.instance_id,
             decision,
--- a/mustardward/components/pools/setup.py
+++ b/mustardward/components/pools/setup.py
@@ -6,7 +6,7 @@
 
 from ...core import Core, Unload
 from ..keys import PEERS, ROUTER
-from ..maintenance.setup import make_parts
+from ..maintenance.setup import build_executor_dependencies
 from . import api  # noqa: F401
 from .acknowledge import Acknowledger
 from .const import STEP_SECONDS
@@ -16,7 +16,7 @@
 
 async def async_setup_pools(core: Core) -> Unload:
     """Start to carry out moves and to answer for this entry."""
-    parts = make_parts(core)
+    parts = build_executor_dependencies(core)
     peers = core.find(PEERS)
     acknowledger = Acknowledger(parts, _counter(core))
     executor = MoveExecutor(parts, peers, acknowledger)
--- a/tests/cli/test_waves.py
+++ b/tests/cli/test_waves.py
@@ -12,23 +12,23 @@
 
 from mustardward.cli.client import OperatorClient
 from mustardward.cli.main import main
-from mustardward.components.keys import FLEET_LOG, MEMBERSHIP, POOL_LOOK
+from mustardward.components.keys import FLEET_LOG, MEMBERSHIP, POOL_PROBER
 from mustardward.components.maintenance import api as wave_api  # noqa: F401
 from mustardward.components.maintenance.models import executor_name
 from mustardward.components.pools import api as pool_api  # noqa: F401
 from mustardward.components.pools.api import EntriesUnknownError
 from mustardward.state.budgets import BudgetExceededError
 from mustardward.state.models.pools import Pool
-from tests.components.maintenance.site import FIRST, Site
+from tests.components.maintenance.site import FIRST, MaintenanceHarness
 from tests.fakes.routes import async_route
 
 
 @pytest.fixture
-def site(monkeypatch: pytest.MonkeyPatch) -> Site:
+def site(monkeypatch: pytest.MonkeyPatch) -> MaintenanceHarness:
     """Return a data centre that the commands reach without a network."""
-    site = Site(minimum_available=0.6)
-    look = SimpleNamespace(async_look=site.async_look)
-    found = {FLEET_LOG: site.log, MEMBERSHIP: site.membership, POOL_LOOK: look}
+    site = MaintenanceHarness(minimum_available=0.6)
+    look = SimpleNamespace(async_probe=site.async_probe)
+    found = {FLEET_LOG: site.log, MEMBERSHIP: site.membership, POOL_PROBER: look}
     core: Any = SimpleNamespace(get=found.__getitem__, find=found.get)
 
     def call(self: OperatorClient, method: str, path: str, **more: Any) -> Any:
@@ -42,7 +42,7 @@
     return CliRunner().invoke(main, arguments)
 
 
-def test_a_plan_lists_turns_and_what_binds(site: Site) -> None:
+def test_a_plan_lists_turns_and_what_binds(site: MaintenanceHarness) -> None:
     shown = run("wave", "plan", "--pool", "etching")
     assert shown.exit_code == 0, shown.output
     assert shown.output.count("dc1-etching-") == 8
@@ -51,7 +51,7 @@
     assert len(json.loads(as_json.output)["steps"]) == 8
 
 
-def test_a_wave_is_scheduled_paused_and_listed(site: Site) -> None:
+def test_a_wave_is_scheduled_paused_and_listed(site: MaintenanceHarness) -> None:
     scheduled = run("wave", "schedule", "w1", "--pool", "etching", "--canary", "2")
     assert scheduled.exit_code == 0, scheduled.output
     site.signal("start")
@@ -62,7 +62,7 @@
     assert "paused" in run("wave", "status").output
 
 
-def test_an_instance_is_moved_and_the_move_cancelled(site: Site) -> None:
+def test_an_instance_is_moved_and_the_move_cancelled(site: MaintenanceHarness) -> None:
     site.driver.state.pools["casting"] = Pool("casting", 1)
     moved = run("pool", "move", FIRST, "casting", "--output", "json")
     assert moved.exit_code == 0, moved.output
@@ -74,7 +74,9 @@
     assert "casting" in run("pool", "list").output
 
 
-def test_a_move_is_refused_beside_workers_that_nobody_missed(site: Site) -> None:
+def test_a_move_is_refused_beside_workers_that_nobody_missed(
+    site: MaintenanceHarness,
+) -> None:
     """Look at the pool before one of its instances moves away.
 
     Symptom: a move takes a pool below a floor while two workers have long been down.
@@ -88,7 +90,7 @@
     assert site.driver.state.moves == {}
 
 
-def test_a_move_is_refused_where_no_entry_is_known(site: Site) -> None:
+def test_a_move_is_refused_where_no_entry_is_known(site: MaintenanceHarness) -> None:
     """Refuse a move that nobody could acknowledge.
 
     Symptom: an instance changes its pool while entries still send it work.
--- a/tests/components/maintenance/site.py
+++ b/tests/components/maintenance/site.py
@@ -5,7 +5,10 @@
 from typing import Any
 
 from mustardward.components.explain.models import DecisionMade
-from mustardward.components.maintenance.models import ExecutorParts, executor_name
+from mustardward.components.maintenance.models import (
+    ExecutorDependencies,
+    executor_name,
+)
 from mustardward.components.maintenance.services import WaveExecutor
 from mustardward.core import EventBus
 from mustardward.helpers.timer import DrivenTimerService
@@ -23,14 +26,14 @@
     def concurrency(self, pool: str) -> int:
         return 100
 
-    def patience(self, pool: str) -> float:
+    def grace_seconds(self, pool: str) -> float:
         return 60.0
 
-    def burden(self, instance: Instance) -> float:
+    def drain_cost(self, instance: Instance) -> float:
         return 0.0
 
 
-class Site:
+class MaintenanceHarness:
     """Hold one fleet with the executors of one data centre."""
 
     def __init__(self, size: int = 8, **parameters: Any) -> None:
@@ -46,9 +49,9 @@
         self.membership = FakeMembership()
         self.unseen: list[str] = []
 
-    def parts(self, name: str = "entry-1") -> ExecutorParts:
+    def dependencies(self, name: str = "entry-1") -> ExecutorDependencies:
         """Return the parts of one process on the shared log."""
-        return ExecutorParts(
+        return ExecutorDependencies(
             executor=executor_name(build_member(name)),
             data_centre="dc1",
             log=self.log,
@@ -61,8 +64,8 @@
 
     def executor(self, name: str = "entry-1") -> WaveExecutor:
         """Return an executor on the shared log."""
-        executor = WaveExecutor(self.parts(name), FixedPacing())
-        self.log.listen(executor.note_outcome)
+        executor = WaveExecutor(self.dependencies(name), FixedPacing())
+        self.log.listen(executor.handle_outcome)
         return executor
 
     def schedule(self, wave_id: str = "w1", **more: Any) -> None:
@@ -84,7 +87,7 @@
     def causes(self, decision: str) -> list[str]:
         return [item.cause for item in self.decisions if item.decision == decision]
 
-    async def async_look(self, pool: str) -> None:
+    async def async_probe(self, pool: str) -> None:
         """Fold the failures that nobody has met yet."""
         if self.unseen:
             self.driver.fail(*self.unseen)
--- a/tests/components/maintenance/test_api.py
+++ b/tests/components/maintenance/test_api.py
@@ -11,12 +11,12 @@
 from mustardward.components.maintenance import api
 from mustardward.core import Core
 from mustardward.state.fold import RevisionConflictError
-from tests.components.maintenance.site import FIRST, Site
+from tests.components.maintenance.site import FIRST, MaintenanceHarness
 
 pytestmark = pytest.mark.anyio
 
 
-def ask(site: Site, model: Any = None, **path: str) -> ApiRequest:
+def ask(site: MaintenanceHarness, model: Any = None, **path: str) -> ApiRequest:
     """Return an operator's request."""
     core = Core(cast(Any, None), site.timers, cast(Any, None))
     core.put(FLEET_LOG, site.log)
@@ -24,7 +24,7 @@
 
 
 async def test_a_plan_changes_nothing_and_names_what_binds() -> None:
-    site = Site(minimum_available=0.75)
+    site = MaintenanceHarness(minimum_available=0.75)
     answer = await api.async_plan(ask(site, api.WaveModel(pools=("etching",))))
     assert site.log.proposed == []
     assert len(answer.body["steps"]) == 8
@@ -33,7 +33,7 @@
 
 
 async def test_a_wave_is_scheduled_watched_and_paused() -> None:
-    site = Site()
+    site = MaintenanceHarness()
     model = api.WaveModel(pools=("etching",), canary=2)
     answer = await api.async_schedule(ask(site, model, wave_id="w1"))
     assert answer.status == 202
@@ -51,7 +51,7 @@
 
 
 async def test_an_operator_who_saw_an_older_wave_gets_a_conflict() -> None:
-    site = Site()
+    site = MaintenanceHarness()
     site.schedule()
     seen = site.driver.state.waves["w1"].revision
     site.signal("start")
@@ -61,7 +61,7 @@
 
 
 async def test_unknown_waves_and_signals_are_named() -> None:
-    site = Site()
+    site = MaintenanceHarness()
     site.schedule()
     with pytest.raises(api.WaveUnknownError):
         await api.async_show(ask(site, wave_id="w9"))
--- a/tests/components/maintenance/test_executor.py
+++ b/tests/components/maintenance/test_executor.py
@@ -8,9 +8,9 @@
 
 from mustardward.components.maintenance import services
 from mustardward.components.maintenance.const import (
-    DRAIN_PATIENCE_SECONDS,
-    REBOOT_PATIENCE_SECONDS,
-    RESELECT_SECONDS,
+    DRAIN_START_TIMEOUT_SECONDS,
+    REBOOT_TIMEOUT_SECONDS,
+    RESELECT_INTERVAL_SECONDS,
 )
 from mustardward.components.maintenance.selection import Selection, select_claims
 from mustardward.components.maintenance.services import WaveExecutor
@@ -22,7 +22,7 @@
     TakeClaim,
 )
 from mustardward.state.models.templates import MaintenanceWindow
-from tests.components.maintenance.site import FIRST, SECOND, Site
+from tests.components.maintenance.site import FIRST, SECOND, MaintenanceHarness
 from tests.fakes.waves import build_member
 
 pytestmark = pytest.mark.anyio
@@ -33,7 +33,7 @@
         await executor.async_step()
 
 
-async def take_to(site: Site, executor: WaveExecutor, stage: str) -> str:
+async def take_to(site: MaintenanceHarness, executor: WaveExecutor, stage: str) -> str:
     """Step until one claim is at a stage; return its instance."""
     for _ in range(12):
         for name, claim in site.driver.state.claims.items():
@@ -44,7 +44,7 @@
 
 
 async def test_a_wave_is_carried_out_whole() -> None:
-    site = Site()
+    site = MaintenanceHarness()
     site.schedule()
     executor = site.executor()
     for _ in range(40):
@@ -62,7 +62,7 @@
     Symptom: a tablet's answer breaks off in the middle of a wave.
     Sequence: drain, a long request goes on, reboot. Cause: the drain had a timer.
     """
-    site = Site()
+    site = MaintenanceHarness()
     site.schedule()
     executor = site.executor()
     name = await take_to(site, executor, "draining")
@@ -89,7 +89,7 @@
     Sequence: claim, drain, half the pool fails, reboot all the same.
     Cause: the executor went on with a claim that the budget no longer covers.
     """
-    site = Site(reserve_largest_rack=False)
+    site = MaintenanceHarness(reserve_largest_rack=False)
     site.schedule()
     executor = site.executor()
     name = await take_to(site, executor, "drained")
@@ -109,7 +109,7 @@
     Sequence: instances fail; their report is on the way; the reboot begins.
     Cause: only the folded state was looked at.
     """
-    site = Site(reserve_largest_rack=False)
+    site = MaintenanceHarness(reserve_largest_rack=False)
     site.schedule()
     executor = site.executor()
     name = await take_to(site, executor, "drained")
@@ -121,7 +121,7 @@
 
 
 async def test_failures_folded_by_the_confirmation_stop_the_reboot() -> None:
-    site = Site(reserve_largest_rack=False)
+    site = MaintenanceHarness(reserve_largest_rack=False)
     site.schedule()
     executor = site.executor()
     name = await take_to(site, executor, "drained")
@@ -140,7 +140,7 @@
     its peers; it returns and its claim is released; the next one is about to reboot.
     Cause: local evidence still held the returned instance for down.
     """
-    site = Site(reserve_largest_rack=False)
+    site = MaintenanceHarness(reserve_largest_rack=False)
     site.schedule()
     executor = site.executor()
     name = await take_to(site, executor, "rebooting")
@@ -162,7 +162,7 @@
     a wave waits. Sequence: the budget allows no more; each step sorts what is pending.
     Cause: the step did not know that it would choose nothing again.
     """
-    site = Site()
+    site = MaintenanceHarness()
     site.schedule()
     executor = site.executor()
     searches: list[str] = []
@@ -177,7 +177,7 @@
     before = len(searches)
     await steps(executor, 20)
     assert len(searches) == before
-    site.timers.pause(RESELECT_SECONDS)
+    site.timers.pause(RESELECT_INTERVAL_SECONDS)
     await executor.async_step()
     assert len(searches) == before + 1
 
@@ -190,7 +190,7 @@
     adopts, reboots and finishes; the first wakes with its old state.
     Cause: the platform could not tell the two apart.
     """
-    site = Site()
+    site = MaintenanceHarness()
     site.schedule()
     first = site.executor("entry-0")
     site.membership.others.append(build_member("entry-0"))
@@ -217,7 +217,7 @@
     Sequence: the reboot begins, its answer is lost, the executor dies, its adopter
     calls again. Cause: the adopter's call had an operation id of its own.
     """
-    site = Site()
+    site = MaintenanceHarness()
     site.schedule()
     first = site.executor("entry-0")
     site.membership.others.append(build_member("entry-0"))
@@ -235,14 +235,14 @@
 
 
 async def test_an_instance_that_never_comes_back_stops_the_wave() -> None:
-    site = Site(size=20)
+    site = MaintenanceHarness(size=20)
     site.schedule(maximum_failures=1)
     executor = site.executor()
     name = await take_to(site, executor, "rebooting")
-    site.timers.pause(REBOOT_PATIENCE_SECONDS - 1)
+    site.timers.pause(REBOOT_TIMEOUT_SECONDS - 1)
     await steps(executor, 2)
     assert site.stage(name) == "rebooting"
-    site.timers.pause(REBOOT_PATIENCE_SECONDS)
+    site.timers.pause(REBOOT_TIMEOUT_SECONDS)
     await steps(executor, 2)
     assert site.driver.state.absences[name].cause == "reboot-failed"
     assert site.status() == "paused"
@@ -256,7 +256,7 @@
     Sequence: the log goes out while one instance is drained and one reboots.
     Cause: the executor acted on state whose age it did not look at.
     """
-    site = Site(size=20)
+    site = MaintenanceHarness(size=20)
     site.schedule(canary=2)
     executor = site.executor()
     await take_to(site, executor, "drained")
@@ -274,7 +274,9 @@
 
 
 async def test_two_waves_and_a_failing_rack_keep_the_floor() -> None:
-    site = Site(size=12, minimum_available=0.5, reserve_largest_rack=False)
+    site = MaintenanceHarness(
+        size=12, minimum_available=0.5, reserve_largest_rack=False
+    )
     site.schedule("w1", canary=6)
     site.schedule("w2", canary=6)
     executor = site.executor()
@@ -303,7 +305,7 @@
     Sequence: a claim is refused, and proposed again at each step.
     Cause: nothing had changed that could have let it through.
     """
-    site = Site(minimum_available=1.0)
+    site = MaintenanceHarness(minimum_available=1.0)
     site.schedule()
     executor = site.executor()
     await steps(executor, 2)
@@ -314,7 +316,9 @@
 
 
 async def test_a_closed_window_holds_claims_back() -> None:
-    site = Site(windows=(MaintenanceWindow(start_second=0, length_seconds=3600),))
+    site = MaintenanceHarness(
+        windows=(MaintenanceWindow(start_second=0, length_seconds=3600),)
+    )
     site.schedule()
     executor = site.executor()
     site.timers.pause(86_400 - site.timers.wall() % 86_400 + 3601)
@@ -327,7 +331,7 @@
 
 
 async def test_pause_and_cancel_give_back_what_is_not_rebooting() -> None:
-    site = Site()
+    site = MaintenanceHarness()
     site.schedule()
     executor = site.executor()
     name = await take_to(site, executor, "drained")
@@ -339,7 +343,7 @@
 
 
 async def test_an_instance_that_crashes_while_it_drains_is_not_called_done() -> None:
-    site = Site()
+    site = MaintenanceHarness()
     site.schedule()
     executor = site.executor()
     name = await take_to(site, executor, "draining")
@@ -351,7 +355,7 @@
 
 
 async def test_a_claim_by_another_live_executor_is_left_to_it() -> None:
-    site = Site()
+    site = MaintenanceHarness()
     site.schedule()
     executor = site.executor()
     await executor.async_step()
@@ -363,7 +367,9 @@
 
 
 async def test_drained_instances_go_back_before_draining_ones() -> None:
-    site = Site(size=12, minimum_available=0.5, reserve_largest_rack=False)
+    site = MaintenanceHarness(
+        size=12, minimum_available=0.5, reserve_largest_rack=False
+    )
     site.schedule(canary=2)
     executor = site.executor()
     await steps(executor, 2)
@@ -383,12 +389,12 @@
     Sequence: the worker is quarantined; it eats the last margin; the wave can take
     neither it nor another. Cause: it was asked to cost a margin that it costs already.
     """
-    site = Site(size=8, minimum_available=0.75)
+    site = MaintenanceHarness(size=8, minimum_available=0.75)
     site.schedule()
     executor = site.executor()
     first = await take_to(site, executor, "rebooting")
     site.power.finish_reboots()
-    await executor._steps.async_step(site.driver.state.claims[first])
+    await executor._claims.async_step(site.driver.state.claims[first])
     bad = "dc1-etching-005"
     change = AbsenceChange(bad, False, 1, "quarantined")
     site.driver.accept(ReportAbsences("dc1", (change,)))
@@ -400,7 +406,7 @@
 
 
 async def test_a_quarantined_instance_is_no_canary() -> None:
-    site = Site()
+    site = MaintenanceHarness()
     site.schedule()
     change = AbsenceChange(FIRST, False, 1, "quarantined")
     site.driver.accept(ReportAbsences("dc1", (change,)))
@@ -416,13 +422,13 @@
     Sequence: the worker hangs after the claim; each drain is refused as unavailable.
     Cause: the claim waited for a drain that could not begin.
     """
-    site = Site(size=8, minimum_available=0.75)
+    site = MaintenanceHarness(size=8, minimum_available=0.75)
     site.schedule()
     executor = site.executor()
     site.power.undrainable.add(FIRST)
     for _ in range(4):
         await executor.async_step()
-        site.timers.pause(DRAIN_PATIENCE_SECONDS / 2)
+        site.timers.pause(DRAIN_START_TIMEOUT_SECONDS / 2)
     await steps(executor, 1)
     assert site.stage(FIRST) == ""
     assert "undrainable" in site.causes("claim-given-back")
--- a/tests/components/maintenance/test_planner.py
+++ b/tests/components/maintenance/test_planner.py
@@ -7,7 +7,7 @@
 import pytest
 
 from mustardward.components.maintenance.plan_bounds import canary_bound, rollout_bound
-from mustardward.components.maintenance.plan_facts import gather_facts
+from mustardward.components.maintenance.plan_facts import build_plan_input
 from mustardward.components.maintenance.plan_models import Plan, PlanInput, PlanTask
 from mustardward.components.maintenance.planner import plan_wave
 from mustardward.state.models.maintenance import (
@@ -37,7 +37,7 @@
     return FoldDriver(state)
 
 
-def build_facts(driver: FoldDriver) -> PlanInput:
+def build_input(driver: FoldDriver) -> PlanInput:
     """Return the facts for a wave over all, with tasks of several lengths."""
     names = sorted(driver.state.instances)
     tasks = {
@@ -47,7 +47,7 @@
         ]
         for number, name in enumerate(names)
     }
-    return gather_facts(
+    return build_plan_input(
         driver.state, ("etching", "casting"), frozenset(names), tasks, canary=1
     )
 
@@ -55,8 +55,8 @@
 def fold_plan(driver: FoldDriver, plan: Plan) -> None:
     """Fold every turn of a plan at its time; the fold has to admit all."""
     driver.run_wave(pools=("etching", "casting"))
-    begins = [(step.begins, 1, step) for step in plan.steps]
-    ends = [(step.ends, 0, step) for step in plan.steps]
+    begins = [(step.start_seconds, 1, step) for step in plan.steps]
+    ends = [(step.end_seconds, 0, step) for step in plan.steps]
     generations: dict[str, int] = {}
     for _, begin, step in sorted(begins + ends, key=lambda item: item[:2]):
         name = step.instance_id
@@ -71,46 +71,46 @@
 @pytest.mark.parametrize("weights", [EVEN, MOVES, BUFFER])
 def test_the_fold_admits_every_turn_of_a_plan(weights: PlanWeights) -> None:
     driver = build_driver(weights)
-    plan = plan_wave(build_facts(driver))
+    plan = plan_wave(build_input(driver))
     assert len(plan.steps) == 32
     fold_plan(driver, plan)
     assert len(driver.state.waves["w1"].done) == 32
 
 
 def test_the_canary_comes_first_and_alone() -> None:
-    plan = plan_wave(build_facts(build_driver()))
+    plan = plan_wave(build_input(build_driver()))
     first, second = plan.steps[:2]
-    assert first.begins == 0.0
-    assert second.begins == first.ends
+    assert first.start_seconds == 0.0
+    assert second.start_seconds == first.end_seconds
     assert first.moves == 0
 
 
 def test_weights_steer_between_moves_and_buffer() -> None:
-    by_moves = plan_wave(build_facts(build_driver(MOVES))).measures
-    by_buffer = plan_wave(build_facts(build_driver(BUFFER))).measures
+    by_moves = plan_wave(build_input(build_driver(MOVES))).metrics
+    by_buffer = plan_wave(build_input(build_driver(BUFFER))).metrics
     assert by_moves.moves < by_buffer.moves
     assert by_buffer.buffer < by_moves.buffer
 
 
 def test_a_plan_keeps_near_the_bound_of_the_budgets() -> None:
-    facts = build_facts(build_driver())
-    plan = plan_wave(facts)
-    assert rollout_bound(facts) <= canary_bound(facts)
-    assert canary_bound(facts) <= plan.measures.rollout_seconds
-    assert plan.measures.rollout_seconds <= 1.3 * rollout_bound(facts)
+    plan_input = build_input(build_driver())
+    plan = plan_wave(plan_input)
+    assert rollout_bound(plan_input) <= canary_bound(plan_input)
+    assert canary_bound(plan_input) <= plan.metrics.rollout_seconds
+    assert plan.metrics.rollout_seconds <= 1.3 * rollout_bound(plan_input)
 
 
 def test_what_no_budget_lets_go_is_said_and_not_taken() -> None:
     driver = build_driver(minimum=1.0)
-    plan = plan_wave(build_facts(driver))
-    assert {name.split("-")[1] for name in plan.never} == {"casting"}
-    assert len(plan.never) == 16
+    plan = plan_wave(build_input(driver))
+    assert {name.split("-")[1] for name in plan.blocked} == {"casting"}
+    assert len(plan.blocked) == 16
     assert {step.unit.pool for step in plan.steps} == {"etching"}
     binding = {unit.pool: budget for unit, budget in plan.binding.items()}
     assert binding["casting"].organisation == "club"
 
 
 def test_the_same_facts_give_the_same_plan() -> None:
-    facts = build_facts(build_driver())
-    shuffled = replace(facts, instances=tuple(reversed(facts.instances)))
-    assert plan_wave(facts).steps == plan_wave(shuffled).steps
+    plan_input = build_input(build_driver())
+    shuffled = replace(plan_input, instances=tuple(reversed(plan_input.instances)))
+    assert plan_wave(plan_input).steps == plan_wave(shuffled).steps
--- a/tests/components/maintenance/test_pool_look.py
+++ b/tests/components/maintenance/test_pool_look.py
@@ -7,15 +7,15 @@
 
 import pytest
 
-from mustardward.components.maintenance.messages import LookAtPool
-from mustardward.components.maintenance.pool_look import PoolLook
+from mustardward.components.maintenance.messages import ProbePool
+from mustardward.components.maintenance.pool_look import PoolProber
 from mustardward.components.maintenance.services import WaveExecutor
 from mustardward.components.peers.protocols import Peers
 from mustardward.exceptions import PeerError, PlatformUnavailableError
 from mustardward.standin.protocol.models import WorkerUsage
 from mustardward.standin.protocol.protocols import WorkerService
 from mustardward.state.models.pools import AddInstance
-from tests.components.maintenance.site import FIRST, FixedPacing, Site
+from tests.components.maintenance.site import FIRST, FixedPacing, MaintenanceHarness
 from tests.fakes.waves import build_member
 
 pytestmark = pytest.mark.anyio
@@ -54,18 +54,18 @@
     """Hold a site whose executor looks before it takes."""
 
     def __init__(self) -> None:
-        self.site = Site(reserve_largest_rack=False)
+        self.site = MaintenanceHarness(reserve_largest_rack=False)
         for name, instance in self.site.driver.state.instances.items():
             instance.address = name
         self.workers = Workers()
         self.peers = PeerCalls()
-        parts = self.site.parts()
-        self.look = PoolLook(
-            parts,
+        dependencies = self.site.dependencies()
+        self.probe = PoolProber(
+            dependencies,
             cast(WorkerService, self.workers),
             lambda: cast(Peers, self.peers),
         )
-        looking = replace(parts, look=self.look.async_look)
+        looking = replace(dependencies, probe=self.probe.async_probe)
         self.executor = WaveExecutor(looking, FixedPacing())
 
     def fail(self, number: int) -> list[str]:
@@ -120,18 +120,18 @@
         return await answer(address)
 
     looking.workers.async_usage = lose_first  # type: ignore[method-assign]
-    await looking.look.async_look_here("etching")
+    await looking.probe.async_probe_local("etching")
     assert looking.site.driver.state.absences == {}
 
 
 async def test_a_look_serves_several_claims() -> None:
     looking = Looking()
-    await looking.look.async_look_here("etching")
+    await looking.probe.async_probe_local("etching")
     asked = looking.workers.asked
-    await looking.look.async_look_here("etching")
+    await looking.probe.async_probe_local("etching")
     assert looking.workers.asked == asked
     looking.site.timers.pause(2.0)
-    await looking.look.async_look_here("etching")
+    await looking.probe.async_probe_local("etching")
     assert looking.workers.asked == 2 * asked
 
 
@@ -141,6 +141,6 @@
     looking.site.driver.accept(far)
     looking.site.membership.others.append(build_member("far-1", "dc2"))
     looking.peers.cut = True
-    await looking.look.async_look("etching")
-    assert looking.peers.calls == [("far-1", LookAtPool("etching"))]
+    await looking.probe.async_probe("etching")
+    assert looking.peers.calls == [("far-1", ProbePool("etching"))]
     assert looking.site.driver.state.absences == {}
--- a/tests/components/maintenance/test_reporters.py
+++ b/tests/components/maintenance/test_reporters.py
@@ -5,12 +5,12 @@
 import pytest
 
 from mustardward.components.maintenance.absence_reporter import AbsenceReporter
-from mustardward.components.maintenance.silence_reporter import SilenceReporter
-from mustardward.components.maintenance.windows import window_is_open
+from mustardward.components.maintenance.silence_reporter import ReachabilityReporter
+from mustardward.components.maintenance.windows import is_window_open
 from mustardward.standin.protocol.models import ListedInstance, ListedState, PowerState
 from mustardward.state.models.maintenance import ReportAbsences, ReportSilence
 from mustardward.state.models.templates import MaintenanceWindow
-from tests.components.maintenance.site import FIRST, SECOND, Site
+from tests.components.maintenance.site import FIRST, SECOND, MaintenanceHarness
 
 pytestmark = pytest.mark.anyio
 
@@ -18,7 +18,7 @@
 WEDNESDAY = 6 * DAY
 
 
-class FakeListing:
+class FakeInstanceList:
     """List what it is told."""
 
     def __init__(self, *names: str) -> None:
@@ -31,19 +31,21 @@
         )
 
 
-async def watch(site: Site, reporter: AbsenceReporter, seconds: int) -> None:
+async def watch(
+    site: MaintenanceHarness, reporter: AbsenceReporter, seconds: int
+) -> None:
     for _ in range(seconds):
         await reporter.async_step()
         site.timers.pause(1.0)
 
 
-def reports(site: Site) -> list[ReportAbsences]:
+def reports(site: MaintenanceHarness) -> list[ReportAbsences]:
     return [item for item in site.log.proposed if isinstance(item, ReportAbsences)]
 
 
 async def test_failures_of_a_rack_make_one_record_and_one_for_the_return() -> None:
-    site = Site()
-    reporter = AbsenceReporter(site.parts(), None)
+    site = MaintenanceHarness()
+    reporter = AbsenceReporter(site.dependencies(), None)
     for name in (FIRST, SECOND):
         site.membership.down.add(name)
         site.power.put(name, state=PowerState.DOWN)
@@ -59,8 +61,8 @@
 
 
 async def test_a_short_suspicion_is_not_reported() -> None:
-    site = Site()
-    reporter = AbsenceReporter(site.parts(), None)
+    site = MaintenanceHarness()
+    reporter = AbsenceReporter(site.dependencies(), None)
     site.membership.down.add(FIRST)
     await watch(site, reporter, 2)
     site.membership.down.clear()
@@ -69,10 +71,10 @@
 
 
 async def test_an_instance_that_the_list_no_longer_names_is_looked_at() -> None:
-    site = Site()
-    listing = FakeListing(*site.driver.state.instances)
+    site = MaintenanceHarness()
+    listing = FakeInstanceList(*site.driver.state.instances)
     listing.names.discard(FIRST)
-    reporter = AbsenceReporter(site.parts(), listing)
+    reporter = AbsenceReporter(site.dependencies(), listing)
     await watch(site, reporter, 20)
     assert reports(site) == []
     site.power.put(FIRST, state=PowerState.DOWN)
@@ -87,8 +89,8 @@
     Sequence: entries cannot reach it, the platform says serving, it is called up, work
     fails, it is called down. Cause: each round took as long as the one before.
     """
-    site = Site()
-    reporter = AbsenceReporter(site.parts(), None)
+    site = MaintenanceHarness()
+    reporter = AbsenceReporter(site.dependencies(), None)
     site.membership.down.add(FIRST)
     await watch(site, reporter, 3600)
     assert 4 <= len(reports(site)) <= 30
@@ -101,20 +103,20 @@
     Sequence: the claim is released or the move cancelled; the executor dies before it
     calls. Cause: nobody looked after an end that was in the log already.
     """
-    site = Site()
+    site = MaintenanceHarness()
     site.driver.run_wave()
     site.power.put(FIRST, state=PowerState.DRAINED, generation=1)
     site.membership.down.add(FIRST)
-    reporter = AbsenceReporter(site.parts(), None)
+    reporter = AbsenceReporter(site.dependencies(), None)
     await watch(site, reporter, 6)
     assert site.power.held[FIRST].state is PowerState.SERVING
 
 
 async def test_what_the_platform_drains_itself_is_left_alone() -> None:
-    site = Site()
+    site = MaintenanceHarness()
     site.power.put(FIRST, state=PowerState.DRAINED, generation=0)
     site.membership.down.add(FIRST)
-    reporter = AbsenceReporter(site.parts(), None)
+    reporter = AbsenceReporter(site.dependencies(), None)
     await watch(site, reporter, 6)
     assert site.power.held[FIRST].state is PowerState.DRAINED
     assert site.driver.state.absences[FIRST].cause == "leaving"
@@ -127,10 +129,10 @@
     Sequence: each half sees the other as silent and itself as speaking.
     Cause: both told what they saw, again and again.
     """
-    site = Site()
+    site = MaintenanceHarness()
     site.driver.state.instances[SECOND].data_centre = "dc2"
-    reporter = SilenceReporter(site.parts())
-    site.log.listen(reporter.note_outcome)
+    reporter = ReachabilityReporter(site.dependencies())
+    site.log.listen(reporter.handle_outcome)
     site.membership.silent.add("dc2")
     await reporter.async_step()
     assert site.driver.state.silent == {"dc2"}
@@ -145,9 +147,9 @@
 
 
 async def test_a_data_centre_itself_says_that_it_speaks() -> None:
-    site = Site()
+    site = MaintenanceHarness()
     site.driver.accept(ReportSilence("dc1", True))
-    reporter = SilenceReporter(site.parts())
+    reporter = ReachabilityReporter(site.dependencies())
     site.log.tail_age = 60.0
     await reporter.async_step()
     assert site.driver.state.silent == {"dc1"}
@@ -168,4 +170,4 @@
 )
 async def test_a_window_may_run_past_midnight(wall: float, wanted: bool) -> None:
     window = MaintenanceWindow(22 * 3600, 4 * 3600, weekdays=(2,))
-    assert window_is_open(window, wall) is wanted
+    assert is_window_open(window, wall) is wanted
--- a/tests/components/pools/test_moves.py
+++ b/tests/components/pools/test_moves.py
@@ -18,7 +18,7 @@
 from mustardward.state.handlers.pools import MoveInProgressError
 from mustardward.state.models.maintenance import TakeClaim
 from mustardward.state.models.pools import CancelMove, Pool, RequestMove
-from tests.components.maintenance.site import FIRST, Site
+from tests.components.maintenance.site import FIRST, MaintenanceHarness
 from tests.fakes.waves import build_member
 
 pytestmark = pytest.mark.anyio
@@ -49,7 +49,7 @@
     """Hold a data centre of three entries and one fleet."""
 
     def __init__(self) -> None:
-        self.site = Site(size=8)
+        self.site = MaintenanceHarness(size=8)
         self.site.driver.state.pools["casting"] = Pool("casting", 1)
         self.peers = FakePeers()
         self.in_flight: dict[str, int] = {}
@@ -63,12 +63,12 @@
         self.peers.entries[name] = self.acknowledger(name)
 
     def acknowledger(self, name: str) -> Acknowledger:
-        parts = self.site.parts(name)
+        parts = self.site.dependencies(name)
         return Acknowledger(parts, lambda _: self.in_flight.get(name, 0))
 
     def make_executor(self) -> MoveExecutor:
         own = executor_name(self.site.membership.own)
-        parts = replace(self.site.parts(), executor=own)
+        parts = replace(self.site.dependencies(), executor=own)
         return MoveExecutor(parts, self.peers, Acknowledger(parts, lambda _: 0))
 
     def restart(self) -> None:
