--- a/bench/membership.py
+++ b/bench/membership.py
@@ -135,7 +135,7 @@
     await node.membership.async_announce_leaving()
     statuses: set[str | None] = {MemberStatus.LEAVING}
     here = await _async_until(
-        cluster, lambda: _learnt(cluster.of(centre), name, statuses)
+        cluster, lambda: _learnt(cluster.nodes_in(centre), name, statuses)
     )
     there = await _async_until(
         cluster, lambda: _learnt(list(cluster.nodes.values()), name, statuses)
@@ -155,7 +155,7 @@
         silent = all(node.membership.is_silent(centre) for node in nodes)
         return _learnt(nodes, name, statuses) or silent
 
-    here = await _async_until(cluster, lambda: is_known(cluster.of(centre)))
+    here = await _async_until(cluster, lambda: is_known(cluster.nodes_in(centre)))
     there = await _async_until(cluster, lambda: is_known(list(cluster.nodes.values())))
     return here, here + there
 
@@ -164,7 +164,7 @@
     """Return the seconds until no entry of the data centre gives a worker work."""
     worker = f"worker-{node.name}"
     node.membership.report_instance(worker, False, "draining")
-    nodes = cluster.of(node.core.settings.entry.data_centre)
+    nodes = cluster.nodes_in(node.core.settings.entry.data_centre)
     return await _async_until(
         cluster,
         lambda: not any(n.membership.instance_may_get_work(worker) for n in nodes),
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Build test data."""
+"""Provide builders of records, fleet states and jobs for tests."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 def build_record(
     body: Any, record_id: str = "record-1", base_revision: int = NO_BASE
 ) -> Envelope:
-    """Return an envelope with a fixed actor and stamp."""
+    """Return a record's envelope with a fixed actor and timestamp."""
     return make_record(
         body,
         record_id=record_id,
@@ -32,9 +32,9 @@
 
 
 class FoldBuilder:
-    """Fold records one by one, each in an entry of its own.
+    """Apply records one by one, each in its own log entry.
 
-    :param fold: the fold to drive.
+    :param fold: the fold that applies them.
     """
 
     def __init__(self, fold: Fold[Any]) -> None:
@@ -42,25 +42,25 @@
         self._count = 0
 
     def apply(self, body: Any, base_revision: int = NO_BASE) -> RecordOutcome:
-        """Fold one record under a fresh id and return its outcome."""
+        """Apply one record with a new id and return its outcome."""
         self._count += 1
         envelope = build_record(body, f"built-{self._count}", base_revision)
         payload = encode_batch([envelope])
         return self.fold.apply(self.fold.next_offset, payload)[0]
 
     def accept(self, body: Any, base_revision: int = NO_BASE) -> int:
-        """Fold one record that has to be accepted, and return its revision."""
+        """Apply one record that has to be accepted, and return its revision."""
         return self.apply(body, base_revision).result.unwrap().revision
 
 
 def build_parameters(*pools: str, **changes: Any) -> Parameters:
-    """Return parameters with one service for each pool."""
+    """Return parameters with one service per pool."""
     services = tuple(ServiceBinding(f"service-{pool}", pool) for pool in pools)
     return Parameters(services=services, **changes)
 
 
 def build_fleet_fold(*pools: str) -> FoldBuilder:
-    """Return a fleet fold that holds some pools."""
+    """Return a builder whose fleet has some pools."""
     builder = FoldBuilder(Fold(FleetState(), FLEET_HANDLERS))
     for pool in pools:
         builder.accept(PutPool(pool))
@@ -75,7 +75,7 @@
 
 
 def build_accept_job(job_id: str = "job-1", **fields: Any) -> AcceptJob:
-    """Return the proposal of a small idempotent job."""
+    """Return the record that accepts a small idempotent job."""
     values: dict[str, Any] = {
         "organisation": "derwent",
         "service": "castings",
--- a/tests/components/membership/test_cluster.py
+++ b/tests/components/membership/test_cluster.py
@@ -30,7 +30,7 @@
     cluster.kill("v-1-2")
 
     def is_known(centre: str) -> bool:
-        nodes = cluster.of(centre)
+        nodes = cluster.nodes_in(centre)
         return all(n.status("v-1-2") is MemberStatus.SUSPECT for n in nodes)
 
     assert await cluster.async_run_until(lambda: is_known("v-1"), 10) <= 5.0
@@ -48,7 +48,7 @@
     leaver = cluster.nodes["v-1-1"]
     await leaver.membership.async_announce_leaving()
     others = [node for node in cluster.nodes.values() if node is not leaver]
-    local = [node for node in others if node in cluster.of("v-1")]
+    local = [node for node in others if node in cluster.nodes_in("v-1")]
     assert all(n.status("v-1-1") is MemberStatus.LEAVING for n in local)
 
     def is_known() -> bool:
@@ -128,7 +128,7 @@
     inside = cluster.addresses("v-1") + cluster.addresses("v-2")
     cluster.network.cut_between(inside, cluster.addresses("v-3"))
     await cluster.async_run(20.0)
-    for node in cluster.of("v-1") + cluster.of("v-2"):
+    for node in cluster.nodes_in("v-1") + cluster.nodes_in("v-2"):
         assert node.membership.is_silent("v-3")
         assert node.live("v-3") == set()
         assert node.status("v-3-0") is MemberStatus.ALIVE
@@ -161,7 +161,7 @@
     await cluster.async_run(60.0)
     assert all(
         node.status("v-1-0") is MemberStatus.SUSPECT
-        for node in cluster.of("v-1")
+        for node in cluster.nodes_in("v-1")
         if node is not sleeper
     )
     changes = len(sleeper.changes)
@@ -176,7 +176,7 @@
 
 async def test_two_holders_of_a_duty_are_possible_and_one_remains() -> None:
     cluster = await _async_started({"v-1": 4})
-    nodes = cluster.of("v-1")
+    nodes = cluster.nodes_in("v-1")
 
     def holders() -> list[str]:
         return [n.name for n in nodes if n.membership.owns_duty("sweep")]
--- a/tests/components/membership/test_instances.py
+++ b/tests/components/membership/test_instances.py
@@ -32,7 +32,9 @@
 
 
 def _may(cluster: Cluster, centre: str = "v-1") -> list[bool]:
-    return [n.membership.instance_may_get_work(WORKER) for n in cluster.of(centre)]
+    return [
+        n.membership.instance_may_get_work(WORKER) for n in cluster.nodes_in(centre)
+    ]
 
 
 def _list(state: ListedState, boot: int = 1) -> tuple[ListedInstance, ...]:
@@ -50,7 +52,7 @@
 
 
 def _everywhere(cluster: Cluster, value: bool) -> Callable[[], bool]:
-    return lambda: _may(cluster) == [value] * len(cluster.of("v-1"))
+    return lambda: _may(cluster) == [value] * len(cluster.nodes_in("v-1"))
 
 
 async def test_leaving_worker_gets_no_work_while_the_list_says_nothing() -> None:
@@ -100,7 +102,7 @@
     cluster = await _async_started()
     _set_list(cluster, _list(ListedState.LEAVING))
     assert await cluster.async_run_until(_everywhere(cluster, False), 10.0) <= 5.0
-    reads = [node.listing.reads for node in cluster.of("v-1")]
+    reads = [node.listing.reads for node in cluster.nodes_in("v-1")]
     assert sum(1 for count in reads if count) <= 2
 
 
@@ -242,7 +244,7 @@
     def note(name: str, made: DecisionMade) -> None:
         told.append((name, made.decision, made.cause, made.offset))
 
-    for node in cluster.of("v-1"):
+    for node in cluster.nodes_in("v-1"):
         node.fleet.next_offset = 8
         node.core.events.listen(DecisionMade, partial(note, node.name))
     for _ in range(2):
@@ -264,7 +266,7 @@
     cluster = await _async_started()
     entries = tuple(
         ListedInstance(n.name, "entry", "v-1", "r", "10.9.9.9:1", ListedState.LIVE, 1)
-        for n in cluster.of("v-1")
+        for n in cluster.nodes_in("v-1")
     )
     _set_list(cluster, entries)
     await cluster.async_run(6.0)
--- a/tests/components/routing/test_router.py
+++ b/tests/components/routing/test_router.py
@@ -113,7 +113,7 @@
 
 def test_excluded_and_blocked_workers_get_no_work() -> None:
     harness = RouterHarness(build_state(3))
-    harness.membership.barred.add("dc-1-pool-1-0")
+    harness.membership.blocked.add("dc-1-pool-1-0")
     exclude = frozenset({"dc-1-pool-1-1"})
     chosen = {harness.choose(exclude=exclude).instance.instance_id for _ in range(5)}
     assert chosen == {"dc-1-pool-1-2"}
@@ -135,23 +135,23 @@
     name = "dc-1-pool-1-0"
     state = harness.log.state
     state.claims[name] = Claim(name, "wave", "entry", 2, "claimed", 1)
-    harness.log.folded(TakeClaim("wave", name, "entry", 1))
+    harness.log.notify_accepted(TakeClaim("wave", name, "entry", 1))
     assert harness.refusal() == "no-worker"
     del state.claims[name]
-    harness.log.folded(ReleaseClaim(name, 2, "given-back", 1))
+    harness.log.notify_accepted(ReleaseClaim(name, 2, "given-back", 1))
     assert harness.choose().instance.instance_id == name
     state.moves[name] = Move("move", name, "pool-1", "pool-2", 1)
-    harness.log.folded(RequestMove("move", name, "pool-2"))
+    harness.log.notify_accepted(RequestMove("move", name, "pool-2"))
     assert harness.refusal() == "no-worker"
     del state.moves[name]
     state.instances[name].pool = "pool-2"
-    harness.log.folded(TransferInstance("move"))
+    harness.log.notify_accepted(TransferInstance("move"))
     assert harness.refusal() == "no-worker"
     moved = harness.choose(build_facts(pool="pool-2"))
     assert moved.instance.pool == "pool-2"
     state.absences[name] = Absence(name, "failed", "entry", 1)
     down = AbsenceChange(name, False, 1)
-    harness.log.folded(ReportAbsences("dc-1", (down,)))
+    harness.log.notify_accepted(ReportAbsences("dc-1", (down,)))
     assert not harness.router.slots("pool-2")
 
 
@@ -365,10 +365,10 @@
     name = "dc-1-pool-1-0"
     harness.log.state.absences[name] = Absence(name, "quarantined", "entry-2", 1)
     change = AbsenceChange(name, False, 1, "quarantined")
-    harness.log.folded(ReportAbsences("dc-1", (change,)))
+    harness.log.notify_accepted(ReportAbsences("dc-1", (change,)))
     assert harness.router.slots("pool-1") == 16
     del harness.log.state.absences[name]
-    harness.log.folded(ReportAbsences("dc-1", (AbsenceChange(name, True, 2),)))
+    harness.log.notify_accepted(ReportAbsences("dc-1", (AbsenceChange(name, True, 2),)))
     assert harness.router.slots("pool-1") == 24
 
 
--- a/tests/components/templates/test_joined.py
+++ b/tests/components/templates/test_joined.py
@@ -26,12 +26,12 @@
 from mustardward.standin.protocol.http import PlatformHttp
 from mustardward.state.fold import RevisionConflictError
 
-from ...fakes.driving import CallsUnderWay, async_drive_until
+from ...fakes.driving import CallsInFlight, async_drive_until
 from ...fakes.platform import PlatformBench, async_platform_bench
 
 pytestmark = pytest.mark.anyio
 
-APPENDS = CallsUnderWay()
+APPENDS = CallsInFlight()
 DOMAINS = ("platform", "peers", "membership", "log", "templates")
 PARAMETERS = {"services": [{"service": "climate", "pool": "cellar"}]}
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Share fixtures among all tests, and pass over the faults that are known."""
+"""Provide fixtures for all tests, and mark the known failures as expected."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @pytest.fixture
 def anyio_backend() -> str:
-    """Run asynchronous tests on the backend that the product uses."""
+    """Run asynchronous tests on asyncio, which the product uses."""
     return "asyncio"
 
 
@@ -24,6 +24,6 @@
 
 
 def read_known_red(text: str) -> dict[str, str]:
-    """Return each entry by the test that it names in its first column."""
+    """Return the entries by the test id in their first column."""
     lines = [line for line in text.splitlines() if line.strip()]
     return {line.partition("|")[0].strip(): line for line in lines}
--- a/tests/fakes/cluster.py
+++ b/tests/fakes/cluster.py
@@ -1,4 +1,4 @@
-"""Run the membership of many entries within one process, on driven time."""
+"""Run the membership of many entry nodes in one process with a driven clock."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 @dataclass(eq=False)
 class FakeFleetLog:
-    """Hold a folded state that a test changes by hand."""
+    """Hold a fleet state that a test changes directly."""
 
     state: FleetState = field(default_factory=FleetState)
     next_offset: int = 0
@@ -52,14 +52,14 @@
 
 @dataclass(eq=False)
 class FakeLoad:
-    """Hold the number of requests in flight that a test sets."""
+    """Provide the number of requests in flight that a test sets."""
 
     in_flight: int = 0
 
 
 @dataclass(eq=False)
 class FakeListing:
-    """Return the list that a test sets, or be down."""
+    """Return the instance list that a test sets, or fail while ``down`` is set."""
 
     listed: tuple[ListedInstance, ...] = ()
     down: bool = False
@@ -86,7 +86,7 @@
 
 @dataclass(eq=False)
 class Node:
-    """Hold one entry of the cluster."""
+    """Represent one entry node of the cluster."""
 
     name: str
     core: Core
@@ -99,14 +99,14 @@
     unload: Unload
     changes: list[MembershipChanged] = field(default_factory=list)
     silences: list[DataCentreSilent] = field(default_factory=list)
-    paused_for: float = 0.0
+    paused_seconds: float = 0.0
 
     @property
     def membership(self) -> MembershipService:
         return cast(MembershipService, self.core.get(MEMBERSHIP))
 
     def status(self, name: str) -> MemberStatus | None:
-        """Return the state of a member in the eyes of this node."""
+        """Return the status of a member as this node sees it."""
         found = {member.name: member for member in self.membership.members()}
         return found[name].status if name in found else None
 
@@ -125,7 +125,7 @@
 
 @dataclass(eq=False)
 class Cluster:
-    """Hold nodes that share a fake network and move through time together."""
+    """Run nodes that share a fake network and advance their clocks together."""
 
     network: FakeNetwork = field(default_factory=FakeNetwork)
     nodes: dict[str, Node] = field(default_factory=dict)
@@ -134,7 +134,7 @@
     seeds: dict[str, PeerAddress] = field(default_factory=dict)
 
     async def async_start(self, name: str, centre: str) -> Node:
-        """Start an entry, which knows the seeds by address."""
+        """Start an entry node, which knows the addresses of the seeds."""
         self._addresses += 1
         address = f"10.0.{self._addresses // 250}.{self._addresses % 250 + 1}:9000"
         timers = DrivenTimerService(self.now)
@@ -143,17 +143,17 @@
         peers = FakePeers(self.network, name, address)
         fleet, listing, power = FakeFleetLog(), FakeListing(), FakePower()
         load = FakeLoad()
-        parts: tuple[tuple[Any, Any], ...] = (
+        dependencies: tuple[tuple[Any, Any], ...] = (
             (PEERS, peers),
             (FLEET_LOG, fleet),
             (LIMITER, load),
             (LISTING_SERVICE, listing),
             (POWER_SERVICE, power),
         )
-        for key, part in parts:
-            core.put(key, part)
+        for key, service in dependencies:
+            core.put(key, service)
         node = Node(
-            name, core, timers, peers, fleet, load, listing, power, _async_nothing
+            name, core, timers, peers, fleet, load, listing, power, _async_do_nothing
         )
         core.events.listen(MembershipChanged, node.changes.append)
         core.events.listen(DataCentreSilent, node.silences.append)
@@ -167,7 +167,7 @@
         return node
 
     async def async_start_all(self, sizes: dict[str, int], seeds: int = 3) -> None:
-        """Start entries ``<centre>-<number>``; only the first few of each are seeds."""
+        """Start nodes ``<centre>-<number>``; the first ``seeds`` of each are seeds."""
         for number in range(max(sizes.values())):
             for centre, size in sizes.items():
                 if number < size:
@@ -177,19 +177,19 @@
                         del self.seeds[name]
 
     async def async_run(self, seconds: float) -> None:
-        """Let all nodes that are not paused live through some time."""
+        """Advance the clocks of all nodes that are not paused."""
         for _ in range(round(seconds / STEP_SECONDS)):
             self.now += STEP_SECONDS
             for node in list(self.nodes.values()):
                 if node.peers.address in self.network.stopped:
-                    node.paused_for += STEP_SECONDS
+                    node.paused_seconds += STEP_SECONDS
                 else:
                     await node.timers.async_advance(STEP_SECONDS)
 
     async def async_run_until(
         self, condition: Callable[[], bool], limit: float
     ) -> float:
-        """Return the seconds until a condition holds, or ``limit`` if it never does."""
+        """Run until a condition holds; return the seconds, at most about ``limit``."""
         passed = 0.0
         while not condition() and passed < limit:
             await self.async_run(STEP_SECONDS)
@@ -197,22 +197,22 @@
         return passed
 
     def kill(self, name: str) -> None:
-        """End an entry without a word."""
+        """Remove a node without notice to the others."""
         node = self.nodes.pop(name)
         del self.network.peers[node.peers.address]
 
     def pause(self, name: str) -> None:
-        """Stop an entry's process; calls to it are taken and never answered."""
+        """Pause a node, which then accepts calls but never responds."""
         self.network.stopped.add(self.nodes[name].peers.address)
 
     def resume(self, name: str) -> None:
-        """Let a paused process go on and notice its pause."""
+        """Resume a paused node and report its pause to its timers."""
         node = self.nodes[name]
         self.network.stopped.discard(node.peers.address)
-        node.timers.pause(node.paused_for)
-        node.paused_for = 0.0
+        node.timers.pause(node.paused_seconds)
+        node.paused_seconds = 0.0
 
-    def of(self, centre: str) -> list[Node]:
+    def nodes_in(self, centre: str) -> list[Node]:
         """Return the running nodes of one data centre."""
         return [
             node
@@ -221,8 +221,8 @@
         ]
 
     def addresses(self, centre: str) -> list[str]:
-        return [node.peers.address for node in self.of(centre)]
+        return [node.peers.address for node in self.nodes_in(centre)]
 
 
-async def _async_nothing() -> None:
+async def _async_do_nothing() -> None:
     return None
--- a/tests/fakes/driving.py
+++ b/tests/fakes/driving.py
@@ -1,4 +1,4 @@
-"""Drive a clock beside loopback traffic of one loop."""
+"""Advance a driven clock in step with loopback traffic on the same event loop."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 )
 
 SETTLE_PASSES = 40
-"""Passes of the loop after each step of the clock: what loopback traffic of this loop
-leads to comes about in them, on a busy machine as on an idle one."""
+"""Event loop iterations after each step of the clock. They suffice to process pending
+loopback traffic of this loop, on a busy machine as on an idle one."""
 
 P = ParamSpec("P")
 T = TypeVar("T")
 
 
 @dataclass(slots=True)
-class CallsUnderWay:
-    """Count calls that were sent and are not answered."""
+class CallsInFlight:
+    """Count the calls in flight."""
 
     count: int = 0
     _answered: anyio.Event = field(default_factory=anyio.Event)
 
     def wrap(self, call: Callable[P, Awaitable[T]]) -> Callable[P, Awaitable[T]]:
-        """Return the call, counted while it is under way."""
+        """Return a wrapper that counts the call while it is in flight."""
 
         @wraps(call)
         async def counted(*args: P.args, **kwargs: P.kwargs) -> T:
@@ -49,14 +49,14 @@
         return counted
 
     async def async_wait_answered(self) -> None:
-        """Wait until none is under way."""
+        """Wait until no call is in flight."""
         while self.count:
             self._answered = anyio.Event()
             await self._answered.wait()
 
 
 async def async_settle() -> None:
-    """Let loopback traffic of this loop go on until what it leads to has come about."""
+    """Run the event loop until its pending loopback traffic is processed."""
     for _ in range(SETTLE_PASSES):
         await anyio.lowlevel.checkpoint()
 
@@ -64,31 +64,33 @@
 async def async_drive_until(
     timers: DrivenTimerService,
     condition: Callable[[], bool],
-    calls: CallsUnderWay,
+    calls: CallsInFlight,
     step_seconds: float = 0.01,
     steps: int = 6000,
 ) -> None:
-    """Move the clock on until a condition holds, and never past a call under way.
+    """Advance the clock until a condition holds, but never while a call is in flight.
 
-    The clock goes from one due time to the next, and what that leads to is over before
-    the next one. Driven by real time, it would pass a call's timeout while the call is
-    on its way over a socket of a busy machine.
+    The clock moves from one due timer to the next, and the effects of each are
+    processed before the next step. With real time, calls over sockets could time out on
+    a busy machine.
+
+    :raises AssertionError: if the condition does not hold after all steps.
     """
     for _ in range(steps):
         if condition():
             return
-        left = timers.next_due() - timers.monotonic()
-        await timers.async_advance(max(0.0, min(step_seconds, left)))
+        remaining = timers.next_due() - timers.monotonic()
+        await timers.async_advance(max(0.0, min(step_seconds, remaining)))
         await async_settle()
         await calls.async_wait_answered()
-    raise AssertionError("the condition never held")
+    raise AssertionError("condition was never met")
 
 
 class DrivenLoopTimers:
-    """Keep a driven clock's time, each subscriber in a task of its own.
+    """Provide the timers of a driven clock, with each subscriber in its own task.
 
-    A subscriber that itself waits for the clock would hold up the clock for ever if
-    the one who advances it had to wait for the subscriber.
+    A subscriber that itself waits for the clock would deadlock if the caller that
+    advances the clock had to wait for the subscriber.
     """
 
     def __init__(self, clock: DrivenTimerService, tasks: TaskGroup) -> None:
@@ -126,10 +128,10 @@
 async def async_driven(
     timers: DrivenTimerService, step_seconds: float = 0.005
 ) -> AsyncIterator[None]:
-    """Advance the clock a little, again and again, beside the traffic.
+    """Advance the clock in small steps in the background, alternating with traffic.
 
-    All traffic is on the same loop, so a busy machine slows the clock down with it,
-    and the outcome stays the same.
+    All traffic is on the same loop, so a busy machine slows down the clock as well, and
+    the outcome stays the same.
     """
 
     async def drive() -> None:
--- a/tests/fakes/entry.py
+++ b/tests/fakes/entry.py
@@ -1,4 +1,4 @@
-"""Stand in for the parts that an entry's request path uses."""
+"""Provide fakes of the dependencies of an entry's request path."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
 
 
 def build_settings(limits: RequestLimits | None = None) -> Settings:
-    """Return the settings of one entry on loopback."""
+    """Return the settings of one entry that listens on loopback."""
     return Settings(
         entry=EntryIdentity(name="entry-1", data_centre="dc-a", leaving_seconds=0.0),
         callers=Listener(port=0),
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True)
 class ReadyLog:
-    """Be a log whose state is there."""
+    """Provide a fleet log whose state is loaded."""
 
     ready: bool = True
     state: FleetState = field(default_factory=FleetState)
@@ -83,7 +83,7 @@
 
 @dataclass(slots=True)
 class FakeDirectory:
-    """Know one organisation with one service."""
+    """Resolve one organisation with the services of its parameters."""
 
     parameters: Parameters = field(
         default_factory=lambda: Parameters(services=(ServiceBinding("turn", "rack"),))
@@ -107,20 +107,20 @@
 
 @dataclass(slots=True)
 class FakePermit:
-    """Count releases."""
+    """Record its release, once."""
 
     released: list[bool]
-    over: bool = False
+    is_released: bool = False
 
     def release(self, latency_seconds: float, succeeded: bool) -> None:
-        if not self.over:
+        if not self.is_released:
             self.released.append(succeeded)
-        self.over = True
+        self.is_released = True
 
 
 @dataclass(slots=True)
 class FakeLimiter:
-    """Admit all, or refuse all."""
+    """Admit all requests, or refuse all while ``refusal`` is set."""
 
     refusal: RequestRefusal | None = None
     admitted: int = 0
@@ -135,7 +135,7 @@
 
 @dataclass(slots=True)
 class FakeRouter:
-    """Offer workers in order and remember how their attempts ended."""
+    """Choose workers in order, and record the finished attempts."""
 
     addresses: list[str]
     attempts: list[Attempt] = field(default_factory=list)
@@ -165,13 +165,13 @@
 
     @property
     def outcomes(self) -> list[str]:
-        """Return the outcomes and causes in order."""
+        """Return the outcomes and causes of the attempts in order."""
         return [f"{item.outcome.value}:{item.cause}" for item in self.attempts]
 
 
 @dataclass(slots=True)
 class FakeRetries:
-    """Allow retries that are safe, up to a number of attempts."""
+    """Allow safe retries up to a maximum number of attempts."""
 
     maximum: int = 3
     hedge_seconds: float | None = None
@@ -196,7 +196,7 @@
 
 @dataclass(slots=True)
 class FakeIntents:
-    """Hold intents in memory."""
+    """Hold idempotency records in memory."""
 
     stored: StoredResponse | None = None
     refusal: RequestRefusal | None = None
@@ -223,7 +223,7 @@
 
 @dataclass(slots=True)
 class FakePeers:
-    """Answer forwarded requests with what was set."""
+    """Respond to forwarded requests with the result that a test sets."""
 
     result: Result[WorkerResponse, FailedAttempt] | None = None
     forwarded: list[str] = field(default_factory=list)
@@ -238,7 +238,7 @@
 
 @dataclass(slots=True)
 class SeenRequest:
-    """Hold a request as a worker got it."""
+    """Hold a request as a worker received it."""
 
     method: str
     target: str
@@ -247,18 +247,18 @@
 
     @property
     def attempt_id(self) -> str:
-        """Return the id that the answer has to repeat."""
+        """Return the attempt id that the response has to repeat."""
         return self.headers["mw-attempt-id"]
 
 
 Script = Callable[["SocketStream", SeenRequest], Awaitable[bool]]
-"""Answer a request on its connection; false closes the connection."""
+"""Responds to a request on its connection; a false result closes the connection."""
 
 
 def build_response(
     seen: SeenRequest, body: bytes = b"done", status: int = 200, extra: str = ""
 ) -> bytes:
-    """Return a whole answer as bytes."""
+    """Return a complete HTTP response as bytes."""
     return (
         f"HTTP/1.1 {status} X\r\nmw-attempt-id: {seen.attempt_id}\r\n{extra}"
         f"content-length: {len(body)}\r\n\r\n"
@@ -266,14 +266,14 @@
 
 
 async def respond_ok(stream: SocketStream, seen: SeenRequest) -> bool:
-    """Answer 200 and keep the connection."""
+    """Respond with status 200 and keep the connection open."""
     await stream.send(build_response(seen))
     return True
 
 
 @dataclass(slots=True)
 class RawWorker:
-    """Read requests and answer them by a script, down to the byte."""
+    """Serve requests by a script that controls each byte of the responses."""
 
     script: Script = respond_ok
     address: str = ""
@@ -300,7 +300,7 @@
 
 
 async def async_read_request(stream: SocketStream) -> SeenRequest | None:
-    """Return the next request on a connection, or nothing at its end."""
+    """Return the next request on a connection, or None at its end."""
     connection = h11.Connection(h11.SERVER)
     head: h11.Request | None = None
     body = b""
@@ -342,7 +342,7 @@
 
 @dataclass(slots=True)
 class RunningEntry:
-    """Hold an entry that listens, with its fakes."""
+    """Hold a listening entry with its fakes."""
 
     core: Core
     timers: DrivenTimerService
@@ -356,7 +356,7 @@
 
     @property
     def url(self) -> str:
-        """Return where callers reach it."""
+        """Return the URL for callers."""
         return f"http://127.0.0.1:{self.listener.port}"
 
 
@@ -381,15 +381,15 @@
         limiter, retries = FakeLimiter(), FakeRetries()
         dispatcher = HttpDispatcher(timers)
         guard = None if make_guard is None else make_guard(core)
-        parts = EntryDependencies(
+        entry_dependencies = EntryDependencies(
             limiter, router, retries, dispatcher, intents, peers, guard
         )
-        service = EntryService(parts, timers, tasks)
+        service = EntryService(entry_dependencies, timers, tasks)
         directory = FakeDirectory()
         if parameters is not None:
             directory.parameters = parameters
         health = EntryHealth(core, guard)
-        front_parts = ApplicationDependencies(
+        application_dependencies = ApplicationDependencies(
             service,
             directory,
             health,
@@ -399,7 +399,7 @@
             BudgetAttributor(core),
         )
         listener = HttpListener(
-            CallerApplication(front_parts),
+            CallerApplication(application_dependencies),
             core.settings.callers,
             ListenerOptions(
                 header_bytes=core.settings.limits.header_bytes,
--- a/tests/fakes/fleet.py
+++ b/tests/fakes/fleet.py
@@ -1,4 +1,4 @@
-"""Build fleets and fold records over them without a log."""
+"""Build fleet states, and apply records to them without a log."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
 
 
 class FoldDriver:
-    """Fold one record after another and give their outcomes."""
+    """Apply records one by one and return their outcomes."""
 
     def __init__(self, state: FleetState) -> None:
         self.fold = Fold(state, FLEET_HANDLERS)
@@ -78,7 +78,7 @@
     def apply(
         self, body: Any, base: int = NO_BASE, actor: str = "entry-1"
     ) -> RecordOutcome:
-        """Fold one record."""
+        """Apply one record and return its outcome."""
         offset = self.fold.next_offset
         envelope = make_record(
             body, record_id=f"r{offset}", actor=actor, stamp=0.0, base_revision=base
@@ -86,13 +86,13 @@
         return self.fold.apply(offset, encode_batch([envelope]))[0]
 
     def accept(self, body: Any, base: int = NO_BASE) -> int:
-        """Fold a record that has to be accepted; return its revision."""
+        """Apply a record that has to be accepted; return its revision."""
         result = self.apply(body, base).result
         assert isinstance(result, Success), result.failure()
         return result.unwrap().revision
 
     def refuse(self, body: Any, base: int = NO_BASE) -> MustardwardError:
-        """Fold a record that has to be refused; return why."""
+        """Apply a record that has to be refused; return the error."""
         return self.apply(body, base).result.failure()
 
     def run_wave(
@@ -103,7 +103,7 @@
         self.accept(SignalWave(wave_id, "start"), revision)
 
     def take(self, instance: str, wave_id: str = "w1", boot: int = 1) -> int:
-        """Take a claim; return its generation."""
+        """Claim an instance for a wave; return the generation of the claim."""
         return self.accept(TakeClaim(wave_id, instance, "entry-1#1", boot))
 
     def fail(self, *instances: str, boot: int = 1, centre: str = "dc1") -> None:
--- a/tests/fakes/jobs_world.py
+++ b/tests/fakes/jobs_world.py
@@ -1,4 +1,4 @@
-"""Run the long work of several entries on one shared log and fake workers."""
+"""Run the jobs of several entries on a shared log and fake workers."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 from tests.fakes.worklog import FakeWorkLog, SharedLog
 
 POOL = "casting"
-TICK = 1.0
+TICK_SECONDS = 1.0
 
 
 @dataclass(slots=True, eq=False)
 class Entry:
-    """Hold one entry's parts of long work."""
+    """Hold one entry's job services."""
 
     name: str
     log: FakeWorkLog
@@ -45,13 +45,13 @@
 
     @property
     def stopped(self) -> bool:
-        """Tell whether the process stands still, as its peers would notice."""
+        """Return whether the process is paused, as its peers would detect it."""
         return self.frozen or (self.log.wake_up is not None and self.log.cut_off)
 
 
 @dataclass(slots=True, eq=False)
 class JobsWorld:
-    """Drive entries and workers second by second."""
+    """Run entries and workers with a driven clock in steps of a second."""
 
     workers_count: int = 4
     slots: int = 8
@@ -131,15 +131,15 @@
         return self.entries[name]
 
     def remove_entry(self, name: str) -> Entry:
-        """Take an entry away without a word, as a replaced instance goes."""
+        """Remove an entry without notice, as when its instance is replaced."""
         entry = self.entries.pop(name)
         self.shared.readers.remove(entry.log)
         return entry
 
     async def async_run(self, seconds: float) -> None:
-        """Let time pass, with a tick of every entry that is not frozen."""
-        for _ in range(int(seconds / TICK)):
-            await self.timers.async_advance(TICK)
+        """Advance the clock, and run the scheduler ticks of all active entries."""
+        for _ in range(int(seconds / TICK_SECONDS)):
+            await self.timers.async_advance(TICK_SECONDS)
             self.workers.advance()
             for entry in list(self.entries.values()):
                 if not entry.frozen:
--- a/tests/fakes/log.py
+++ b/tests/fakes/log.py
@@ -1,7 +1,8 @@
-"""Fake the platform's log in memory, with its faults.
+"""Fake the platform's log service in memory, with injectable faults.
 
-Faults: outage, a refused rate, lost answers, copies that arrive late, retention, and a
-cut between one caller and the service (:class:`LogClient`).
+The faults are outages, rate limits, lost requests and responses, delayed appends,
+corrupt, missing and expired entries, and a network partition between one caller and the
+service (:class:`LogClient`).
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 @dataclass(slots=True)
 class _Stream:
-    """Hold one stream; ``oldest`` moves on as entries expire."""
+    """Hold one stream, whose offset ``oldest`` grows as entries expire."""
 
     payloads: dict[int, bytes] = field(default_factory=dict)
     history: list[bytes] = field(default_factory=list)
@@ -31,10 +32,11 @@
 
 
 class FakeLog:
-    """Hold streams; serves as a log service for a caller without faults of its own.
+    """Hold streams and serve them as a log service.
 
-    :param real_waits: end a waiting read after its seconds; else only an append, an
-        outage or :meth:`wake` ends it, so that tests never depend on real time.
+    :param real_waits: whether a waiting read times out in real time. Otherwise only an
+        append, an outage or :meth:`wake` ends it, so that tests do not depend on real
+        time.
     """
 
     def __init__(self, real_waits: bool = False) -> None:
@@ -42,22 +44,22 @@
         self._real_waits = real_waits
         self._out = False
         self.refuse_appends = 0
-        """Refuse this many appends for their rate."""
+        """Number of next appends to reject by the rate limit."""
         self.budget: int | None = None
-        """Appends taken until it is set anew; no bound if nothing."""
+        """Number of appends accepted until it is set again, or None for no limit."""
         self.lose_answers = 0
-        """Take this many appends, yet lose their answers."""
+        """Number of next appends to accept while losing their responses."""
         self.lose_requests = 0
-        """Lose this many appends before they take effect; the caller can't tell."""
+        """Number of next appends to lose, so that their outcome is unknown."""
         self.delay_appends = 0
-        """Lose the answers of this many appends, and hold them back."""
+        """Number of next appends to delay while losing their responses."""
         self.delayed: list[tuple[str, bytes]] = []
         self.appends = 0
         self.reads = 0
 
     @property
     def out(self) -> bool:
-        """Tell whether the log is out."""
+        """Return whether the log has an outage."""
         return self._out
 
     @out.setter
@@ -66,109 +68,109 @@
         self.wake()
 
     def wake(self) -> None:
-        """End all waiting reads."""
-        for held in self._streams.values():
-            held.appended.set()
-            held.appended = anyio.Event()
+        """Wake up all waiting reads."""
+        for content in self._streams.values():
+            content.appended.set()
+            content.appended = anyio.Event()
 
     def tail(self, stream: str) -> int:
-        """Return the offset that the next append gets."""
+        """Return the offset of the next append."""
         return self._stream(stream).tail
 
     def payload(self, stream: str, offset: int) -> bytes:
-        """Return one entry."""
+        """Return the payload of one entry."""
         return self._stream(stream).payloads[offset]
 
     def history(self, stream: str) -> list[bytes]:
-        """Return every entry ever appended, also the expired ones."""
+        """Return the payloads of all entries, including expired ones."""
         return self._stream(stream).history
 
     def lose(self, stream: str, offset: int) -> None:
-        """Lose one entry in the middle of a stream."""
+        """Remove one entry, which leaves a gap in the stream."""
         del self._stream(stream).payloads[offset]
 
     def put(self, stream: str, payload: bytes) -> int:
-        """Append without any fault."""
-        held = self._stream(stream)
-        held.payloads[held.tail] = payload
-        held.history.append(payload)
-        held.tail += 1
-        held.appended.set()
-        held.appended = anyio.Event()
-        return held.tail - 1
+        """Append one entry without faults; return its offset."""
+        content = self._stream(stream)
+        content.payloads[content.tail] = payload
+        content.history.append(payload)
+        content.tail += 1
+        content.appended.set()
+        content.appended = anyio.Event()
+        return content.tail - 1
 
     def corrupt(self, stream: str, offset: int) -> None:
         """Flip a bit in the middle of an entry."""
-        held = self._stream(stream)
-        payload = bytearray(held.payloads[offset])
+        content = self._stream(stream)
+        payload = bytearray(content.payloads[offset])
         payload[len(payload) // 2] ^= 0x10
-        held.payloads[offset] = bytes(payload)
+        content.payloads[offset] = bytes(payload)
 
     def expire(self, stream: str, oldest: int) -> None:
-        """Forget the entries before ``oldest``."""
-        held = self._stream(stream)
-        held.oldest = min(max(held.oldest, oldest), held.tail)
-        for offset in [item for item in held.payloads if item < held.oldest]:
-            del held.payloads[offset]
+        """Remove the entries before ``oldest``."""
+        content = self._stream(stream)
+        content.oldest = min(max(content.oldest, oldest), content.tail)
+        for offset in [item for item in content.payloads if item < content.oldest]:
+            del content.payloads[offset]
 
     def deliver_delayed(self) -> None:
-        """Let the appends that were held back arrive now."""
+        """Append the delayed entries now."""
         for stream, payload in self.delayed:
             self.put(stream, payload)
         self.delayed.clear()
 
     async def async_append(self, stream: str, payload: bytes) -> int:
-        """Append one entry, or meet the fault that is set."""
+        """Append one entry, subject to the faults that are set."""
         await anyio.lowlevel.checkpoint()
         if self.out:
             raise PlatformUnavailableError("log is out")
-        if self._take("refuse_appends") or self.budget == 0:
+        if self._consume_fault("refuse_appends") or self.budget == 0:
             raise AppendRateError()
         if self.budget is not None:
             self.budget -= 1
-        if self._take("lose_requests"):
-            raise PlatformOutcomeUnknownError("request was lost")
-        if self._take("delay_appends"):
+        if self._consume_fault("lose_requests"):
+            raise PlatformOutcomeUnknownError("request lost")
+        if self._consume_fault("delay_appends"):
             self.delayed.append((stream, payload))
-            raise PlatformOutcomeUnknownError("append is late")
+            raise PlatformOutcomeUnknownError("append delayed")
         self.appends += 1
         offset = self.put(stream, payload)
-        if self._take("lose_answers"):
-            raise PlatformOutcomeUnknownError("answer was lost")
+        if self._consume_fault("lose_answers"):
+            raise PlatformOutcomeUnknownError("response lost")
         return offset
 
     async def async_read(
         self, stream: str, offset: int, limit: int, wait_seconds: float
     ) -> LogPage:
-        """Return entries, waiting for the first one if asked to."""
+        """Return entries, after waiting for the first one if requested."""
         await anyio.lowlevel.checkpoint()
         self._check_reading(stream, offset)
-        held = self._stream(stream)
-        if offset == held.tail and wait_seconds > 0:
+        content = self._stream(stream)
+        if offset == content.tail and wait_seconds > 0:
             with anyio.move_on_after(wait_seconds if self._real_waits else None):
-                await held.appended.wait()
+                await content.appended.wait()
             self._check_reading(stream, offset)
         self.reads += 1
-        wanted = range(offset, min(held.tail, offset + limit))
+        wanted = range(offset, min(content.tail, offset + limit))
         entries = tuple(
-            LogEntry(item, held.payloads[item])
+            LogEntry(item, content.payloads[item])
             for item in wanted
-            if item in held.payloads
+            if item in content.payloads
         )
-        return LogPage(entries, held.oldest, held.tail)
+        return LogPage(entries, content.oldest, content.tail)
 
     def _check_reading(self, stream: str, offset: int) -> None:
         if self.out:
             raise PlatformUnavailableError("log is out")
-        held = self._stream(stream)
-        if offset < held.oldest:
-            raise OffsetExpiredError(held.oldest)
+        content = self._stream(stream)
+        if offset < content.oldest:
+            raise OffsetExpiredError(content.oldest)
 
-    def _take(self, fault: str) -> bool:
-        left: int = getattr(self, fault)
-        if left <= 0:
+    def _consume_fault(self, fault: str) -> bool:
+        remaining: int = getattr(self, fault)
+        if remaining <= 0:
             return False
-        setattr(self, fault, left - 1)
+        setattr(self, fault, remaining - 1)
         return True
 
     def _stream(self, name: str) -> _Stream:
@@ -176,7 +178,7 @@
 
 
 class LogClient:
-    """Reach a fake log as one caller, who can be cut off or slowed down by itself.
+    """Connect one caller to a fake log, with network faults of its own.
 
     :param log: the log that several callers share.
     """
@@ -186,11 +188,11 @@
         self._cut_off = False
         self.delay_seconds = 0.0
         self.hang = False
-        """Let every call wait for ever, as behind a link that drops all packets."""
+        """Whether every call hangs, as on a link that drops all packets."""
 
     @property
     def cut_off(self) -> bool:
-        """Tell whether this caller can't reach the log."""
+        """Return whether this caller is disconnected from the log."""
         return self._cut_off
 
     @cut_off.setter
@@ -199,24 +201,24 @@
         self.log.wake()
 
     async def async_append(self, stream: str, payload: bytes) -> int:
-        """Append through the cut and the delay."""
-        await self._async_pass()
+        """Append one entry, subject to the network faults."""
+        await self._async_apply_faults()
         return await self.log.async_append(stream, payload)
 
     async def async_read(
         self, stream: str, offset: int, limit: int, wait_seconds: float
     ) -> LogPage:
-        """Read through the cut and the delay."""
-        await self._async_pass()
+        """Read entries, subject to the network faults."""
+        await self._async_apply_faults()
         page = await self.log.async_read(stream, offset, limit, wait_seconds)
         if self.cut_off:
-            raise PlatformUnavailableError("cut off")
+            raise PlatformUnavailableError("disconnected")
         return page
 
-    async def _async_pass(self) -> None:
+    async def _async_apply_faults(self) -> None:
         if self.hang:
             await anyio.sleep_forever()
         if self.delay_seconds > 0:
             await anyio.sleep(self.delay_seconds)
         if self.cut_off:
-            raise PlatformUnavailableError("cut off")
+            raise PlatformUnavailableError("disconnected")
--- a/tests/fakes/log_bench.py
+++ b/tests/fakes/log_bench.py
@@ -1,4 +1,4 @@
-"""Drive folded logs through time and faults, for tests."""
+"""Run nodes with folded logs on a fake log service and a driven clock."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class LogBench:
-    """Drive folded logs on one fake log and one driven clock."""
+    """Run folded logs that share one fake log service and one driven clock."""
 
     def __init__(self, group: TaskGroup) -> None:
         self.group = group
@@ -37,7 +37,7 @@
         client: LogClient | None = None,
         peers: list[FoldedLog[FleetState]] | None = None,
     ) -> FoldedLog[FleetState]:
-        """Start a node; ``peers`` are asked while its log is silent."""
+        """Start a node, which reads from ``peers`` while the log service is down."""
         log = FoldedLog(
             FLEET_SPEC,
             client or self.service,
@@ -53,7 +53,7 @@
         return log
 
     def start_work(self, data_centre: str) -> FoldedLog[WorkState]:
-        """Start a node of a data centre's stream of work."""
+        """Start a node that follows the work stream of a data centre."""
         log = FoldedLog(
             work_spec(data_centre), self.service, self.timers, random=Random(99)
         )
@@ -61,16 +61,16 @@
         return log
 
     async def async_settle(self, seconds: float = 0.0, step: float = 0.05) -> None:
-        """Let everything run that can, and drive the clock on."""
-        await _async_idle()
+        """Run all ready tasks, and advance the clock by some seconds."""
+        await _async_run_ready_tasks()
         elapsed = 0.0
         while elapsed < seconds:
             await self.timers.async_advance(step)
-            await _async_idle()
+            await _async_run_ready_tasks()
             elapsed += step
 
     async def async_snapshot(self, log: FoldedLog[FleetState]) -> None:
-        """Let a node write a snapshot of its present state."""
+        """Write a snapshot of a node's current state."""
 
         async def write() -> None:
             await log.store.async_write(log.image())
@@ -78,7 +78,7 @@
         await self.async_run(write)
 
     async def async_run(self, work: Callable[[], Awaitable[Any]]) -> None:
-        """Run something that waits on the driven clock, to its end."""
+        """Run a function that waits for the driven clock, until it returns."""
         done = anyio.Event()
 
         async def run() -> None:
@@ -89,7 +89,7 @@
         await self.async_until(done.is_set, 60.0)
 
     async def async_fill(self, log: FoldedLog[FleetState], count: int) -> None:
-        """Let some pools be accepted, each by an entry of its own."""
+        """Propose some pools, each in its own log entry."""
         for _ in range(count):
             body = PutPool(f"pool-{log.next_offset}")
             (await self.async_propose(log, body)).unwrap()
@@ -98,7 +98,7 @@
     async def async_propose(
         self, log: FoldedLog[FleetState], body: Any, seconds: float = 10.0, **more: Any
     ) -> Any:
-        """Propose a record and drive the clock until there is an outcome."""
+        """Propose a record, and advance the clock until its outcome is known."""
         results: list[Any] = []
 
         async def propose() -> None:
@@ -109,23 +109,23 @@
         return results[0]
 
     async def async_until(self, condition: Callable[[], bool], seconds: float) -> None:
-        """Drive the clock until a condition holds."""
+        """Advance the clock until a condition holds."""
         for _ in range(int(seconds / 0.05) + 1):
-            await _async_idle()
+            await _async_run_ready_tasks()
             if condition():
                 return
             await self.timers.async_advance(0.05)
-        raise AssertionError("condition did not come to hold")
+        raise AssertionError("condition was never met")
 
 
-async def _async_idle() -> None:
+async def _async_run_ready_tasks() -> None:
     for _ in range(20):
         await anyio.lowlevel.checkpoint()
 
 
 @asynccontextmanager
 async def running_bench() -> AsyncIterator[LogBench]:
-    """Yield a bench, and end its nodes afterwards."""
+    """Yield a bench, and stop its nodes afterwards."""
     async with anyio.create_task_group() as group:
         yield LogBench(group)
         group.cancel_scope.cancel()
--- a/tests/fakes/peers.py
+++ b/tests/fakes/peers.py
@@ -1,4 +1,4 @@
-"""Let entries call each other within one process, over a network that can be cut."""
+"""Connect entries within one process over a fake network with faults."""
 
 from __future__ import annotations
 
@@ -27,10 +27,11 @@
 
 @dataclass(eq=False)
 class FakeNetwork:
-    """Join fake peers by address; what does not get through is decided here.
+    """Connect fake peers by address, and inject network faults.
 
-    ``cut`` holds pairs of addresses that cannot reach each other, ``stopped`` the
-    addresses that take a call and never answer.
+    :param lost_share: probability that the reply of a call is lost.
+    :param cut: pairs of addresses that cannot reach each other.
+    :param stopped: addresses that accept calls but never respond.
     """
 
     random: Random = field(default_factory=lambda: Random(1))
@@ -41,12 +42,12 @@
     calls: int = 0
 
     def cut_between(self, some: list[str], others: list[str]) -> None:
-        """Cut each of some addresses off from each of the others."""
+        """Disconnect each of some addresses from each of the others."""
         self.cut |= {frozenset((a, b)) for a in some for b in others if a != b}
 
 
 class FakePeers:
-    """Stand in for :class:`Peers` on one address of a fake network."""
+    """Replace :class:`Peers` at one address of a fake network."""
 
     def __init__(self, network: FakeNetwork, name: str, address: str) -> None:
         self._network = network
@@ -62,18 +63,18 @@
 
     @property
     def address(self) -> str:
-        """Return where this entry listens."""
+        """Return the address of this entry."""
         return self._address
 
     def handle(self, message_type: type, handler: PeerHandler) -> Callable[[], None]:
-        """Answer a kind of call until unsubscribed."""
+        """Register the handler of a message type; return a function that removes it."""
         self._handlers[message_type] = handler
         return lambda: self._handlers.pop(message_type, None) and None
 
     async def async_call(
         self, member: Member, message: Any, timeout_seconds: float = 1.0
     ) -> Any:
-        """Return the reply of another fake, through the real codec."""
+        """Call another fake, encoding message and reply with the real codec."""
         network = self._network
         target = network.peers.get(member.address)
         self.calls_made += 1
@@ -91,7 +92,7 @@
         return self._codec.decode(reply, describe_message(message).reply_type)
 
     async def async_answer(self, sender: str, message: Any, data: bytes) -> bytes:
-        """Answer one encoded message."""
+        """Return the encoded reply to one encoded message."""
         self.calls_answered += 1
         handler = self._handlers.get(type(message))
         if handler is None:
@@ -102,7 +103,7 @@
     async def async_forward(
         self, member: Member, facts: RequestFacts, request: OutgoingRequest
     ) -> Result[WorkerResponse, FailedAttempt]:
-        """Forward nothing."""
+        """Fail, since the fake forwards nothing."""
         return Failure(FailedAttempt(AttemptOutcome.NOT_SENT, "fake"))
 
     def _count(self, target: FakePeers, size: int) -> None:
--- a/tests/fakes/platform.py
+++ b/tests/fakes/platform.py
@@ -1,4 +1,4 @@
-"""Run the stand-in platform and call it with the product's clients."""
+"""Run the stand-in platform and connect the product's clients to it."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class PlatformBench:
-    """Hold a served stand-in platform, its clock and the clients to it."""
+    """Hold a running stand-in platform, its clock and the clients connected to it."""
 
     timers: DrivenTimerService
     url: str
@@ -41,7 +41,7 @@
 async def async_platform_bench(
     options: PlatformOptions | None = None,
 ) -> AsyncIterator[PlatformBench]:
-    """Serve a stand-in platform on a driven clock inside the block."""
+    """Run a stand-in platform with a driven clock inside the block."""
     timers = DrivenTimerService()
     async with async_run_platform(timers, options) as running:
         headers = {HEADER_DATA_CENTRE: "dc-1"}
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True)
 class WorkerBench:
-    """Hold a served stand-in worker and a plain HTTP client to it."""
+    """Hold a running stand-in worker and an HTTP client connected to it."""
 
     worker: StandInWorker
     address: str
@@ -73,7 +73,7 @@
 async def async_worker_bench(
     timers: DrivenTimerService, platform_url: str = "", instance_id: str = "worker-1"
 ) -> AsyncIterator[WorkerBench]:
-    """Serve a stand-in worker on a driven clock inside the block."""
+    """Run a stand-in worker with a driven clock inside the block."""
     options = WorkerOptions(instance_id=instance_id)
     async with (
         async_run_worker(timers, options, platform_url) as running,
@@ -85,9 +85,9 @@
 
 
 async def async_until(condition: Callable[[], bool]) -> None:
-    """Let loopback traffic go on until a condition holds."""
+    """Wait for loopback traffic until a condition holds."""
     for _ in range(2000):
         if condition():
             return
         await anyio.sleep(0.001)
-    raise AssertionError("the condition never held")
+    raise AssertionError("condition was never met")
--- a/tests/fakes/policy.py
+++ b/tests/fakes/policy.py
@@ -1,4 +1,4 @@
-"""Stand in for what limits, routing and retries look at."""
+"""Provide fakes and builders for the tests of limits, routing and retries."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class FakeFleetLog:
-    """Hold a state that tests change by hand."""
+    """Hold a fleet state that tests change directly."""
 
     def __init__(self, state: FleetState | None = None) -> None:
         self.state = state or FleetState()
@@ -32,8 +32,8 @@
         self._listeners.append(listener)
         return lambda: self._listeners.remove(listener)
 
-    def folded(self, body: Any) -> None:
-        """Tell the listeners that a record was folded."""
+    def notify_accepted(self, body: Any) -> None:
+        """Notify the listeners of an accepted record."""
         self.sequence += 1
         acceptance = Acceptance((), self.sequence)
         outcome = RecordOutcome(0, build_record(body), body, Success(acceptance))
@@ -42,11 +42,11 @@
 
 
 class FakeMembership:
-    """Hold members and the instances that may get no work."""
+    """Hold members and the instances that must not get work."""
 
     def __init__(self, members: tuple[Member, ...] = ()) -> None:
         self._members = members or (build_member("entry-1"),)
-        self.barred: set[str] = set()
+        self.blocked: set[str] = set()
         self.reports: list[tuple[str, bool, str]] = []
 
     @property
@@ -61,7 +61,7 @@
         )
 
     def instance_may_get_work(self, instance_id: str) -> bool:
-        return instance_id not in self.barred
+        return instance_id not in self.blocked
 
     def report_instance(
         self,
@@ -74,7 +74,7 @@
 
 
 def build_member(name: str, data_centre: str = "dc-1", in_flight: int = 0) -> Member:
-    """Return a live entry."""
+    """Return a live member."""
     return Member(
         name, data_centre, "127.0.0.1:1", 1, MemberStatus.ALIVE, in_flight=in_flight
     )
@@ -83,7 +83,7 @@
 def build_state(
     workers: int, pool: str = "pool-1", data_centre: str = "dc-1", slots: int = 8
 ) -> FleetState:
-    """Return a state with workers of one pool, four to a rack."""
+    """Return a fleet state with workers of one pool, four per rack."""
     state = FleetState()
     add_workers(state, workers, pool, data_centre, slots)
     return state
--- a/tests/fakes/proof.py
+++ b/tests/fakes/proof.py
@@ -1,4 +1,4 @@
-"""Stand in for logs, members and peers where stories and reports are merged."""
+"""Provide fakes of the log, members and peers from which explanations are merged."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def build_entry_settings(name: str, data_centre: str) -> Settings:
-    """Return the least settings of an entry."""
+    """Return the minimal settings of an entry."""
     return Settings.model_validate(
         {
             "entry": {"name": name, "data_centre": data_centre},
@@ -29,18 +29,18 @@
 
 
 def build_core(name: str = "entry-1", data_centre: str = "bergen") -> Core:
-    """Return a core with driven time whose task group is never used."""
+    """Return a core with a driven clock and no task group."""
     settings = build_entry_settings(name, data_centre)
     return Core(settings, DrivenTimerService(), cast(TaskGroup, None))
 
 
 def build_member(name: str, data_centre: str = "bergen") -> Member:
-    """Return a member that is alive."""
+    """Return a live member."""
     return Member(name, data_centre, "127.0.0.1:1", 1, MemberStatus.ALIVE)
 
 
 class FakeFleetLog:
-    """Hold a state and deliver outcomes by hand."""
+    """Hold a fleet state, and deliver the outcomes that a test passes."""
 
     def __init__(self, state: FleetState | None = None) -> None:
         self.state = state or FleetState()
@@ -52,20 +52,20 @@
         return lambda: self._listeners.remove(listener)
 
     def deliver(self, outcome: RecordOutcome) -> None:
-        """Call the listeners."""
+        """Pass an outcome to all listeners."""
         for listener in self._listeners:
             listener(outcome)
 
 
 class FakeMembership:
-    """Know a fixed set of members."""
+    """Hold a fixed set of members."""
 
     def __init__(self, own: Member, *others: Member) -> None:
         self.own = own
         self._others = others
 
     def members(self, data_centre: str | None = None) -> tuple[Member, ...]:
-        """Return all members of a data centre, or of all."""
+        """Return the members of one data centre, or all members."""
         return tuple(
             item
             for item in (self.own, *self._others)
@@ -73,12 +73,12 @@
         )
 
     def live(self, data_centre: str | None = None) -> tuple[Member, ...]:
-        """Return the same as ``members``."""
+        """Return the members, all of which are live."""
         return self.members(data_centre)
 
 
 class FakePeers:
-    """Join the handlers of several entries; some cannot be reached."""
+    """Connect the handlers of several entries, some of which are unreachable."""
 
     def __init__(self, name: str, network: dict[str, FakePeers]) -> None:
         self._name = name
@@ -88,14 +88,14 @@
         network[name] = self
 
     def handle(self, message_type: type, handler: PeerHandler) -> Callable[[], None]:
-        """File a handler."""
+        """Register the handler of a message type; return a function that removes it."""
         self._handlers[message_type] = handler
         return lambda: self._handlers.pop(message_type, None) and None
 
     async def async_call(
         self, member: Member, message: Any, timeout_seconds: float = 1.0
     ) -> Any:
-        """Call the other entry's handler, or fail as the network would."""
+        """Call the other entry's handler, or fail if it is unreachable."""
         if member.name in self.unreachable or member.name not in self._network:
             raise PeerError(member.name)
         handler = self._network[member.name]._handlers[type(message)]
--- a/tests/fakes/relay.py
+++ b/tests/fakes/relay.py
@@ -1,4 +1,4 @@
-"""Relay between folded logs of one process, without a transport."""
+"""Relay entries between folded logs of one process without a network."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
 
 class DirectRelay:
-    """Ask other logs by call; implements ``RelaySource``.
+    """Implement ``RelaySource`` by direct calls to other logs.
 
-    ``peers`` may be changed at any time, as partitions come and go.
+    ``peers`` may change at any time, as in network partitions.
     """
 
     def __init__(self, peers: list[FoldedLog[Any]] | None = None) -> None:
         self.peers = peers or []
-        self._turn = 0
+        self._request_count = 0
 
     async def async_entries(self, question: RelayQuestion) -> RelayAnswer:
-        """Ask the peers in turn."""
+        """Request entries from the peers in round-robin order."""
         if not self.peers:
             return RelayAnswer(RelayStatus.UNAVAILABLE)
-        self._turn += 1
-        return self.peers[self._turn % len(self.peers)].answer(question)
+        self._request_count += 1
+        return self.peers[self._request_count % len(self.peers)].answer(question)
 
     async def async_image(self, question: RelayQuestion) -> RelayAnswer:
-        """Ask the furthest peer."""
+        """Request an image from the peer with the newest state."""
         probe = RelayQuestion(question.stream, 0, "", RelayWanted.POSITION)
         answers = [(peer.answer(probe), peer) for peer in self.peers]
         usable = [
--- a/tests/fakes/routes.py
+++ b/tests/fakes/routes.py
@@ -1,4 +1,4 @@
-"""Answer operators' calls by the filed routes, without a network."""
+"""Call the API's registered routes without a network."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 async def async_route(core: Any, method: str, path: str, body: Any) -> Any:
-    """Return the body of the answer to one call."""
+    """Return the body of the response to one request of an operator."""
     for route in API_ROUTES:
         pattern = re.sub(r"{(\w+)}", r"(?P<\1>[^/]+)", route.path)
         match = re.fullmatch(pattern, path)
@@ -18,4 +18,4 @@
         model = route.body_model(**body) if route.body_model else None
         request = ApiRequest(core, "operator", match.groupdict(), {}, model)
         return (await route.handler(request)).body
-    raise AssertionError(f"no route {method} {path}")
+    raise AssertionError(f"no route matches {method} {path}")
--- a/tests/fakes/state_processes.py
+++ b/tests/fakes/state_processes.py
@@ -1,4 +1,4 @@
-"""Run entry processes on a stand-in platform that they can be cut off from."""
+"""Run entry nodes as processes that use a platform at a given URL."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 import yaml
 from anyio.abc import Process, TaskGroup
 
-PATIENCE_SECONDS = 20.0
+LOG_TIMEOUT_SECONDS = 20.0
 
 
 def free_port() -> int:
-    """Return a port that nobody listens on now."""
+    """Return a free TCP port."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         port: int = probe.getsockname()[1]
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True, eq=False)
 class EntryProcess:
-    """Hold one running entry process and what it logged."""
+    """Hold one running entry process and its log output."""
 
     name: str
     data_centre: str
@@ -39,14 +39,14 @@
     grew: anyio.Event = field(default_factory=anyio.Event)
 
     async def async_logged(self, pattern: str) -> re.Match[str]:
-        """Wait for a line of its log."""
-        with anyio.fail_after(PATIENCE_SECONDS):
+        """Wait until its log output matches a pattern; return the match."""
+        with anyio.fail_after(LOG_TIMEOUT_SECONDS):
             while (match := re.search(pattern, self.logged)) is None:
                 await self.grew.wait()
         return match
 
     async def async_get(self, path: str) -> httpx.Response:
-        """Call it as a caller does."""
+        """Send a GET request to its listener for callers."""
         match = await self.async_logged(r"event=callers_listening .*port=(\d+)")
         url = f"http://127.0.0.1:{match[1]}{path}"
         async with httpx.AsyncClient(trust_env=False) as client:
@@ -65,7 +65,7 @@
     async def async_start(
         self, name: str, data_centre: str, peers: list[EntryProcess]
     ) -> EntryProcess:
-        """Start an entry that knows some peers from its settings."""
+        """Start an entry whose settings name some peers."""
         port = free_port()
         path = self._folder / f"{name}.yaml"
         path.write_text(yaml.safe_dump(self._settings(name, data_centre, port, peers)))
@@ -80,7 +80,7 @@
         return entry
 
     async def async_kill(self, entry: EntryProcess) -> None:
-        """End an entry at once, as when its instance is replaced."""
+        """Kill an entry, as when its instance is replaced."""
         self.running.remove(entry)
         entry.process.kill()
         await entry.process.wait()
@@ -88,11 +88,11 @@
     def _settings(
         self, name: str, data_centre: str, port: int, peers: list[EntryProcess]
     ) -> dict[str, object]:
-        free = {"host": "127.0.0.1", "port": 0}
+        any_port = {"host": "127.0.0.1", "port": 0}
         return {
             "entry": {"name": name, "data_centre": data_centre},
-            "callers": free,
-            "operators": {"listen": free},
+            "callers": any_port,
+            "operators": {"listen": any_port},
             "peer_listen": {"host": "127.0.0.1", "port": port},
             "peers": [
                 {
@@ -115,7 +115,7 @@
 async def running_processes(
     folder: Path, platform_url: str
 ) -> AsyncIterator[EntryProcesses]:
-    """Yield a starter of entry processes, and kill what is left afterwards."""
+    """Yield a manager of entry processes, and kill those that still run afterwards."""
     async with anyio.create_task_group() as group:
         processes = EntryProcesses(group, folder, platform_url)
         try:
--- a/tests/fakes/templates.py
+++ b/tests/fakes/templates.py
@@ -1,4 +1,4 @@
-"""Stand in for the fleet's log, membership and peers around the directory."""
+"""Provide fakes of the fleet log, membership and peers for the directory's tests."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class Proposal:
-    """Hold what was proposed."""
+    """Hold the arguments of one proposal."""
 
     body: Any
     actor: str
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class FakeFleetLog:
-    """Hold a state and answer proposals with what a test set."""
+    """Hold a state, and respond to proposals with the result that a test sets."""
 
     state: FleetState = field(default_factory=FleetState)
     next_offset: int = 10
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True)
 class FakeMembership:
-    """Know the members that a test names."""
+    """Hold the members that a test passes."""
 
     known: list[Member]
 
@@ -87,7 +87,10 @@
 
 @dataclass(slots=True)
 class FakePeers:
-    """Answer for other entries; an offset of -1 stands for no answer."""
+    """Respond for other entries by name.
+
+    :param offsets: the offset that each entry reports, or -1 if it does not respond.
+    """
 
     offsets: dict[str, int]
     revisions: dict[str, int] = field(default_factory=dict)
@@ -110,7 +113,7 @@
 async def async_directory_core(
     log: FakeFleetLog, members: list[Member], peers: FakePeers
 ) -> AsyncIterator[Core]:
-    """Return a core with the fakes, on a driven clock."""
+    """Yield a core with the fakes and a driven clock."""
     settings = Settings(
         entry=EntryIdentity(name="entry-1", data_centre="dc-1"),
         callers=Listener(port=0),
--- a/tests/fakes/waves.py
+++ b/tests/fakes/waves.py
@@ -1,4 +1,4 @@
-"""Fake the log, the pool service and membership for maintenance and moves."""
+"""Fake the fleet log, the power service and membership for maintenance and moves."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class FakeFleetLog:
-    """Fold proposals at once; several executors share one."""
+    """Apply proposals at once; several executors may share one log."""
 
     def __init__(self, driver: FoldDriver) -> None:
         self.driver = driver
@@ -91,9 +91,10 @@
 
 @dataclass(slots=True)
 class FakePower:
-    """Drain at once when nothing runs, and reboot when told to finish.
+    """Fake the power service: drain at once if idle, and reboot until told to finish.
 
-    ``lose_answers`` names actions whose next answer is lost after they took effect.
+    :param lose_answers: actions whose next response is lost after they took effect.
+    :param undrainable: instances whose drain fails.
     """
 
     held: dict[str, InstancePower] = field(default_factory=dict)
@@ -127,12 +128,12 @@
         return self._call("return", instance_id, operation_id, generation)
 
     def put(self, instance_id: str, **changes: Any) -> InstancePower:
-        """Change an instance as the platform sees it."""
+        """Change the power state of an instance."""
         self.held[instance_id] = replace(self._power(instance_id), **changes)
         return self.held[instance_id]
 
     def finish_reboots(self) -> None:
-        """Let every instance that reboots come up under a new boot."""
+        """Complete all reboots, which increments the boot numbers."""
         for power in list(self.held.values()):
             if power.state is PowerState.REBOOTING:
                 boot = power.boot + 1
@@ -143,14 +144,14 @@
         return sum(1 for done, _ in self.calls if done == action)
 
     def _power(self, instance_id: str) -> InstancePower:
-        fresh = InstancePower(instance_id, PowerState.SERVING, 1, 0, 0)
-        return self.held.get(instance_id, fresh)
+        initial = InstancePower(instance_id, PowerState.SERVING, 1, 0, 0)
+        return self.held.get(instance_id, initial)
 
     def _call(
         self, action: str, instance_id: str, operation_id: str, generation: int
     ) -> InstancePower:
         if self.out or (action == "drain" and instance_id in self.undrainable):
-            raise PlatformUnavailableError("not reached")
+            raise PlatformUnavailableError("unreachable")
         power = self._power(instance_id)
         if generation < power.generation:
             raise StaleGenerationError(f"seen={power.generation}")
@@ -160,7 +161,7 @@
             self.calls.append((action, instance_id))
         if action in self.lose_answers:
             self.lose_answers.discard(action)
-            raise PlatformOutcomeUnknownError("answer was lost")
+            raise PlatformOutcomeUnknownError("response lost")
         return self._power(instance_id)
 
     def _act(self, action: str, power: InstancePower, generation: int) -> None:
@@ -175,7 +176,7 @@
 
 
 class FakeMembership:
-    """Hold members that all have every duty, and instances that look down."""
+    """Hold members, of which the own one has all duties, and the instances down."""
 
     def __init__(self, name: str = "entry-1", data_centre: str = "dc1") -> None:
         self._own = build_member(name, data_centre)
@@ -212,7 +213,7 @@
         return frozenset(self.down)
 
     def restart(self) -> None:
-        """Let this process be a later start under its name."""
+        """Become a new incarnation under the same name."""
         self._own = build_member(
             self._own.name, self._own.data_centre, incarnation=self._own.incarnation + 1
         )
--- a/tests/fakes/workers.py
+++ b/tests/fakes/workers.py
@@ -1,4 +1,4 @@
-"""Run leased tasks in memory, with the faults that workers show."""
+"""Run leased tasks on fake workers in memory, with injectable faults."""
 
 from __future__ import annotations
 
@@ -28,7 +28,11 @@
 
 @dataclass(slots=True)
 class Span:
-    """Record which part of a task's work one run did; both from 0 to 1."""
+    """Record the part of a task that one run has completed.
+
+    :param start: progress at the start of the run, from 0 to 1.
+    :param end: progress at the end of the run, from 0 to 1.
+    """
 
     task_id: str
     generation: int
@@ -39,7 +43,11 @@
 
 @dataclass(slots=True)
 class Task:
-    """Hold one task of a fake worker."""
+    """Hold one task of a fake worker.
+
+    :param seconds: run time of the whole task.
+    :param advanced: time up to which its progress is calculated, in monotonic seconds.
+    """
 
     order: TaskOrder
     report: TaskReport
@@ -51,7 +59,7 @@
 
 @dataclass(slots=True, eq=False)
 class FakeWorker:
-    """Hold one worker's tasks and its faults."""
+    """Hold one worker's tasks and faults."""
 
     slots: int = 8
     tasks: dict[str, Task] = field(default_factory=dict)
@@ -66,7 +74,7 @@
 
 
 class FakeWorkers:
-    """Serve all workers by address; a task runs for ``seconds[task]``."""
+    """Serve all workers by address; a task takes ``seconds[task_id]`` to run."""
 
     def __init__(self, timers: TimerService) -> None:
         self._timers = timers
@@ -78,7 +86,7 @@
         self.on_start: Callable[[TaskOrder], None] = lambda order: None
 
     def runs(self, task_id: str) -> int:
-        """Return how often a task was started anywhere."""
+        """Return how often a task was started on any worker."""
         return sum(
             started == task_id
             for worker in self.at.values()
@@ -142,12 +150,12 @@
         return WorkerUsage(address, self._busy(worker), 0, 0.0)
 
     def reboot(self, address: str) -> None:
-        """Forget every task."""
+        """Reboot a worker, which loses its tasks."""
         self.advance()
         self.at[address].tasks.clear()
 
     def advance(self) -> None:
-        """Bring every task up to the present."""
+        """Update the progress of all tasks to the current time."""
         for worker in self.at.values():
             for task in worker.tasks.values():
                 self._advance(worker, task)
@@ -202,7 +210,7 @@
     def _answer(self, worker: FakeWorker, task_id: str) -> TaskReport:
         if worker.lose_answers:
             worker.lose_answers -= 1
-            raise PlatformOutcomeUnknownError("answer lost")
+            raise PlatformOutcomeUnknownError("response lost")
         return self._report(worker, task_id)
 
     def _advance(self, worker: FakeWorker, task: Task) -> None:
--- a/tests/fakes/worklog.py
+++ b/tests/fakes/worklog.py
@@ -1,4 +1,4 @@
-"""Fold a shared in-memory log, as several processes would."""
+"""Share an in-memory work log among several simulated processes."""
 
 from __future__ import annotations
 
@@ -25,7 +25,10 @@
 
 @dataclass(slots=True, eq=False)
 class SharedLog:
-    """Hold the entries of one stream and whether the service answers."""
+    """Hold the entries and readers of one stream.
+
+    :param out: whether the log service has an outage.
+    """
 
     entries: list[bytes] = field(default_factory=list)
     readers: list[FakeWorkLog] = field(default_factory=list)
@@ -33,7 +36,7 @@
     appends: int = 0
 
     def append(self, envelope: Envelope) -> int:
-        """Append one record and let every connected reader fold it."""
+        """Append one record, and let all connected readers apply it."""
         self.appends += 1
         self.entries.append(encode_batch([envelope]))
         for reader in self.readers:
@@ -43,7 +46,11 @@
 
 
 class FakeWorkLog:
-    """Follow a shared log as one process's work log."""
+    """Fake the work log of one process, which follows a shared log.
+
+    ``wake_up``, if set, pauses the process after its next append until the event is
+    set.
+    """
 
     def __init__(self, shared: SharedLog, name: str = "entry-1") -> None:
         self._shared = shared
@@ -128,11 +135,11 @@
         self._shared.append(envelope)
         if self.lose_next:
             self.lose_next = False
-            return Failure(PlatformOutcomeUnknownError("answer lost"))
+            return Failure(PlatformOutcomeUnknownError("response lost"))
         self.catch_up()
         result = self._outcomes[identity].result
         if self.wake_up is not None:
-            # The process is stopped between the log's answer and what follows on it.
+            # Simulates a process that is paused just after the log's response.
             self.cut_off = True
             await self.wake_up.wait()
         return result
