--- a/tests/components/explain/test_explain.py
+++ b/tests/components/explain/test_explain.py
@@ -23,7 +23,7 @@
 from mustardward.state.models.pools import TransferInstance as Transfer
 from mustardward.state.models.templates import Parameters, PublishTemplate
 from tests.builders import build_record
-from tests.fakes.proof import (
+from tests.fakes.explanations import (
     FakeFleetLog,
     FakeMembership,
     FakePeers,
--- a/tests/components/log/test_relay.py
+++ b/tests/components/log/test_relay.py
@@ -32,10 +32,10 @@
 from mustardward.state.models.pools import PutPool
 from mustardward.state.relay import RelayQuestion, RelayStatus, RelayWanted
 from mustardward.state.streams import FLEET_SPEC
+from tests.fakes.explanations import FakeMembership
 from tests.fakes.log import LogClient
 from tests.fakes.log_bench import LogBench, running_bench
 from tests.fakes.peers import FakeNetwork, FakePeers
-from tests.fakes.proof import FakeMembership
 
 pytestmark = pytest.mark.anyio
 
--- a/tests/components/reports/test_burn.py
+++ b/tests/components/reports/test_burn.py
@@ -18,7 +18,7 @@
 from mustardward.state.fleet import FleetState
 from mustardward.state.models.pools import Instance
 from mustardward.state.models.templates import Objectives, Urgency
-from tests.fakes.proof import (
+from tests.fakes.explanations import (
     FakeFleetLog,
     FakeMembership,
     FakePeers,
