--- a/mustardward/components/jobs/__init__.py
+++ b/mustardward/components/jobs/__init__.py
@@ -1,4 +1,4 @@
-"""Accept long work and run it under leases; keep keyed requests from running twice."""
+"""Run long-running jobs under leases and deduplicate requests with idempotency keys."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 async def async_setup(core: Core) -> Unload:
-    """Set the component up and return what undoes it."""
+    """Set up the component and return its unload function."""
     from ..keys import WORK_LOG, WORKER_SERVICE
     from ..retries.intents_setup import async_setup_intents
     from . import api  # noqa: F401
--- a/mustardward/components/jobs/api.py
+++ b/mustardward/components/jobs/api.py
@@ -1,4 +1,4 @@
-"""Let operators submit, watch, cancel and retry long work."""
+"""Expose the operator API to submit, inspect, cancel and retry jobs."""
 
 from __future__ import annotations
 
@@ -49,7 +49,10 @@
 
 
 class SubmitModel(BaseModel):
-    """Validate a submission; ``payload`` is text, or base64 if ``base64`` says so."""
+    """Validate a job submission.
+
+    ``payload`` is text, or base64 data if ``base64`` is set.
+    """
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -67,7 +70,7 @@
 
 
 class CancelGroupModel(BaseModel):
-    """Validate the name of a group whose jobs are cancelled."""
+    """Validate a request to cancel the jobs of a group."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -77,7 +80,7 @@
 
 @api_route("POST", "/jobs", "Submit a long job", SubmitModel)
 async def async_submit(request: ApiRequest) -> ApiAnswer:
-    """Accept a job once it is durable."""
+    """Submit a job and return its view once it is durable."""
     model: SubmitModel = request.model
     submission = Submission(
         organisation=model.organisation,
@@ -98,7 +101,7 @@
 
 @api_route("GET", "/jobs", "List the jobs that wait for an operator, with counts")
 async def async_list(request: ApiRequest) -> ApiAnswer:
-    """Return parked and held jobs, and unfinished ones by organisation."""
+    """Return the parked and held jobs, and unfinished job counts by organisation."""
     views = request.core.get(JOBS).stuck()
     counts = request.core.get(WORK_LOG).state.open_jobs
     body = {
@@ -116,7 +119,7 @@
 
 @api_route("GET", "/jobs/{job_id}/result", "Return a finished job's result")
 async def async_result(request: ApiRequest) -> ApiAnswer:
-    """Return the whole result, or the status of a job that has none yet."""
+    """Return a job with its result, which is empty until the job is done."""
     view = _view(request)
     body = view_to_json(view)
     body["result_base64"] = base64.b64encode(view.result).decode()
@@ -125,7 +128,7 @@
 
 @api_route("POST", "/jobs/{job_id}/cancel", "Cancel a job")
 async def async_cancel(request: ApiRequest) -> ApiAnswer:
-    """Cancel one job; a running one stops soon."""
+    """Cancel one job; a running one is stopped asynchronously."""
     view = _view(request)
     service = request.core.get(JOBS)
     _or_raise(
@@ -136,7 +139,7 @@
 
 @api_route("POST", "/job-groups/cancel", "Cancel a group of jobs", CancelGroupModel)
 async def async_cancel_group(request: ApiRequest) -> ApiAnswer:
-    """Cancel all jobs of a group that are unfinished now, by one record."""
+    """Cancel all unfinished jobs of a group with one log record."""
     model: CancelGroupModel = request.model
     service = request.core.get(JOBS)
     note = _or_raise(
@@ -147,14 +150,14 @@
 
 @api_route("POST", "/jobs/{job_id}/retry", "Let a parked or held job run again")
 async def async_retry(request: ApiRequest) -> ApiAnswer:
-    """Take an operator's word that the job may run again."""
+    """Let a parked or held job run again on an operator's decision."""
     service = request.core.get(JOBS)
     view = _or_raise(await service.async_retry(request.path["job_id"], request.actor))
     return ApiAnswer(view_to_json(view))
 
 
 def view_to_json(view: JobView) -> dict[str, Any]:
-    """Return a view without its result as JSON can hold it."""
+    """Return a view as JSON-compatible values, without the result."""
     body = {item.name: getattr(view, item.name) for item in fields(view)}
     del body["result"]
     body["failed_workers"] = list(view.failed_workers)
--- a/mustardward/components/jobs/attempt.py
+++ b/mustardward/components/jobs/attempt.py
@@ -1,4 +1,4 @@
-"""Say what an attempt orders, and what the state of its task means: pure."""
+"""Build task orders and derive the end of an attempt from task states, without I/O."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 def end_from_report(
     attempt: LeasedAttempt, job: Job, report: TaskReport, suspect: bool
 ) -> EndAttempt | None:
-    """Return the end that a worker's report means, or nothing while it runs."""
+    """Return the end that a worker's report implies, or None while the task runs."""
     if report.generation != attempt.task_generation:
         return _end(
             attempt, _lost_outcome(job), "another attempt is on the worker", suspect
@@ -47,9 +47,10 @@
 
 
 def end_for_unknown_task(attempt: LeasedAttempt, job: Job) -> EndAttempt:
-    """Return the end when the worker knows no such task.
+    """Return the end for a task that its worker does not know.
 
-    It rebooted, or the start never reached it; nobody can tell which.
+    Either the worker rebooted or the start never reached it; the two can't be
+    distinguished.
     """
     return _end(attempt, _lost_outcome(job), "worker knows no such task", False)
 
@@ -57,9 +58,10 @@
 def end_if_unreachable(
     attempt: LeasedAttempt, job: Job, now: float
 ) -> EndAttempt | None:
-    """Return the end when a worker has not answered until its lease surely lapsed.
+    """Return the end once an unreachable worker's lease has certainly expired, or None.
 
-    A job that may not run twice waits longer, since a report would settle it.
+    A job that isn't idempotent waits longer, since a late report would still give its
+    outcome.
     """
     limit = attempt.lease_expires_by + LEASE_MARGIN_SECONDS
     if not job.idempotent:
@@ -70,14 +72,14 @@
 
 
 def end_not_run(attempt: LeasedAttempt, reason: str) -> EndAttempt:
-    """Return the end of an attempt that surely never began."""
+    """Return the end of an attempt whose task certainly never started."""
     return _end(attempt, AttemptEnd.REFUSED, reason, False)
 
 
 def end_stalled(
     attempt: LeasedAttempt, job: Job, report: TaskReport, suspect: bool
 ) -> EndAttempt:
-    """Return the end of a task that was stopped for making no progress."""
+    """Return the end of a task that was stopped because it made no progress."""
     if not job.idempotent:
         return _end(
             attempt, AttemptEnd.PREEMPTED, "stalled", suspect, report.checkpoint
@@ -94,9 +96,9 @@
         return _lost_outcome(job)
     if report.state is not TaskState.STOPPED:
         return None
-    # A task that was stopped without a checkpoint still reports the one it began
-    # from. To resume a job there that may not run twice would repeat its effects, so
-    # only a stop that this process asked for with a checkpoint is clean.
+    # A task that was stopped without a checkpoint still reports the one it resumed
+    # from. Resuming a non-idempotent job there would repeat its effects, so its stop
+    # is clean only if this process requested a checkpoint.
     clean = job.idempotent or attempt.checkpoint_requested
     return AttemptEnd.PREEMPTED if clean else AttemptEnd.UNKNOWN
 
--- a/mustardward/components/jobs/board.py
+++ b/mustardward/components/jobs/board.py
@@ -1,4 +1,4 @@
-"""Index the folded jobs for the scheduler, at constant cost for each record."""
+"""Index the jobs of the work state for the scheduler, at constant cost per record."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 @dataclass(slots=True, eq=False)
 class WaitingQueue:
-    """Hold the waiting jobs of one organisation in one pool, oldest first.
+    """Queue the waiting jobs of one organisation in one pool, oldest first.
 
-    Entries that stopped waiting elsewhere, such as 10,000 cancelled at once, are only
-    dropped when they come to the front, and so many at each look.
+    Entries of jobs that no longer wait, such as 10,000 cancelled at once, are dropped
+    lazily when they reach the front, and only a limited number per peek.
     """
 
     heap: list[tuple[int, str]] = field(default_factory=list)
     waiting_since: dict[str, float] = field(default_factory=dict)
 
     def push(self, job: Job, now: float) -> None:
-        """Queue a job by the order of its acceptance."""
+        """Add a job, ordered by its acceptance in the log."""
         if job.job_id not in self.waiting_since:
             self.waiting_since[job.job_id] = now
             heapq.heappush(self.heap, (job.accepted_sequence, job.job_id))
 
     def peek(self, count: int, is_waiting: Callable[[str], bool]) -> list[str]:
-        """Return up to ``count`` waiting jobs from the front."""
+        """Return up to ``count`` waiting jobs from the front without removing them."""
         found: list[tuple[int, str]] = []
         skipped = 0
         while self.heap and len(found) < count and skipped < MAX_STALE_ENTRIES_PER_PEEK:
@@ -49,9 +49,9 @@
 
 
 class JobIndex:
-    """Know which jobs wait, which run where, and since when this process knows.
+    """Index waiting jobs by pool and organisation, running ones by worker and holder.
 
-    :param state: the folded state to begin with, which is walked over once.
+    :param state: the state to index; all its jobs are visited once.
     """
 
     def __init__(self, state: WorkState, now: float) -> None:
@@ -67,17 +67,17 @@
 
     @property
     def state(self) -> WorkState:
-        """Return the state that is indexed."""
+        """Return the indexed state."""
         return self._state
 
     def on_record(self, outcome: RecordOutcome, now: float) -> None:
-        """Follow the job that a record changed."""
+        """Update the index of the job that a record changed."""
         job_id = getattr(outcome.body, "job_id", "")
         if job_id:
             self.refresh(job_id, now)
 
     def refresh(self, job_id: str, now: float) -> None:
-        """File a job where its present state belongs."""
+        """Index a job by its current state."""
         job = self._state.jobs.get(job_id)
         running = job is not None and job.status in RUNNING_STATUSES
         self._index_worker(job_id, job if running else None)
@@ -87,16 +87,19 @@
             queues.setdefault(job.organisation, WaitingQueue()).push(job, now)
 
     def is_waiting(self, job_id: str) -> bool:
-        """Tell whether a job waits for an attempt."""
+        """Return whether a job waits for an attempt."""
         job = self._state.jobs.get(job_id)
         return job is not None and job_status(self._state, job) == "waiting"
 
     def pools(self) -> tuple[str, ...]:
-        """Return the pools that jobs may wait for."""
+        """Return the pools that have job queues; some may hold only stale entries."""
         return tuple(self._queues)
 
     def queue_heads(self, pool: str, count: int) -> Iterator[tuple[str, list[str]]]:
-        """Iterate over organisations with the front of their waiting jobs."""
+        """Yield each organisation with up to ``count`` of its oldest waiting jobs.
+
+        Empty queues are removed.
+        """
         queues = self._queues.get(pool, {})
         for organisation, queue in list(queues.items()):
             jobs = queue.peek(count, self.is_waiting)
@@ -110,28 +113,28 @@
     def waited_seconds(
         self, pool: str, organisation: str, job_id: str, now: float
     ) -> float:
-        """Return for how many seconds this process has known a job to wait."""
+        """Return how many seconds ago this process first saw the job waiting."""
         queue = self._queues.get(pool, {}).get(organisation)
         return now - queue.waiting_since.get(job_id, now) if queue is not None else 0.0
 
     def worker_of(self, job_id: str) -> str:
-        """Return where a job runs, or nothing."""
+        """Return the worker that runs a job, or an empty string."""
         return self._worker_of.get(job_id, "")
 
     def running_on(self, instance_id: str) -> frozenset[str]:
-        """Return the jobs under a lease on a worker, whoever holds it."""
+        """Return the jobs leased to a worker, for all lease holders."""
         return frozenset(self._by_worker.get(instance_id, ()))
 
     def holders(self) -> tuple[str, ...]:
-        """Return the entries that hold leases."""
+        """Return the entry nodes that hold leases."""
         return tuple(self._by_holder)
 
     def leased_by(self, holder: str) -> frozenset[str]:
-        """Return the jobs whose lease an entry holds."""
+        """Return the jobs whose leases an entry node holds."""
         return frozenset(self._by_holder.get(holder, ()))
 
     def running_count(self, pool: str, organisation: str) -> int:
-        """Return how many jobs of an organisation run in a pool."""
+        """Return the number of an organisation's running jobs in a pool."""
         return self._running.get((pool, organisation), 0)
 
     def _index_worker(self, job_id: str, job: Job | None) -> None:
--- a/mustardward/components/jobs/calls.py
+++ b/mustardward/components/jobs/calls.py
@@ -1,4 +1,4 @@
-"""Call workers about tasks and say of each failure what it means."""
+"""Call workers and classify the failures of calls."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class CallFailure(StrEnum):
-    """Say what is known of a call that brought no report."""
+    """Classify a call that returned no report by what is known of its effect."""
 
     NO_EFFECT = "no-effect"
     UNKNOWN = "unknown"
@@ -31,7 +31,7 @@
 
 
 async def async_outcome(call: Awaitable[TaskReport]) -> CallOutcome:
-    """Return a call's report or what its failure means."""
+    """Return a call's report, or the classification of its failure."""
     try:
         return Success(await call)
     except StaleGenerationError:
@@ -47,7 +47,7 @@
 async def async_outcome_within(
     timers: TimerService, seconds: float, call: Callable[[], Awaitable[TaskReport]]
 ) -> CallOutcome:
-    """Return a call's outcome, which is unknown if it takes longer."""
+    """Return a call's outcome, or an unknown one if it exceeds the time limit."""
 
     async def async_call() -> CallOutcome:
         return await async_outcome(call())
--- a/mustardward/components/jobs/errors.py
+++ b/mustardward/components/jobs/errors.py
@@ -1,4 +1,4 @@
-"""Define the failures that the border gives to those who submit long work."""
+"""Errors that the job API returns to callers."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 
 
 class JobError(MustardwardError):
-    """Serve as the root of the border's refusals."""
+    """Base class of the job component's errors."""
 
     code = "job-error"
 
 
 class JobUnplaceableError(JobError):
-    """Report that no worker of the pool is large enough, now or later."""
+    """Report that no worker of the pool is large enough for the job."""
 
     code = "job-unplaceable"
 
 
 class JobQuotaError(JobError):
-    """Report that the organisation has as many unfinished jobs as it may."""
+    """Report that the organisation has reached its quota of unfinished jobs."""
 
     code = "job-quota"
 
 
 class JobTooLargeError(JobError):
-    """Report a payload too large for the log."""
+    """Report that a payload exceeds the size limit of the log."""
 
     code = "job-too-large"
 
@@ -36,12 +36,12 @@
 
 
 class JobPayloadError(JobError):
-    """Report a payload that is not base64 although it says so."""
+    """Report a payload that is declared as base64 but isn't valid base64."""
 
     code = "job-payload-invalid"
 
 
 class JobStoreFullError(JobError):
-    """Report that the data centre holds as much unfinished work as it may."""
+    """Report that the data centre has reached its limit of unfinished jobs."""
 
     code = "job-store-full"
--- a/mustardward/components/jobs/giveback.py
+++ b/mustardward/components/jobs/giveback.py
@@ -1,4 +1,4 @@
-"""Take a task off its worker: by checkpoint, then throttle, then stop."""
+"""Evict a task from its worker by checkpoint, throttle or stop."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 
 
 class AttemptContext(Protocol):
-    """Define what giving a task back needs of who holds its lease."""
+    """Define what an eviction needs from the holder of the task's lease."""
 
     @property
     def workers(self) -> WorkerService:
-        """Return the client of the workers."""
+        """Return the worker client."""
         ...
 
     @property
@@ -39,20 +39,23 @@
         ...
 
     async def async_end(self, attempt: LeasedAttempt, end: EndAttempt) -> None:
-        """State an attempt's end."""
+        """Record an attempt's end in the log."""
         ...
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class TaskEviction:
-    """Take one attempt's task off its worker."""
+    """Evict one attempt's task from its worker."""
 
     context: AttemptContext
     attempt: LeasedAttempt
     job: Job
 
     async def async_free_slot(self) -> bool:
-        """Free the task's slot; tell whether that worked."""
+        """Free the task's slot for urgent work; return whether that succeeded.
+
+        Tries checkpoint, then throttle, then stop; only an idempotent job is stopped.
+        """
         if await self._async_checkpoint():
             return True
         if await self._async_throttle():
@@ -60,13 +63,16 @@
         return self.job.idempotent and await self._async_stop()
 
     async def async_vacate(self) -> bool:
-        """Take the task off for good; a job that may not run twice may finish first."""
+        """Remove the task from its worker; return whether that succeeded.
+
+        A non-idempotent job that can't be checkpointed keeps running.
+        """
         if await self._async_checkpoint():
             return True
         return self.job.idempotent and await self._async_stop()
 
     async def async_cancel(self) -> None:
-        """Stop a cancelled job's task; if it was done already, that is its outcome."""
+        """Stop a cancelled job's task; a task that is already done ends as done."""
         outcome = await self._async_call(self.context.workers.async_stop)
         if isinstance(outcome, Success):
             await self._async_settle(outcome.unwrap())
@@ -79,7 +85,10 @@
                 await self._async_end(end)
 
     async def async_end_stalled(self, suspect: bool) -> None:
-        """Take a task off that makes no progress, and hold that against the worker."""
+        """Evict a task that makes no progress.
+
+        :param suspect: whether the worker is suspect, which the end records.
+        """
         self.attempt.checkpoint_requested = True
         outcome = await self._async_call(self.context.workers.async_checkpoint)
         if not isinstance(outcome, Success) and self.job.idempotent:
--- a/mustardward/components/jobs/held_back.py
+++ b/mustardward/components/jobs/held_back.py
@@ -1,4 +1,4 @@
-"""Remember slots that long work gave back a moment ago."""
+"""Track slots that were recently freed for urgent work."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class SlotCooldown:
-    """Keep freed slots from being filled again before urgent work used them."""
+    """Withhold freed slots from jobs so that urgent work can take them first."""
 
     def __init__(self, cooldown_seconds: float) -> None:
         self._cooldown_seconds = cooldown_seconds
         self._freed_at: dict[str, deque[float]] = {}
 
     def record_freed(self, pool: str, now: float) -> None:
-        """Count one slot that a task gave back."""
+        """Record one slot that a task freed."""
         self._freed_at.setdefault(pool, deque()).append(now)
 
     def count(self, pool: str, now: float) -> int:
-        """Return how many slots are held back now."""
+        """Return the number of slots in their cooldown."""
         freed_at = self._freed_at.get(pool)
         if freed_at is None:
             return 0
--- a/mustardward/components/jobs/judge.py
+++ b/mustardward/components/jobs/judge.py
@@ -1,4 +1,4 @@
-"""Judge workers by whether the long work that they start ever finishes."""
+"""Quarantine workers on which jobs repeatedly fail and none finishes."""
 
 from __future__ import annotations
 
@@ -7,37 +7,37 @@
 from typing import Final
 
 SUSPECT_AFTER_JOBS: Final = 3
-"""Distinct jobs that have to go wrong on a worker, with none finished since."""
+"""Distinct jobs that must fail on a worker, with none finished in between."""
 
 MAX_QUARANTINED_SHARE: Final = 0.25
-"""Largest share of a pool's workers that may be kept from work at once."""
+"""Maximum share of a pool's workers that may be quarantined at once."""
 
 PROBATION_SECONDS: Final = 120.0
 
 
 @dataclass(slots=True)
 class _WorkerRecord:
-    """Hold what happened on one worker since its last finished job."""
+    """Failures on one worker since its last finished job."""
 
     failed_jobs: set[str] = field(default_factory=set)
     suspect_since: float | None = None
 
 
 class WorkerQuarantine:
-    """Keep new tasks from workers that start everything and finish nothing."""
+    """Withhold new tasks from workers that start tasks but finish none."""
 
     def __init__(self) -> None:
         self._records: dict[str, _WorkerRecord] = {}
 
     def record_finished(self, instance_id: str) -> None:
-        """Clear a worker: it finished a job."""
+        """Clear a worker's failures after it finished a job."""
         self._records.pop(instance_id, None)
 
     def record_failure(self, instance_id: str, job_id: str, now: float) -> None:
-        """Count a job that failed, stalled or was lost on a worker.
+        """Record a job that failed, stalled or was lost on a worker.
 
-        One bad job that is tried over and over is no sign against a worker, so only
-        distinct jobs count.
+        Only distinct jobs count, since one bad job that is retried repeatedly doesn't
+        indicate a faulty worker.
         """
         record = self._records.setdefault(instance_id, _WorkerRecord())
         record.failed_jobs.add(job_id)
@@ -45,15 +45,19 @@
             record.suspect_since = now
 
     def is_suspect(self, instance_id: str) -> bool:
-        """Tell whether a worker's failures say nothing about its jobs."""
+        """Return whether a worker is suspect.
+
+        Failures on a suspect worker are no evidence against its jobs.
+        """
         record = self._records.get(instance_id)
         return record is not None and record.suspect_since is not None
 
     def quarantined(self, instance_ids: Collection[str], now: float) -> frozenset[str]:
-        """Return the workers of a pool that get no new task now.
+        """Return the workers of a pool that get no new tasks.
 
-        The longest suspect come back on probation; and never more than a share is
-        kept out, since failures that all workers share are not theirs.
+        Workers return on probation after ``PROBATION_SECONDS``. The quarantined share
+        is limited, since failures that all workers have in common aren't caused by
+        the workers; those suspect for longest are released first.
         """
         suspects = [
             (record.suspect_since, instance_id)
--- a/mustardward/components/jobs/keeper.py
+++ b/mustardward/components/jobs/keeper.py
@@ -1,4 +1,4 @@
-"""Keep the attempts whose leases this process holds: start, renew, end."""
+"""Start, renew and end the attempts whose leases this process holds."""
 
 from __future__ import annotations
 
@@ -47,10 +47,10 @@
 
 @dataclass(slots=True, eq=False)
 class AttemptManager:
-    """Hold attempts and act on them; the log says which of them are still ours.
+    """Manage the attempts leased to this process; the log decides which still are.
 
-    :param identity: the name of this incarnation as leases carry it.
-    :param usable: tells whether a worker may be given a task now.
+    :param identity: the holder name of this incarnation in leases.
+    :param is_usable: returns whether a worker may be given a task.
     """
 
     log: WorkLog
@@ -67,14 +67,17 @@
         self.unresponsive = UnresponsiveWorkers(self.timers)
 
     def on_pause(self, pause_seconds: float) -> None:
-        """Distrust every lease until the log's tail is confirmed again."""
+        """Treat all leases as unverified until the log's tail is confirmed."""
         self._must_confirm_tail = True
         _LOGGER.warning("job_leases_unverified", pause_seconds=pause_seconds)
 
     def add(
         self, job: Job, generation: int, instance: Instance, taken_over: bool
     ) -> LeasedAttempt:
-        """Hold the attempt that a lease just made ours."""
+        """Add the attempt of a lease that this process has just acquired.
+
+        :param taken_over: whether the task may already run, started by another process.
+        """
         now = self.timers.monotonic()
         attempt = LeasedAttempt(
             job_id=job.job_id,
@@ -95,7 +98,7 @@
         return attempt
 
     async def async_tick(self) -> None:
-        """Look after every attempt that is due."""
+        """Run the next step of every attempt that needs one."""
         limiter = anyio.CapacityLimiter(MAX_CONCURRENT_CALLS)
 
         async def async_one(attempt: LeasedAttempt) -> None:
@@ -108,8 +111,8 @@
                 group.start_soon(async_one, attempt)
 
     def _needs_step(self, attempt: LeasedAttempt) -> bool:
-        # Most tasks only run; a coroutine for each of them at each tick would cost
-        # more than all calls to workers.
+        # Most tasks need no step. Starting a coroutine for each of them at each tick
+        # would cost more than all calls to workers.
         job = self.owned_job(attempt)
         if job is None or attempt.pending_end is not None:
             return True
@@ -118,7 +121,7 @@
         return job_status(self.log.state, job) == "cancelling"
 
     async def async_step(self, attempt: LeasedAttempt) -> None:
-        """Do what an attempt needs next, unless something is being done with it."""
+        """Run the next step of an attempt, unless it is busy."""
         if attempt.busy:
             return
         attempt.busy = True
@@ -145,14 +148,17 @@
             await self._async_renew(attempt, job)
 
     def owned_job(self, attempt: LeasedAttempt) -> Job | None:
-        """Return the attempt's job if the log still gives it to this process."""
+        """Return the attempt's job if the log still has it leased as this attempt."""
         job = self.log.state.jobs.get(attempt.job_id)
         if job is None or job.generation != attempt.generation:
             return None
         return job if job.status in ("running", "cancelling") else None
 
     async def async_end(self, attempt: LeasedAttempt, end: EndAttempt) -> None:
-        """State an end until the log answers; the first one decided on stays."""
+        """Propose an attempt's end to the log; it is retried until the log decides.
+
+        The first end given for an attempt stays; later ones are ignored.
+        """
         attempt.pending_end = attempt.pending_end or end
         job = self.log.state.jobs.get(attempt.job_id)
         result = await self.log.async_propose(
@@ -168,9 +174,9 @@
             self._drop(attempt, result.failure().code)
 
     async def _async_verify_lease(self, attempt: LeasedAttempt) -> bool:
-        # A process that was stopped after its lease was accepted wakes without a sign
-        # of it, while another may long have taken the job over. A start from here
-        # would then run it twice; so the tail is read first, and the lease after it.
+        # A process that was suspended after its lease was accepted can't tell that on
+        # resuming, while another may have taken the job over. A start would then run
+        # it twice, so the log's tail is read before the lease is checked.
         stale = self.log.tail_age_seconds() > MAX_TAIL_AGE_SECONDS
         if self._must_confirm_tail or stale or not self.log.may_decide:
             if not await self.log.async_confirm_tail(CONFIRM_TIMEOUT_SECONDS):
@@ -192,8 +198,8 @@
         if isinstance(outcome, Success):
             await self._async_handle_report(attempt, job, outcome.unwrap(), now)
         elif outcome.failure() is CallFailure.UNKNOWN:
-            # The worker may have started it: only a report by the task's id can tell.
-            # A second start instead could run it again after a reboot there.
+            # The worker may have started the task; only a report by the task's id can
+            # show that. A second start could run it again after the worker rebooted.
             attempt.uncertain = True
             attempt.lease_expires_by = self.timers.monotonic() + LEASE_SECONDS
         else:
@@ -219,8 +225,8 @@
             await self._async_handle_unreachable(attempt, job)
 
     def _is_poll_due(self, attempt: LeasedAttempt) -> bool:
-        # Looked at often while young: how long a task runs is not known beforehand,
-        # and what ended unseen keeps its slot and its caller waiting.
+        # Young tasks are polled often. Run times aren't known in advance, and a task
+        # whose end isn't noticed keeps its slot occupied and its caller waiting.
         now = self.timers.monotonic()
         interval = POLL_INTERVAL_SHARE * (now - attempt.began_at)
         wait = min(RENEWAL_INTERVAL_SECONDS, max(TICK_SECONDS, interval))
@@ -229,7 +235,8 @@
     async def _async_renew(self, attempt: LeasedAttempt, job: Job) -> None:
         now = self.timers.monotonic()
         if now - attempt.contacted_at > LEASE_SECONDS:
-            # From here on only reports, so that the lease surely lapses some time.
+            # Switch from renewals to reports, so that the worker's lease expires at a
+            # known time.
             attempt.uncertain = True
             return
         attempt.renewed_at = now
--- a/mustardward/components/jobs/lessons.py
+++ b/mustardward/components/jobs/lessons.py
@@ -1,4 +1,4 @@
-"""Remember what ended attempts teach about workers and run times."""
+"""Collect statistics on workers and run times from ended attempts."""
 
 from __future__ import annotations
 
@@ -17,9 +17,11 @@
 
 @dataclass(slots=True, eq=False)
 class AttemptStatistics:
-    """Hold what this process has learnt; it is lost with it, and only advice.
+    """Collect statistics that guide placement and stall detection.
 
-    :param run_key: returns the key by which a job's run time is learnt.
+    They are kept in memory only and lost when the process ends, so they are advisory.
+
+    :param run_time_key: returns the key under which a job's run time is recorded.
     """
 
     timers: TimerService
@@ -29,18 +31,18 @@
     _busy_until: dict[str, float] = field(default_factory=dict)
 
     def busy_workers(self, now: float) -> frozenset[str]:
-        """Return the workers that refused a task a moment ago."""
+        """Return the workers that recently refused a task."""
         self._busy_until = {k: v for k, v in self._busy_until.items() if v > now}
         return frozenset(self._busy_until)
 
     def expected_seconds(self, job: Job, quantile: float) -> float:
-        """Return a quantile of the job's run time."""
+        """Return an estimated quantile of the job's run time."""
         return self.run_times.estimate(
             self.run_time_key(job), job.declared_seconds, quantile
         )
 
     def is_stalled(self, attempt: LeasedAttempt, job: Job) -> bool:
-        """Tell whether a task has made no progress for longer than it should run."""
+        """Return whether a task has made no progress for longer than it should run."""
         stalled_seconds = self.timers.monotonic() - attempt.progressed_at
         if stalled_seconds <= MIN_STALL_SECONDS:
             return False
@@ -49,7 +51,7 @@
     def record_end(
         self, attempt: LeasedAttempt, end: EndAttempt, job: Job | None
     ) -> None:
-        """Learn from an attempt whose end the log accepted."""
+        """Record an attempt whose end the log accepted."""
         now = self.timers.monotonic()
         if end.outcome == AttemptEnd.DONE:
             self.quarantine.record_finished(attempt.instance_id)
--- a/mustardward/components/jobs/metrics.py
+++ b/mustardward/components/jobs/metrics.py
@@ -1,4 +1,4 @@
-"""Feed what long work and idempotency keys do to statsd."""
+"""Export metrics on jobs and idempotency keys to statsd."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 def subscribe_metrics(
     metrics: Metrics, log: WorkLog, attempt_manager: AttemptManager
 ) -> list[Callable[[], None]]:
-    """Begin to feed; return what ends it."""
+    """Subscribe the metrics to the log; return the unsubscribe functions."""
 
     def on_record(outcome: RecordOutcome) -> None:
         if not isinstance(outcome.result, Success):
--- a/mustardward/components/jobs/models.py
+++ b/mustardward/components/jobs/models.py
@@ -1,4 +1,4 @@
-"""Model long work as the scheduler sees it."""
+"""Data models of the job component."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Need:
-    """Hold what a job needs of one worker."""
+    """Resources that a job requires on one worker."""
 
     cores: int
     memory_gigabytes: int
@@ -18,15 +18,15 @@
 
 
 def need_of(job: Job) -> Need:
-    """Return what a job needs."""
+    """Return the resources that a job requires."""
     return Need(job.cores, job.memory_gigabytes, job.accelerators)
 
 
 @dataclass(slots=True)
 class WorkerCapacity:
-    """Hold what is left on one worker for long work.
+    """Remaining capacity of one worker for jobs.
 
-    ``due`` tells that a running wave will take the worker soon.
+    ``due`` is set if a running maintenance wave will claim the worker soon.
     """
 
     instance: Instance
@@ -37,7 +37,7 @@
     due: bool = False
 
     def fits(self, need: Need) -> bool:
-        """Tell whether one more task with this need has room."""
+        """Return whether one more task with this need fits."""
         return (
             self.slots >= 1
             and self.cores >= need.cores
@@ -46,7 +46,7 @@
         )
 
     def reserve(self, need: Need) -> None:
-        """Count a task in; a need larger than what is left leaves it negative."""
+        """Subtract a task's need; the remaining capacity may become negative."""
         self.slots -= 1
         self.cores -= need.cores
         self.memory_gigabytes -= need.memory_gigabytes
@@ -54,12 +54,12 @@
 
 
 def could_ever_fit(instance: Instance, need: Need) -> bool:
-    """Tell whether an empty worker would be large enough."""
+    """Return whether an empty worker would be large enough."""
     return total_capacity(instance).fits(need)
 
 
 def total_capacity(instance: Instance) -> WorkerCapacity:
-    """Return the whole of a worker."""
+    """Return a worker's capacity when empty."""
     return WorkerCapacity(
         instance,
         instance.slots,
@@ -71,11 +71,12 @@
 
 @dataclass(slots=True, eq=False)
 class LeasedAttempt:
-    """Hold one attempt whose lease this process has; times are monotonic seconds.
+    """State of one attempt whose lease this process holds; times are monotonic seconds.
 
-    ``lapses_by`` is when the worker's lease has surely ended unless renewed.
-    ``started`` is false until a start was sent; ``unsure`` says that its answer was
-    lost or that the attempt was taken over, so that only a report can tell.
+    ``lease_expires_by`` is when the worker's lease has certainly expired if it isn't
+    renewed. ``start_sent`` is false until a start was sent. ``uncertain`` is set if the
+    reply to the start was lost or the attempt was taken over, so that only a report can
+    show whether the task runs.
     """
 
     job_id: str
@@ -101,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Submission:
-    """Hold a job as submitted; an empty id draws a new one."""
+    """A job as submitted; an id is generated if it is empty."""
 
     organisation: str
     service: str
@@ -117,7 +118,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobView:
-    """Hold what a job's owner and the operators may know of it."""
+    """The view of a job for its owner and for operators."""
 
     job_id: str
     organisation: str
--- a/mustardward/components/jobs/placement.py
+++ b/mustardward/components/jobs/placement.py
@@ -1,4 +1,4 @@
-"""Choose the next job and its worker: pure but for the dice."""
+"""Choose the next job and its worker, without I/O; randomness is passed in."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """Hold a waiting job that may be placed now; ``excluded`` are workers."""
+    """A waiting job that may be placed; ``excluded`` are workers it must not use."""
 
     job_id: str
     organisation: str
@@ -24,10 +24,10 @@
 
 @dataclass(slots=True)
 class PoolView:
-    """Hold what one pool has to offer to long work at this moment.
+    """What a pool currently offers to jobs.
 
-    ``slots_left`` is what long work may still take under the urgent headroom;
-    ``running`` and ``weights`` are by organisation.
+    ``slots_left`` is the number of slots that jobs may still take without using the
+    urgent reserve; ``running`` and ``weights`` are by organisation.
     """
 
     capacities: list[WorkerCapacity]
@@ -37,7 +37,7 @@
     reserved_worker: str = ""
 
     def place(self, candidate: Candidate, capacity: WorkerCapacity) -> None:
-        """Count a placement in."""
+        """Account for a placement."""
         capacity.reserve(candidate.need)
         self.slots_left -= 1
         count = self.running.get(candidate.organisation, 0)
@@ -45,11 +45,11 @@
 
 
 def fair_share_rank(view: PoolView, candidate: Candidate) -> float:
-    """Return a candidate's claim to the next slot; the lowest goes first.
+    """Return a candidate's rank for the next slot; the lowest goes first.
 
-    An organisation with few running jobs for its weight goes first, and waiting makes
-    up for that, so that neither a large organisation's flood nor a steady stream of
-    small ones starves anybody.
+    An organisation with few running jobs for its weight goes first, and waiting time
+    lowers the rank, so that neither a burst of jobs from a large organisation nor a
+    steady stream from small ones starves others.
     """
     weight = max(0.01, view.weights.get(candidate.organisation, 1.0))
     share = view.running.get(candidate.organisation, 0) / weight
@@ -59,10 +59,11 @@
 def choose_worker(
     view: PoolView, candidate: Candidate, random: Random
 ) -> WorkerCapacity | None:
-    """Return the tightest of a few random workers with room, else any with room.
+    """Return the fullest worker that fits out of a random sample, else out of all.
 
-    The tightest keeps whole workers free for jobs that need one. A worker that a wave
-    will take soon comes last: what starts there would have to move again.
+    Filling the fullest worker keeps whole workers free for jobs that need one. Workers
+    that a maintenance wave will claim soon come last, since a job started there would
+    have to move again.
     """
     capacities = view.capacities
     sample = random.sample(capacities, min(WORKER_SAMPLE_SIZE, len(capacities)))
@@ -84,10 +85,10 @@
 
 
 def reserve_worker(view: PoolView, candidate: Candidate) -> None:
-    """Keep the emptiest worker that could ever take a long-waiting job free for it.
+    """Reserve the emptiest worker that is large enough for a job that waited long.
 
-    Without that, small jobs take each slot as it falls free, and a job that needs most
-    of a worker waits for ever while the pool is never idle.
+    Otherwise small jobs take each slot as it becomes free, and in a busy pool a job
+    that needs most of a worker waits indefinitely.
     """
     if view.reserved_worker or candidate.waited_seconds < RESERVE_AFTER_SECONDS:
         return
@@ -122,7 +123,7 @@
 def plan_placements(
     view: PoolView, candidates: Sequence[Candidate], limit: int, random: Random
 ) -> list[tuple[Candidate, WorkerCapacity]]:
-    """Return which jobs to start where, the strongest claim first."""
+    """Return which jobs to start on which workers, ordered by fair share rank."""
     placed: list[tuple[Candidate, WorkerCapacity]] = []
     unplaceable: set[Need] = set()
     waiting = [(fair_share_rank(view, item), item.job_id, item) for item in candidates]
@@ -130,8 +131,8 @@
     while waiting and view.slots_left > 0 and len(placed) < limit:
         queued_rank, job_id, candidate = heapq.heappop(waiting)
         current_rank = fair_share_rank(view, candidate)
-        # A claim only weakens while its organisation is given slots, so filing it
-        # again keeps the order without sorting everything anew for each slot.
+        # A rank only rises while its organisation gets slots, so re-queueing outdated
+        # entries keeps the order without sorting all of them again for each slot.
         if current_rank > queued_rank:
             heapq.heappush(waiting, (current_rank, job_id, candidate))
             continue
--- a/mustardward/components/jobs/pool_view.py
+++ b/mustardward/components/jobs/pool_view.py
@@ -1,4 +1,4 @@
-"""See a pool of one data centre as the scheduler needs it."""
+"""Derive the scheduler's view of the pools of one data centre."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 @dataclass(slots=True, eq=False)
 class PoolIndex:
-    """Know a data centre's instances by pool, and who may use each pool.
+    """Index a data centre's instances and urgent reserves by pool.
 
-    The walk over all instances is made once for each change of the fleet's state that
-    a look falls behind, never for each job.
+    The index is rebuilt on the first access after the fleet's state changed, so that
+    instances aren't scanned for each job.
 
-    :param may_get_work: tells whether membership knows nothing against a worker.
+    :param is_eligible: returns whether membership allows a worker to get work.
     """
 
     fleet: FleetLog
@@ -39,25 +39,25 @@
     _urgent_reserves: dict[str, float] = field(default_factory=dict)
 
     def instances(self, pool: str) -> list[Instance]:
-        """Return the instances of a pool here, usable or not."""
+        """Return the instances of a pool in this data centre, usable or not."""
         self._refresh()
         return self._by_pool.get(pool, [])
 
     def urgent_reserve(self, pool: str) -> float:
-        """Return the share of each worker's slots that long work leaves free.
+        """Return the share of each worker's slots that jobs leave free.
 
         It is the largest urgent reserve of the organisations whose requests the pool
-        answers, whatever their class: long work waits, a caller does not.
+        serves, whatever their urgency class, since jobs can wait and callers can't.
         """
         self._refresh()
         return self._urgent_reserves.get(pool, 0.0)
 
     def can_ever_run(self, pool: str, need: Need) -> bool:
-        """Tell whether some worker of the pool is large enough when empty."""
+        """Return whether any worker of the pool is large enough when empty."""
         return any(could_ever_fit(item, need) for item in self.instances(pool))
 
     def is_usable(self, instance_id: str) -> bool:
-        """Tell whether a worker may be given a new task."""
+        """Return whether a worker may be given a new task."""
         state = self.fleet.state
         instance = state.instances.get(instance_id)
         if instance is None or instance.removed or instance_id in state.claims:
@@ -65,11 +65,11 @@
         return not self.must_vacate(instance_id) and self.is_eligible(instance_id)
 
     def must_vacate(self, instance_id: str) -> bool:
-        """Tell whether the fleet's state takes a worker out of use."""
+        """Return whether the fleet's state requires that a worker is vacated."""
         state = self.fleet.state
         instance = state.instances.get(instance_id)
         claim = state.claims.get(instance_id)
-        # A claim that only begins gives running work the time to end by itself.
+        # In its first stages a claim lets running tasks finish.
         claimed = claim is not None and claim.stage not in _DRAINING_STAGES
         unavailable = claimed or instance_id in state.moves
         return unavailable or instance is None or instance.removed
@@ -77,7 +77,7 @@
     def view(
         self, pool: str, job_index: JobIndex, excluded: frozenset[str]
     ) -> PoolView:
-        """Return what the pool offers now; ``now_out`` workers get nothing."""
+        """Return what the pool offers to jobs; ``excluded`` workers get none."""
         capacities = []
         total = 0
         busy = 0
@@ -86,8 +86,8 @@
             if not self.is_usable(instance.instance_id):
                 continue
             capacity, count = _remaining_capacity(instance, job_index)
-            # Kept on each worker: a request finds it wherever it is sent, and need
-            # not try one full worker after the other.
+            # The reserve is kept on each worker, so that a request finds a free slot
+            # wherever it is sent instead of trying several full workers.
             capacity.slots -= round(instance.slots * self.urgent_reserve(pool))
             total += instance.slots
             busy += count
--- a/mustardward/components/jobs/preemption.py
+++ b/mustardward/components/jobs/preemption.py
@@ -1,4 +1,4 @@
-"""Choose which tasks give their slots back: pure."""
+"""Choose the tasks whose slots are reclaimed, without I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Victim:
-    """Hold what the choice needs to know of a running task."""
+    """A running task whose slot may be reclaimed."""
 
     job_id: str
     began_at: float
@@ -21,10 +21,10 @@
 
 
 def choose_victims(tasks: Iterable[Victim], count: int) -> list[Victim]:
-    """Return the tasks to checkpoint, those that lose least first.
+    """Return the tasks to evict, those that lose least progress first.
 
-    Tasks nearly done, and jobs that gave way often already, come last: else the same
-    long job would be the victim each time and never end.
+    Tasks that are nearly done and jobs that were preempted often come last, since the
+    same long job could otherwise be chosen each time and never finish.
     """
     candidates = [task for task in tasks if not task.throttled]
     return sorted(candidates, key=_eviction_cost)[:count]
--- a/mustardward/components/jobs/presence.py
+++ b/mustardward/components/jobs/presence.py
@@ -1,4 +1,4 @@
-"""Tell whether an entry that holds leases may still look after its tasks."""
+"""Track whether the entry nodes that hold leases are live."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from ..retries.intents_home import home_name
 
 HOLDER_GRACE_SECONDS: Final = 15.0
-"""How long a holder may be out of sight before its tasks are taken over."""
+"""How long a holder may be unconfirmed before its tasks are taken over."""
 
 RETENTION_SECONDS: Final = 3_600.0
 
 
 class HolderLiveness:
-    """Follow which holders of leases are in sight.
+    """Track which lease holders are live.
 
-    A holder that is suspect may live, but to wait for proof of its death would let its
-    tasks lapse: one sees jobs that were done long ago still running in the books. To
-    take over is safe without proof, since the log fences the holder's records and the
-    new one goes on with the same task.
+    A suspect holder may still be alive, but waiting until it is confirmed dead would
+    let its leases expire and would show jobs as running long after they finished.
+    Taking over without that confirmation is safe, since the log fences the old holder's
+    records and the new holder continues the same task.
 
-    :param identity: the name of this incarnation as leases carry it.
+    :param identity: the holder name of this incarnation in leases.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         self._last_seen: dict[str, float] = {}
 
     def is_live(self, holder: str) -> bool:
-        """Tell whether a holder was alive within the grace."""
+        """Return whether a holder was alive within the grace period."""
         if holder == self._identity:
             return True
         now = self._timers.monotonic()
--- a/mustardward/components/jobs/protocols.py
+++ b/mustardward/components/jobs/protocols.py
@@ -1,4 +1,4 @@
-"""Define what other components ask of long work."""
+"""Interface of the job component for other components."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 class JobService(Protocol):
-    """Accept long work, say how far it is, and give its slots back."""
+    """Submit, inspect, cancel and retry jobs, and free their slots."""
 
     async def async_submit(
         self, submission: Submission, actor: str
     ) -> Result[JobView, MustardwardError]:
-        """Make a job durable; only then it is accepted."""
+        """Submit a job; it is accepted once it is durable."""
         ...
 
     def status(self, job_id: str) -> Result[JobView, MustardwardError]:
-        """Return a job as folded so far."""
+        """Return a job's view from the log records applied so far."""
         ...
 
     def stuck(self) -> tuple[JobView, ...]:
@@ -30,7 +30,7 @@
     async def async_cancel(
         self, organisation: str, job_id: str, group: str, actor: str
     ) -> Result[str, MustardwardError]:
-        """Cancel one job, or a whole group by one record."""
+        """Cancel one job, or a whole group with one log record."""
         ...
 
     async def async_retry(
@@ -40,9 +40,9 @@
         ...
 
     async def async_vacate(self, instance_id: str) -> bool:
-        """Checkpoint what runs on a worker; true once nothing of ours runs there."""
+        """Evict this process's tasks from a worker; true once it has no leased jobs."""
         ...
 
     async def async_free_slots(self, pool: str, count: int) -> int:
-        """Take slots back for urgent work; return how many are free now."""
+        """Reclaim slots for urgent work; return how many were freed."""
         ...
--- a/mustardward/components/jobs/quantiles.py
+++ b/mustardward/components/jobs/quantiles.py
@@ -1,4 +1,4 @@
-"""Learn run times by template, since declared ones are far from the truth."""
+"""Estimate run times from samples by template, since declared ones are unreliable."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 MIN_SAMPLES: Final = 5
 
 PRIOR_FACTOR: Final = 10.0
-"""How far off a declared run time is taken to be while nothing is learnt."""
+"""Assumed error factor of a declared run time while there are too few samples."""
 
 
 class RunTimes:
-    """Hold the latest run times (seconds) of each kind of job."""
+    """Keep the latest run times in seconds by kind of job."""
 
     def __init__(self) -> None:
         self._samples: OrderedDict[str, deque[float]] = OrderedDict()
 
     def record(self, key: str, seconds: float) -> None:
-        """Learn from one job that ran to its end."""
+        """Record the run time of a job that ran to completion."""
         samples = self._samples.setdefault(key, deque(maxlen=MAX_SAMPLES))
         samples.append(seconds)
         self._samples.move_to_end(key)
@@ -28,10 +28,10 @@
             self._samples.popitem(last=False)
 
     def estimate(self, key: str, declared_seconds: float, quantile: float) -> float:
-        """Return a quantile of the run time.
+        """Return a quantile of the run time in seconds.
 
-        With too few samples the declared time is a prior: its middle is taken as it
-        is, its tail as ten times longer.
+        With too few samples the declared time serves as a prior: it is taken as the
+        median, and the tail approaches ``PRIOR_FACTOR`` times that.
         """
         samples = self._samples.get(key, ())
         if len(samples) < MIN_SAMPLES:
--- a/mustardward/components/jobs/scheduler.py
+++ b/mustardward/components/jobs/scheduler.py
@@ -1,4 +1,4 @@
-"""Place waiting jobs, take over orphaned ones, and give slots back."""
+"""Place waiting jobs, take over orphaned ones, and free slots."""
 
 from __future__ import annotations
 
@@ -42,10 +42,10 @@
 
 @dataclass(slots=True, eq=False)
 class JobScheduler:
-    """Decide for the pools that are this process's duty, and act for its leases.
+    """Place the jobs of the pools assigned to this process and manage its leases.
 
-    :param owns_duty: tells whether a duty is this process's now.
-    :param holder_present: tells whether a holder of leases may still act.
+    :param owns_duty: returns whether a duty is assigned to this process.
+    :param is_holder_live: returns whether a lease holder may still act.
     """
 
     log: WorkLog
@@ -68,7 +68,7 @@
         self.job_index = JobIndex(self.log.state, self.timers.monotonic())
 
     def on_record(self, outcome: RecordOutcome) -> None:
-        """Follow the work log."""
+        """Update the index and the backoff state from a record of the work log."""
         now = self.timers.monotonic()
         body = outcome.body
         ended = isinstance(body, EndAttempt) and isinstance(outcome.result, Success)
@@ -78,7 +78,7 @@
             self._record_backoff(body, worker, now)
 
     async def async_tick(self) -> None:
-        """Do all that is due."""
+        """Run one scheduling pass."""
         self._sync_index()
         self._prune_expired(self.timers.monotonic())
         await self.attempt_manager.async_tick()
@@ -91,7 +91,7 @@
                 await self._async_place(pool)
 
     async def async_free_slots(self, pool: str, count: int) -> int:
-        """Take slots of this process's tasks back; return how many were freed."""
+        """Reclaim slots from this process's tasks; return how many were freed."""
         tasks = {item.job_id: item for item in self._attempts_in(pool)}
         victims = choose_victims(
             (self._build_victim(attempt) for attempt in tasks.values()), count
@@ -109,7 +109,7 @@
         return len(freed)
 
     def tasks_by_holder(self, pool: str) -> dict[str, int]:
-        """Return how many jobs of a pool each entry holds a lease on."""
+        """Return the number of a pool's jobs that each entry node holds leases on."""
         counts: dict[str, int] = {}
         for holder in self.job_index.holders():
             for job_id in self.job_index.leased_by(holder):
@@ -119,15 +119,15 @@
         return counts
 
     async def async_vacate(self, instance_id: str) -> bool:
-        """Take this process's tasks off a worker; true once no job is there at all."""
+        """Evict this process's tasks from a worker; true once it has no leased jobs."""
         until = self.timers.monotonic() + VACATE_SECONDS
         self._vacating[instance_id] = until
         await self._async_vacate_one(instance_id)
         return not self.job_index.running_on(instance_id)
 
     def _sync_index(self) -> None:
-        # A snapshot puts another state in place of the one that was indexed; the
-        # board would else go on looking at jobs that nobody changes any more.
+        # Restoring a snapshot replaces the state object; the index would otherwise
+        # keep referring to jobs that no longer change.
         if self.job_index.state is not self.log.state:
             self.job_index = JobIndex(self.log.state, self.timers.monotonic())
 
@@ -155,13 +155,13 @@
                 await self._async_lease(job, job.worker, taken_over=True)
 
     def _adopt_own_leases(self) -> None:
-        # A lease whose append lost its answer may be accepted later. Its job would
-        # look as if it ran here for ever, though nobody ever starts it.
-        lost = (
+        # A lease whose append lost its reply may still have been accepted. Its job
+        # would appear to run here indefinitely although no process starts it.
+        unmanaged = (
             self.job_index.leased_by(self.attempt_manager.identity)
             - self.attempt_manager.attempts.keys()
         )
-        for job_id in lost - self._leasing:
+        for job_id in unmanaged - self._leasing:
             job = self.log.state.jobs[job_id]
             instance = self.pools.fleet.state.instances.get(job.worker)
             if instance is not None:
@@ -174,7 +174,8 @@
 
     async def _async_place(self, pool: str) -> None:
         now = self.timers.monotonic()
-        # Looking through thousands of waiting jobs costs milliseconds in each tick.
+        # Skip the scan of thousands of waiting jobs, which costs milliseconds per tick,
+        # if nothing can be placed.
         view = self._view(pool, now)
         if view.slots_left <= 0 or not view.capacities:
             return
@@ -265,9 +266,9 @@
                 await self._async_vacate_one(instance_id)
 
     async def _async_vacate_one(self, instance_id: str) -> None:
-        held = list(self.attempt_manager.attempts.values())
+        attempts = list(self.attempt_manager.attempts.values())
         async with anyio.create_task_group() as group:
-            for attempt in held:
+            for attempt in attempts:
                 if attempt.instance_id == instance_id:
                     group.start_soon(self._async_evict, attempt, False)
 
@@ -312,5 +313,5 @@
             delay = min(RETRY_BASE_SECONDS * 2.0**attempts, RETRY_MAX_SECONDS)
             self._not_before[end.job_id] = now + delay
         elif self.pools.is_usable(worker):
-            # Nothing is wrong with its worker, so the slot was given to urgent work.
+            # The worker is usable, so the preemption was for urgent work.
             self._slot_cooldown.record_freed(job.pool, now)
--- a/mustardward/components/jobs/services.py
+++ b/mustardward/components/jobs/services.py
@@ -1,4 +1,4 @@
-"""Serve those who submit, watch, cancel and retry long work."""
+"""Submit, inspect, cancel and retry jobs through the work log."""
 
 from __future__ import annotations
 
@@ -33,9 +33,9 @@
 
 @dataclass(slots=True, eq=False)
 class LogJobService:
-    """Keep long work in the work log.
+    """Implement the job service on the work log.
 
-    :param draw_id: returns an id that nobody has drawn before.
+    :param generate_id: returns a new unique id.
     """
 
     log: WorkLog
@@ -48,10 +48,10 @@
     async def async_submit(
         self, submission: Submission, actor: str
     ) -> Result[JobView, MustardwardError]:
-        """Make a job durable; only then it is accepted.
+        """Submit a job; it is accepted once it is durable.
 
-        The id stays the same when a caller that lost the answer submits again with
-        it, so the job is accepted once.
+        A caller that lost the reply can resubmit with the same id, and the job is
+        accepted only once.
         """
         pool = self._check(submission)
         if isinstance(pool, MustardwardError):
@@ -67,7 +67,7 @@
         return Failure(result.failure())
 
     def status(self, job_id: str) -> Result[JobView, MustardwardError]:
-        """Return a job as folded so far."""
+        """Return a job's view from the log records applied so far."""
         job = self.log.state.jobs.get(job_id)
         if job is None:
             return Failure(JobUnknownError(f"job_id={job_id}"))
@@ -82,7 +82,7 @@
     async def async_cancel(
         self, organisation: str, job_id: str, group: str, actor: str
     ) -> Result[str, MustardwardError]:
-        """Cancel one job, or a whole group by one record."""
+        """Cancel one job, or a whole group with one log record."""
         body = CancelJobs(organisation, job_id, group)
         result = await self.log.async_propose(
             body, actor=actor, priority=CANCEL_PRIORITY
@@ -99,11 +99,11 @@
         return Failure(result.failure())
 
     async def async_vacate(self, instance_id: str) -> bool:
-        """Checkpoint what runs on a worker; true once nothing of ours runs there."""
+        """Evict this process's tasks from a worker; true once it has no leased jobs."""
         return await self.scheduler.async_vacate(instance_id)
 
     async def async_free_slots(self, pool: str, count: int) -> int:
-        """Take slots back for urgent work; return how many are free now."""
+        """Reclaim slots for urgent work; return how many were freed."""
         return await self.reclaimer.async_free(pool, count)
 
     def _check(self, submission: Submission) -> str | MustardwardError:
@@ -118,7 +118,7 @@
         full = None if self._is_known(submission) else self._check_limits(organisation)
         if full is not None:
             return full
-        # A job that no worker can take would wait for ever and tell nobody.
+        # A job that fits no worker would wait indefinitely without any error.
         if not self.pools.can_ever_run(pool, _need(submission)):
             return JobUnplaceableError(f"pool={pool} need={_need(submission)}")
         return pool
@@ -158,9 +158,9 @@
 
 
 def full_job_id(submission: Submission, generate_id: Callable[[], str]) -> str:
-    """Return the id within the organisation's own space.
+    """Return the job's id, prefixed with its organisation.
 
-    Two organisations may choose the same id; neither may learn of the other's job.
+    Two organisations may choose the same id without either seeing the other's job.
     """
     return f"{submission.organisation}.{submission.job_id or generate_id()}"
 
--- a/mustardward/components/jobs/setup.py
+++ b/mustardward/components/jobs/setup.py
@@ -1,4 +1,4 @@
-"""Put the parts of long work together in one process."""
+"""Assemble the job component of a process."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 async def async_setup_jobs(core: Core) -> Unload:
-    """Publish the job service, start its ticks, and return what undoes that."""
+    """Publish the job service, start its ticks and return the unload function."""
     scheduler = _build_scheduler(core)
     reclaimer = SlotReclaimer(
         scheduler, core.timers, core.find(MEMBERSHIP), core.find(PEERS)
@@ -127,8 +127,8 @@
 
 
 def _run_time_key(core: Core, job: Job) -> str:
-    # Organisations made from one template run the same services, so what one teaches
-    # holds for the next.
+    # Organisations created from one template run the same services, so run times are
+    # shared between them.
     organisation = core.get(FLEET_LOG).state.organisations.get(job.organisation)
     template = organisation.template if organisation else job.organisation
     return f"{template}/{job.service}"
--- a/mustardward/components/jobs/silence.py
+++ b/mustardward/components/jobs/silence.py
@@ -1,4 +1,4 @@
-"""Remember workers that do not answer, so that one question asks for all tasks."""
+"""Track unresponsive workers, so that one timeout covers all of their tasks."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class UnresponsiveWorkers:
-    """Hold the workers that gave no answer a moment ago.
+    """Set of the workers that recently left a call unanswered.
 
-    The tasks of a dead rack would each wait for a time-out at each tick, and nothing
-    else would be renewed or placed meanwhile.
+    Without it, each task of a failed rack would wait for a timeout at each tick, and
+    no other task would be renewed or placed in the meantime.
     """
 
     def __init__(self, timers: TimerService) -> None:
@@ -18,14 +18,14 @@
         self._until: dict[str, float] = {}
 
     def add(self, instance_id: str) -> None:
-        """Ask a worker nothing more for a moment."""
+        """Suspend calls to a worker for ``UNRESPONSIVE_SECONDS``."""
         self._until[instance_id] = self._timers.monotonic() + UNRESPONSIVE_SECONDS
 
     def discard(self, instance_id: str) -> None:
-        """Ask a worker again: it answered."""
+        """Resume calls to a worker that responded."""
         self._until.pop(instance_id, None)
 
     def __contains__(self, instance_id: object) -> bool:
-        """Tell whether a worker was silent a moment ago."""
+        """Return whether a worker was recently unresponsive."""
         until = self._until.get(str(instance_id), 0.0)
         return self._timers.monotonic() < until
--- a/mustardward/components/jobs/slots.py
+++ b/mustardward/components/jobs/slots.py
@@ -1,4 +1,4 @@
-"""Give slots of a pool back to urgent work, whichever entry holds the tasks."""
+"""Reclaim a pool's slots for urgent work from the tasks of all entry nodes."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 _LOGGER = get_logger(__name__)
 
 SETTLE_SECONDS: Final = 0.5
-"""Time in which urgent work takes freed slots, before more are asked for."""
+"""Time for urgent work to take freed slots before more are reclaimed."""
 
 PEER_TIMEOUT_SECONDS: Final = 2.5
 
 
 @dataclass(frozen=True, slots=True)
 class FreeSlotsReply:
-    """Answer how many slots an entry freed."""
+    """Reply with the number of slots that an entry node freed."""
 
     slots: int
 
@@ -35,7 +35,7 @@
 @peer_message("jobs.free-slots", FreeSlotsReply)
 @dataclass(frozen=True, slots=True)
 class FreeSlotsRequest:
-    """Ask an entry to take slots back from the tasks whose leases it holds."""
+    """Ask an entry node to free slots of the tasks whose leases it holds."""
 
     pool: str
     slots: int
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True, eq=False)
 class SlotReclaimer:
-    """Share a wish for slots out among the entries that hold tasks of the pool."""
+    """Reclaim slots from the entry nodes that hold leases on tasks of the pool."""
 
     scheduler: JobScheduler
     timers: TimerService
@@ -52,16 +52,16 @@
     _next_reclaim_at: dict[str, float] = field(default_factory=dict)
 
     def start(self) -> Callable[[], None]:
-        """Begin to answer other entries; return what ends that."""
+        """Handle requests of other entry nodes; return the unsubscribe function."""
         if self.peers is None:
             return lambda: None
         return self.peers.handle(FreeSlotsRequest, self._async_handle_request)
 
     async def async_free(self, pool: str, count: int) -> int:
-        """Take slots back; return how many are free now.
+        """Reclaim up to ``count`` slots; return how many were freed.
 
-        The wish is repeated as long as urgent work waits; each repetition before the
-        freed slots could be used would cost one more task its slot.
+        Callers repeat the request while urgent work waits. Repetitions are ignored
+        until the freed slots could be used, since each would evict another task.
         """
         now = self.timers.monotonic()
         if now < self._next_reclaim_at.get(pool, 0.0):
@@ -101,7 +101,9 @@
         try:
             reply = await self.peers.async_call(member, message, PEER_TIMEOUT_SECONDS)
         except PeerError as error:
-            _LOGGER.info("job_slots_peer_unreachable", peer=member.name, code=error.code)
+            _LOGGER.info(
+                "job_slots_peer_unreachable", peer=member.name, code=error.code
+            )
             return
         freed.append(reply.slots)
 
--- a/mustardward/components/jobs/wishes.py
+++ b/mustardward/components/jobs/wishes.py
@@ -1,4 +1,4 @@
-"""Gather the requests that found no slot, and take slots back for them."""
+"""Track requests that found no slot and reclaim slots for them."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from .slots import SETTLE_SECONDS, SlotReclaimer
 
 MIN_JOB_SLOT_SHARE: Final = 0.25
-"""Share of a pool's slots that long work keeps against requests that are not urgent."""
+"""Share of a pool's slots that jobs keep when requests aren't urgent."""
 
 SLOT_REFUSAL_CAUSES: Final = frozenset({"workers-busy", "no-capacity", "overloaded"})
 MIN_BUSY_WORKERS: Final = 2
-"""Distinct workers that have to refuse one request before long work gives way.
+"""Distinct workers that must refuse one request before slots are reclaimed for it.
 
-One full worker says nothing while its neighbours have room, and each slot taken back
-moves a job.
+A single full worker isn't a shortage while others have free slots, and each reclaimed
+slot moves a job.
 """
 
 MAX_PENDING_REQUESTS: Final = 256
@@ -32,16 +32,16 @@
 
 @dataclass(slots=True, eq=False)
 class _PendingRequest:
-    """Hold what one request met in a pool."""
+    """Refusals that one request met in a pool."""
 
     urgent: bool
-    busy: set[str] = field(default_factory=set)
+    busy_workers: set[str] = field(default_factory=set)
     refused: bool = False
 
 
 @dataclass(slots=True, eq=False)
 class SlotDemand:
-    """Turn what requests meet into slots that long work gives back.
+    """Reclaim slots from jobs for requests that were refused or that wait.
 
     :param pool_of: returns the pool of an organisation's service.
     :param start: starts a coroutine function in the background.
@@ -56,24 +56,24 @@
     _reclaiming: set[str] = field(default_factory=set)
 
     def on_reclaim_requested(self, event: SlotReclaimRequested) -> None:
-        """Follow urgent requests that wait to be admitted."""
+        """Record urgent requests that wait for admission."""
         for number in range(event.slots):
             request = self._get_pending(event.pool, f"waiting-{number}", True)
             request.refused = True
         self._start_reclaim(event.pool)
 
     def on_busy(self, event: WorkerBusy) -> None:
-        """Follow a request that a worker had no slot for."""
+        """Record a request for which a worker had no slot."""
         if event.urgency is Urgency.LONG:
             return
         urgent = event.urgency is Urgency.URGENT
         request = self._get_pending(event.pool, event.request_id, urgent)
-        request.busy.add(event.instance_id)
-        if len(request.busy) >= self._required_busy_workers(event.pool):
+        request.busy_workers.add(event.instance_id)
+        if len(request.busy_workers) >= self._required_busy_workers(event.pool):
             self._start_reclaim(event.pool)
 
     def on_finished(self, event: RequestFinished) -> None:
-        """Follow a request that was refused because there was no slot."""
+        """Record a request that was refused because there was no slot."""
         if event.cause not in SLOT_REFUSAL_CAUSES or event.urgency is Urgency.LONG:
             return
         pool = self.pool_of(event.organisation, event.service)
@@ -85,8 +85,8 @@
 
     def _get_pending(self, pool: str, request_id: str, urgent: bool) -> _PendingRequest:
         pending = self._pending.setdefault(pool, {})
-        # Most requests that meet one full worker find room at the next, and their
-        # wishes are never asked for.
+        # Most requests refused by one full worker find a slot on the next one and
+        # aren't seen again, so the oldest entries are dropped.
         if request_id not in pending and len(pending) >= MAX_PENDING_REQUESTS:
             del pending[next(iter(pending))]
         return pending.setdefault(request_id, _PendingRequest(urgent))
@@ -109,7 +109,7 @@
         unserved = [
             item
             for item in pending.values()
-            if item.refused or len(item.busy) >= required
+            if item.refused or len(item.busy_workers) >= required
         ]
         urgent = sum(request.urgent for request in unserved)
         running = sum(self.reclaimer.scheduler.tasks_by_holder(pool).values())
