--- a/tests/components/jobs/test_decisions.py
+++ b/tests/components/jobs/test_decisions.py
@@ -1,4 +1,4 @@
-"""Decide on placement, victims, run times and workers without any I/O."""
+"""Test placement, victim choice, run time estimates and worker quarantine."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
     return [(item.job_id, capacity.instance.instance_id) for item, capacity in plan]
 
 
-def test_small_jobs_fill_one_worker_before_they_open_the_next() -> None:
+def test_small_jobs_fill_one_worker_before_the_next_is_used() -> None:
     jobs = [build_candidate(f"job-{n}") for n in range(8)]
     workers = {worker for _, worker in placed(build_view(4), *jobs)}
     assert len(workers) == 1
 
 
-def test_the_organisation_with_the_smaller_share_goes_first_until_others_aged() -> None:
+def test_the_organisation_with_the_smaller_share_goes_first_until_others_age() -> None:
     view = build_view(4, slots_left=1)
     view.running = {"derwent": 5, "hvelvlogikk": 1}
     small = build_candidate("small", organisation="hvelvlogikk")
@@ -51,7 +51,7 @@
     assert placed(view, build_candidate("big", waited=300.0), small)[0][0] == "big"
 
 
-def test_weights_let_an_organisation_hold_more() -> None:
+def test_a_larger_weight_lets_an_organisation_run_more_jobs() -> None:
     view = build_view(4, slots_left=1)
     view.running = {"derwent": 5, "hvelvlogikk": 1}
     view.weights = {"derwent": 10.0, "hvelvlogikk": 1.0}
@@ -59,7 +59,7 @@
     assert placed(view, build_candidate("big"), small)[0][0] == "big"
 
 
-def test_a_job_that_waited_long_gets_a_worker_kept_free() -> None:
+def test_a_worker_is_reserved_for_a_job_that_waited_long() -> None:
     view = build_view(2)
     for capacity in view.capacities:
         capacity.reserve(Need(20, 1, 0))
@@ -69,13 +69,13 @@
     assert len(workers) == 1 and view.reserved_worker not in workers
 
 
-def test_workers_on_which_a_job_failed_are_left_out() -> None:
+def test_workers_on_which_a_job_failed_are_excluded() -> None:
     job = build_candidate("job", excluded=frozenset({"w0", "w1"}))
     assert placed(build_view(3), job) == [("job", "w2")]
     assert placed(build_view(2), job) == []
 
 
-def test_victims_are_those_that_lose_least() -> None:
+def test_victims_are_the_tasks_that_lose_least_progress() -> None:
     def victim(name: str, **fields: Any) -> Victim:
         values: dict[str, Any] = {
             "began_at": 0.0,
@@ -97,7 +97,7 @@
     assert chosen == ["young", "old", "nearly-done", "gave-way-often"]
 
 
-def test_declared_run_times_are_priors_that_samples_replace() -> None:
+def test_declared_run_times_are_used_until_there_are_samples() -> None:
     times = RunTimes()
     assert times.estimate("plans", 60.0, 0.5) == 60.0
     assert times.estimate("plans", 60.0, 0.99) > 500.0
@@ -107,7 +107,7 @@
     assert times.estimate("plans", 60.0, 0.99) == 610.0
 
 
-def test_one_bad_job_never_condemns_a_worker_and_few_are_kept_out() -> None:
+def test_one_bad_job_makes_no_worker_suspect_and_few_are_quarantined() -> None:
     quarantine = WorkerQuarantine()
     names = [f"w{n}" for n in range(8)]
     for _ in range(9):
--- a/tests/components/jobs/test_faulty_runs.py
+++ b/tests/components/jobs/test_faulty_runs.py
@@ -1,4 +1,4 @@
-"""Run long work through seeded faults, and show that broken rules are seen."""
+"""Run jobs under seeded faults, and check that violations of rules are detected."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1000, 1005))
-async def test_no_job_is_lost_or_doubled_under_faults(seed: int) -> None:
+async def test_no_job_is_lost_or_run_twice_under_faults(seed: int) -> None:
     figures = await FaultyRun(seed).async_run()
     assert figures.jobs > 0 and figures.faults > 20
     assert (figures.lost, figures.doubled, figures.stray) == (0, 0, 0)
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize("mutant", sorted(jobs_mutants.MUTANTS))
-async def test_a_broken_rule_is_seen(
+async def test_a_violated_rule_is_detected(
     mutant: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for owner, name in (
@@ -39,4 +39,4 @@
         figures = await FaultyRun(seed).async_run()
         if figures.doubled + figures.stray > 0:
             return
-    pytest.fail("thirty seeds did not show the broken rule")
+    pytest.fail("30 seeds did not detect the violated rule")
--- a/tests/components/jobs/test_intents.py
+++ b/tests/components/jobs/test_intents.py
@@ -1,4 +1,4 @@
-"""Serve requests under idempotency keys from several entries over one log."""
+"""Test requests with idempotency keys at several entry nodes on one log."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 pytestmark = pytest.mark.anyio
 
-ANSWER = StoredResponse(201, "application/json", b"{}")
+RESPONSE = StoredResponse(201, "application/json", b"{}")
 
 
 class FakeMembership:
-    """Know a fixed set of entries of one data centre."""
+    """Membership with a fixed set of entry nodes in one data centre."""
 
     def __init__(self, own: str, names: list[str]) -> None:
         self.names = names
@@ -62,7 +62,7 @@
 
 @asynccontextmanager
 async def running_gates(*names: str) -> AsyncIterator[SimpleNamespace]:
-    """Run a gate for each entry on one shared log."""
+    """Run an intent gate for each entry node on one shared log."""
     world = SimpleNamespace(
         timers=DrivenTimerService(), shared=SharedLog(), gates={}, logs={}, members={}
     )
@@ -91,10 +91,11 @@
 
 
 async def test_the_same_key_at_two_entries_is_dispatched_once() -> None:
-    """Let the log's order decide which entry may dispatch.
+    """Guard against an order that ships twice.
 
-    Symptom: an order ships twice. Sequence: the balancer gives a caller's retry to
-    another entry while the first try still waits. Cause: each took itself for the home.
+    The load balancer sends a caller's retry to another entry node while the first
+    attempt still waits. Both nodes may take themselves for the key's home, so the order
+    of the log has to decide which one may dispatch.
     """
     async with running_gates("a", "b") as world:
         facts = build_facts(world.timers)
@@ -109,16 +110,15 @@
             tasks.start_soon(retry)
             await settle()
             assert second == []
-            await world.gates["a"].async_close(facts, "yes", ANSWER)
-        assert second[0].unwrap() == ANSWER
+            await world.gates["a"].async_close(facts, "yes", RESPONSE)
+        assert second[0].unwrap() == RESPONSE
 
 
-async def test_a_key_whose_home_is_gone_answers_unknown_and_never_dispatches() -> None:
-    """Answer truthfully for a replaced entry.
+async def test_a_key_whose_home_is_gone_is_unknown_and_never_dispatched() -> None:
+    """Guard against an order that runs twice after its entry node was replaced.
 
-    Symptom: a turning order runs twice. Sequence: its entry is replaced after the
-    dispatch; the caller tries again and the key's new home has no outcome. Cause: no
-    outcome was taken for not run.
+    The node is replaced after the dispatch, the caller retries and the key's new home
+    has no outcome; a missing outcome must not be reported as not run.
     """
     async with running_gates("a", "b") as world:
         await world.gates["a"].async_open(build_facts(world.timers))
@@ -140,14 +140,11 @@
         assert again.failure().ran is Ran.UNKNOWN
 
 
-async def test_a_home_that_moves_in_mid_request_keeps_the_first_dispatch_alone() -> (
-    None
-):
-    """Let a request end where it began.
+async def test_a_home_that_moves_during_a_request_dispatches_it_only_once() -> None:
+    """Guard against two entry nodes that run one order.
 
-    Symptom: two entries run one order. Sequence: an entry joins and is the key's home
-    from then on, while the old home still waits for the worker. Cause: the new home
-    knew of no request in progress.
+    An entry node joins and becomes the key's home while the old home still waits for
+    the worker; the new home must not dispatch the request again.
     """
     async with running_gates("a", "b", "c") as world:
         facts = build_facts(world.timers)
@@ -165,17 +162,17 @@
             await settle()
             await world.timers.async_advance(6.0)
         assert [item.failure().ran for item in results] == [Ran.UNKNOWN, Ran.UNKNOWN]
-        await world.gates["a"].async_close(facts, "yes", ANSWER)
+        await world.gates["a"].async_close(facts, "yes", RESPONSE)
         await settle()
         stored = await world.gates["c"].async_open(build_facts(world.timers))
-        assert stored.unwrap() == ANSWER
+        assert stored.unwrap() == RESPONSE
 
 
-async def test_a_key_with_another_body_is_a_typed_error() -> None:
+async def test_a_key_with_another_body_is_refused_as_a_mismatch() -> None:
     async with running_gates("a", "b") as world:
         facts = build_facts(world.timers)
         await world.gates["a"].async_open(facts)
-        await world.gates["a"].async_close(facts, "yes", ANSWER)
+        await world.gates["a"].async_close(facts, "yes", RESPONSE)
         await settle()
         other = build_facts(world.timers, request_digest="digest-2")
         refusal = (await world.gates["b"].async_open(other)).failure()
@@ -183,7 +180,7 @@
         assert refusal.ran is Ran.UNKNOWN
 
 
-async def test_not_run_lets_the_next_try_dispatch() -> None:
+async def test_a_retry_is_dispatched_after_not_run() -> None:
     async with running_gates("a", "b") as world:
         facts = build_facts(world.timers)
         await world.gates["a"].async_open(facts)
@@ -193,7 +190,7 @@
         assert (await world.gates["b"].async_open(facts)).unwrap() is None
 
 
-async def test_an_answer_too_large_to_keep_is_never_replayed_short() -> None:
+async def test_a_response_too_large_to_store_is_never_replayed_truncated() -> None:
     async with running_gates("a") as world:
         facts = build_facts(world.timers)
         await world.gates["a"].async_open(facts)
@@ -204,12 +201,12 @@
         assert (refusal.code, refusal.ran) == ("idempotency-already-done", Ran.YES)
 
 
-async def test_a_log_that_is_out_says_not_run_only_with_the_tail_at_hand() -> None:
-    """Refuse without a false `not run`.
+async def test_a_refusal_without_a_current_log_tail_is_unknown() -> None:
+    """Guard against a refusal that reports `not run` for an order that ships.
 
-    Symptom: a refusal says `not run`, and the order ships. Sequence: entry a opens the
-    key and is replaced; entry b is cut off from the log before it reads that; the
-    caller's retry at b is refused. Cause: b took what it had not read for not there.
+    Entry node a opens the key and is replaced; b is disconnected from the log before it
+    reads that, and refuses the caller's retry. Records that b hasn't read must not be
+    taken for missing.
     """
     async with running_gates("a", "b") as world:
         facts = build_facts(world.timers)
@@ -220,7 +217,7 @@
         assert world.gates["b"].reportable_ran(facts, Ran.NO) is Ran.UNKNOWN
 
 
-async def test_a_refused_append_with_a_confirmed_tail_is_truly_not_run() -> None:
+async def test_a_refused_append_with_a_confirmed_tail_is_not_run() -> None:
     async with running_gates("a") as world:
         facts = build_facts(world.timers)
         world.shared.out = True
@@ -233,9 +230,7 @@
         assert refusal.ran is Ran.NO
 
 
-async def test_an_idempotent_request_is_served_without_its_key_and_never_vouched() -> (
-    None
-):
+async def test_an_idempotent_request_is_served_without_its_key_as_unknown() -> None:
     async with running_gates("a") as world:
         world.shared.out = True
         facts = build_facts(world.timers, idempotent=True)
@@ -243,12 +238,11 @@
         assert world.gates["a"].reportable_ran(facts, Ran.NO) is Ran.UNKNOWN
 
 
-async def test_an_intent_whose_append_lost_its_answer_frees_its_key() -> None:
-    """Close what nobody will dispatch.
+async def test_an_intent_whose_append_lost_its_reply_frees_its_key() -> None:
+    """Guard against a key that stays `unknown` indefinitely although it never ran.
 
-    Symptom: a key answers `unknown` for ever though its order never ran. Sequence: the
-    append of the intent loses its answer, the request is refused, and the record is
-    folded after that. Cause: nobody felt in charge of the late intent.
+    The append of the intent loses its reply, the request is refused and the record is
+    applied after that; the entry node that proposed the late intent has to close it.
     """
     async with running_gates("a", "b") as world:
         facts = build_facts(world.timers)
@@ -263,7 +257,7 @@
         assert is_successful(await world.gates["b"].async_open(facts))
 
 
-async def test_a_caller_that_gives_up_in_mid_append_frees_its_key() -> None:
+async def test_a_caller_that_disconnects_during_the_append_frees_its_key() -> None:
     async with running_gates("a") as world:
         facts = build_facts(world.timers)
         async with anyio.create_task_group() as tasks:
@@ -275,14 +269,14 @@
         assert (await world.gates["a"].async_open(facts)).unwrap() is None
 
 
-async def test_closes_wait_for_a_log_that_is_out() -> None:
+async def test_intents_are_closed_after_an_outage_of_the_log() -> None:
     async with running_gates("a") as world:
         facts = build_facts(world.timers)
         await world.gates["a"].async_open(facts)
         world.shared.out = True
-        await world.gates["a"].async_close(facts, "yes", ANSWER)
+        await world.gates["a"].async_close(facts, "yes", RESPONSE)
         await settle()
         world.shared.out = False
         await world.timers.async_advance(3.0)
         await settle()
-        assert (await world.gates["a"].async_open(facts)).unwrap() == ANSWER
+        assert (await world.gates["a"].async_open(facts)).unwrap() == RESPONSE
--- a/tests/components/jobs/test_intents_remote.py
+++ b/tests/components/jobs/test_intents_remote.py
@@ -1,4 +1,4 @@
-"""Keep a key that arrives in two data centres in one stream."""
+"""Test that a key used in two data centres is decided in one log stream."""
 
 from __future__ import annotations
 
@@ -30,29 +30,29 @@
 
 pytestmark = pytest.mark.anyio
 
-ANSWER = StoredResponse(201, "application/json", b"{}")
+RESPONSE = StoredResponse(201, "application/json", b"{}")
 CENTRES = ("bergen", "voss")
 
 
-class Wire:
-    """Carry peer calls, and lose them or their answers on demand."""
+class PeerNetwork:
+    """Deliver peer calls, and lose them or their replies on demand."""
 
     def __init__(self) -> None:
         self.handlers: dict[tuple[str, type], Any] = {}
-        self.cut = False
-        self.lose_answers = 0
+        self.partitioned = False
+        self.lose_replies = 0
 
-    def of(self, name: str) -> Any:
+    def connect(self, name: str) -> Any:
         def handle(message_type: type, handler: Any) -> Any:
             self.handlers[(name, message_type)] = handler
             return lambda: None
 
         async def async_call(member: Member, message: Any, timeout: float) -> Any:
-            if self.cut:
+            if self.partitioned:
                 raise PeerUnreachableError(member.name)
             reply = await self.handlers[(member.name, type(message))](name, message)
-            if self.lose_answers:
-                self.lose_answers -= 1
+            if self.lose_replies:
+                self.lose_replies -= 1
                 raise PeerOutcomeUnknownError(member.name)
             return reply
 
@@ -61,9 +61,9 @@
 
 @asynccontextmanager
 async def running_centres() -> AsyncIterator[SimpleNamespace]:
-    """Run two entries in each data centre; yield gates by data centre."""
+    """Run two entry nodes in each data centre; yield their gates by node name."""
     timers = DrivenTimerService()
-    wire = Wire()
+    network = PeerNetwork()
     instances = {
         name: Instance(name, name, "rack", "address", "etching", 1) for name in CENTRES
     }
@@ -79,7 +79,9 @@
             item for item in members.values() if data_centre in (None, item.data_centre)
         )
 
-    world = SimpleNamespace(timers=timers, wire=wire, gates={}, logs={}, live=live)
+    world = SimpleNamespace(
+        timers=timers, network=network, gates={}, logs={}, live=live
+    )
     async with anyio.create_task_group() as tasks:
         shared = {name: SharedLog() for name in CENTRES}
         for name, own in members.items():
@@ -90,8 +92,8 @@
                 log, timers, tasks, home_name(name, 1), homes.is_live
             )
             recorder.start()
-            serve_recorder(wire.of(name), recorder)
-            remote = RemoteRecorders(wire.of(name), membership, timers)
+            serve_recorder(network.connect(name), recorder)
+            remote = RemoteRecorders(network.connect(name), membership, timers)
             world.gates[name] = LogIntentGate(
                 recorder, homes, timers, tasks, home_name(name, 1), remote
             )
@@ -104,36 +106,36 @@
 
 
 async def test_one_key_in_two_data_centres_is_dispatched_once() -> None:
-    """Give a key one judge.
+    """Guard against an order that is dispatched in two data centres.
 
-    Symptom: an order is etched in two data centres. Sequence: the caller's first try
-    goes to one, its retry to the other. Cause: each asked its own stream.
+    The caller's first attempt goes to one data centre and its retry to the other, so a
+    single log stream has to decide on the key.
     """
     async with running_centres() as world:
         first = build_facts(world.timers)
         gate = world.gates[f"{world.away}-1"]
         assert (await gate.async_open(first)).unwrap() is None
         assert world.logs[f"{world.away}-1"].state.intents == {}
-        await gate.async_close(first, "yes", ANSWER)
+        await gate.async_close(first, "yes", RESPONSE)
         await settle()
         for name, other in world.gates.items():
             again = await other.async_open(build_facts(world.timers, request_id=name))
-            assert again.unwrap() == ANSWER
+            assert again.unwrap() == RESPONSE
 
 
-async def test_a_data_centre_cut_off_from_a_keys_home_does_not_vouch() -> None:
+async def test_a_data_centre_partitioned_from_a_keys_home_reports_unknown() -> None:
     async with running_centres() as world:
-        world.wire.cut = True
+        world.network.partitioned = True
         gate = world.gates[f"{world.away}-1"]
         refusal = (await gate.async_open(build_facts(world.timers))).failure()
         assert (refusal.code, refusal.ran) == ("idempotency-log-out", Ran.UNKNOWN)
-        harmless = build_facts(world.timers, idempotent=True)
-        assert (await gate.async_open(harmless)).unwrap() is None
+        idempotent = build_facts(world.timers, idempotent=True)
+        assert (await gate.async_open(idempotent)).unwrap() is None
 
 
-async def test_a_lost_reply_is_met_by_the_same_question_to_the_next_entry() -> None:
+async def test_a_lost_reply_is_resolved_by_a_retry_at_the_next_entry() -> None:
     async with running_centres() as world:
-        world.wire.lose_answers = 1
+        world.network.lose_replies = 1
         gate = world.gates[f"{world.away}-1"]
         facts = build_facts(world.timers)
         assert (await gate.async_open(facts)).unwrap() is None
@@ -141,14 +143,13 @@
 
 
 async def test_an_intent_opened_for_a_lost_reply_is_closed_as_not_run() -> None:
-    """Close what was opened for nobody.
+    """Guard against a key that stays `unknown` indefinitely.
 
-    Symptom: a key answers `unknown` for ever. Sequence: the home opens the intent, all
-    replies are lost, and the request is refused. Cause: neither side knew that the
-    other would not act.
+    The home opens the intent, all replies are lost and the request is refused; neither
+    side can tell that the other won't act, so the intent has to be closed as not run.
     """
     async with running_centres() as world:
-        world.wire.lose_answers = 2
+        world.network.lose_replies = 2
         gate = world.gates[f"{world.away}-1"]
         refusal = (await gate.async_open(build_facts(world.timers))).failure()
         assert refusal.ran is Ran.UNKNOWN
@@ -160,13 +161,13 @@
         assert (await local.async_open(build_facts(world.timers))).unwrap() is None
 
 
-async def test_an_entry_that_lost_its_asker_does_not_close_what_another_gave() -> None:
-    """Let only who may dispatch say that nobody did.
+async def test_an_abandoned_intent_granted_by_another_entry_is_not_closed() -> None:
+    """Guard against an order that is dispatched twice.
 
-    Symptom: an order is etched twice. Sequence: the first entry asked loses the stream
-    in mid-append and gives the intent up; the second one finds it accepted and hands it
-    over; the request runs; the first closes the intent as not run, and a retry runs
-    too. Cause: the entry that records took the caller's giving up for its own.
+    The first recording entry node loses the stream during the append and abandons the
+    intent; the second finds it accepted and grants it, and the request runs. If the
+    first then closed the intent as not run, a retry would run too, so only the entry
+    node that may dispatch may report that the request wasn't dispatched.
     """
     async with running_centres() as world:
         gate = world.gates[f"{world.away}-1"]
--- a/tests/components/jobs/test_presence.py
+++ b/tests/components/jobs/test_presence.py
@@ -1,4 +1,4 @@
-"""Tell whether holders of leases are in sight."""
+"""Test the liveness of lease holders."""
 
 from __future__ import annotations
 
@@ -16,14 +16,13 @@
 
 
 @pytest.mark.parametrize("status", [MemberStatus.SUSPECT, MemberStatus.GONE])
-def test_a_holder_out_of_sight_is_given_a_grace_and_no_more(
+def test_an_unconfirmed_holder_stays_live_for_the_grace_period_only(
     status: MemberStatus,
 ) -> None:
-    """Take over from a holder whose death nobody can prove.
+    """Guard against jobs that show as running long after they finished.
 
-    Symptom: jobs that were done long ago still run in the books. Sequence: an entry is
-    killed, and its peers suspect it for minutes. Cause: its leases were only taken over
-    once it was proven gone.
+    A killed entry node stays suspect for minutes, so its leases have to be taken over
+    before it is confirmed dead.
     """
     timers = DrivenTimerService()
     members = [MEMBER]
@@ -39,7 +38,7 @@
     assert liveness.is_live("b/7")
 
 
-def test_a_leaving_holder_hands_over_at_once_and_oneself_is_always_there() -> None:
+def test_a_leaving_holder_is_not_live_and_this_process_always_is() -> None:
     leaving = replace(MEMBER, status=MemberStatus.LEAVING)
     membership: Any = SimpleNamespace(members=lambda: (leaving,))
     liveness = HolderLiveness(DrivenTimerService(), membership, "a/1")
--- a/tests/components/jobs/test_real_tasks.py
+++ b/tests/components/jobs/test_real_tasks.py
@@ -1,4 +1,4 @@
-"""Run long work on the stand-in worker's own table of tasks."""
+"""Test jobs against the task table of the stand-in worker."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class TableWorkers:
-    """Pass a worker client's calls straight to the tables."""
+    """Pass a worker client's calls directly to task tables."""
 
     def __init__(self, timers: TimerService, names: list[str]) -> None:
         self._timers = timers
@@ -32,7 +32,7 @@
             table.active(self._timers.monotonic())
 
     def runs(self, task_id: str) -> list[str]:
-        """Return how each run of a task on any worker ended, in order."""
+        """Return the outcomes of a task's runs on all workers, ordered by start."""
         now = self._timers.monotonic()
         runs = [run for table in self.tables.values() for run in table.runs(now)]
         runs.sort(key=lambda run: run.start)
@@ -98,13 +98,13 @@
     assert workers.runs(job_id) == ["checkpointed", "done"]
 
 
-async def test_a_lapsed_lease_starts_again_only_what_may_run_twice() -> None:
+async def test_an_expired_lease_restarts_only_an_idempotent_job() -> None:
     world, workers = build_world()
     entry = world.add_entry("a")
     payload = PAYLOAD.replace(b"40.0", b"200.0")
     jobs = [
-        await world.async_submit(entry, name, payload=payload, idempotent=again)
-        for name, again in (("again", True), ("once", False))
+        await world.async_submit(entry, name, payload=payload, idempotent=idempotent)
+        for name, idempotent in (("again", True), ("once", False))
     ]
     await world.async_run(3)
     entry.frozen = True
@@ -112,8 +112,8 @@
     entry.frozen = False
     world.timers.pause(0.0)
     await world.async_run(250)
-    status = [entry.service.status(job_id).unwrap().status for job_id in jobs]
-    assert status == ["done", "held"]
+    statuses = [entry.service.status(job_id).unwrap().status for job_id in jobs]
+    assert statuses == ["done", "held"]
     assert workers.runs(jobs[0]) == ["lease-lapsed", "done"]
     assert workers.runs(jobs[1]) == ["lease-lapsed"]
 
--- a/tests/components/jobs/test_scheduling.py
+++ b/tests/components/jobs/test_scheduling.py
@@ -1,4 +1,4 @@
-"""Run long work on fake workers and let everything fail."""
+"""Test jobs on fake workers under failures of workers, entry nodes and the log."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     assert entry.attempt_manager.attempts == {}
 
 
-async def test_a_submission_repeated_after_a_lost_answer_is_accepted_once() -> None:
+async def test_a_submission_repeated_after_a_lost_reply_is_accepted_once() -> None:
     world = JobsWorld()
     entry = world.add_entry("a")
     entry.log.lose_next = True
@@ -50,7 +50,7 @@
     assert world.workers.runs("derwent.plan-1") == 1
 
 
-async def test_work_that_no_worker_can_take_is_refused_at_the_border() -> None:
+async def test_jobs_that_fit_no_worker_or_quota_are_refused_on_submission() -> None:
     world = JobsWorld(quota=1)
     entry = world.add_entry("a")
     large = Submission("derwent", "plans", cores=33)
@@ -61,12 +61,12 @@
     assert isinstance(second.failure(), JobQuotaError)
 
 
-async def test_a_holder_paused_past_its_lease_starts_nothing_when_it_wakes() -> None:
-    """Recheck a lease after a pause.
+async def test_a_holder_paused_past_its_lease_starts_nothing_when_it_resumes() -> None:
+    """Guard against a non-idempotent job that runs on two workers.
 
-    Symptom: a job that may not run twice runs on two workers. Sequence: entry a has
-    its lease accepted and is stopped before the start; b takes the job over, finds no
-    task and holds it; a wakes. Cause: a believed in a lease that had passed on.
+    Entry node a is suspended between the acceptance of its lease and the start; b takes
+    the job over, finds no task and marks it held; a resumes and must not trust its
+    outdated lease.
     """
     world = JobsWorld()
     a = world.add_entry("a")
@@ -89,7 +89,7 @@
     assert a.attempt_manager.attempts == {}
 
 
-async def test_a_paused_holder_with_the_log_out_starts_nothing() -> None:
+async def test_a_paused_holder_starts_nothing_while_the_log_is_unavailable() -> None:
     world = JobsWorld()
     a = world.add_entry("a")
     job_id = await world.async_submit(a, "plan-1")
@@ -104,12 +104,11 @@
     assert world.workers.runs(job_id) == 1
 
 
-async def test_a_lost_start_acknowledgement_is_met_by_a_report() -> None:
-    """Ask for the task by its id.
+async def test_a_lost_start_reply_is_resolved_by_a_report() -> None:
+    """Guard against a job that runs twice.
 
-    Symptom: a casting run is made twice. Sequence: the worker starts the task, its
-    answer is lost, and the holder starts the task again elsewhere. Cause: no answer
-    was taken for no start.
+    The worker starts the task and its reply is lost; a missing reply must not be taken
+    for a start without effect, so the holder queries the task by its id.
     """
     world = JobsWorld()
     entry = world.add_entry("a")
@@ -121,7 +120,7 @@
     assert world.workers.runs(job_id) == 1
 
 
-async def test_a_lost_start_and_a_reboot_hold_what_may_not_run_twice() -> None:
+async def test_a_lost_start_reply_and_a_reboot_hold_a_non_idempotent_job() -> None:
     world = JobsWorld(workers_count=1)
     entry = world.add_entry("a")
     job_id = await world.async_submit(entry, "plan-1", idempotent=False)
@@ -136,12 +135,11 @@
     assert status(entry, job_id) == "done"
 
 
-async def test_jobs_of_a_replaced_entry_go_on_where_they_run() -> None:
-    """Take jobs over without running them again.
+async def test_jobs_of_a_replaced_entry_continue_where_they_run() -> None:
+    """Guard against jobs that are lost or run twice when their entry node is replaced.
 
-    Symptom: a plan is lost when its entry is replaced, or runs twice. Sequence: an
-    entry with running and waiting jobs goes without a word. Cause: what runs was known
-    to the entry alone.
+    An entry node with running and waiting jobs disappears without handing over, so its
+    successor has to know from the log which jobs run where.
     """
     world = JobsWorld(workers_count=1)
     a = world.add_entry("a")
@@ -157,14 +155,13 @@
     assert [world.workers.runs(job_id) for job_id in jobs] == [1] * 12
 
 
-async def test_a_worker_that_finishes_nothing_loses_its_tasks_and_gets_no_more() -> (
+async def test_a_worker_that_finishes_no_task_loses_its_tasks_and_gets_no_more() -> (
     None
 ):
-    """Judge a worker by what it finishes.
+    """Guard against jobs that hang on one worker for hours while others are idle.
 
-    Symptom: jobs hang for hours on one worker while its peers are idle. Sequence: a
-    worker accepts each start and renews each lease, and no task ever moves. Cause: a
-    live lease was taken for a working worker.
+    The worker accepts each start and renews each lease but makes no progress, so a live
+    lease doesn't show that the worker works.
     """
     world = JobsWorld(workers_count=4)
     entry = world.add_entry("a")
@@ -194,11 +191,10 @@
 
 
 async def test_a_cancellation_that_races_a_start_leaves_nothing_running() -> None:
-    """Stop what a cancellation met on its way to the worker.
+    """Guard against a cancelled job that still runs.
 
-    Symptom: a cancelled order is etched. Sequence: the lease is accepted, the
-    cancellation is, and only then the worker gets its start. Cause: the start did not
-    look at the log again, or the running task was never stopped.
+    The log accepts the lease and then the cancellation, before the worker gets its
+    start. The start has to check the log again, and a running task has to be stopped.
     """
     world = JobsWorld()
     entry = world.add_entry("a")
@@ -219,12 +215,11 @@
     assert TaskState.RUNNING not in states
 
 
-async def test_ten_thousand_cancelled_at_once_cost_one_append_and_no_call() -> None:
-    """Cancel in a wave at constant cost.
+async def test_cancelling_10000_jobs_costs_one_append_and_no_call() -> None:
+    """Guard against urgent starts that are blocked while a large group is cancelled.
 
-    Symptom: urgent starts stand still while a user cancels. Sequence: 10,000 jobs of a
-    group wait and eight run when the group is cancelled. Cause: each job cost an
-    append, a call or a visit of its own.
+    10,000 jobs of the group wait and eight run when it is cancelled; an append, a call
+    or a visit for each job would take too long.
     """
     world = JobsWorld(workers_count=1)
     entry = world.add_entry("a")
@@ -266,12 +261,11 @@
     assert {status(entry, job_id) for job_id in jobs} == {"done"}
 
 
-async def test_freed_slots_stay_free_until_urgent_work_had_its_chance() -> None:
-    """Hold back what was given back.
+async def test_freed_slots_are_withheld_from_jobs_during_their_cooldown() -> None:
+    """Guard against urgent work that waits although slots were freed for it.
 
-    Symptom: urgent work waits although long work gives its slots back. Sequence: a
-    task is checkpointed, its job waits again, and the next tick starts it in the very
-    slot. Cause: nothing told the free slot from any other.
+    A task is checkpointed and its job waits again; the next tick must not start it in
+    the slot that it has just freed.
     """
     world = JobsWorld(workers_count=1, slots=2)
     entry = world.add_entry("a")
@@ -286,7 +280,7 @@
     assert len(entry.attempt_manager.attempts) == 2
 
 
-async def test_a_job_that_may_not_run_twice_is_never_stopped_for_urgent_work() -> None:
+async def test_a_non_idempotent_job_is_never_stopped_for_urgent_work() -> None:
     world = JobsWorld(workers_count=1, slots=1)
     entry = world.add_entry("a")
     job_id = await world.async_submit(entry, "plan-1", idempotent=False)
@@ -298,7 +292,7 @@
     assert (status(entry, job_id), world.workers.runs(job_id)) == ("done", 1)
 
 
-async def test_long_work_leaves_the_urgent_reserve_free() -> None:
+async def test_jobs_leave_the_urgent_reserve_free() -> None:
     world = JobsWorld(workers_count=4, slots=8, reserve=0.25)
     entry = world.add_entry("a")
     for number in range(64):
@@ -327,7 +321,7 @@
     assert float(view.checkpoint) > 0.0
 
 
-async def test_a_job_may_end_by_itself_on_a_worker_that_only_drains() -> None:
+async def test_a_job_may_finish_on_a_draining_worker() -> None:
     world = JobsWorld(workers_count=1)
     entry = world.add_entry("a")
     job_id = await world.async_submit(entry, "plan-1")
@@ -341,12 +335,11 @@
     assert entry.service.status(later).unwrap().status == "waiting"
 
 
-async def test_a_job_goes_to_a_worker_that_the_wave_is_through_with() -> None:
-    """Spare a job a second move within one wave.
+async def test_a_job_goes_to_a_worker_that_the_wave_has_finished() -> None:
+    """Guard against jobs that move several times during one maintenance wave.
 
-    Symptom: jobs move several times while a wave passes through their pool.
-    Sequence: a job is vacated, starts on a worker that is still due, and is vacated
-    again. Cause: placement did not look at what the wave would take next.
+    A vacated job that starts on a worker still due in the wave is vacated again, so
+    placement has to prefer workers that aren't due.
     """
     world = JobsWorld(workers_count=4)
     entry = world.add_entry("a")
@@ -358,11 +351,11 @@
         assert worker_of(entry, job_id) == names[3]
 
 
-async def test_a_lease_whose_append_lost_its_answer_still_starts_its_job() -> None:
-    """Adopt what the log gave without a word.
+async def test_a_lease_whose_append_lost_its_reply_still_starts_its_job() -> None:
+    """Guard against a job that shows as running indefinitely although no worker has it.
 
-    Symptom: a job shows as running for ever and no worker has it. Sequence: the lease
-    is appended, the answer is lost. Cause: the holder by the log held nothing.
+    The lease is appended but the reply is lost, so the process that holds the lease
+    according to the log has to adopt it.
     """
     world = JobsWorld()
     entry = world.add_entry("a")
@@ -372,7 +365,7 @@
     assert (status(entry, job_id), world.workers.runs(job_id)) == ("done", 1)
 
 
-async def test_an_unreachable_worker_gives_its_job_up_only_after_its_lease() -> None:
+async def test_an_unreachable_worker_loses_its_job_only_after_its_lease() -> None:
     world = JobsWorld(workers_count=2)
     entry = world.add_entry("a")
     job_id = await world.async_submit(entry, "plan-1")
@@ -388,12 +381,11 @@
     assert task.report.state is TaskState.LAPSED
 
 
-async def test_a_silent_worker_is_asked_for_all_its_tasks_at_once() -> None:
-    """Ask a dead worker once in a while, not about each task.
+async def test_calls_to_an_unresponsive_worker_are_limited_for_all_its_tasks() -> None:
+    """Guard against leases on healthy workers that expire while a rack is down.
 
-    Symptom: tasks on healthy workers lapse while a rack is dead. Sequence: each tick
-    waits for the time-out of every task of the rack. Cause: tasks were asked about one
-    by one although they share their worker's fate.
+    With a call for each task of the rack, every tick waits for as many timeouts, so a
+    timeout suspends the calls for all other tasks of the worker too.
     """
     world = JobsWorld(workers_count=1, slots=8)
     entry = world.add_entry("a")
@@ -408,11 +400,11 @@
     assert len(entry.attempt_manager.attempts) == 8
 
 
-async def test_a_worker_that_hangs_gives_its_slot_back_in_time() -> None:
-    """Bound each step of giving a slot back.
+async def test_the_slot_of_a_hanging_worker_is_freed_in_time() -> None:
+    """Guard against urgent work that starts late while a checkpoint is written.
 
-    Symptom: urgent work starts late while a checkpoint is written. Sequence: a worker
-    takes the call and does not answer. Cause: the next step waited for it.
+    A worker accepts the checkpoint call and doesn't reply, so each step of freeing a
+    slot needs a timeout.
     """
     world = JobsWorld(workers_count=1, slots=1)
     entry = world.add_entry("a")
@@ -433,7 +425,7 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_a_large_organisations_flood_does_not_starve_a_small_one() -> None:
+async def test_a_burst_from_a_large_organisation_does_not_starve_a_small_one() -> None:
     world = JobsWorld(workers_count=1, slots=4)
     entry = world.add_entry("a")
     for number in range(200):
@@ -445,10 +437,10 @@
 
 
 async def test_a_job_that_needs_a_whole_worker_is_not_starved_by_small_ones() -> None:
-    """Reserve a worker for who has waited long.
+    """Guard against a job that needs 32 cores and waits indefinitely in a busy pool.
 
-    Symptom: a plan that needs 32 cores waits for ever in a busy pool. Sequence: small
-    jobs keep coming and take each core that falls free. Cause: whoever fits goes first.
+    Small jobs keep arriving and take each core that becomes free, so a worker has to be
+    reserved for a job that waited long.
     """
     world = JobsWorld(workers_count=2, slots=8)
     entry = world.add_entry("a")
@@ -471,7 +463,7 @@
     assert started < 60
 
 
-async def test_log_out_keeps_running_tasks_alive_and_states_ends_later() -> None:
+async def test_ends_are_recorded_after_an_outage_of_the_log() -> None:
     world = JobsWorld()
     entry = world.add_entry("a")
     job_id = await world.async_submit(entry, "plan-1", idempotent=False)
@@ -484,7 +476,7 @@
     assert (status(entry, job_id), world.workers.runs(job_id)) == ("done", 1)
 
 
-async def test_a_delayed_old_start_on_another_worker_is_not_taken_for_the_job() -> None:
+async def test_a_report_of_an_outdated_start_is_not_taken_for_the_job() -> None:
     world = JobsWorld(workers_count=2)
     entry = world.add_entry("a")
     job_id = await world.async_submit(entry, "plan-1")
--- a/tests/components/jobs/test_slots.py
+++ b/tests/components/jobs/test_slots.py
@@ -1,4 +1,4 @@
-"""Take slots back from the tasks of several entries."""
+"""Test reclaiming slots from the tasks of several entry nodes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class OnePeer:
-    """Pass calls to the one other entry, or fail as an unreachable one."""
+    """Deliver calls to the one other entry node, or fail as if it were unreachable."""
 
     def __init__(self, target: SlotReclaimer, reachable: bool) -> None:
         self._target = target
@@ -30,14 +30,13 @@
 
 
 @pytest.mark.parametrize(("reachable", "freed"), [(True, 2), (False, 0)])
-async def test_the_entry_that_holds_the_tasks_is_asked(
+async def test_slots_are_reclaimed_from_the_entry_that_holds_the_leases(
     reachable: bool, freed: int
 ) -> None:
-    """Reach the holder of the leases.
+    """Guard against urgent work that waits while jobs use every slot.
 
-    Symptom: urgent work waits while long work fills every slot. Sequence: the entry
-    with the urgent callers is not the one that placed the long work. Cause: it could
-    take slots back from its own tasks alone.
+    The entry node with the urgent callers isn't the one that placed the jobs, so it has
+    to reclaim slots from the tasks of other lease holders too.
     """
     world = JobsWorld(workers_count=1, slots=4)
     b = world.add_entry("b")
@@ -53,16 +52,16 @@
     assert len(b.attempt_manager.attempts) == 4 - freed
 
 
-async def test_a_peers_question_is_about_its_own_tasks() -> None:
+async def test_a_peer_request_frees_only_the_slots_of_own_tasks() -> None:
     world = JobsWorld(workers_count=1, slots=4)
     entry = world.add_entry("a")
-    answer = await SlotReclaimer(entry.scheduler, world.timers)._async_handle_request(
+    reply = await SlotReclaimer(entry.scheduler, world.timers)._async_handle_request(
         "b", FreeSlotsRequest("casting", 3)
     )
-    assert answer.slots == 0
+    assert reply.slots == 0
 
 
-def test_held_back_slots_are_counted_for_a_while() -> None:
+def test_freed_slots_are_counted_until_their_cooldown_ends() -> None:
     cooldown = SlotCooldown(10.0)
     cooldown.record_freed("casting", 0.0)
     cooldown.record_freed("casting", 5.0)
--- a/tests/components/jobs/test_wishes.py
+++ b/tests/components/jobs/test_wishes.py
@@ -1,4 +1,4 @@
-"""Let long work give way to requests that find no slot."""
+"""Test reclaiming slots from jobs for requests that get none."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @asynccontextmanager
 async def running_demand() -> AsyncIterator[SimpleNamespace]:
-    """Fill two workers of four slots with long work."""
+    """Run a slot demand against two workers whose four slots each are used by jobs."""
     world = JobsWorld(workers_count=2, slots=4)
     entry = world.add_entry("a")
     for number in range(8):
@@ -39,14 +39,14 @@
             start=tasks.start_soon,
         )
 
-        async def async_held() -> int:
+        async def async_count_leased_jobs() -> int:
             for _ in range(12):
                 await world.timers.async_advance(0.1)
                 for _ in range(20):
                     await anyio.lowlevel.checkpoint()
             return len(entry.attempt_manager.attempts)
 
-        yield SimpleNamespace(demand=demand, held=async_held)
+        yield SimpleNamespace(demand=demand, leased_jobs=async_count_leased_jobs)
         tasks.cancel_scope.cancel()
 
 
@@ -54,42 +54,41 @@
     return WorkerBusy(worker, POOL, request, urgency)
 
 
-async def test_urgent_requests_that_meet_full_workers_get_slots() -> None:
-    """Give way without being asked by the limits.
+async def test_urgent_requests_refused_by_full_workers_get_slots() -> None:
+    """Guard against urgent requests refused as "workers busy" while jobs use all slots.
 
-    Symptom: urgent requests are refused as "workers busy" while long work fills every
-    slot. Sequence: the limits admit them, each worker refuses, and nobody tells long
-    work. Cause: it only gave way to requests that waited to be admitted.
+    The limits admit the requests and each worker refuses them, so refusals by workers
+    have to reclaim slots as well as requests that wait for admission.
     """
     async with running_demand() as world:
         for number in range(3):
             for worker in ("worker-0", "worker-1"):
                 request = f"request-{number}"
                 world.demand.on_busy(busy(worker, request, Urgency.URGENT))
-        assert await world.held() == 5
+        assert await world.leased_jobs() == 5
 
 
 async def test_one_full_worker_moves_no_job() -> None:
     async with running_demand() as world:
         for number in range(MAX_PENDING_REQUESTS + 9):
             world.demand.on_busy(busy("worker-0", f"r{number}", Urgency.URGENT))
-        assert await world.held() == 8
+        assert await world.leased_jobs() == 8
         assert len(world.demand._pending[POOL]) == MAX_PENDING_REQUESTS
 
 
-async def test_long_work_keeps_a_share_against_what_is_not_urgent() -> None:
+async def test_jobs_keep_a_share_against_requests_that_are_not_urgent() -> None:
     async with running_demand() as world:
         for number in range(20):
             for worker in ("worker-0", "worker-1"):
                 world.demand.on_busy(busy(worker, f"r{number}", Urgency.NORMAL))
-        assert await world.held() == 2
+        assert await world.leased_jobs() == 2
 
 
-async def test_requests_of_the_long_class_take_nothing() -> None:
+async def test_requests_of_the_long_class_reclaim_nothing() -> None:
     async with running_demand() as world:
         for worker in ("worker-0", "worker-1"):
             world.demand.on_busy(busy(worker, "request", Urgency.LONG))
-        assert await world.held() == 8
+        assert await world.leased_jobs() == 8
 
 
 async def test_refused_and_waiting_requests_count_too() -> None:
@@ -106,6 +105,6 @@
             "no-capacity",
         )
         world.demand.on_finished(refused)
-        assert await world.held() == 7
+        assert await world.leased_jobs() == 7
         world.demand.on_reclaim_requested(SlotReclaimRequested(POOL, 2))
-        assert await world.held() == 5
+        assert await world.leased_jobs() == 5
