--- a/bench/history/removals.py
+++ b/bench/history/removals.py
@@ -11,7 +11,7 @@
 
 def remove_fencing() -> None:
     """Accept every lease as that of a new attempt, and act on any that was held."""
-    from mustardward.components.jobs.keeper import AttemptManager
+    from mustardward.components.jobs.attempt_manager import AttemptManager
     from mustardward.state.handlers import jobs
     from mustardward.state.handlers.all import WORK_HANDLERS
 
--- a/bench/jobs_mutants.py
+++ b/bench/jobs_mutants.py
@@ -7,8 +7,7 @@
 
 from returns.result import Failure, Success
 
-from mustardward.components.jobs import calls
-from mustardward.components.jobs import keeper as attempt_manager
+from mustardward.components.jobs import attempt_manager, calls
 from mustardward.standin.protocol.models import TaskReport
 from mustardward.state.handlers import jobs as handlers
 from mustardward.state.models.jobs import AttemptEnd, EndAttempt
--- a/mustardward/components/jobs/keeper.py
+++ b/mustardward/components/jobs/attempt_manager.py
@@ -24,6 +24,7 @@
     end_if_unreachable,
     end_not_run,
 )
+from .attempt_statistics import AttemptStatistics
 from .calls import CallFailure, async_outcome
 from .const import (
     CONFIRM_TIMEOUT_SECONDS,
@@ -35,10 +36,9 @@
     START_ARRIVAL_SECONDS,
     TICK_SECONDS,
 )
-from .giveback import TaskEviction
-from .lessons import AttemptStatistics
 from .models import LeasedAttempt
-from .silence import UnresponsiveWorkers
+from .task_eviction import TaskEviction
+from .unresponsive_workers import UnresponsiveWorkers
 
 _LOGGER = get_logger(__name__)
 
--- a/mustardward/components/jobs/lessons.py
+++ b/mustardward/components/jobs/attempt_statistics.py
@@ -8,9 +8,9 @@
 from ...helpers.timer import TimerService
 from ...state.models.jobs import AttemptEnd, EndAttempt, Job
 from .const import BUSY_WORKER_SECONDS, MIN_STALL_SECONDS
-from .judge import WorkerQuarantine
 from .models import LeasedAttempt
-from .quantiles import RunTimes
+from .run_times import RunTimes
+from .worker_quarantine import WorkerQuarantine
 
 STALL_FACTOR = 2.0
 
--- a/mustardward/components/jobs/metrics.py
+++ b/mustardward/components/jobs/metrics.py
@@ -11,7 +11,7 @@
 from ...state.fold import RecordOutcome
 from ...state.models.jobs import CloseIntent, EndAttempt
 from ...state.protocols import WorkLog
-from .keeper import AttemptManager
+from .attempt_manager import AttemptManager
 
 UNFINISHED: Final[Metric] = declare_metric(
     "jobs_unfinished",
--- a/mustardward/components/jobs/pool_view.py
+++ b/mustardward/components/jobs/pool_view.py
@@ -14,7 +14,7 @@
 from ...state.models.templates import Organisation, Urgency
 from ...state.protocols import FleetLog
 from ...state.wave_queries import is_due, running_waves
-from .board import JobIndex
+from .job_index import JobIndex
 from .models import Need, WorkerCapacity, could_ever_fit, need_of, total_capacity
 from .placement import PoolView
 
--- a/mustardward/components/jobs/scheduler.py
+++ b/mustardward/components/jobs/scheduler.py
@@ -15,7 +15,7 @@
 from ...state.fold import RecordOutcome
 from ...state.models.jobs import AttemptEnd, EndAttempt, Job, LeaseJob
 from ...state.protocols import WorkLog
-from .board import JobIndex
+from .attempt_manager import AttemptManager
 from .const import (
     BACKFILL_DEPTH,
     BACKOFF_PRUNE_THRESHOLD,
@@ -27,13 +27,13 @@
     SLOT_COOLDOWN_SECONDS,
     VACATE_SECONDS,
 )
-from .giveback import TaskEviction
-from .held_back import SlotCooldown
-from .keeper import AttemptManager
+from .job_index import JobIndex
 from .models import LeasedAttempt, WorkerCapacity, need_of
 from .placement import Candidate, PoolView, plan_placements
 from .pool_view import PoolIndex
 from .preemption import Victim, choose_victims
+from .slot_cooldown import SlotCooldown
+from .task_eviction import TaskEviction
 
 _LOGGER = get_logger(__name__)
 
--- a/mustardward/components/jobs/services.py
+++ b/mustardward/components/jobs/services.py
@@ -25,7 +25,7 @@
 from .models import JobView, Need, Submission
 from .pool_view import PoolIndex
 from .scheduler import JobScheduler
-from .slots import SlotReclaimer
+from .slot_reclaimer import SlotReclaimer
 
 SUBMIT_TIMEOUT_SECONDS: Final = 5.0
 CANCEL_PRIORITY: Final = 0
--- a/mustardward/components/jobs/setup.py
+++ b/mustardward/components/jobs/setup.py
@@ -22,16 +22,16 @@
 from ..membership.models import InstanceLeaving
 from ..retries.intents_home import home_name
 from ..routing.models import WorkerBusy
+from .attempt_manager import AttemptManager
+from .attempt_statistics import AttemptStatistics
 from .const import TICK_SECONDS
-from .keeper import AttemptManager
-from .lessons import AttemptStatistics
+from .holder_liveness import HolderLiveness
 from .metrics import subscribe_metrics
 from .pool_view import PoolIndex
-from .presence import HolderLiveness
 from .scheduler import JobScheduler
 from .services import LogJobService
-from .slots import SlotReclaimer
-from .wishes import SlotDemand
+from .slot_demand import SlotDemand
+from .slot_reclaimer import SlotReclaimer
 
 
 async def async_setup_jobs(core: Core) -> Unload:
--- a/mustardward/components/jobs/wishes.py
+++ b/mustardward/components/jobs/slot_demand.py
@@ -12,7 +12,7 @@
 from ..limits.models import SlotReclaimRequested
 from ..routing.models import WorkerBusy
 from .pool_view import PoolIndex
-from .slots import SETTLE_SECONDS, SlotReclaimer
+from .slot_reclaimer import SETTLE_SECONDS, SlotReclaimer
 
 MIN_JOB_SLOT_SHARE: Final = 0.25
 """Share of a pool's slots that jobs keep when requests aren't urgent."""
--- a/tests/components/jobs/test_decisions.py
+++ b/tests/components/jobs/test_decisions.py
@@ -5,7 +5,6 @@
 from random import Random
 from typing import Any
 
-from mustardward.components.jobs.judge import PROBATION_SECONDS, WorkerQuarantine
 from mustardward.components.jobs.models import Need, total_capacity
 from mustardward.components.jobs.placement import (
     Candidate,
@@ -13,7 +12,11 @@
     plan_placements,
 )
 from mustardward.components.jobs.preemption import Victim, choose_victims
-from mustardward.components.jobs.quantiles import RunTimes
+from mustardward.components.jobs.run_times import RunTimes
+from mustardward.components.jobs.worker_quarantine import (
+    PROBATION_SECONDS,
+    WorkerQuarantine,
+)
 from mustardward.state.models.pools import Instance
 
 
--- a/tests/components/jobs/test_faulty_runs.py
+++ b/tests/components/jobs/test_faulty_runs.py
@@ -6,7 +6,7 @@
 
 from bench import jobs_mutants
 from bench.jobs_world import FaultyRun
-from mustardward.components.jobs import keeper as attempt_manager
+from mustardward.components.jobs import attempt_manager
 from mustardward.state.handlers import jobs as handlers
 
 pytestmark = pytest.mark.anyio
--- a/tests/components/jobs/test_presence.py
+++ b/tests/components/jobs/test_holder_liveness.py
@@ -8,7 +8,10 @@
 
 import pytest
 
-from mustardward.components.jobs.presence import HOLDER_GRACE_SECONDS, HolderLiveness
+from mustardward.components.jobs.holder_liveness import (
+    HOLDER_GRACE_SECONDS,
+    HolderLiveness,
+)
 from mustardward.components.membership.models import Member, MemberStatus
 from mustardward.helpers.timer import DrivenTimerService
 
--- a/tests/components/jobs/test_wishes.py
+++ b/tests/components/jobs/test_slot_demand.py
@@ -11,8 +11,8 @@
 import pytest
 
 from mustardward.components.entry.models import Ran, RequestFinished
-from mustardward.components.jobs.slots import SlotReclaimer
-from mustardward.components.jobs.wishes import MAX_PENDING_REQUESTS, SlotDemand
+from mustardward.components.jobs.slot_demand import MAX_PENDING_REQUESTS, SlotDemand
+from mustardward.components.jobs.slot_reclaimer import SlotReclaimer
 from mustardward.components.limits.models import SlotReclaimRequested
 from mustardward.components.routing.models import WorkerBusy
 from mustardward.state.models.templates import Urgency
--- a/tests/components/jobs/test_slots.py
+++ b/tests/components/jobs/test_slot_reclaimer.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from mustardward.components.jobs.held_back import SlotCooldown
-from mustardward.components.jobs.slots import FreeSlotsRequest, SlotReclaimer
+from mustardward.components.jobs.slot_cooldown import SlotCooldown
+from mustardward.components.jobs.slot_reclaimer import FreeSlotsRequest, SlotReclaimer
 from mustardward.components.membership.models import Member, MemberStatus
 from mustardward.components.peers.exceptions import PeerUnreachableError
 from tests.fakes.jobs_world import JobsWorld
--- a/tests/fakes/jobs_world.py
+++ b/tests/fakes/jobs_world.py
@@ -7,13 +7,13 @@
 from types import SimpleNamespace
 from typing import Any
 
-from mustardward.components.jobs.keeper import AttemptManager
-from mustardward.components.jobs.lessons import AttemptStatistics
+from mustardward.components.jobs.attempt_manager import AttemptManager
+from mustardward.components.jobs.attempt_statistics import AttemptStatistics
 from mustardward.components.jobs.models import Submission
 from mustardward.components.jobs.pool_view import PoolIndex
 from mustardward.components.jobs.scheduler import JobScheduler
 from mustardward.components.jobs.services import LogJobService
-from mustardward.components.jobs.slots import SlotReclaimer
+from mustardward.components.jobs.slot_reclaimer import SlotReclaimer
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.state.fleet import FleetState
 from mustardward.state.models.pools import Instance
