--- a/mustardward/components/jobs/attempt_manager.py
+++ b/mustardward/components/jobs/attempt_manager.py
@@ -76,7 +76,7 @@
     ) -> LeasedAttempt:
         """Add the attempt of a lease that this process has just acquired.
 
-        :param taken_over: whether the task may already run, started by another process.
+        :param taken_over: whether the task may already have been started on the worker.
         """
         now = self.timers.monotonic()
         attempt = LeasedAttempt(
--- a/mustardward/components/jobs/slot_demand.py
+++ b/mustardward/components/jobs/slot_demand.py
@@ -1,4 +1,4 @@
-"""Track requests that found no slot and reclaim slots for them."""
+"""Track requests that were refused a slot and reclaim slots for them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from .slot_reclaimer import SETTLE_SECONDS, SlotReclaimer
 
 MIN_JOB_SLOT_SHARE: Final = 0.25
-"""Share of a pool's slots that jobs keep when requests aren't urgent."""
+"""Share of a pool's slots that jobs keep against non-urgent requests."""
 
 SLOT_REFUSAL_CAUSES: Final = frozenset({"workers-busy", "no-capacity", "overloaded"})
 MIN_BUSY_WORKERS: Final = 2
