--- a/tests/components/jobs/test_decisions.py
+++ b/tests/components/jobs/test_decisions.py
@@ -90,14 +90,14 @@
         return Victim(name, **(values | fields))
 
     tasks = [
-        victim("gave-way-often", preemptions=3),
+        victim("preempted-often", preemptions=3),
         victim("nearly-done", progress=0.95),
         victim("old", began_at=1.0),
         victim("young", began_at=9.0),
         victim("throttled", throttled=True),
     ]
     chosen = [item.job_id for item in choose_victims(tasks, 9)]
-    assert chosen == ["young", "old", "nearly-done", "gave-way-often"]
+    assert chosen == ["young", "old", "nearly-done", "preempted-often"]
 
 
 def test_declared_run_times_are_used_until_there_are_samples() -> None:
--- a/tests/components/jobs/test_intents.py
+++ b/tests/components/jobs/test_intents.py
@@ -61,10 +61,10 @@
 
 
 @asynccontextmanager
-async def running_gates(*names: str) -> AsyncIterator[SimpleNamespace]:
-    """Run an intent gate for each entry node on one shared log."""
+async def running_guards(*names: str) -> AsyncIterator[SimpleNamespace]:
+    """Run an idempotency guard for each entry node on one shared log."""
     world = SimpleNamespace(
-        timers=DrivenTimerService(), shared=SharedLog(), gates={}, logs={}, members={}
+        timers=DrivenTimerService(), shared=SharedLog(), guards={}, logs={}, members={}
     )
     async with anyio.create_task_group() as tasks:
         for name in names:
@@ -75,10 +75,10 @@
                 log, world.timers, tasks, home_name(name, 1), homes.is_live
             )
             recorder.start()
-            gate = LogIntentGate(
+            guard = LogIntentGate(
                 recorder, homes, world.timers, tasks, home_name(name, 1)
             )
-            world.gates[name] = gate
+            world.guards[name] = guard
             world.logs[name] = log
             world.members[name] = membership
         yield world
@@ -97,20 +97,20 @@
     attempt still waits. Both nodes may take themselves for the key's home, so the order
     of the log has to decide which one may dispatch.
     """
-    async with running_gates("a", "b") as world:
+    async with running_guards("a", "b") as world:
         facts = build_facts(world.timers)
-        assert (await world.gates["a"].async_open(facts)).unwrap() is None
+        assert (await world.guards["a"].async_open(facts)).unwrap() is None
         second = []
 
         async def retry() -> None:
             facts = build_facts(world.timers, request_id="request-2")
-            second.append(await world.gates["b"].async_open(facts))
+            second.append(await world.guards["b"].async_open(facts))
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(retry)
             await settle()
             assert second == []
-            await world.gates["a"].async_close(facts, "yes", RESPONSE)
+            await world.guards["a"].async_close(facts, "yes", RESPONSE)
         assert second[0].unwrap() == RESPONSE
 
 
@@ -120,23 +120,23 @@
     The node is replaced after the dispatch, the caller retries and the key's new home
     has no outcome; a missing outcome must not be reported as not run.
     """
-    async with running_gates("a", "b") as world:
-        await world.gates["a"].async_open(build_facts(world.timers))
+    async with running_guards("a", "b") as world:
+        await world.guards["a"].async_open(build_facts(world.timers))
         world.members["b"].names = ["b"]
         refusal = (
-            await world.gates["b"].async_open(build_facts(world.timers))
+            await world.guards["b"].async_open(build_facts(world.timers))
         ).failure()
         assert refusal.ran is Ran.UNKNOWN
         assert refusal.code == "idempotency-in-progress"
 
 
 async def test_a_restarted_home_does_not_take_the_old_intent_for_its_own() -> None:
-    async with running_gates("a") as world:
-        await world.gates["a"].async_open(build_facts(world.timers))
-        world.gates["a"].homes._membership.live = lambda dc=None: (
+    async with running_guards("a") as world:
+        await world.guards["a"].async_open(build_facts(world.timers))
+        world.guards["a"].homes._membership.live = lambda dc=None: (
             replace(build_member("a"), incarnation=2),
         )
-        again = await world.gates["a"].async_open(build_facts(world.timers))
+        again = await world.guards["a"].async_open(build_facts(world.timers))
         assert again.failure().ran is Ran.UNKNOWN
 
 
@@ -146,15 +146,15 @@
     An entry node joins and becomes the key's home while the old home still waits for
     the worker; the new home must not dispatch the request again.
     """
-    async with running_gates("a", "b", "c") as world:
+    async with running_guards("a", "b", "c") as world:
         facts = build_facts(world.timers)
         world.members["a"].names = ["a"]
-        await world.gates["a"].async_open(facts)
+        await world.guards["a"].async_open(facts)
         results = []
 
         async def other(name: str) -> None:
             retry = build_facts(world.timers, request_id=f"at-{name}")
-            results.append(await world.gates[name].async_open(retry))
+            results.append(await world.guards[name].async_open(retry))
 
         async with anyio.create_task_group() as tasks:
             for name in ("b", "c"):
@@ -162,42 +162,42 @@
             await settle()
             await world.timers.async_advance(6.0)
         assert [item.failure().ran for item in results] == [Ran.UNKNOWN, Ran.UNKNOWN]
-        await world.gates["a"].async_close(facts, "yes", RESPONSE)
+        await world.guards["a"].async_close(facts, "yes", RESPONSE)
         await settle()
-        stored = await world.gates["c"].async_open(build_facts(world.timers))
+        stored = await world.guards["c"].async_open(build_facts(world.timers))
         assert stored.unwrap() == RESPONSE
 
 
 async def test_a_key_with_another_body_is_refused_as_a_mismatch() -> None:
-    async with running_gates("a", "b") as world:
+    async with running_guards("a", "b") as world:
         facts = build_facts(world.timers)
-        await world.gates["a"].async_open(facts)
-        await world.gates["a"].async_close(facts, "yes", RESPONSE)
+        await world.guards["a"].async_open(facts)
+        await world.guards["a"].async_close(facts, "yes", RESPONSE)
         await settle()
         other = build_facts(world.timers, request_digest="digest-2")
-        refusal = (await world.gates["b"].async_open(other)).failure()
+        refusal = (await world.guards["b"].async_open(other)).failure()
         assert (refusal.code, refusal.status) == ("idempotency-key-mismatch", 422)
         assert refusal.ran is Ran.UNKNOWN
 
 
 async def test_a_retry_is_dispatched_after_not_run() -> None:
-    async with running_gates("a", "b") as world:
+    async with running_guards("a", "b") as world:
         facts = build_facts(world.timers)
-        await world.gates["a"].async_open(facts)
-        assert world.gates["a"].reportable_ran(facts, Ran.NO) is Ran.NO
-        await world.gates["a"].async_close(facts, "no", None)
+        await world.guards["a"].async_open(facts)
+        assert world.guards["a"].reportable_ran(facts, Ran.NO) is Ran.NO
+        await world.guards["a"].async_close(facts, "no", None)
         await settle()
-        assert (await world.gates["b"].async_open(facts)).unwrap() is None
+        assert (await world.guards["b"].async_open(facts)).unwrap() is None
 
 
 async def test_a_response_too_large_to_store_is_never_replayed_truncated() -> None:
-    async with running_gates("a") as world:
+    async with running_guards("a") as world:
         facts = build_facts(world.timers)
-        await world.gates["a"].async_open(facts)
+        await world.guards["a"].async_open(facts)
         large = StoredResponse(200, "text/plain", b"x" * 5000)
-        await world.gates["a"].async_close(facts, "yes", large)
+        await world.guards["a"].async_close(facts, "yes", large)
         await settle()
-        refusal = (await world.gates["a"].async_open(facts)).failure()
+        refusal = (await world.guards["a"].async_open(facts)).failure()
         assert (refusal.code, refusal.ran) == ("idempotency-already-done", Ran.YES)
 
 
@@ -208,17 +208,17 @@
     reads that, and refuses the caller's retry. Records that b hasn't read must not be
     taken for missing.
     """
-    async with running_gates("a", "b") as world:
+    async with running_guards("a", "b") as world:
         facts = build_facts(world.timers)
         world.logs["b"].cut_off = True
-        await world.gates["a"].async_open(facts)
-        refusal = (await world.gates["b"].async_open(facts)).failure()
+        await world.guards["a"].async_open(facts)
+        refusal = (await world.guards["b"].async_open(facts)).failure()
         assert (refusal.code, refusal.ran) == ("idempotency-log-out", Ran.UNKNOWN)
-        assert world.gates["b"].reportable_ran(facts, Ran.NO) is Ran.UNKNOWN
+        assert world.guards["b"].reportable_ran(facts, Ran.NO) is Ran.UNKNOWN
 
 
 async def test_a_refused_append_with_a_confirmed_tail_is_not_run() -> None:
-    async with running_gates("a") as world:
+    async with running_guards("a") as world:
         facts = build_facts(world.timers)
         world.shared.out = True
 
@@ -226,16 +226,16 @@
             return True
 
         world.logs["a"].async_confirm_tail = confirm
-        refusal = (await world.gates["a"].async_open(facts)).failure()
+        refusal = (await world.guards["a"].async_open(facts)).failure()
         assert refusal.ran is Ran.NO
 
 
 async def test_an_idempotent_request_is_served_without_its_key_as_unknown() -> None:
-    async with running_gates("a") as world:
+    async with running_guards("a") as world:
         world.shared.out = True
         facts = build_facts(world.timers, idempotent=True)
-        assert (await world.gates["a"].async_open(facts)).unwrap() is None
-        assert world.gates["a"].reportable_ran(facts, Ran.NO) is Ran.UNKNOWN
+        assert (await world.guards["a"].async_open(facts)).unwrap() is None
+        assert world.guards["a"].reportable_ran(facts, Ran.NO) is Ran.UNKNOWN
 
 
 async def test_an_intent_whose_append_lost_its_reply_frees_its_key() -> None:
@@ -244,39 +244,39 @@
     The append of the intent loses its reply, the request is refused and the record is
     applied after that; the entry node that proposed the late intent has to close it.
     """
-    async with running_gates("a", "b") as world:
+    async with running_guards("a", "b") as world:
         facts = build_facts(world.timers)
         world.logs["a"].cut_off = True
         log = world.logs["a"]
         log.lose_next = True
-        refusal = (await world.gates["a"].async_open(facts)).failure()
+        refusal = (await world.guards["a"].async_open(facts)).failure()
         assert refusal.ran is Ran.UNKNOWN
         log.cut_off = False
         log.catch_up()
         await settle()
-        assert is_successful(await world.gates["b"].async_open(facts))
+        assert is_successful(await world.guards["b"].async_open(facts))
 
 
 async def test_a_caller_that_disconnects_during_the_append_frees_its_key() -> None:
-    async with running_gates("a") as world:
+    async with running_guards("a") as world:
         facts = build_facts(world.timers)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(world.gates["a"].async_open, facts)
+            tasks.start_soon(world.guards["a"].async_open, facts)
             await anyio.lowlevel.checkpoint()
             tasks.cancel_scope.cancel()
-        assert world.gates["a"].recorder._proposed == {}
+        assert world.guards["a"].recorder._proposed == {}
         await settle()
-        assert (await world.gates["a"].async_open(facts)).unwrap() is None
+        assert (await world.guards["a"].async_open(facts)).unwrap() is None
 
 
 async def test_intents_are_closed_after_an_outage_of_the_log() -> None:
-    async with running_gates("a") as world:
+    async with running_guards("a") as world:
         facts = build_facts(world.timers)
-        await world.gates["a"].async_open(facts)
+        await world.guards["a"].async_open(facts)
         world.shared.out = True
-        await world.gates["a"].async_close(facts, "yes", RESPONSE)
+        await world.guards["a"].async_close(facts, "yes", RESPONSE)
         await settle()
         world.shared.out = False
         await world.timers.async_advance(3.0)
         await settle()
-        assert (await world.gates["a"].async_open(facts)).unwrap() == RESPONSE
+        assert (await world.guards["a"].async_open(facts)).unwrap() == RESPONSE
--- a/tests/components/jobs/test_intents_remote.py
+++ b/tests/components/jobs/test_intents_remote.py
@@ -61,7 +61,7 @@
 
 @asynccontextmanager
 async def running_centres() -> AsyncIterator[SimpleNamespace]:
-    """Run two entry nodes in each data centre; yield their gates by node name."""
+    """Run two entry nodes in each data centre; yield their guards by node name."""
     timers = DrivenTimerService()
     network = PeerNetwork()
     instances = {
@@ -80,7 +80,7 @@
         )
 
     world = SimpleNamespace(
-        timers=timers, network=network, gates={}, logs={}, live=live
+        timers=timers, network=network, guards={}, logs={}, live=live
     )
     async with anyio.create_task_group() as tasks:
         shared = {name: SharedLog() for name in CENTRES}
@@ -94,12 +94,12 @@
             recorder.start()
             serve_recorder(network.connect(name), recorder)
             remote = RemoteRecorders(network.connect(name), membership, timers)
-            world.gates[name] = LogIntentGate(
+            world.guards[name] = LogIntentGate(
                 recorder, homes, timers, tasks, home_name(name, 1), remote
             )
             world.logs[name] = log
         facts = build_facts(timers)
-        world.home = next(iter(world.gates.values())).homes.data_centre_of(facts)
+        world.home = next(iter(world.guards.values())).homes.data_centre_of(facts)
         world.away = next(name for name in CENTRES if name != world.home)
         yield world
         tasks.cancel_scope.cancel()
@@ -113,12 +113,12 @@
     """
     async with running_centres() as world:
         first = build_facts(world.timers)
-        gate = world.gates[f"{world.away}-1"]
-        assert (await gate.async_open(first)).unwrap() is None
+        guard = world.guards[f"{world.away}-1"]
+        assert (await guard.async_open(first)).unwrap() is None
         assert world.logs[f"{world.away}-1"].state.intents == {}
-        await gate.async_close(first, "yes", RESPONSE)
+        await guard.async_close(first, "yes", RESPONSE)
         await settle()
-        for name, other in world.gates.items():
+        for name, other in world.guards.items():
             again = await other.async_open(build_facts(world.timers, request_id=name))
             assert again.unwrap() == RESPONSE
 
@@ -126,20 +126,20 @@
 async def test_a_data_centre_partitioned_from_a_keys_home_reports_unknown() -> None:
     async with running_centres() as world:
         world.network.partitioned = True
-        gate = world.gates[f"{world.away}-1"]
-        refusal = (await gate.async_open(build_facts(world.timers))).failure()
+        guard = world.guards[f"{world.away}-1"]
+        refusal = (await guard.async_open(build_facts(world.timers))).failure()
         assert (refusal.code, refusal.ran) == ("idempotency-log-out", Ran.UNKNOWN)
         idempotent = build_facts(world.timers, idempotent=True)
-        assert (await gate.async_open(idempotent)).unwrap() is None
+        assert (await guard.async_open(idempotent)).unwrap() is None
 
 
 async def test_a_lost_reply_is_resolved_by_a_retry_at_the_next_entry() -> None:
     async with running_centres() as world:
         world.network.lose_replies = 1
-        gate = world.gates[f"{world.away}-1"]
+        guard = world.guards[f"{world.away}-1"]
         facts = build_facts(world.timers)
-        assert (await gate.async_open(facts)).unwrap() is None
-        assert gate.remote.unsure == {}
+        assert (await guard.async_open(facts)).unwrap() is None
+        assert guard.remote.unsure == {}
 
 
 async def test_an_intent_opened_for_a_lost_reply_is_closed_as_not_run() -> None:
@@ -150,14 +150,14 @@
     """
     async with running_centres() as world:
         world.network.lose_replies = 2
-        gate = world.gates[f"{world.away}-1"]
-        refusal = (await gate.async_open(build_facts(world.timers))).failure()
+        guard = world.guards[f"{world.away}-1"]
+        refusal = (await guard.async_open(build_facts(world.timers))).failure()
         assert refusal.ran is Ran.UNKNOWN
         for _ in range(4):
             await settle()
             await world.timers.async_advance(2.0)
         await settle()
-        local = world.gates[f"{world.home}-1"]
+        local = world.guards[f"{world.home}-1"]
         assert (await local.async_open(build_facts(world.timers))).unwrap() is None
 
 
@@ -170,10 +170,10 @@
     node that may dispatch may report that the request wasn't dispatched.
     """
     async with running_centres() as world:
-        gate = world.gates[f"{world.away}-1"]
+        guard = world.guards[f"{world.away}-1"]
         facts = build_facts(world.timers)
-        question = gate._question(facts)
-        first, second = (world.gates[f"{world.home}-{n}"].recorder for n in (1, 2))
+        question = guard._question(facts)
+        first, second = (world.guards[f"{world.home}-{n}"].recorder for n in (1, 2))
         world.logs[f"{world.home}-1"].lose_next = True
         world.logs[f"{world.home}-1"].cut_off = True
         lost = await first.async_open(question)
