--- a/mustardward/components/jobs/setup.py
+++ b/mustardward/components/jobs/setup.py
@@ -1,4 +1,4 @@
-"""Put the parts of long work together in one process."""
+"""Assemble the job component of a process."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 from ..membership.models import InstanceLeaving
 from ..retries.intents_home import home_name
 from ..routing.models import WorkerBusy
+from .attempt_manager import AttemptManager
+from .attempt_statistics import AttemptStatistics
 from .const import TICK_SECONDS
-from .keeper import AttemptManager
-from .lessons import AttemptStatistics
+from .holder_liveness import HolderLiveness
 from .metrics import subscribe_metrics
 from .pool_view import PoolIndex
-from .presence import HolderLiveness
 from .scheduler import JobScheduler
 from .services import LogJobService
-from .slots import SlotReclaimer
-from .wishes import SlotDemand
+from .slot_demand import SlotDemand
+from .slot_reclaimer import SlotReclaimer
 
 
 async def async_setup_jobs(core: Core) -> Unload:
-    """Publish the job service, start its ticks, and return what undoes that."""
+    """Publish the job service, start its ticks and return the unload function."""
     scheduler = _build_scheduler(core)
     reclaimer = SlotReclaimer(
         scheduler, core.timers, core.find(MEMBERSHIP), core.find(PEERS)
@@ -127,8 +127,8 @@
 
 
 def _run_time_key(core: Core, job: Job) -> str:
-    # Organisations made from one template run the same services, so what one teaches
-    # holds for the next.
+    # Organisations created from one template run the same services, so run times are
+    # shared between them.
     organisation = core.get(FLEET_LOG).state.organisations.get(job.organisation)
     template = organisation.template if organisation else job.organisation
     return f"{template}/{job.service}"
