--- a/bench/crashes.py
+++ b/bench/crashes.py
@@ -26,9 +26,9 @@
 from mustardward.platform.models import Room, SubmittedStep, WorkerEntry
 from mustardward.platform.workers import (
     EndedTask,
-    HoldAnswer,
     RunningTask,
     TaskName,
+    WorkerReport,
 )
 
 POOL: Final = "pool-a"
@@ -210,7 +210,7 @@
         entry = WorkerEntry(POOL, "a:1", capacity=ROOM, labels=["a", "r1"])
         self._scheduler.update_worker(name, entry, now)
         self._scheduler.apply_worker_report(
-            name, HoldAnswer(1000 * now, [], []), now, now
+            name, WorkerReport(1000 * now, [], []), now, now
         )
 
     def _add_lasting(self, now: float) -> None:
@@ -290,7 +290,7 @@
                 RunningTask(run.name, run.number, "", _percent(run, now), 0.0)
                 for run in worker.runs.values()
             ]
-            answer = HoldAnswer(1000 * now, running, ended)
+            answer = WorkerReport(1000 * now, running, ended)
             self._scheduler.apply_worker_report(worker.id, answer, now, now)
 
     def _plan(self, now: float) -> None:
--- a/bench/owner.py
+++ b/bench/owner.py
@@ -30,7 +30,7 @@
     async_until,
 )
 from mustardward.platform.models import Room, SubmittedStep, WorkerEntry
-from mustardward.platform.workers import EndedTask, HoldAnswer
+from mustardward.platform.workers import EndedTask, WorkerReport
 from mustardward.standin.estate.app import async_run_estate
 from mustardward.standin.estate.estate import Estate, EstatePlan
 
@@ -88,7 +88,7 @@
     entry = WorkerEntry(POOL, "a:1", capacity=Room(cpu=8000, mem_mb=64000))
     for name in names:
         scheduler.update_worker(name, entry, now)
-        scheduler.apply_worker_report(name, HoldAnswer(0, [], []), now, now)
+        scheduler.apply_worker_report(name, WorkerReport(0, [], []), now, now)
     for number in range(jobs + workers):
         scheduler.add_job(_job(number), now, now)
     scheduler.mark_stored(list(scheduler.state.jobs))
--- a/bench/turns.py
+++ b/bench/turns.py
@@ -24,7 +24,7 @@
 from mustardward.components.scheduling.models import QueuePolicy
 from mustardward.components.scheduling.scheduler import Scheduler
 from mustardward.platform.models import Room, SubmittedStep, WorkerEntry
-from mustardward.platform.workers import EndedTask, HoldAnswer, TaskName
+from mustardward.platform.workers import EndedTask, TaskName, WorkerReport
 
 POOL: Final = "pool-a"
 STRETCH: Final = 1.6
@@ -257,7 +257,7 @@
     for number in range(first, first + count):
         name = f"w{number}"
         scheduler.update_worker(name, WorkerEntry(POOL, "a:1", capacity=room), now)
-        scheduler.apply_worker_report(name, HoldAnswer(0, [], []), now, now)
+        scheduler.apply_worker_report(name, WorkerReport(0, [], []), now, now)
 
 
 if __name__ == "__main__":
--- a/mustardward/components/configuration/services.py
+++ b/mustardward/components/configuration/services.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from ...helpers.logging import get_logger
-from ...helpers.unreadable import note_unreadable
+from ...helpers.unreadable import report_unreadable_record
 from ...platform.exceptions import RECORD_ERRORS, UnreadableRecordError
-from ...platform.models import OperatorConfig, Room, UpkeepWave
+from ...platform.models import MaintenanceWave, OperatorConfig, Room
 from ...platform.store import KEY_CONFIG, KEY_WAVE_PREFIX, KeyedRecord
 from ..organisations.keys import ApiKeyTable, build_api_keys
 from ..organisations.models import Organisation
@@ -20,7 +20,7 @@
 
 _LOGGER = get_logger(__name__)
 _CONFIG = msgspec.json.Decoder(OperatorConfig)
-_WAVE = msgspec.json.Decoder(UpkeepWave)
+_WAVE = msgspec.json.Decoder(MaintenanceWave)
 
 
 @dataclass(slots=True, eq=False)
@@ -35,7 +35,7 @@
     routes: RouteTable = field(default_factory=RouteTable)
     api_keys: ApiKeyTable = field(default_factory=ApiKeyTable)
     require_api_keys: bool = False
-    waves: dict[int, UpkeepWave] = field(default_factory=dict)
+    waves: dict[int, MaintenanceWave] = field(default_factory=dict)
     on_change: Callable[[], None] | None = None
     _policies: dict[str, QueuePolicy] = field(default_factory=dict)
     _organisations: dict[str, Organisation] = field(default_factory=dict)
@@ -57,7 +57,7 @@
                     )
                 self.waves[wave.wave] = wave
         except RECORD_ERRORS as error:
-            note_unreadable("operator", record.key, str(error))
+            report_unreadable_record("operator", record.key, str(error))
 
     def keys(self) -> Iterable[str]:
         """Return no keys, so that records missing from a reload stay in effect."""
@@ -120,7 +120,7 @@
             self.on_change()
 
 
-def _decode_wave(record: KeyedRecord) -> UpkeepWave:
+def _decode_wave(record: KeyedRecord) -> MaintenanceWave:
     """Return the valid maintenance wave of a record.
 
     :raises UnreadableRecordError: if its limit or duration is invalid, since a wave
--- a/mustardward/components/dispatch/command_executor.py
+++ b/mustardward/components/dispatch/command_executor.py
@@ -182,7 +182,7 @@
             return
         name: TaskName = pace.task.name
         try:
-            await session.client.async_pace(name, pace.run, pace.percent)
+            await session.client.async_set_speed(name, pace.run, pace.percent)
         except FencedError:
             self.on_fenced()
         except WrongIncarnationError:
@@ -196,7 +196,7 @@
     async def _async_advice(self, client: AdviceClient, ask: RequestAdvice) -> None:
         step = ask.step
         try:
-            advice = await client.async_ask(
+            advice = await client.async_request_advice(
                 step.job.record.id,
                 step.occurrence,
                 step.number,
--- a/mustardward/components/dispatch/session.py
+++ b/mustardward/components/dispatch/session.py
@@ -15,7 +15,7 @@
     CallUnknownError,
     WrongIncarnationError,
 )
-from ...platform.workers import HoldAnswer, StartAnswer, StartOrder, WorkerClient
+from ...platform.workers import StartRequest, StartResponse, WorkerClient, WorkerReport
 from ..scheduling.incarnations import is_other_incarnation
 from ..scheduling.losses import LossCause
 from ..scheduling.models import Task
@@ -152,7 +152,7 @@
     async def _async_probe(self) -> None:
         """Poll the worker outside the session's loop, whose polls may take long."""
         try:
-            answer = await self.client.async_hold(0, None, 0)
+            answer = await self.client.async_poll(0, None, 0)
         except CallUnknownError as error:
             self.request_identity()
             raise CallRefusedError(f"worker did not answer: {error.detail}") from error
@@ -161,7 +161,7 @@
             raise CallRefusedError("another incarnation answered")
         self._record_answer(answer.clock_ms)
 
-    async def async_start(self, task: Task, run: int) -> StartAnswer:
+    async def async_start(self, task: Task, run: int) -> StartResponse:
         """Start a task on the worker and extend its lease.
 
         :raises CallRefusedError: if this owner may send no commands; nothing was sent.
@@ -172,7 +172,7 @@
             raise CallRefusedError("worker's clock is unknown")
         now = self.timers.monotonic()
         deadline_ms = self.lease.renew(now)
-        order = StartOrder(
+        order = StartRequest(
             task.name,
             run,
             task.step.job.record.spec,
@@ -193,7 +193,7 @@
         self._record_answer(answer.clock_ms)
         return answer
 
-    def _is_other_incarnation(self, answer: HoldAnswer) -> bool:
+    def _is_other_incarnation(self, answer: WorkerReport) -> bool:
         """Return whether another incarnation answered, by start time or clock."""
         if is_other_incarnation(answer.born, self.started_at_ms):
             return True
@@ -289,14 +289,14 @@
 
     async def _async_send_poll(
         self, worker: WorkerState, now: float, acknowledged_upto: int
-    ) -> HoldAnswer:
+    ) -> WorkerReport:
         deadline = self.lease.deadline_ms
         wait_ms = 0
         if self._should_renew(now):
             deadline = self.lease.renew(now)
             if acknowledged_upto == self.stored_upto:
                 wait_ms = choose_wait_ms(worker, self.scheduler.pacing)
-        return await self.client.async_hold(acknowledged_upto, deadline, wait_ms)
+        return await self.client.async_poll(acknowledged_upto, deadline, wait_ms)
 
     def _should_renew(self, now: float) -> bool:
         """Return whether a poll sent now renews the lease.
--- a/mustardward/components/fleet/instance_list.py
+++ b/mustardward/components/fleet/instance_list.py
@@ -84,7 +84,7 @@
 
     async def _async_add_page(self, listing: InstanceListing) -> bool:
         """Read the next page; return whether it was the last."""
-        page = await self.client.async_page(listing.next_token)
+        page = await self.client.async_fetch_page(listing.next_token)
         listing.instances.extend(page.instances)
         listing.complete = listing.complete and page.complete
         listing.next_token = page.next_token
--- a/mustardward/components/fleet/models.py
+++ b/mustardward/components/fleet/models.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from ...platform.models import Instance, Room, UpkeepWave
+from ...platform.models import Instance, MaintenanceWave, Room
 
 
 @dataclass(frozen=True, slots=True)
@@ -91,7 +91,7 @@
     :param unlisted_since: when the first list that lacked a machine was requested.
     """
 
-    wave: UpkeepWave
+    wave: MaintenanceWave
     first_seen_at: float
     first_seen_wall: float = 0.0
     started: set[str] = field(default_factory=set)
--- a/mustardward/components/fleet/order_budget.py
+++ b/mustardward/components/fleet/order_budget.py
@@ -35,7 +35,7 @@
         rate = self.orders_per_second * MOVES_SHARE
         if math.isinf(rate):
             return None
-        self._bucket.fill(now, rate, max(1.0, rate))
+        self._bucket.refill(now, rate, max(1.0, rate))
         return int(self._bucket.left)
 
     def consume(self, orders: int) -> None:
--- a/mustardward/components/fleet/services.py
+++ b/mustardward/components/fleet/services.py
@@ -9,7 +9,7 @@
 
 from anyio.abc import TaskGroup
 
-from ...helpers.duty import Duty
+from ...helpers.duty import DutyCycle
 from ...helpers.logging import get_logger
 from ...helpers.timer import TimerService
 from ...platform.models import INSTANCE_UP, Instance
@@ -47,7 +47,7 @@
 MAX_TICK_PAUSE_SECONDS: Final = 2.0
 """Longest pause between two ticks, and thus delay of the order for an instance."""
 
-_DUTY: Final = Duty(TICK_SECONDS, MAX_TICK_SHARE, MAX_TICK_PAUSE_SECONDS)
+_DUTY: Final = DutyCycle(TICK_SECONDS, MAX_TICK_SHARE, MAX_TICK_PAUSE_SECONDS)
 _IDLE: Final = Load(0, 0)
 
 
--- a/mustardward/components/fleet/wave_planner.py
+++ b/mustardward/components/fleet/wave_planner.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from ...platform.models import INSTANCE_UP, INSTANCE_UPKEEP, Instance, UpkeepWave
+from ...platform.models import INSTANCE_UP, INSTANCE_UPKEEP, Instance, MaintenanceWave
 from ..ledger.models import WaveRecord
 from .const import (
     MAINTENANCE_CYCLE_SECONDS,
@@ -281,7 +281,7 @@
 
 
 def resume_wave(
-    wave: UpkeepWave, stored: WaveRecord | None, now: float, wall: float
+    wave: MaintenanceWave, stored: WaveRecord | None, now: float, wall: float
 ) -> WaveRun:
     """Return a wave with the progress that a previous owner stored.
 
--- a/mustardward/components/forwarding/relay.py
+++ b/mustardward/components/forwarding/relay.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from ...helpers.http_connection import Answer
+from ...helpers.http_connection import HttpResponse
 from ...helpers.instruments import RELAYED_CALLS
 from ...helpers.logging import get_logger
 from ...helpers.policies import switchable
@@ -36,7 +36,7 @@
 _FAILURES = (CallRefusedError, CallUnknownError)
 
 
-RelayResult = tuple[Answer | None, bool]
+RelayResult = tuple[HttpResponse | None, bool]
 
 
 async def _async_never_relay(relay: StoreRelay, /, call: RelayedCall) -> RelayResult:
@@ -79,8 +79,8 @@
         body: bytes | None = None,
         params: dict[str, str] | None = None,
         headers: dict[str, str] | None = None,
-        silence_seconds: float | None = None,
-    ) -> Answer:
+        read_timeout_seconds: float | None = None,
+    ) -> HttpResponse:
         """Make one call.
 
         :raises CallRefusedError: if it was certainly not sent.
@@ -88,7 +88,7 @@
         """
         path = url.removeprefix(self.base)
         call = RelayedCall(
-            method, path, params or {}, body, timeout_seconds, silence_seconds
+            method, path, params or {}, body, timeout_seconds, read_timeout_seconds
         )
         may_have_effect = False
         if self._relaying:
@@ -144,7 +144,7 @@
 
     async def _async_try(
         self, http: HttpCaller, call: RelayedCall
-    ) -> tuple[Answer | None, CallRefusedError | CallUnknownError | None]:
+    ) -> tuple[HttpResponse | None, CallRefusedError | CallUnknownError | None]:
         try:
             answer = await http.async_call(
                 call.method,
@@ -152,7 +152,7 @@
                 body=call.body,
                 params=call.params,
                 timeout_seconds=call.timeout_seconds,
-                silence_seconds=call.silence_seconds,
+                read_timeout_seconds=call.silence_seconds,
             )
         except _FAILURES as error:
             return None, error
@@ -175,4 +175,4 @@
         RELAYED_CALLS.labels(str(outcome.reply is not None).lower()).inc()
         if outcome.reply is None:
             return None, outcome.may_have_effect and not call.is_read
-        return Answer(outcome.reply.status, outcome.reply.body), False
+        return HttpResponse(outcome.reply.status, outcome.reply.body), False
--- a/mustardward/components/forwarding/services.py
+++ b/mustardward/components/forwarding/services.py
@@ -164,7 +164,7 @@
     async def _async_call(
         self, address: str, request: PeerRequest, timeout_seconds: float
     ) -> PeerReply:
-        lease = await self.pool.async_take(address, Purpose.CONTROL)
+        lease = await self.pool.async_acquire(address, Purpose.CONTROL)
         method = UnaryUnaryMethod(lease.channel, PEER_RPC_PATH, PeerRequest, PeerReply)
         try:
             reply: PeerReply = await method(request, timeout=timeout_seconds)
--- a/mustardward/components/jobs/calls.py
+++ b/mustardward/components/jobs/calls.py
@@ -14,7 +14,7 @@
     StaleGenerationError,
 )
 from ...helpers.timer import TimerService
-from ...helpers.waiting import async_within
+from ...helpers.waiting import async_call_with_timeout
 from ...standin.protocol.models import TaskReport
 
 
@@ -52,5 +52,5 @@
     async def async_call() -> CallOutcome:
         return await async_outcome(call())
 
-    outcome = await async_within(timers, seconds, async_call)
+    outcome = await async_call_with_timeout(timers, seconds, async_call)
     return outcome if outcome is not None else Failure(CallFailure.UNKNOWN)
--- a/mustardward/components/ledger/follower.py
+++ b/mustardward/components/ledger/follower.py
@@ -176,7 +176,7 @@
             sent_at = self.timers.monotonic()
             load = self._load
             while not load.complete:
-                page = await self.store.async_newest(self.topic, load.after)
+                page = await self.store.async_read_newest(self.topic, load.after)
                 if load.first_end < 0:
                     load.first_end = page.end
                 load.records.extend(page.records)
--- a/mustardward/components/ledger/ledger.py
+++ b/mustardward/components/ledger/ledger.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ...helpers.unreadable import note_unreadable
+from ...helpers.unreadable import report_unreadable_record
 from ...platform.callers import check_steps
 from ...platform.exceptions import RECORD_ERRORS, UnreadableRecordError
 from ...platform.store import KeyedRecord
@@ -139,14 +139,14 @@
             kind, name = key[:2], key[2:]
         apply_value = self._appliers.get(kind)
         if apply_value is None:
-            note_unreadable("ledger", key, "unknown key prefix")
+            report_unreadable_record("ledger", key, "unknown key prefix")
             return
         try:
             apply_value(name, record.value)
         except RECORD_ERRORS as error:
             # One unreadable record, of another version or writer, must not stop the
             # replay of all others.
-            note_unreadable("ledger", key, str(error))
+            report_unreadable_record("ledger", key, str(error))
 
     def keys(self) -> Iterator[str]:
         """Yield the keys that the state contains."""
--- a/mustardward/components/ownership/directory.py
+++ b/mustardward/components/ownership/directory.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from ...helpers.unreadable import note_unreadable
+from ...helpers.unreadable import report_unreadable_record
 from ...platform.entries import decode_worker_entry
 from ...platform.exceptions import UnreadableRecordError
 from ...platform.models import WorkerEntry
@@ -34,7 +34,7 @@
         try:
             entry = decode_worker_entry(record.key, record.value)
         except UnreadableRecordError as error:
-            note_unreadable("worker", record.key, error.detail)
+            report_unreadable_record("worker", record.key, error.detail)
             self.entries.pop(record.key, None)
             self.on_unusable(record.key)
             return
--- a/mustardward/components/ownership/owner.py
+++ b/mustardward/components/ownership/owner.py
@@ -7,7 +7,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from ...helpers.duty import Duty
+from ...helpers.duty import DutyCycle
 from ...helpers.logging import get_logger
 from ...platform.fleet import FleetClient
 from ...platform.models import WorkerEntry
@@ -48,7 +48,7 @@
 
 _LOGGER = get_logger(__name__)
 
-_PLANNING: Final = Duty(
+_PLANNING: Final = DutyCycle(
     MIN_PLAN_INTERVAL_SECONDS, MAX_PLAN_SHARE, MAX_PLAN_DELAY_SECONDS
 )
 
--- a/mustardward/components/peers/client.py
+++ b/mustardward/components/peers/client.py
@@ -57,7 +57,7 @@
         :raises PeerOutcomeUnknownError: if it may have had one.
         """
         description = describe_message(message)
-        lease = await self._channels.async_take(member.address, Purpose.CONTROL)
+        lease = await self._channels.async_acquire(member.address, Purpose.CONTROL)
         try:
             with settled_cancellations(), anyio.fail_after(timeout_seconds):
                 data = await self._async_exchange(
--- a/mustardward/components/peers/forward.py
+++ b/mustardward/components/peers/forward.py
@@ -73,7 +73,7 @@
     async def _async_open(
         self, member: Member, deadline: float, stack: AsyncExitStack
     ) -> Any:
-        lease = await self._channels.async_take(member.address, Purpose.FORWARD)
+        lease = await self._channels.async_acquire(member.address, Purpose.FORWARD)
         stack.callback(lease.release)
         stream = await stack.enter_async_context(
             lease.channel.request(
--- a/mustardward/components/scheduling/models.py
+++ b/mustardward/components/scheduling/models.py
@@ -154,7 +154,7 @@
     def __post_init__(self) -> None:
         """Compute the resources of one task."""
         spec = self.spec
-        self.requested = spec.asked
+        self.requested = spec.requested_resources
         self.room = Room(0 if spec.fills else spec.cpu, spec.mem_mb, spec.gpu)
 
     @property
--- a/mustardward/components/scheduling/rate_shares.py
+++ b/mustardward/components/scheduling/rate_shares.py
@@ -54,5 +54,5 @@
             return False
         capacity = max(1.0, rate * BURST_SECONDS)
         bucket = self._buckets.setdefault(organisation, TokenBucket(capacity, at))
-        bucket.fill(at, rate, capacity)
-        return not bucket.take()
+        bucket.refill(at, rate, capacity)
+        return not bucket.try_take()
--- a/mustardward/components/scheduling/reports.py
+++ b/mustardward/components/scheduling/reports.py
@@ -11,9 +11,9 @@
     REFUSED_ROOM,
     REFUSED_TICKET,
     EndedTask,
-    HoldAnswer,
     RunningTask,
     TaskName,
+    WorkerReport,
 )
 from .commands import Stop
 from .const import MAX_MISSED_REPORTS
@@ -41,7 +41,7 @@
     run_logger: RunLogger = field(default_factory=RunLogger)
 
     def apply_report(
-        self, worker: WorkerState, answer: HoldAnswer, sent_at: float, now: float
+        self, worker: WorkerState, answer: WorkerReport, sent_at: float, now: float
     ) -> None:
         """Apply a worker's lists of running and ended tasks.
 
--- a/mustardward/components/scheduling/scheduler.py
+++ b/mustardward/components/scheduling/scheduler.py
@@ -9,7 +9,7 @@
 from ...helpers.logging import get_logger
 from ...helpers.policies import switchable
 from ...platform.models import WorkerEntry
-from ...platform.workers import HoldAnswer
+from ...platform.workers import WorkerReport
 from ..ledger.ledger import LedgerJob
 from ..ledger.models import JobState, Progress
 from .commands import Command
@@ -162,7 +162,7 @@
             self._crash_tracker.record_loss(worker, cause, suspects, now)
 
     def apply_worker_report(
-        self, worker_id: str, answer: HoldAnswer, sent_at: float, now: float
+        self, worker_id: str, answer: WorkerReport, sent_at: float, now: float
     ) -> None:
         """Apply a worker's report of running and ended tasks."""
         worker = self.state.workers.get(worker_id)
--- a/mustardward/components/scheduling/worker_entries.py
+++ b/mustardward/components/scheduling/worker_entries.py
@@ -6,7 +6,7 @@
 from typing import Final
 
 from ...helpers.logging import get_logger
-from ...helpers.unreadable import note_unreadable
+from ...helpers.unreadable import report_unreadable_record
 from ...platform.models import WORKER_DRAINING, WorkerEntry
 from .const import MISSING_GRACE_SECONDS
 from .incarnations import is_other_incarnation, make_worker
@@ -53,7 +53,7 @@
         if entry.service != worker.service:
             # An incarnation never changes its pool, so one of the two entries was
             # written by someone else.
-            note_unreadable("worker", worker_id, f"service={entry.service}")
+            report_unreadable_record("worker", worker_id, f"service={entry.service}")
             self.mark_absent(worker_id)
             self._disputes[worker_id] = _Dispute(worker, entry, now)
             return False
--- a/mustardward/helpers/bounded_output.py
+++ b/mustardward/helpers/bounded_output.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable
 from typing import Final
 
-MOST_LINES: Final = 4000
+MAX_PENDING_LINES: Final = 4000
 """Lines that wait for the reader; beyond it the oldest go."""
 
-LINES_A_SECOND: Final = 400
+MAX_LINES_PER_SECOND: Final = 400
 """Ordinary lines a second; one takes some 30 microseconds of the processor."""
 
 EVENT_SHARE: Final = 0.4
@@ -35,12 +35,12 @@
         self,
         write: Write,
         clock: Callable[[], float],
-        lines_a_second: int = LINES_A_SECOND,
+        max_lines_per_second: int = MAX_LINES_PER_SECOND,
     ) -> None:
         super().__init__()
         self._write = write
         self._clock = clock
-        self._lines_a_second = lines_a_second
+        self._lines_a_second = max_lines_per_second
         self._lines: deque[bytes] = deque()
         self._rest = b""
         self._second = -1
@@ -53,7 +53,7 @@
         if record.levelno < logging.WARNING and not self._has_room(record):
             self.dropped += 1
             return
-        if len(self._lines) >= MOST_LINES:
+        if len(self._lines) >= MAX_PENDING_LINES:
             self._lines.popleft()
             self.dropped += 1
         self._lines.append(self.format(record).encode() + b"\n")
@@ -75,7 +75,7 @@
 
     def flush_some(self) -> None:
         """Write what the reader takes now."""
-        if self.dropped and len(self._lines) < MOST_LINES:
+        if self.dropped and len(self._lines) < MAX_PENDING_LINES:
             self._lines.append(
                 f"event=log_lines_dropped count={self.dropped}\n".encode()
             )
--- a/mustardward/helpers/duty.py
+++ b/mustardward/helpers/duty.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Duty:
+class DutyCycle:
     """Hold how often something is done.
 
     :param least_pause: seconds between two times, however little one takes.
@@ -21,11 +21,11 @@
         of a time has not worked for so long, and must not rest for it.
     """
 
-    least_pause: float
+    min_pause_seconds: float
     share: float
-    longest_pause: float
+    max_pause_seconds: float
 
     def pause(self, spent_seconds: float) -> float:
         """Return how long to wait after a time that took so many seconds."""
         owed = spent_seconds * (1 / self.share - 1)
-        return max(self.least_pause, min(self.longest_pause, owed))
+        return max(self.min_pause_seconds, min(self.max_pause_seconds, owed))
--- a/mustardward/helpers/http_connection.py
+++ b/mustardward/helpers/http_connection.py
@@ -26,13 +26,13 @@
 
     code = "exchange-failed"
 
-    def __init__(self, detail: str, closed_unheard: bool = False) -> None:
+    def __init__(self, detail: str, closed_before_response: bool = False) -> None:
         super().__init__(detail)
-        self.closed_unheard = closed_unheard
+        self.closed_before_response = closed_before_response
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class HttpResponse:
     """Hold one answer; its headers as they came, in their order."""
 
     status: int
@@ -59,7 +59,7 @@
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
-        self._waiter: asyncio.Future[Answer] | None = None
+        self._waiter: asyncio.Future[HttpResponse] | None = None
         self._headers: list[tuple[bytes, bytes]] = []
         self._chunks: list[bytes] = []
         self._timer: asyncio.TimerHandle | None = None
@@ -83,22 +83,22 @@
             self._transport.abort()
 
     async def async_exchange(
-        self, request: bytes, timeout_seconds: float, silence_seconds: float | None
-    ) -> Answer:
+        self, request: bytes, timeout_seconds: float, read_timeout_seconds: float | None
+    ) -> HttpResponse:
         """Send a request and return its answer.
 
         :param silence_seconds: longest time in which no byte of the answer comes.
         :raises ExchangeError: if the answer did not come whole in time.
         """
         if self._transport is None or self._transport.is_closing():
-            raise ExchangeError("closed", closed_unheard=True)
+            raise ExchangeError("closed", closed_before_response=True)
         self.exchanges += 1
         self._headers = []
         self._chunks = []
         self._began = False
         self._whole = False
         self._excused = False
-        self._silence_seconds = silence_seconds
+        self._silence_seconds = read_timeout_seconds
         self._waiter = self._loop.create_future()
         now = self._loop.time()
         self._heard_at = now
@@ -139,7 +139,7 @@
         """Take in that the connection is gone."""
         self._transport = None
         detail = type(exc).__name__ if exc is not None else "disconnected"
-        self._fail(detail, closed_unheard=not self._began)
+        self._fail(detail, closed_before_response=not self._began)
 
     # What the parser calls.
 
@@ -159,7 +159,7 @@
             return
         self._whole = True
         status = self._parser.get_status_code()
-        answer = Answer(status, b"".join(self._chunks), self._headers)
+        answer = HttpResponse(status, b"".join(self._chunks), self._headers)
         self.idle_since = self._heard_at
         if not self._parser.should_keep_alive():
             self.close()
@@ -198,6 +198,6 @@
             return
         self._set_timer()
 
-    def _fail(self, detail: str, closed_unheard: bool = False) -> None:
+    def _fail(self, detail: str, closed_before_response: bool = False) -> None:
         if self._waiter is not None and not self._waiter.done():
-            self._waiter.set_exception(ExchangeError(detail, closed_unheard))
+            self._waiter.set_exception(ExchangeError(detail, closed_before_response))
--- a/mustardward/helpers/peer_channels.py
+++ b/mustardward/helpers/peer_channels.py
@@ -94,7 +94,7 @@
         """Return the number of connections that calls can begin on."""
         return len(self._slots)
 
-    async def async_take(self, address: str, purpose: Purpose) -> ChannelLease:
+    async def async_acquire(self, address: str, purpose: Purpose) -> ChannelLease:
         """Return a connected channel, to be released.
 
         :raises PeerUnreachableError: if there is no connection in time.
--- a/mustardward/helpers/token_bucket.py
+++ b/mustardward/helpers/token_bucket.py
@@ -18,7 +18,7 @@
     left: float
     filled_at: float
 
-    def fill(self, now: float, rate: float, most: float) -> None:
+    def refill(self, now: float, rate: float, most: float) -> None:
         """Save up what a rate, in tokens a second, gives until now.
 
         A time before the last filling adds nothing.
@@ -26,7 +26,7 @@
         self.left = min(most, self.left + rate * max(0.0, now - self.filled_at))
         self.filled_at = max(self.filled_at, now)
 
-    def take(self) -> bool:
+    def try_take(self) -> bool:
         """Take a token, or tell that there is none."""
         if self.left < 1.0:
             return False
--- a/mustardward/helpers/unreadable.py
+++ b/mustardward/helpers/unreadable.py
@@ -15,7 +15,7 @@
 _told: dict[tuple[str, str], str] = {}
 
 
-def note_unreadable(kind: str, key: str, detail: str) -> None:
+def report_unreadable_record(kind: str, key: str, detail: str) -> None:
     """Count an unreadable record, and log it unless the same was logged last.
 
     A writer that goes on writing such records each second would else fill the log.
--- a/mustardward/helpers/waiting.py
+++ b/mustardward/helpers/waiting.py
@@ -30,7 +30,7 @@
     return event.is_set()
 
 
-async def async_within(
+async def async_call_with_timeout(
     timers: TimerService, seconds: float, call: Callable[[], Awaitable[T]]
 ) -> T | None:
     """Return what a call gives, or nothing if it takes longer than ``seconds``."""
--- a/mustardward/node/app.py
+++ b/mustardward/node/app.py
@@ -177,7 +177,7 @@
             base_url(address),
             forwarder,
             self._timers,
-            StoreClient(self._http, address).async_reached,
+            StoreClient(self._http, address).async_is_reachable,
         )
 
     @property
@@ -230,7 +230,7 @@
         await self._http.async_close()
         await self._peers_http.async_close()
 
-    async def async_leave(self) -> None:
+    async def async_shut_down(self) -> None:
         """Give up what is owned, and go on answering until callers went elsewhere."""
         _LOGGER.info("node_leaving", node=self._boot.node)
         grace = self._boot.bounds.grace_s
--- a/mustardward/node/main.py
+++ b/mustardward/node/main.py
@@ -31,7 +31,7 @@
 """Interval of writing log lines."""
 
 
-class UnaskedEndError(MustardwardError):
+class UnexpectedExitError(MustardwardError):
     """Report that an entry ended though nobody asked for it."""
 
     code = "unasked-end"
@@ -53,12 +53,12 @@
                     asked = True
                     break
                 _LOGGER.info("settings_reloaded", node=boot.node)
-        await node.async_leave()
+        await node.async_shut_down()
         tasks.cancel_scope.cancel()
     if not asked:
         # A part that is cancelled by anything but this entry takes all others along.
         # Without a word, and with code 0, its end could be told from no planned one.
-        raise UnaskedEndError("a part of the entry was cancelled")
+        raise UnexpectedExitError("a part of the entry was cancelled")
 
 
 async def async_flush(output: BoundedOutput) -> None:
@@ -103,7 +103,7 @@
     except (BootSettingsError, SettingsError, UnknownPolicyError) as error:
         _LOGGER.error("settings_unusable", code=error.code, detail=error.detail)
         sys.exit(2)
-    except UnaskedEndError as error:
+    except UnexpectedExitError as error:
         _LOGGER.error("node_ended_unasked", code=error.code, detail=error.detail)
         sys.exit(1)
     finally:
--- a/mustardward/platform/advice.py
+++ b/mustardward/platform/advice.py
@@ -12,7 +12,7 @@
 from .exceptions import CallRefusedError, CallUnknownError
 from .http import HttpCaller
 
-MOST_WORKERS: Final = 100
+MAX_WORKERS: Final = 100
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
         self._http = http
         self._url = f"http://{address}{names.ADVISE}"
 
-    async def async_ask(
+    async def async_request_advice(
         self,
         job: str,
         occurrence: int,
@@ -42,7 +42,7 @@
 
         :raises CallRefusedError: if there was no advice.
         """
-        body = AdviseBody(f"{job}.{occurrence}.{step}", workers[:MOST_WORKERS])
+        body = AdviseBody(f"{job}.{occurrence}.{step}", workers[:MAX_WORKERS])
         try:
             answer = await self._http.async_call(
                 "POST",
--- a/mustardward/platform/callers.py
+++ b/mustardward/platform/callers.py
@@ -15,10 +15,10 @@
 READINESS_PATH: Final = f"{ROOT}/readiness"
 HEADER_DEADLINE_MS: Final = "Mustardward-Deadline-Ms"
 HEADER_KEY: Final = "Authorization"
-MOST_KEY_LENGTH: Final = 256
+MAX_KEY_LENGTH: Final = 256
 """A longer text is no key; it is not even compared."""
-MOST_SPEC_BYTES: Final = 4000
-MOST_TASKS: Final = 100_000
+MAX_SPEC_BYTES: Final = 4000
+MAX_TASKS: Final = 100_000
 """Most tasks of one step: each takes some 400 bytes in the owner's memory."""
 
 STATE_QUEUED: Final = "queued"
@@ -40,7 +40,7 @@
     """Return the key that a caller shows, or nothing if it shows none."""
     scheme, _, key = header.strip().partition(" ")
     key = key.strip()
-    if scheme.lower() != _KEY_SCHEME or len(key) > MOST_KEY_LENGTH:
+    if scheme.lower() != _KEY_SCHEME or len(key) > MAX_KEY_LENGTH:
         return ""
     return key
 
@@ -54,7 +54,7 @@
         job = msgspec.json.decode(body, type=SubmittedJob)
     except msgspec.MsgspecError as error:
         raise MalformedJobError(str(error)) from error
-    if len(job.spec.encode()) > MOST_SPEC_BYTES:
+    if len(job.spec.encode()) > MAX_SPEC_BYTES:
         raise MalformedJobError("spec is too long")
     if not job.steps:
         raise MalformedJobError("steps is empty")
@@ -72,8 +72,8 @@
     :raises MalformedJobError: saying what is wrong with which step.
     """
     for number, step in enumerate(steps):
-        if not 1 <= step.count <= MOST_TASKS:
-            raise MalformedJobError(f"steps[{number}].count is not 1 to {MOST_TASKS}")
+        if not 1 <= step.count <= MAX_TASKS:
+            raise MalformedJobError(f"steps[{number}].count is not 1 to {MAX_TASKS}")
         if any(earlier < 0 or earlier >= number for earlier in step.after):
             raise MalformedJobError(f"steps[{number}].after names no earlier step")
         amounts = (step.cpu, step.mem_mb, step.gpu, step.max_per_server, step.may_miss)
--- a/mustardward/platform/entries.py
+++ b/mustardward/platform/entries.py
@@ -17,26 +17,26 @@
 from .exceptions import UnreadableRecordError
 from .models import Room, WorkerEntry
 
-MOST_ENTRY_BYTES: Final = 16_384
+MAX_ENTRY_BYTES: Final = 16_384
 """An entry takes some 300 bytes; a larger one is not decoded at all."""
 
-MOST_NAME_LENGTH: Final = 200
-MOST_CPU: Final = 4_096_000
+MAX_NAME_LENGTH: Final = 200
+MAX_CPU: Final = 4_096_000
 """Thousandths of a core; four times what the largest machines have."""
 
-MOST_MEMORY_MB: Final = 256 * 1024 * 1024
-MOST_ACCELERATORS: Final = 1024
+MAX_MEMORY_MB: Final = 256 * 1024 * 1024
+MAX_ACCELERATORS: Final = 1024
 
-LATEST_BORN_MS: Final = 2**45
+MAX_STARTED_AT_MS: Final = 2**45
 """A start later than this, in milliseconds since 1970, lies a thousand years ahead."""
 
-Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MOST_NAME_LENGTH)]
+Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
 
 
 class _CapacityBody(msgspec.Struct, rename="kebab"):
-    cpu: Annotated[int, msgspec.Meta(ge=1, le=MOST_CPU)]
-    mem_mb: Annotated[int, msgspec.Meta(ge=1, le=MOST_MEMORY_MB)]
-    gpu: Annotated[int, msgspec.Meta(ge=0, le=MOST_ACCELERATORS)] = 0
+    cpu: Annotated[int, msgspec.Meta(ge=1, le=MAX_CPU)]
+    mem_mb: Annotated[int, msgspec.Meta(ge=1, le=MAX_MEMORY_MB)]
+    gpu: Annotated[int, msgspec.Meta(ge=0, le=MAX_ACCELERATORS)] = 0
 
 
 class _EntryBody(msgspec.Struct, rename="kebab"):
@@ -47,7 +47,7 @@
     capacity: _CapacityBody
     labels: list[Name]
     remaining_ms: Annotated[float, msgspec.Meta(ge=0, le=1e9)] | None = None
-    born: Annotated[int, msgspec.Meta(ge=0, le=LATEST_BORN_MS)] = 0
+    born: Annotated[int, msgspec.Meta(ge=0, le=MAX_STARTED_AT_MS)] = 0
 
 
 _DECODER: Final = msgspec.json.Decoder(_EntryBody)
@@ -59,9 +59,9 @@
     :param key: the id under which it stands; it is sent in a header.
     :raises UnreadableRecordError: if it names no worker to use.
     """
-    if not key or len(key) > MOST_NAME_LENGTH or not _is_plain(key):
+    if not key or len(key) > MAX_NAME_LENGTH or not _is_plain(key):
         raise UnreadableRecordError("the id can't be sent")
-    if len(value) > MOST_ENTRY_BYTES:
+    if len(value) > MAX_ENTRY_BYTES:
         raise UnreadableRecordError(f"bytes={len(value)}")
     try:
         body = _DECODER.decode(value)
--- a/mustardward/platform/fleet.py
+++ b/mustardward/platform/fleet.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from ..helpers.http_connection import Answer
-from ..helpers.unreadable import note_unreadable
+from ..helpers.http_connection import HttpResponse
+from ..helpers.unreadable import report_unreadable_record
 from . import names
 from .bodies import ListedBody, MaintainBody, MoveBody, RefusedBody
 from .exceptions import (
@@ -44,7 +44,7 @@
         if min(row.capacity.cpu, row.capacity.mem_mb, row.capacity.gpu) < 0:
             raise UnreadableRecordError("capacity is negative")
     except RECORD_ERRORS as error:
-        note_unreadable("instance", "", str(error))
+        report_unreadable_record("instance", "", str(error))
         return None
     return row
 
@@ -60,7 +60,7 @@
         self._base = f"http://{address}"
         self._holder = holder
 
-    async def async_page(self, token: str = "") -> FleetPage:
+    async def async_fetch_page(self, token: str = "") -> FleetPage:
         """Return a page of the list of instances.
 
         :param token: names the page, as the one before it did; nothing for the first.
@@ -129,7 +129,7 @@
         raise CallUnknownError(f"status={answer.status}")
 
 
-def _reason(answer: Answer) -> str:
+def _reason(answer: HttpResponse) -> str:
     try:
         return msgspec.json.decode(answer.body, type=RefusedBody).reason
     except msgspec.MsgspecError:
--- a/mustardward/platform/http.py
+++ b/mustardward/platform/http.py
@@ -11,23 +11,23 @@
 
 import anyio
 
-from ..helpers.http_connection import Answer, ExchangeError, HttpConnection
+from ..helpers.http_connection import ExchangeError, HttpConnection, HttpResponse
 from .exceptions import CallRefusedError, CallUnknownError
 
 CONNECT_TIMEOUT_SECONDS: Final = 0.6
 """A partner that is cut off answers no opening packet; one retransmission is 1 s."""
 
 KEEP_ALIVE_SECONDS: Final = 30.0
-SILENCE_MILLISECONDS: Final = 1500
+UNACKNOWLEDGED_TIMEOUT_MS: Final = 1500
 """Unacknowledged bytes for so long close a connection, so that a pool of connections
 that went silent empties itself."""
 
-FORGET_SECONDS: Final = 5.0
+PRUNE_INTERVAL_SECONDS: Final = 5.0
 """Shortest time between two looks for hosts that are not called any more. With a look
 at each new host an owner of 600 workers looked 448,000 times before it had heard of all
 of them, more than a third of its processor time; it grows with the square of them."""
 
-CONNECTIONS_A_HOST: Final = 8
+MAX_CONNECTIONS_PER_HOST: Final = 8
 
 
 def open_socket() -> socket.socket:
@@ -37,7 +37,7 @@
     channel.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     user_timeout = getattr(socket, "TCP_USER_TIMEOUT", None)
     if user_timeout is not None:
-        channel.setsockopt(socket.IPPROTO_TCP, user_timeout, SILENCE_MILLISECONDS)
+        channel.setsockopt(socket.IPPROTO_TCP, user_timeout, UNACKNOWLEDGED_TIMEOUT_MS)
     return channel
 
 
@@ -58,8 +58,8 @@
         body: bytes | None = None,
         params: dict[str, str] | None = None,
         headers: dict[str, str] | None = None,
-        silence_seconds: float | None = None,
-    ) -> Answer:
+        read_timeout_seconds: float | None = None,
+    ) -> HttpResponse:
         """Make one call.
 
         :param silence_seconds: longest time in which no byte of the answer comes.
@@ -83,7 +83,7 @@
         self._waiters: deque[asyncio.Future[None]] = deque()
         self.head = f"Host: {address}\r\n"
 
-    async def async_take(self, timeout_seconds: float) -> HttpConnection:
+    async def async_acquire(self, timeout_seconds: float) -> HttpConnection:
         """Return a connection that no other call uses, the one used last if any is.
 
         :raises CallRefusedError: if none could be had in time; nothing was sent.
@@ -98,7 +98,7 @@
                 return await self._async_open(max(0.0, until - loop.time()))
             await self._async_wait(until - loop.time())
 
-    def give_back(self, connection: HttpConnection) -> None:
+    def release(self, connection: HttpConnection) -> None:
         """Take a connection back, and let the next call have its place."""
         if connection.usable:
             self._idle.append(connection)
@@ -189,8 +189,10 @@
     :param connections_a_host: most connections to one address.
     """
 
-    def __init__(self, connections_a_host: int = CONNECTIONS_A_HOST) -> None:
-        self._most = connections_a_host
+    def __init__(
+        self, max_connections_per_host: int = MAX_CONNECTIONS_PER_HOST
+    ) -> None:
+        self._most = max_connections_per_host
         self._hosts: dict[str, _Host] = {}
         self._looked_at = -math.inf
 
@@ -208,8 +210,8 @@
         body: bytes | None = None,
         params: dict[str, str] | None = None,
         headers: dict[str, str] | None = None,
-        silence_seconds: float | None = None,
-    ) -> Answer:
+        read_timeout_seconds: float | None = None,
+    ) -> HttpResponse:
         """Make one call.
 
         :param timeout_seconds: for the answer, and as much for a connection.
@@ -224,21 +226,21 @@
             host = self._hosts[address] = _Host(address, self._most)
         request = _encode(method, path, host.head, body, params, headers)
         while True:
-            connection = await host.async_take(timeout_seconds)
+            connection = await host.async_acquire(timeout_seconds)
             kept = connection.exchanges > 0
             try:
                 return await connection.async_exchange(
-                    request, timeout_seconds, silence_seconds
+                    request, timeout_seconds, read_timeout_seconds
                 )
             except ExchangeError as error:
-                if method == "GET" and kept and error.closed_unheard:
+                if method == "GET" and kept and error.closed_before_response:
                     # The other side closed a kept connection as the call was sent.
                     continue
                 # Bytes may have reached the other side: to call this "had no effect"
                 # would let a caller act twice.
                 raise CallUnknownError(error.detail) from error
             finally:
-                host.give_back(connection)
+                host.release(connection)
 
     def _forget_unused(self) -> None:
         """Forget hosts that are not called any more.
@@ -247,7 +249,7 @@
         use up the process's descriptors.
         """
         now = asyncio.get_running_loop().time()
-        if now - self._looked_at < FORGET_SECONDS:
+        if now - self._looked_at < PRUNE_INTERVAL_SECONDS:
             return
         self._looked_at = now
         for address, host in list(self._hosts.items()):
--- a/mustardward/platform/models.py
+++ b/mustardward/platform/models.py
@@ -107,7 +107,7 @@
     born: int = 0
 
 
-class UpkeepWave(msgspec.Struct, frozen=True, rename="kebab"):
+class MaintenanceWave(msgspec.Struct, frozen=True, rename="kebab"):
     """Hold one maintenance wave."""
 
     wave: int
@@ -151,7 +151,7 @@
     may_miss: int = 0
 
     @property
-    def asked(self) -> Room:
+    def requested_resources(self) -> Room:
         """Return what one task asks for."""
         return Room(self.cpu, self.mem_mb, self.gpu)
 
--- a/mustardward/platform/store.py
+++ b/mustardward/platform/store.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from ..helpers.http_connection import Answer
-from ..helpers.unreadable import note_unreadable
+from ..helpers.http_connection import HttpResponse
+from ..helpers.unreadable import report_unreadable_record
 from . import names
 from .bodies import (
     AppendedBody,
@@ -146,7 +146,7 @@
             raise UnreadableRecordError("key is cut off")
         key = content[1:name_end].decode()
     except (UnicodeDecodeError, UnreadableRecordError) as error:
-        note_unreadable("key", f"offset={offset}", str(error))
+        report_unreadable_record("key", f"offset={offset}", str(error))
         return None
     return KeyedRecord(offset, key, content[name_end:])
 
@@ -157,7 +157,7 @@
         item = msgspec.json.decode(raw, type=NewestItem)
         value = base64.b64decode(item.value, validate=True)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-        note_unreadable("item", "", str(error))
+        report_unreadable_record("item", "", str(error))
         return None
     return KeyedRecord(item.offset, item.key, value)
 
@@ -242,7 +242,7 @@
             raise CallRefusedError(f"status={answer.status}")
         return decode_keyed(answer.body, from_offset)
 
-    async def async_reached(self) -> bool:
+    async def async_is_reachable(self) -> bool:
         """Return whether the store answers reads at once."""
         try:
             page = await self.async_read(TOPIC_OPERATOR, 0, 0, kilobytes=1)
@@ -252,7 +252,7 @@
             return False
         return page.end >= 0
 
-    async def async_newest(self, topic: str, after: str = "") -> NewestPage:
+    async def async_read_newest(self, topic: str, after: str = "") -> NewestPage:
         """Return a page of the newest record of each key.
 
         :raises CallRefusedError: if the store did not answer with records.
@@ -270,30 +270,30 @@
         return NewestPage(records, newest.more_pages, newest.end, last_key)
 
     async def _async_get(
-        self, call: str, params: dict[str, str], silence_seconds: float
-    ) -> Answer:
+        self, call: str, params: dict[str, str], read_timeout_seconds: float
+    ) -> HttpResponse:
         """Read what may be large, for as long as bytes of it come."""
         try:
             return await self._http.async_call(
                 "GET",
                 self._base + call,
                 params=params,
-                timeout_seconds=silence_seconds + LARGE_ANSWER_SECONDS,
-                silence_seconds=silence_seconds,
+                timeout_seconds=read_timeout_seconds + LARGE_ANSWER_SECONDS,
+                read_timeout_seconds=read_timeout_seconds,
             )
         except CallUnknownError as error:
             # A read has no effect, so a lost answer is as good as a refusal.
             raise CallRefusedError(str(error)) from error
 
 
-def _append_refusal(answer: Answer) -> Exception:
+def _append_refusal(answer: HttpResponse) -> Exception:
     refusal = _decode(answer, AppendRefusedBody)
     if refusal.reason == names.REASON_FENCED:
         return FencedError("append")
     return SequenceError(refusal.seq)
 
 
-def _decode(answer: Answer, kind: type[T]) -> T:
+def _decode(answer: HttpResponse, kind: type[T]) -> T:
     try:
         return msgspec.json.decode(answer.body, type=kind)
     except msgspec.MsgspecError as error:
--- a/mustardward/platform/workers.py
+++ b/mustardward/platform/workers.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ..helpers.http_connection import Answer
+from ..helpers.http_connection import HttpResponse
 from . import names
 from .bodies import (
     ClockBody,
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HoldAnswer:
+class WorkerReport:
     """Hold what a worker says it runs and has ended; its clock in milliseconds.
 
     :param born: when the worker's process started, in milliseconds since 1970, or 0 if
@@ -89,7 +89,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StartAnswer:
+class StartResponse:
     """Hold the answer to a start; an empty reason means that the task runs."""
 
     clock_ms: float
@@ -97,7 +97,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StartOrder:
+class StartRequest:
     """Hold what a start says."""
 
     task: TaskName
@@ -142,7 +142,7 @@
             "Content-Type": "application/json",
         }
 
-    async def async_start(self, order: StartOrder) -> StartAnswer:
+    async def async_start(self, order: StartRequest) -> StartResponse:
         """Start a task.
 
         :raises CallRefusedError: if it certainly does not run by this order.
@@ -161,7 +161,7 @@
         )
         answer = await self._async_post(names.RUN_START, body, START_TIMEOUT_SECONDS)
         clock = _decode_clock(answer)
-        return StartAnswer(clock.clock_ms, clock.reason)
+        return StartResponse(clock.clock_ms, clock.reason)
 
     async def async_stop(self, task: TaskName, run: int) -> None:
         """Stop a run; one that is not there yet will be rejected.
@@ -171,14 +171,14 @@
         body = StopBody(encode_task(task), run, self._token)
         await self._async_post(names.RUN_STOP, body, START_TIMEOUT_SECONDS)
 
-    async def async_pace(self, task: TaskName, run: int, percent: int) -> None:
+    async def async_set_speed(self, task: TaskName, run: int, percent: int) -> None:
         """Let a run work at a share of its speed."""
         body = PaceBody(encode_task(task), run, percent, self._token)
         await self._async_post(names.PACE, body, START_TIMEOUT_SECONDS)
 
-    async def async_hold(
+    async def async_poll(
         self, seen_upto: int, deadline_ms: int | None, wait_ms: int
-    ) -> HoldAnswer:
+    ) -> WorkerReport:
         """Renew the lease, acknowledge ends, and return what runs and has ended.
 
         :raises CallUnknownError: if there was no answer.
@@ -191,7 +191,7 @@
 
     async def _async_post(
         self, call: str, body: msgspec.Struct, timeout_seconds: float
-    ) -> Answer:
+    ) -> HttpResponse:
         answer = await self._http.async_call(
             "POST",
             self._base + call,
@@ -210,14 +210,14 @@
         raise CallUnknownError(f"status={answer.status}")
 
 
-def _decode_clock(answer: Answer) -> ClockBody:
+def _decode_clock(answer: HttpResponse) -> ClockBody:
     try:
         return msgspec.json.decode(answer.body, type=ClockBody)
     except msgspec.MsgspecError as error:
         raise CallUnknownError(str(error)) from error
 
 
-def _decode_hold(answer: Answer) -> HoldAnswer:
+def _decode_hold(answer: HttpResponse) -> WorkerReport:
     try:
         hold = msgspec.json.decode(answer.body, type=HoldAnswerBody)
         running = [decode_running(row) for row in hold.running]
@@ -231,7 +231,7 @@
         OverflowError,
     ) as error:
         raise CallUnknownError(str(error)) from error
-    return HoldAnswer(hold.clock_ms, running, ended, hold.born)
+    return WorkerReport(hold.clock_ms, running, ended, hold.born)
 
 
 def decode_ended(row: list[Any]) -> EndedTask:
--- a/mustardward/standin/estate/app.py
+++ b/mustardward/standin/estate/app.py
@@ -123,7 +123,7 @@
         return web.Response(body=_HEAD.pack(page.end, start) + body)
 
     async def _async_newest(self, request: web.Request) -> web.StreamResponse:
-        page = await self._estate.store.async_newest(
+        page = await self._estate.store.async_read_newest(
             request.query[names.PARAM_TOPIC], request.query.get(names.PARAM_AFTER, "")
         )
         items = [
--- a/mustardward/standin/estate/store.py
+++ b/mustardward/standin/estate/store.py
@@ -130,7 +130,7 @@
         records = held.records[from_offset - held.first :]
         return Page(list(records), held.end, held.end)
 
-    async def async_newest(self, topic: str, after: str = "") -> NewestPage:
+    async def async_read_newest(self, topic: str, after: str = "") -> NewestPage:
         """Read a page of the newest record of each key."""
         self._read()
         held = self._topic(topic)
--- a/mustardward/standin/log.py
+++ b/mustardward/standin/log.py
@@ -95,8 +95,8 @@
     def _take_token(self) -> bool:
         options = self._options
         now = self._timers.monotonic()
-        self._bucket.fill(now, options.appends_per_second, options.burst)
-        return self._bucket.take()
+        self._bucket.refill(now, options.appends_per_second, options.burst)
+        return self._bucket.try_take()
 
     async def _async_append_late(self, stream: str, payload: bytes) -> None:
         await self._timers.async_sleep(self.faults.now.late_seconds)
--- a/tests/components/dispatch/test_leases.py
+++ b/tests/components/dispatch/test_leases.py
@@ -11,7 +11,7 @@
 from mustardward.components.dispatch.const import LEASE_SECONDS
 from mustardward.components.scheduling.models import Phase
 from mustardward.platform.exceptions import CallUnknownError
-from mustardward.platform.workers import HoldAnswer, StartAnswer, StartOrder
+from mustardward.platform.workers import StartRequest, StartResponse, WorkerReport
 
 from ..scheduling.builders import a_step
 from .test_restarts import FakeWorker, RestartHarness
@@ -34,18 +34,18 @@
     answer_arrives: Callable[[int], bool] = staticmethod(lambda number: True)
     polls = 0
 
-    async def async_start(self, order: StartOrder) -> StartAnswer:
+    async def async_start(self, order: StartRequest) -> StartResponse:
         if not self.poll_arrives(0):
             raise CallUnknownError("lost")
         return await super().async_start(order)
 
-    async def async_hold(
+    async def async_poll(
         self, seen_upto: int, deadline_ms: int | None, wait_ms: int
-    ) -> HoldAnswer:
+    ) -> WorkerReport:
         self.polls += 1
         if not self.poll_arrives(self.polls):
             raise CallUnknownError("lost")
-        answer = await super().async_hold(seen_upto, deadline_ms, wait_ms)
+        answer = await super().async_poll(seen_upto, deadline_ms, wait_ms)
         if not self.answer_arrives(self.polls):
             raise CallUnknownError("answer lost")
         return answer
--- a/tests/components/dispatch/test_lost_workers.py
+++ b/tests/components/dispatch/test_lost_workers.py
@@ -17,11 +17,11 @@
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.platform.exceptions import CallUnknownError, WrongIncarnationError
 from mustardward.platform.workers import (
-    HoldAnswer,
     RunningTask,
-    StartAnswer,
-    StartOrder,
+    StartRequest,
+    StartResponse,
     TaskName,
+    WorkerReport,
 )
 
 from ..scheduling.builders import JOB, POOL, a_job, a_step, an_entry
@@ -52,7 +52,7 @@
         self.polls = 0
         self._runs: dict[TaskName, int] = {}
 
-    async def async_start(self, order: StartOrder) -> StartAnswer:
+    async def async_start(self, order: StartRequest) -> StartResponse:
         self._raise_failure()
         self.starts.append(order.task)
         if self.ignores_starts:
@@ -61,13 +61,13 @@
             self.failure = CallUnknownError("timeout")
             raise self.failure
         self._runs[order.task] = order.run
-        return StartAnswer(self._clock(), "")
+        return StartResponse(self._clock(), "")
 
-    async def async_hold(self, *_: object) -> HoldAnswer:
+    async def async_poll(self, *_: object) -> WorkerReport:
         self._raise_failure()
         self.polls += 1
         runs = [RunningTask(t, run, "", 50.0, 0.0) for t, run in self._runs.items()]
-        return HoldAnswer(self._clock(), runs, [])
+        return WorkerReport(self._clock(), runs, [])
 
     async def async_stop(self, task: TaskName, run: int) -> None:
         self._raise_failure()
--- a/tests/components/dispatch/test_recovery.py
+++ b/tests/components/dispatch/test_recovery.py
@@ -18,7 +18,12 @@
 from mustardward.platform.bodies import StartBody
 from mustardward.platform.exceptions import CallUnknownError
 from mustardward.platform.store import KeyedRecord
-from mustardward.platform.workers import HoldAnswer, StartAnswer, StartOrder, TaskName
+from mustardward.platform.workers import (
+    StartRequest,
+    StartResponse,
+    TaskName,
+    WorkerReport,
+)
 from mustardward.standin.estate.worker import STOP_MS, MemoryWorker, Work
 
 from ...platform.test_entries import GOOD
@@ -148,13 +153,13 @@
     release = anyio.Event()
 
     class _PreviousIncarnation:
-        async def async_start(self, order: StartOrder) -> StartAnswer:
+        async def async_start(self, order: StartRequest) -> StartResponse:
             raise CallUnknownError("no answer")
 
         async def async_stop(self, task: TaskName, run: int) -> None:
             await release.wait()
 
-        async def async_hold(self, *_: object) -> HoldAnswer:
+        async def async_poll(self, *_: object) -> WorkerReport:
             await anyio.sleep_forever()
             raise AssertionError
 
--- a/tests/components/dispatch/test_recovery_walks.py
+++ b/tests/components/dispatch/test_recovery_walks.py
@@ -26,10 +26,10 @@
 from mustardward.platform.exceptions import CallRefusedError, CallUnknownError
 from mustardward.platform.models import Room, WorkerEntry
 from mustardward.platform.workers import (
-    HoldAnswer,
-    StartAnswer,
-    StartOrder,
+    StartRequest,
+    StartResponse,
     TaskName,
+    WorkerReport,
     decode_ended,
     decode_running,
     encode_task,
@@ -89,7 +89,7 @@
             raise CallUnknownError("unreachable")
         return outcome
 
-    async def async_start(self, order: StartOrder) -> StartAnswer:
+    async def async_start(self, order: StartRequest) -> StartResponse:
         outcome = self._draw_outcome()
         body = StartBody(
             encode_task(order.task), order.run, "", order.deadline_ms, EPOCH
@@ -100,7 +100,7 @@
         reason = self.process.start(body, self.clock_ms())
         if outcome == "answer-lost":
             raise CallUnknownError("answer-lost")
-        return StartAnswer(self.clock_ms(), reason)
+        return StartResponse(self.clock_ms(), reason)
 
     async def async_stop(self, task: TaskName, run: int) -> None:
         outcome = self._draw_outcome()
@@ -114,12 +114,12 @@
         if outcome == "answer-lost":
             raise CallUnknownError("answer-lost")
 
-    async def async_pace(self, task: TaskName, run: int, percent: int) -> None:
+    async def async_set_speed(self, task: TaskName, run: int, percent: int) -> None:
         self._draw_outcome()
 
-    async def async_hold(
+    async def async_poll(
         self, seen_upto: int, deadline_ms: int | None, wait_ms: int
-    ) -> HoldAnswer:
+    ) -> WorkerReport:
         outcome = self._draw_outcome()
         until = self.walk.timers.monotonic() + wait_ms / 1000
         body = self.process.hold(EPOCH, seen_upto, deadline_ms, self.clock_ms())
@@ -136,7 +136,7 @@
             or body is None
         ):
             raise CallUnknownError("answer-lost")
-        return HoldAnswer(
+        return WorkerReport(
             body.clock_ms,
             [decode_running(row) for row in body.running],
             [decode_ended(row) for row in body.ended],
--- a/tests/components/dispatch/test_restarts.py
+++ b/tests/components/dispatch/test_restarts.py
@@ -19,10 +19,10 @@
 from mustardward.platform.exceptions import CallUnknownError, WrongIncarnationError
 from mustardward.platform.models import Room, SubmittedStep
 from mustardward.platform.workers import (
-    HoldAnswer,
-    StartAnswer,
-    StartOrder,
+    StartRequest,
+    StartResponse,
     TaskName,
+    WorkerReport,
     decode_ended,
     decode_running,
     encode_task,
@@ -53,9 +53,9 @@
         self.unreachable = False
         self.delay_starts = False
         self.reports_start_time = True
-        self.delayed_starts: list[StartOrder] = []
+        self.delayed_starts: list[StartRequest] = []
         self.acknowledged: list[int] = []
-        self.delayed_answers: list[HoldAnswer] = []
+        self.delayed_answers: list[WorkerReport] = []
 
     @property
     def started_at_ms(self) -> int:
@@ -70,36 +70,36 @@
         """Execute the starts that were kept back; return the reasons of refusal."""
         return [self._start(order) for order in self.delayed_starts]
 
-    async def async_start(self, order: StartOrder) -> StartAnswer:
+    async def async_start(self, order: StartRequest) -> StartResponse:
         if self.unreachable:
             raise CallUnknownError("unreachable")
         if self.delay_starts:
             self.delayed_starts.append(order)
             raise CallUnknownError("no answer")
         reason = self._start(order)
-        return StartAnswer(self.clock_ms(), reason)
+        return StartResponse(self.clock_ms(), reason)
 
     async def async_stop(self, task: TaskName, run: int) -> None:
         if self.unreachable or self.delay_starts:
             raise CallUnknownError("unreachable")
         self.process.stop(encode_task(task), run, 2, self.clock_ms())
 
-    async def async_hold(
+    async def async_poll(
         self, seen_upto: int, deadline_ms: int | None, wait_ms: int
-    ) -> HoldAnswer:
+    ) -> WorkerReport:
         if self.unreachable:
             raise CallUnknownError("unreachable")
         self.acknowledged.append(seen_upto)
         body = self.process.hold(2, seen_upto, deadline_ms, self.clock_ms())
         assert body is not None
-        return HoldAnswer(
+        return WorkerReport(
             body.clock_ms,
             [decode_running(row) for row in body.running],
             [decode_ended(row) for row in body.ended],
             body.born if self.reports_start_time else 0,
         )
 
-    def _start(self, order: StartOrder) -> str:
+    def _start(self, order: StartRequest) -> str:
         body = StartBody(
             encode_task(order.task), order.run, order.spec, order.deadline_ms, 2
         )
@@ -115,7 +115,7 @@
 class UnansweredClient:
     """Simulate a worker that has not answered yet."""
 
-    async def async_hold(self, *_: object) -> HoldAnswer:
+    async def async_poll(self, *_: object) -> WorkerReport:
         await anyio.sleep_forever()
         raise AssertionError
 
@@ -296,15 +296,15 @@
         harness.add(a_step(count=1, long_running=True))
         await harness.async_advance_time(0.3)
         previous = harness.session
-        answer = await harness.worker.async_hold(0, None, 0)
+        answer = await harness.worker.async_poll(0, None, 0)
         released = anyio.Event()
 
-        async def async_delayed_hold(*_: object) -> HoldAnswer:
+        async def async_delayed_hold(*_: object) -> WorkerReport:
             await released.wait()
             return answer
 
         class _DelayedClient:
-            async_hold = staticmethod(async_delayed_hold)
+            async_poll = staticmethod(async_delayed_hold)
 
         previous.client = _DelayedClient()  # type: ignore[assignment]
         harness.dispatcher.on_report = lambda: None
--- a/tests/components/dispatch/test_session.py
+++ b/tests/components/dispatch/test_session.py
@@ -15,7 +15,7 @@
 from mustardward.components.scheduling.scheduler import Scheduler
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.platform.exceptions import CallUnknownError, WrongIncarnationError
-from mustardward.platform.workers import HoldAnswer
+from mustardward.platform.workers import WorkerReport
 
 from ..scheduling.builders import POOL, an_entry
 
@@ -31,11 +31,11 @@
         self.failure: Exception | None = None
         self.acknowledged: list[int] = []
         self.deadlines: list[int | None] = []
-        self.answer = HoldAnswer(5000.0, [], [])
+        self.answer = WorkerReport(5000.0, [], [])
 
-    async def async_hold(
+    async def async_poll(
         self, seen_upto: int, deadline_ms: int | None, wait_ms: int
-    ) -> HoldAnswer:
+    ) -> WorkerReport:
         self.acknowledged.append(seen_upto)
         self.deadlines.append(deadline_ms)
         if self.failure is not None:
--- a/tests/components/fleet/builders.py
+++ b/tests/components/fleet/builders.py
@@ -5,7 +5,7 @@
 from mustardward.components.fleet.models import FleetView, Load, WaveRun
 from mustardward.components.scheduling.demand import PoolLoad
 from mustardward.components.scheduling.inflow import Amount
-from mustardward.platform.models import Instance, Room, UpkeepWave
+from mustardward.platform.models import Instance, MaintenanceWave, Room
 
 POOL = "pool-a"
 OTHER = "pool-b"
@@ -54,7 +54,7 @@
     machines: list[str], max_count: int = 2, duration_s: float = 20.0
 ) -> WaveRun:
     """Return a wave that was just published."""
-    return WaveRun(UpkeepWave(1, machines, duration_s, max_count), 0.0)
+    return WaveRun(MaintenanceWave(1, machines, duration_s, max_count), 0.0)
 
 
 def a_load(
--- a/tests/components/fleet/test_instance_list.py
+++ b/tests/components/fleet/test_instance_list.py
@@ -38,12 +38,12 @@
         self.unreadable_page = -1
         self._bucket = TokenBucket(READS_PER_SECOND, timers.monotonic())
 
-    async def async_page(self, token: str = "") -> FleetPage:
+    async def async_fetch_page(self, token: str = "") -> FleetPage:
         """Return a page, or refuse the read if it exceeds the rate."""
         await self.timers.async_advance(PAGE_SECONDS)
         now = self.timers.monotonic()
-        self._bucket.fill(now, READS_PER_SECOND, READS_PER_SECOND)
-        if not self._bucket.take():
+        self._bucket.refill(now, READS_PER_SECOND, READS_PER_SECOND)
+        if not self._bucket.try_take():
             self.refused_reads += 1
             raise CallRefusedError("status=429")
         self.served_reads += 1
--- a/tests/components/fleet/test_unreadable_rows.py
+++ b/tests/components/fleet/test_unreadable_rows.py
@@ -9,7 +9,7 @@
 from mustardward.components.fleet.services import Fleet
 from mustardward.components.fleet.wave_planner import WavePlanner
 from mustardward.helpers.timer import DrivenTimerService
-from mustardward.platform.models import Instance, UpkeepWave
+from mustardward.platform.models import Instance, MaintenanceWave
 
 from ..scheduling.builders import SchedulerBench, a_job, a_step
 from .builders import an_instance
@@ -20,7 +20,7 @@
 class FleetHarness:
     """Drive a fleet by instance lists and a manual clock."""
 
-    def __init__(self, wave: UpkeepWave) -> None:
+    def __init__(self, wave: MaintenanceWave) -> None:
         self.timers = DrivenTimerService()
         self.bench = SchedulerBench(now=self.timers.monotonic())
         self.wave_planner = WavePlanner(MAINTENANCE_SECONDS)
@@ -55,7 +55,7 @@
 
 def test_an_unreadable_row_does_not_leave_a_worker_cordoned() -> None:
     """Guard against a worker that neither gets tasks again nor is maintained."""
-    fleet = FleetHarness(UpkeepWave(1, ["m-01"], 20.0, 2))
+    fleet = FleetHarness(MaintenanceWave(1, ["m-01"], 20.0, 2))
     worker = fleet.bench.worker("i-01")
     fleet.bench.add(a_job(a_step(count=1, long_running=True)))
     fleet.bench.plan_starts()
--- a/tests/components/forwarding/test_relay.py
+++ b/tests/components/forwarding/test_relay.py
@@ -24,16 +24,16 @@
 from mustardward.components.forwarding.services import PeerOutcome
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.platform.exceptions import CallRefusedError, CallUnknownError
-from mustardward.platform.http import Answer
+from mustardward.platform.http import HttpResponse
 
 pytestmark = pytest.mark.anyio
 
 BASE = "http://store:1"
 APPEND = RelayedCall("POST", "/append", {"seq": "1"}, b"x", 0.7)
 READ = RelayedCall("GET", "/read", {}, None, 5.0, 0.5)
-SERVED = Answer(200, b"ok", CIMultiDictProxy(CIMultiDict()))
-BUSY = Answer(503, b"", CIMultiDictProxy(CIMultiDict()))
-Result = Answer | CallRefusedError | CallUnknownError
+SERVED = HttpResponse(200, b"ok", CIMultiDictProxy(CIMultiDict()))
+BUSY = HttpResponse(503, b"", CIMultiDictProxy(CIMultiDict()))
+Result = HttpResponse | CallRefusedError | CallUnknownError
 
 
 @dataclass
@@ -43,9 +43,9 @@
     result: Result = SERVED
     calls: list[str] = field(default_factory=list)
 
-    async def async_call(self, method: str, url: str, **_: object) -> Answer:
+    async def async_call(self, method: str, url: str, **_: object) -> HttpResponse:
         self.calls.append(f"{method} {url}")
-        if isinstance(self.result, Answer):
+        if isinstance(self.result, HttpResponse):
             return self.result
         raise self.result
 
@@ -88,14 +88,14 @@
             async_probe,
         )
 
-    async def async_call(self, call: RelayedCall = APPEND) -> Answer:
+    async def async_call(self, call: RelayedCall = APPEND) -> HttpResponse:
         return await self.relay.async_call(
             call.method,
             BASE + call.path,
             timeout_seconds=call.timeout_seconds,
             body=call.body,
             params=call.params,
-            silence_seconds=call.silence_seconds,
+            read_timeout_seconds=call.silence_seconds,
         )
 
     def serve_by_peers(self) -> None:
--- a/tests/components/ledger/test_follower.py
+++ b/tests/components/ledger/test_follower.py
@@ -174,11 +174,11 @@
         super().__init__()
         self.requested_after: list[str] = []
 
-    async def async_newest(self, topic: str, after: str = "") -> NewestPage:
+    async def async_read_newest(self, topic: str, after: str = "") -> NewestPage:
         self.requested_after.append(after)
         if len(self.requested_after) % 2 == 0:
             raise CallRefusedError("TimeoutError")
-        return await super().async_newest(topic, after)
+        return await super().async_read_newest(topic, after)
 
 
 async def test_load_resumes_at_the_page_that_failed() -> None:
--- a/tests/components/peers/test_calls.py
+++ b/tests/components/peers/test_calls.py
@@ -178,13 +178,13 @@
     async with running_peers("a") as a, running_peers("b") as b:
         b.handle(Echo, async_slow_first)
         member = build_member("b", b.address)
-        first = await a._channels.async_take(b.address, Purpose.CONTROL)
+        first = await a._channels.async_acquire(b.address, Purpose.CONTROL)
         first.release()
         with pytest.raises(PeerOutcomeUnknownError):
             await a.async_call(member, Echo("slow"), 0.1)
         assert len(a._channels) == 0
         assert (await a.async_call(member, Echo("quick"), PATIENT)).text == "quick"
-        second = await a._channels.async_take(b.address, Purpose.CONTROL)
+        second = await a._channels.async_acquire(b.address, Purpose.CONTROL)
         second.release()
         assert second.channel is not first.channel
         assert not first.channel._connected
--- a/tests/components/scheduling/builders.py
+++ b/tests/components/scheduling/builders.py
@@ -11,7 +11,7 @@
 from mustardward.components.scheduling.scheduler import Scheduler
 from mustardward.components.scheduling.worker_state import WorkerState
 from mustardward.platform.models import Room, SubmittedStep, WorkerEntry
-from mustardward.platform.workers import EndedTask, HoldAnswer, RunningTask, TaskName
+from mustardward.platform.workers import EndedTask, RunningTask, TaskName, WorkerReport
 
 POOL = "pool-a"
 JOB = "00000000000000aa"
@@ -129,7 +129,7 @@
         ended: list[EndedTask] | None = None,
     ) -> None:
         """Apply a worker's report of its running and ended tasks."""
-        answer = HoldAnswer(self.clock_ms, running or [], ended or [])
+        answer = WorkerReport(self.clock_ms, running or [], ended or [])
         self.scheduler.apply_worker_report(name, answer, self.now, self.now)
 
     def report_serving(self, task: Task) -> None:
--- a/tests/components/scheduling/liveness_calls.py
+++ b/tests/components/scheduling/liveness_calls.py
@@ -10,10 +10,10 @@
 from mustardward.platform.exceptions import CallRefusedError, CallUnknownError
 from mustardward.platform.workers import (
     START_TIMEOUT_SECONDS,
-    HoldAnswer,
-    StartAnswer,
-    StartOrder,
+    StartRequest,
+    StartResponse,
     TaskName,
+    WorkerReport,
 )
 
 from .liveness_world import ModelWorker, World
@@ -36,7 +36,7 @@
         self._id = worker_id
         self._token = token
 
-    async def async_start(self, order: StartOrder) -> StartAnswer:
+    async def async_start(self, order: StartRequest) -> StartResponse:
         world = self._world
 
         def execute(worker: ModelWorker) -> str:
@@ -44,7 +44,7 @@
 
         reason = await self._async_call(execute, refusable=True)
         worker = world.workers[self._id]
-        return StartAnswer(worker.clock_ms(world.now), reason)
+        return StartResponse(worker.clock_ms(world.now), reason)
 
     async def async_stop(self, task: TaskName, run: int) -> None:
         world = self._world
@@ -56,12 +56,12 @@
 
         await self._async_call(execute, refusable=False)
 
-    async def async_pace(self, task: TaskName, run: int, percent: int) -> None:
+    async def async_set_speed(self, task: TaskName, run: int, percent: int) -> None:
         await anyio.sleep(CALL_SECONDS)
 
-    async def async_hold(
+    async def async_poll(
         self, seen_upto: int, deadline_ms: int | None, wait_ms: int
-    ) -> HoldAnswer:
+    ) -> WorkerReport:
         world = self._world
         worker = await self._async_reach()
         worker.check_token(self._token)
@@ -121,7 +121,7 @@
     def __init__(self, world: World) -> None:
         self._world = world
 
-    async def async_ask(
+    async def async_request_advice(
         self,
         job: str,
         occurrence: int,
--- a/tests/components/scheduling/liveness_owner.py
+++ b/tests/components/scheduling/liveness_owner.py
@@ -17,7 +17,7 @@
 from mustardward.components.scheduling.models import QueuePolicy
 from mustardward.components.scheduling.scheduler import Scheduler
 from mustardward.platform.models import Room, WorkerEntry
-from mustardward.platform.workers import HoldAnswer, TaskName
+from mustardward.platform.workers import TaskName, WorkerReport
 
 from .liveness_calls import ModelAdvice, ModelClient
 from .liveness_virtual_time import LoopTimers
@@ -147,7 +147,7 @@
         apply: Callable[..., None] = self.scheduler.apply_worker_report
 
         def apply_worker_report(
-            worker_id: str, answer: HoldAnswer, sent_at: float, now: float
+            worker_id: str, answer: WorkerReport, sent_at: float, now: float
         ) -> None:
             if worker_id in self.scheduler.state.workers:
                 for end in answer.ended:
--- a/tests/components/scheduling/liveness_world.py
+++ b/tests/components/scheduling/liveness_world.py
@@ -20,10 +20,10 @@
 from mustardward.platform.models import Room, SubmittedStep, WorkerEntry
 from mustardward.platform.workers import (
     EndedTask,
-    HoldAnswer,
     RunningTask,
-    StartOrder,
+    StartRequest,
     TaskName,
+    WorkerReport,
 )
 
 STOP_SECONDS = 0.5
@@ -160,14 +160,14 @@
             with anyio.move_on_after(seconds):
                 await self._changed.wait()
 
-    def answer(self, seen_upto: int, now: float) -> HoldAnswer:
+    def answer(self, seen_upto: int, now: float) -> WorkerReport:
         """Return the response to a poll, and drop the ends that the owner has seen."""
         self.ended = [ended for ended in self.ended if ended.number > seen_upto]
         rows = [
             RunningTask(run.name, run.run, "", run.percent(now), 0.0)
             for run in self.runs.values()
         ]
-        return HoldAnswer(self.clock_ms(now), rows, list(self.ended), self.born)
+        return WorkerReport(self.clock_ms(now), rows, list(self.ended), self.born)
 
 
 def room_of(step: SubmittedStep) -> Room:
@@ -281,7 +281,7 @@
                 worker.end(member.name, other)
 
     def begin(
-        self, worker: ModelWorker, order: StartOrder, token: int, now: float
+        self, worker: ModelWorker, order: StartRequest, token: int, now: float
     ) -> str:
         """Execute a start; return the reason of a rejection, or an empty string."""
         worker.check_token(token)
--- a/tests/components/scheduling/test_accounting_walks.py
+++ b/tests/components/scheduling/test_accounting_walks.py
@@ -15,7 +15,7 @@
 from mustardward.components.scheduling.models import ACTIVE, Task
 from mustardward.components.scheduling.scheduler_state import SchedulerState
 from mustardward.platform.models import Room
-from mustardward.platform.workers import EndedTask, HoldAnswer, RunningTask, TaskName
+from mustardward.platform.workers import EndedTask, RunningTask, TaskName, WorkerReport
 
 from .builders import a_job, a_step, an_entry
 from .test_quota_walks import ORGANISATIONS, OUTCOMES, WORKERS, QuotaWalk, _Order
@@ -51,7 +51,7 @@
             return
         worker.token = max(worker.token, self.epoch)
         rows = [RunningTask(t, r, "", 50.0, 0.0) for t, r in worker.running.items()]
-        answer = HoldAnswer(0.0, rows, list(worker.ended), worker.born)
+        answer = WorkerReport(0.0, rows, list(worker.ended), worker.born)
         self.scheduler.apply_worker_report(name, answer, self.now, self.now)
         self.orphans_seen += len(known.orphan_steps)
 
--- a/tests/components/scheduling/test_crash_walks.py
+++ b/tests/components/scheduling/test_crash_walks.py
@@ -28,7 +28,7 @@
 from mustardward.components.scheduling.scheduler import Scheduler
 from mustardward.components.scheduling.worker_state import WorkerState
 from mustardward.platform.models import WorkerEntry
-from mustardward.platform.workers import EndedTask, HoldAnswer, RunningTask, TaskName
+from mustardward.platform.workers import EndedTask, RunningTask, TaskName, WorkerReport
 
 from .builders import POOL, a_job, a_step, an_entry
 
@@ -222,7 +222,7 @@
             RunningTask(name, run, "", min(100.0, 1000 * (self.now - began_at)), 0.0)
             for name, (run, began_at) in worker.runs.items()
         ]
-        answer = HoldAnswer(1000 * self.now, rows, worker.ended, worker.born)
+        answer = WorkerReport(1000 * self.now, rows, worker.ended, worker.born)
         worker.ended = []
         self._scheduler.apply_worker_report(worker.id, answer, self.now, self.now)
 
--- a/tests/components/scheduling/test_quota_walks.py
+++ b/tests/components/scheduling/test_quota_walks.py
@@ -29,9 +29,9 @@
 from mustardward.platform.models import Room
 from mustardward.platform.workers import (
     EndedTask,
-    HoldAnswer,
     RunningTask,
     TaskName,
+    WorkerReport,
     encode_task,
 )
 
@@ -220,7 +220,7 @@
             if end.how == "done":
                 assert self.started_at[end.task] < at, "started after it was done"
                 self.known_done.add(end.task)
-        answer = HoldAnswer(0.0, rows, list(worker.ended), worker.born)
+        answer = WorkerReport(0.0, rows, list(worker.ended), worker.born)
         self.scheduler.apply_worker_report(name, answer, self.now, self.now)
 
     def execute_late(self, name: str, number: int) -> None:
--- a/tests/components/scheduling/test_run_logger.py
+++ b/tests/components/scheduling/test_run_logger.py
@@ -7,7 +7,7 @@
 import pytest
 
 from mustardward.components.scheduling.run_logger import MAX_RUNS_PER_LINE
-from mustardward.helpers.bounded_output import LINES_A_SECOND
+from mustardward.helpers.bounded_output import MAX_LINES_PER_SECOND
 
 from .builders import SchedulerBench, a_job, a_step
 
@@ -38,7 +38,7 @@
     started = lines_of(caplog, "runs_started")
     logged_runs = [match for line in started for match in RUN.findall(line)]
     assert len(logged_runs) == len(starts) == 480
-    assert len(started) == 60 <= LINES_A_SECOND * 0.4
+    assert len(started) == 60 <= MAX_LINES_PER_SECOND * 0.4
     for start in starts:
         bench.end(start.task, "done")
     bench.plan()
--- a/tests/helpers/test_bounded_output.py
+++ b/tests/helpers/test_bounded_output.py
@@ -4,7 +4,7 @@
 
 import logging
 
-from mustardward.helpers.bounded_output import MOST_LINES, BoundedOutput
+from mustardward.helpers.bounded_output import MAX_PENDING_LINES, BoundedOutput
 
 
 class _Reader:
@@ -37,8 +37,8 @@
 def test_a_reader_that_stops_does_not_stop_the_process() -> None:
     reader = _Reader()
     reader.blocked = True
-    output = BoundedOutput(reader.write, lambda: 0.0, lines_a_second=10**6)
-    for number in range(MOST_LINES + 5):
+    output = BoundedOutput(reader.write, lambda: 0.0, max_lines_per_second=10**6)
+    for number in range(MAX_PENDING_LINES + 5):
         output.emit(a_line(f"event=line number={number}"))
     output.flush_some()
     reader.blocked = False
@@ -50,7 +50,7 @@
 
 def test_lines_beyond_the_rate_are_counted_and_warnings_stay() -> None:
     reader = _Reader()
-    output = BoundedOutput(reader.write, lambda: 0.0, lines_a_second=2)
+    output = BoundedOutput(reader.write, lambda: 0.0, max_lines_per_second=2)
     for number in range(5):
         output.emit(a_line(f"event=line-{number} number={number}"))
     output.emit(a_line("event=bad", logging.WARNING))
@@ -71,7 +71,7 @@
     used up. Cause: the first lines of a second were kept, of whatever kind.
     """
     reader = _Reader()
-    output = BoundedOutput(reader.write, lambda: 0.0, lines_a_second=10)
+    output = BoundedOutput(reader.write, lambda: 0.0, max_lines_per_second=10)
     for number in range(50):
         output.emit(a_line(f"event=frequent number={number}"))
     output.emit(a_line("event=rare"))
--- a/tests/helpers/test_duty.py
+++ b/tests/helpers/test_duty.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from mustardward.helpers.duty import Duty
+from mustardward.helpers.duty import DutyCycle
 
 
 def test_cheap_work_is_done_as_often_as_wanted() -> None:
-    assert Duty(0.1, 0.2, 10.0).pause(0.0) == 0.1
-    assert Duty(0.1, 0.2, 10.0).pause(0.02) == 0.1
+    assert DutyCycle(0.1, 0.2, 10.0).pause(0.0) == 0.1
+    assert DutyCycle(0.1, 0.2, 10.0).pause(0.02) == 0.1
 
 
 @pytest.mark.parametrize("spent", [0.03, 0.1, 2.0])
@@ -18,7 +18,7 @@
 
     Load: looking over the instances takes a third of its time, ten times a second.
     """
-    pause = Duty(0.1, 0.2, 10.0).pause(spent)
+    pause = DutyCycle(0.1, 0.2, 10.0).pause(spent)
     assert spent / (spent + pause) == pytest.approx(0.2)
 
 
@@ -28,4 +28,4 @@
     Sequence: it was stopped in the middle of a look, and went on. Cause: the time until
     then counted as work.
     """
-    assert Duty(0.1, 0.15, 2.0).pause(4.0) == 2.0
+    assert DutyCycle(0.1, 0.15, 2.0).pause(4.0) == 2.0
--- a/tests/node/test_main.py
+++ b/tests/node/test_main.py
@@ -43,7 +43,7 @@
                 await anyio.sleep_forever()
             os.kill(os.getpid(), signal.SIGTERM)
 
-        async def async_leave(self) -> None:
+        async def async_shut_down(self) -> None:
             told.append("left")
 
     monkeypatch.setattr(program, "Node", _Node)
@@ -55,7 +55,7 @@
 ) -> None:
     """Symptom: an entry is gone, with code 0 and no line; nobody stopped it."""
     told = a_node(monkeypatch, ends_itself=True)
-    with pytest.raises(program.UnaskedEndError):
+    with pytest.raises(program.UnexpectedExitError):
         await program.async_main(BOOT, an_output())
     assert told == []
 
--- a/tests/platform/test_callers.py
+++ b/tests/platform/test_callers.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from mustardward.platform.callers import MOST_KEY_LENGTH, decode_key
+from mustardward.platform.callers import MAX_KEY_LENGTH, decode_key
 
 
 @pytest.mark.parametrize(
@@ -16,8 +16,8 @@
         ("Token", ""),
         ("abc", ""),
         ("Bearer abc", ""),
-        ("Token " + "x" * MOST_KEY_LENGTH, "x" * MOST_KEY_LENGTH),
-        ("Token " + "x" * (MOST_KEY_LENGTH + 1), ""),
+        ("Token " + "x" * MAX_KEY_LENGTH, "x" * MAX_KEY_LENGTH),
+        ("Token " + "x" * (MAX_KEY_LENGTH + 1), ""),
     ],
 )
 def test_a_key_stands_behind_its_scheme(header: str, key: str) -> None:
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -18,10 +18,10 @@
 from multidict import CIMultiDict, CIMultiDictProxy
 
 from mustardward.platform.callers import decode_job
-from mustardward.platform.entries import MOST_ENTRY_BYTES, decode_worker_entry
+from mustardward.platform.entries import MAX_ENTRY_BYTES, decode_worker_entry
 from mustardward.platform.exceptions import MalformedJobError, UnreadableRecordError
 from mustardward.platform.fleet import FleetClient
-from mustardward.platform.http import Answer
+from mustardward.platform.http import HttpResponse
 from mustardward.platform.models import Room
 from mustardward.platform.store import StoreClient, decode_keyed, encode_keyed
 
@@ -94,7 +94,7 @@
         b"[]",
         b'"ready"',
         b"[" * 10_000,
-        encoded(labels=["x" * 150] * (MOST_ENTRY_BYTES // 150)),
+        encoded(labels=["x" * 150] * (MAX_ENTRY_BYTES // 150)),
         encoded().replace(b"rack-1", b"rack\xff1"),
     ],
 )
@@ -159,8 +159,8 @@
     def __init__(self, body: object) -> None:
         self._body = msgspec.json.encode(body)
 
-    async def async_call(self, *_: object, **__: object) -> Answer:
-        return Answer(200, self._body, CIMultiDictProxy(CIMultiDict()))
+    async def async_call(self, *_: object, **__: object) -> HttpResponse:
+        return HttpResponse(200, self._body, CIMultiDictProxy(CIMultiDict()))
 
 
 def item(key: object, value: object, offset: object = 3) -> dict[str, object]:
@@ -173,7 +173,7 @@
     items = [item("a", good), item(None, good), item("c", "%%%"), item("d", good, "x")]
     body = {"items": [*items, item("e", good), item("f", 7)], "end": 8}
     client = StoreClient(_OneAnswer({**body, "more-pages": True}), "s:1")  # type: ignore[arg-type]
-    page = await client.async_newest("keyed.t")
+    page = await client.async_read_newest("keyed.t")
     assert [record.key for record in page.records] == ["a", "e"]
     # The next page begins behind the last key, though its record was left out.
     assert (page.more, page.after) == (True, "f")
@@ -185,11 +185,11 @@
     good = {"machine": "m-1", "pool": "pool-a", "state": "up", "id": "w-1"}
     bad = [{"machine": 1}, None, {**good, "capacity": {"cpu": -5}}]
     client = FleetClient(_OneAnswer({"machines": [good, *bad]}), "c:1", "h")  # type: ignore[arg-type]
-    listed = await client.async_page()
+    listed = await client.async_fetch_page()
     assert [row.machine for row in listed.instances] == ["m-1"]
     assert not listed.complete
     client = FleetClient(_OneAnswer({"machines": [good]}), "c:1", "h")  # type: ignore[arg-type]
-    assert (await client.async_page()).complete
+    assert (await client.async_fetch_page()).complete
 
 
 @pytest.mark.parametrize(
--- a/tests/platform/test_http.py
+++ b/tests/platform/test_http.py
@@ -219,13 +219,13 @@
     async with a_server(async_serve) as server:
         began = time.monotonic()
         with pytest.raises(CallUnknownError):
-            await async_get(HttpCaller(), server, silence_seconds=0.15)
+            await async_get(HttpCaller(), server, read_timeout_seconds=0.15)
         assert 0.15 < time.monotonic() - began < 0.9
 
 
 async def test_calls_beyond_the_most_connections_wait_for_one() -> None:
     async with a_server(answering(*[an_answer()] * 9)) as server:
-        http = HttpCaller(connections_a_host=2)
+        http = HttpCaller(max_connections_per_host=2)
         async with anyio.create_task_group() as tasks:
             for _ in range(8):
                 tasks.start_soon(async_post, http, server)
@@ -241,7 +241,7 @@
         writer.write(an_answer())
 
     async with a_server(async_serve) as server:
-        http = HttpCaller(connections_a_host=1)
+        http = HttpCaller(max_connections_per_host=1)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(async_post, http, server)
             await anyio.sleep(0.02)
@@ -277,7 +277,7 @@
 async def test_hosts_that_went_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
     """Symptom: descriptors run out on a day with many moved instances."""
     monkeypatch.setattr("mustardward.platform.http.KEEP_ALIVE_SECONDS", 0.0)
-    monkeypatch.setattr("mustardward.platform.http.FORGET_SECONDS", 0.0)
+    monkeypatch.setattr("mustardward.platform.http.PRUNE_INTERVAL_SECONDS", 0.0)
     http = HttpCaller()
     for _ in range(5):
         async with a_server(answering(an_answer())) as server:
--- a/tests/platform/test_http_holds.py
+++ b/tests/platform/test_http_holds.py
@@ -11,7 +11,7 @@
 
 from mustardward.platform import http as http_module
 from mustardward.platform.exceptions import CallRefusedError, CallUnknownError
-from mustardward.platform.http import CONNECTIONS_A_HOST, HttpCaller, _Host
+from mustardward.platform.http import MAX_CONNECTIONS_PER_HOST, HttpCaller, _Host
 
 from .test_http import a_server, an_answer, async_post, async_read_request
 
@@ -65,7 +65,7 @@
                 tasks.start_soon(async_call, patience, timeout)
                 await anyio.sleep(draw.choice([0.0, 0.0, 0.001]))
         (host,) = hosts_of(http)
-        assert host._open == len(host._idle) <= CONNECTIONS_A_HOST
+        assert host._open == len(host._idle) <= MAX_CONNECTIONS_PER_HOST
         assert not host._waiters
         await http.async_close()
         assert host._open == 0
