--- a/bench/history/removals.py
+++ b/bench/history/removals.py
@@ -44,7 +44,7 @@
 
 def remove_budget_recheck() -> None:
     """Neither refuse a reboot nor give a claim back for failures since the claim."""
-    from mustardward.components.maintenance.claim_steps import ClaimProcessor
+    from mustardward.components.maintenance.claim_processor import ClaimProcessor
     from mustardward.state.handlers import maintenance
 
     setattr(ClaimProcessor, "check_budget", lambda *arguments: None)  # noqa: B010
--- a/bench/planner_baselines.py
+++ b/bench/planner_baselines.py
@@ -10,14 +10,14 @@
 
 from returns.result import Success
 
+from mustardward.components.maintenance.plan_budgets import PlanBudgets
 from mustardward.components.maintenance.plan_models import (
     Plan,
     PlanInput,
     PlanInstance,
     PlanMetrics,
 )
-from mustardward.components.maintenance.plan_tasks import TaskSimulation
-from mustardward.components.maintenance.plan_units import PlanBudgets
+from mustardward.components.maintenance.task_simulation import TaskSimulation
 from mustardward.state.fleet import FleetState
 from mustardward.state.fold import Fold
 from mustardward.state.handlers.all import FLEET_HANDLERS
--- a/mustardward/components/keys.py
+++ b/mustardward/components/keys.py
@@ -31,7 +31,7 @@
     from .entry.service import EntryService
     from .explain.service import Explainer
     from .jobs.protocols import JobService
-    from .maintenance.pool_look import PoolProber
+    from .maintenance.pool_prober import PoolProber
     from .membership.protocols import Membership
     from .peers.protocols import Peers
     from .reports.service import BurnReporter
--- a/mustardward/components/maintenance/api.py
+++ b/mustardward/components/maintenance/api.py
@@ -17,7 +17,7 @@
 from ..api.routes import ApiAnswer, ApiRequest, api_route
 from ..keys import FLEET_LOG, WORK_LOG
 from .plan_bounds import canary_bound, rollout_bound
-from .plan_facts import build_plan_input, running_tasks
+from .plan_inputs import build_plan_input, running_tasks
 from .plan_models import Plan, PlanInput
 from .planner import async_plan_wave
 
--- a/mustardward/components/maintenance/claim_steps.py
+++ b/mustardward/components/maintenance/claim_processor.py
@@ -25,7 +25,7 @@
     ClaimStage,
     WaveStatus,
 )
-from .claim_records import ClaimRecorder
+from .claim_recorder import ClaimRecorder
 from .const import (
     CONFIRM_TIMEOUT_SECONDS,
     DRAIN_START_TIMEOUT_SECONDS,
@@ -34,8 +34,8 @@
     REBOOT_TIMEOUT_SECONDS,
 )
 from .decisions import DecisionJournal
-from .evidence import count_unreported_failures
 from .models import ExecutorDependencies, Outcome
+from .unreported_failures import count_unreported_failures
 
 _LOGGER = get_logger(__name__)
 
--- a/mustardward/components/maintenance/plan_bounds.py
+++ b/mustardward/components/maintenance/plan_bounds.py
@@ -4,8 +4,8 @@
 
 import math
 
+from .plan_budgets import PlanBudgets, group_by_unit
 from .plan_models import PlanInput, PoolUnit
-from .plan_units import PlanBudgets, group_by_unit
 
 
 def rounds(instances: int, concurrency: int) -> int:
--- a/mustardward/components/maintenance/planned_pacing.py
+++ b/mustardward/components/maintenance/planned_strategy.py
@@ -10,9 +10,9 @@
 from ...state.models.pools import Instance
 from ...state.work import WorkState
 from .const import DEFAULT_GRACE_SECONDS, LIMITS_TTL_SECONDS, TASK_COUNT_TTL_SECONDS
-from .plan_facts import Tasks, build_wave_input, running_tasks
+from .plan_inputs import Tasks, build_wave_input, running_tasks
 from .plan_models import PoolUnit, RolloutLimits
-from .plan_paces import choose_limits
+from .rollout_limits import choose_limits
 
 _DEFAULT_LIMITS = RolloutLimits(1, DEFAULT_GRACE_SECONDS)
 
--- a/mustardward/components/maintenance/planner.py
+++ b/mustardward/components/maintenance/planner.py
@@ -13,6 +13,7 @@
 import anyio.lowlevel
 
 from ...state.handlers.waves import growth_limit
+from .plan_budgets import PlanBudgets, group_by_unit
 from .plan_models import (
     Plan,
     PlanInput,
@@ -22,9 +23,8 @@
     PoolUnit,
     RolloutLimits,
 )
-from .plan_paces import choose_limits
-from .plan_tasks import TaskSimulation
-from .plan_units import PlanBudgets, group_by_unit
+from .rollout_limits import choose_limits
+from .task_simulation import TaskSimulation
 
 
 def plan_wave(plan_input: PlanInput) -> Plan:
--- a/mustardward/components/maintenance/plan_paces.py
+++ b/mustardward/components/maintenance/rollout_limits.py
@@ -13,8 +13,8 @@
 
 from ...state.models.templates import PlanWeights
 from .plan_bounds import rounds
+from .plan_budgets import PlanBudgets, combine_weights, group_by_unit
 from .plan_models import PlanInput, PlanInstance, PoolUnit, RolloutLimits
-from .plan_units import PlanBudgets, combine_weights, group_by_unit
 
 MAX_DURATION_RATIO: Final = 1.25
 """How much longer than its bound a wave may take for the sake of other measures."""
--- a/mustardward/components/maintenance/setup.py
+++ b/mustardward/components/maintenance/setup.py
@@ -22,10 +22,10 @@
 from .const import REPORT_INTERVAL_SECONDS, STEP_INTERVAL_SECONDS
 from .messages import ProbePool
 from .models import ExecutorDependencies, executor_name
-from .planned_pacing import PlannedRolloutStrategy
-from .pool_look import PoolProber
-from .services import WaveExecutor
-from .silence_reporter import ReachabilityReporter
+from .planned_strategy import PlannedRolloutStrategy
+from .pool_prober import PoolProber
+from .reachability_reporter import ReachabilityReporter
+from .wave_executor import WaveExecutor
 
 
 async def async_setup_maintenance(core: Core) -> Unload:
--- a/mustardward/components/maintenance/services.py
+++ b/mustardward/components/maintenance/wave_executor.py
@@ -27,12 +27,11 @@
     WaveStatus,
 )
 from ..explain.models import SubjectKind
-from .claim_steps import ClaimProcessor
+from .claim_processor import ClaimProcessor
 from .const import CLAIM_PRIORITY, MAX_CLAIMS_PER_STEP, RESELECT_INTERVAL_SECONDS
 from .decisions import DecisionJournal, record_selection
-from .evidence import count_unreported_failures
 from .models import ExecutorDependencies, executor_name
-from .pacing import RolloutStrategy
+from .rollout_strategy import RolloutStrategy
 from .selection import (
     Selection,
     SelectionContext,
@@ -40,6 +39,7 @@
     abort_rank,
     select_claims,
 )
+from .unreported_failures import count_unreported_failures
 
 _LOGGER = get_logger(__name__)
 
--- a/mustardward/components/pools/api.py
+++ b/mustardward/components/pools/api.py
@@ -111,7 +111,7 @@
         raise PoolUnknownError(f"instance={model.instance_id}")
     look = request.core.find(POOL_PROBER)
     if look is not None:
-        # A move takes an instance out as a wave does; see maintenance/pool_look.py.
+        # A move takes an instance out as a wave does; see maintenance/pool_prober.py.
         await look.async_probe(instance.pool)
     members = request.core.get(MEMBERSHIP).members(instance.data_centre)
     if not members:
--- a/tests/cli/test_waves.py
+++ b/tests/cli/test_waves.py
@@ -19,7 +19,7 @@
 from mustardward.components.pools.api import EntriesUnknownError
 from mustardward.state.budgets import BudgetExceededError
 from mustardward.state.models.pools import Pool
-from tests.components.maintenance.site import FIRST, MaintenanceHarness
+from tests.components.maintenance.harness import FIRST, MaintenanceHarness
 from tests.fakes.routes import async_route
 
 
--- a/tests/components/maintenance/site.py
+++ b/tests/components/maintenance/harness.py
@@ -9,7 +9,7 @@
     ExecutorDependencies,
     executor_name,
 )
-from mustardward.components.maintenance.services import WaveExecutor
+from mustardward.components.maintenance.wave_executor import WaveExecutor
 from mustardward.core import EventBus
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.state.models.maintenance import ScheduleWave, SignalWave
--- a/tests/components/maintenance/test_api.py
+++ b/tests/components/maintenance/test_api.py
@@ -11,7 +11,7 @@
 from mustardward.components.maintenance import api
 from mustardward.core import Core
 from mustardward.state.fold import RevisionConflictError
-from tests.components.maintenance.site import FIRST, MaintenanceHarness
+from tests.components.maintenance.harness import FIRST, MaintenanceHarness
 
 pytestmark = pytest.mark.anyio
 
--- a/tests/components/maintenance/test_pacing.py
+++ b/tests/components/maintenance/test_planned_strategy.py
@@ -6,11 +6,11 @@
     LIMITS_TTL_SECONDS,
     TASK_COUNT_TTL_SECONDS,
 )
-from mustardward.components.maintenance.planned_pacing import PlannedRolloutStrategy
+from mustardward.components.maintenance.planned_strategy import PlannedRolloutStrategy
 from mustardward.state.models.jobs import Job
 from mustardward.state.models.templates import PlanWeights
 from mustardward.state.work import WorkState
-from tests.components.maintenance.site import FIRST, SECOND, MaintenanceHarness
+from tests.components.maintenance.harness import FIRST, SECOND, MaintenanceHarness
 
 MOVES_FIRST = PlanWeights(buffer=1.0, rollout=1.0, moves=8.0)
 
--- a/tests/components/maintenance/test_planner.py
+++ b/tests/components/maintenance/test_planner.py
@@ -7,7 +7,7 @@
 import pytest
 
 from mustardward.components.maintenance.plan_bounds import canary_bound, rollout_bound
-from mustardward.components.maintenance.plan_facts import build_plan_input
+from mustardward.components.maintenance.plan_inputs import build_plan_input
 from mustardward.components.maintenance.plan_models import Plan, PlanInput, PlanTask
 from mustardward.components.maintenance.planner import plan_wave
 from mustardward.state.models.maintenance import (
--- a/tests/components/maintenance/test_pool_look.py
+++ b/tests/components/maintenance/test_pool_prober.py
@@ -8,14 +8,14 @@
 import pytest
 
 from mustardward.components.maintenance.messages import ProbePool
-from mustardward.components.maintenance.pool_look import PoolProber
-from mustardward.components.maintenance.services import WaveExecutor
+from mustardward.components.maintenance.pool_prober import PoolProber
+from mustardward.components.maintenance.wave_executor import WaveExecutor
 from mustardward.components.peers.protocols import Peers
 from mustardward.exceptions import PeerError, PlatformUnavailableError
 from mustardward.standin.protocol.models import WorkerUsage
 from mustardward.standin.protocol.protocols import WorkerService
 from mustardward.state.models.pools import AddInstance
-from tests.components.maintenance.site import FIRST, FixedPacing, MaintenanceHarness
+from tests.components.maintenance.harness import FIRST, FixedPacing, MaintenanceHarness
 from tests.fakes.waves import build_member
 
 pytestmark = pytest.mark.anyio
--- a/tests/components/maintenance/test_reporters.py
+++ b/tests/components/maintenance/test_reporters.py
@@ -5,12 +5,14 @@
 import pytest
 
 from mustardward.components.maintenance.absence_reporter import AbsenceReporter
-from mustardward.components.maintenance.silence_reporter import ReachabilityReporter
+from mustardward.components.maintenance.reachability_reporter import (
+    ReachabilityReporter,
+)
 from mustardward.components.maintenance.windows import is_window_open
 from mustardward.standin.protocol.models import ListedInstance, ListedState, PowerState
 from mustardward.state.models.maintenance import ReportAbsences, ReportSilence
 from mustardward.state.models.templates import MaintenanceWindow
-from tests.components.maintenance.site import FIRST, SECOND, MaintenanceHarness
+from tests.components.maintenance.harness import FIRST, SECOND, MaintenanceHarness
 
 pytestmark = pytest.mark.anyio
 
--- a/tests/components/maintenance/test_executor.py
+++ b/tests/components/maintenance/test_wave_executor.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from mustardward.components.maintenance import services
+from mustardward.components.maintenance import wave_executor
 from mustardward.components.maintenance.const import (
     DRAIN_START_TIMEOUT_SECONDS,
     REBOOT_TIMEOUT_SECONDS,
     RESELECT_INTERVAL_SECONDS,
 )
 from mustardward.components.maintenance.selection import Selection, select_claims
-from mustardward.components.maintenance.services import WaveExecutor
+from mustardward.components.maintenance.wave_executor import WaveExecutor
 from mustardward.exceptions import StaleGenerationError
 from mustardward.standin.protocol.models import PowerState
 from mustardward.state.models.maintenance import (
@@ -22,7 +22,7 @@
     TakeClaim,
 )
 from mustardward.state.models.templates import MaintenanceWindow
-from tests.components.maintenance.site import FIRST, SECOND, MaintenanceHarness
+from tests.components.maintenance.harness import FIRST, SECOND, MaintenanceHarness
 from tests.fakes.waves import build_member
 
 pytestmark = pytest.mark.anyio
@@ -171,7 +171,7 @@
         searches.append("search")
         return select_claims(*arguments)
 
-    monkeypatch.setattr(services, "select_claims", search)
+    monkeypatch.setattr(wave_executor, "select_claims", search)
     await take_to(site, executor, "rebooting")
     await executor.async_step()
     before = len(searches)
--- a/tests/components/pools/test_moves.py
+++ b/tests/components/pools/test_moves.py
@@ -18,7 +18,7 @@
 from mustardward.state.handlers.pools import MoveInProgressError
 from mustardward.state.models.maintenance import TakeClaim
 from mustardward.state.models.pools import CancelMove, Pool, RequestMove
-from tests.components.maintenance.site import FIRST, MaintenanceHarness
+from tests.components.maintenance.harness import FIRST, MaintenanceHarness
 from tests.fakes.waves import build_member
 
 pytestmark = pytest.mark.anyio
