--- a/mustardward/components/maintenance/absence_reporter.py
+++ b/mustardward/components/maintenance/absence_reporter.py
@@ -1,4 +1,4 @@
-"""Report failed and returned instances of the own data centre, coalesced."""
+"""Report failed and returned instances of this data centre in batches."""
 
 from __future__ import annotations
 
@@ -33,17 +33,17 @@
 
 @dataclass(slots=True, eq=False)
 class _Backoff:
-    """Hold when an absent instance may next be called up, and how long it waits."""
+    """Hold when the return of an absent instance is next checked, and the backoff."""
 
     due: float
     seconds: float = RETURN_BACKOFF_SECONDS
 
 
 class AbsenceReporter:
-    """Fold what membership, the list and the pool service show of failures.
+    """Report failures found by membership, the instance list and the power service.
 
-    Only one entry of a data centre reports at a time; two would cost a second record
-    and change nothing.
+    One entry node of a data centre reports at a time. Concurrent reporters are harmless
+    but append duplicate records.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         self._backoffs: dict[str, _Backoff] = {}
 
     async def async_step(self) -> None:
-        """Look for changes and report all that there are in one record."""
+        """Check suspected and absent instances and report all changes in one record."""
         log = self._dependencies.log
         if not log.ready or not self._dependencies.membership.owns_duty(DUTY_ABSENCES):
             self._suspected_since.clear()
@@ -136,7 +136,7 @@
         try:
             power = await self._dependencies.power.async_get(name)
         except PlatformRefusedError:
-            # The platform knows no such instance, so it will not come back by itself.
+            # The platform does not know the instance, so it cannot return by itself.
             changes.append(AbsenceChange(name, False, 0, CAUSE_FAILED))
             return
         except PlatformError:
@@ -168,17 +168,17 @@
         if absence is None or power.state is not PowerState.SERVING:
             backoff.due = now + RETURN_BACKOFF_SECONDS
             return
-        # The platform may call an instance serving that no entry reaches. It would go
-        # in and out of the log for ever; so each return makes the next one later.
+        # The platform may report an instance as serving that no entry node can reach.
+        # The backoff keeps it from alternating between absent and returned in the log.
         backoff.seconds = min(backoff.seconds * 2, MAX_RETURN_BACKOFF_SECONDS)
         backoff.due = now + backoff.seconds
         changes.append(AbsenceChange(name, True, power.boot, absence.cause))
 
     async def _async_return_orphaned(self, power: InstancePower) -> None:
-        """Return an instance that a claim or move of ours drained and nobody holds.
+        """Return a drained instance to service whose claim or move no longer exists.
 
-        Its executor died between the record that ended it and the call, or a cancelled
-        move left it drained; without this it would stay out of use for ever.
+        Its executor stopped after the record that ended the claim and before the call,
+        or a cancelled move left it drained. It would otherwise never serve again.
         """
         log = self._dependencies.log
         held = {*log.state.claims, *log.state.moves}
--- a/mustardward/components/maintenance/api.py
+++ b/mustardward/components/maintenance/api.py
@@ -1,4 +1,4 @@
-"""Let operators schedule, watch and steer waves."""
+"""Provide the operator API for waves."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 
 class WaveUnknownError(MustardwardError):
-    """Report that no wave, pool or instance of this name is known."""
+    """Raised for an unknown wave or pool."""
 
     code = "wave-unknown"
 
 
 class SignalUnknownError(MustardwardError):
-    """Report a signal that operators do not give."""
+    """Raised for a signal that is not an operator signal."""
 
     code = "signal-unknown"
 
@@ -61,7 +61,7 @@
 
 @api_route("GET", "/waves", "List the waves")
 async def async_list(request: ApiRequest) -> ApiAnswer:
-    """Return a line for each wave."""
+    """Return a summary of each wave."""
     state = request.core.get(FLEET_LOG).state
     return ApiAnswer(
         [_summarize(state, wave) for _, wave in sorted(state.waves.items())]
@@ -70,7 +70,7 @@
 
 @api_route("GET", "/waves/{wave_id}", "Show how far a wave is")
 async def async_show(request: ApiRequest) -> ApiAnswer:
-    """Return a wave with its claims, and what holds it back."""
+    """Return a wave with its claims and the budgets that block it."""
     state = request.core.get(FLEET_LOG).state
     wave = _get_wave(state, request.path["wave_id"])
     claims = [
@@ -123,7 +123,7 @@
 
 @api_route("POST", "/wave-plans", "Plan a wave without scheduling it", WaveModel)
 async def async_plan(request: ApiRequest) -> ApiAnswer:
-    """Return what would be taken when, and which budgets bind."""
+    """Return the planned steps and the binding budgets."""
     model: WaveModel = request.model
     state = request.core.get(FLEET_LOG).state
     missing = [pool for pool in model.pools if pool not in state.pools]
@@ -141,7 +141,7 @@
 
 
 def describe_plan(plan_input: PlanInput, plan: Plan) -> dict[str, Any]:
-    """Return a plan as JSON can hold it."""
+    """Return a plan as a JSON-compatible dictionary."""
     return {
         "rollout_seconds": plan.metrics.rollout_seconds,
         "rollout_bound_seconds": rollout_bound(plan_input),
@@ -215,7 +215,7 @@
 
 
 def _binding_budgets(state: FleetState, wave: Wave) -> list[dict[str, Any]]:
-    """Return the budgets that let no further pending instance go."""
+    """Return the budgets that allow no further pending instance to be claimed."""
     index = index_of(state)
     units = {
         (item.pool, item.data_centre)
--- a/mustardward/components/maintenance/claim_processor.py
+++ b/mustardward/components/maintenance/claim_processor.py
@@ -1,7 +1,7 @@
-"""Take one claim a step further: drain, reboot, wait for the return, give back.
+"""Process claims: drain, reboot, wait for the return and release.
 
-Every step may be repeated by another executor: platform operations are named after the
-claim's first generation, and carry the present one.
+Another executor may repeat any step: the ids of platform operations contain the first
+generation of the claim, and the calls carry its current generation.
 """
 
 from __future__ import annotations
@@ -45,10 +45,10 @@
 
 
 class ClaimProcessor:
-    """Carry out claims.
+    """Process the claims of one executor.
 
-    :param patience: seconds for which work on an instance of a pool may end by itself
-        before long work is moved away.
+    :param grace_seconds: returns the seconds for which a drain in a pool waits for work
+        to complete before it moves jobs away.
     """
 
     def __init__(
@@ -64,15 +64,15 @@
         self._excluded_until: dict[str, float] = {}
 
     async def async_step(self, claim: Claim) -> None:
-        """Take a claim one step further; a platform failure leaves it for later."""
+        """Process the current stage of a claim; a platform error postpones it."""
         try:
             if self._must_abort(claim):
                 await self.async_abort(claim, self._abort_cause(claim))
                 return
             await STAGES[claim.stage](self, claim)
         except StaleGenerationError as error:
-            # Another executor adopted the claim and has called already; its record is
-            # on the way. Going on here would steer one instance from two places.
+            # Another executor has adopted the claim and called the platform, but its
+            # record is not applied here yet. Only one may control the instance.
             self._recorder.record(claim, "claim-fenced", error.code)
         except (PlatformUnavailableError, PlatformOutcomeUnknownError) as error:
             _LOGGER.warning(
@@ -87,7 +87,7 @@
             )
 
     async def async_abort(self, claim: Claim, cause: str) -> None:
-        """Let an instance serve again without a reboot, and end its claim."""
+        """Return an instance to service without a reboot and release its claim."""
         power = await self._dependencies.power.async_get(claim.instance_id)
         if power.state is PowerState.DOWN:
             await self._recorder.async_release(
@@ -103,21 +103,21 @@
                 claim, Outcome.GIVEN_BACK, power.boot, cause
             )
 
-    def seconds_in_stage(self, claim: Claim) -> float:
-        """Return the seconds for which this process has seen the claim's stage."""
+    def stage_seconds(self, claim: Claim) -> float:
+        """Return the seconds since this process first observed the stage of a claim."""
         key = (claim.instance_id, claim.taken, claim.stage)
         now = self._dependencies.timers.monotonic()
         return now - self._stage_since.setdefault(key, now)
 
     def excluded_instances(self) -> frozenset[str]:
-        """Return the instances that could not be drained a while ago."""
+        """Return the instances that recently could not be drained."""
         now = self._dependencies.timers.monotonic()
         return frozenset(
             name for name, until in self._excluded_until.items() if now < until
         )
 
     def prune(self) -> None:
-        """Drop what was kept of claims that ended or moved on."""
+        """Remove the data of past stages and expired exclusions."""
         claims = self._dependencies.log.state.claims
         self._excluded_until = {
             name: self._excluded_until[name] for name in self.excluded_instances()
@@ -138,8 +138,8 @@
         wave = self._dependencies.log.state.waves[claim.wave_id]
         if wave.status != WaveStatus.RUNNING:
             return f"wave-{wave.status}"
-        # Without the tail nobody can tell how much margin is left, so a drained
-        # instance only costs capacity. To serve again is always safe.
+        # Without a recent log tail the remaining margin is unknown, so no reboot can
+        # start and a drained instance only costs capacity. A return is always safe.
         if self._dependencies.log.tail_age_seconds() > MAX_DRAIN_TAIL_AGE_SECONDS:
             return "tail-lost"
         return ""
@@ -157,10 +157,10 @@
                 claim.instance_id, _operation(claim, "drain"), claim.generation
             )
         except PlatformUnavailableError:
-            if self.seconds_in_stage(claim) < DRAIN_START_TIMEOUT_SECONDS:
+            if self.stage_seconds(claim) < DRAIN_START_TIMEOUT_SECONDS:
                 raise
-            # The platform does not reach the instance. Held on to, it would keep the
-            # wave from ending, and its place in the wave from others.
+            # The platform cannot reach the instance. Keeping the claim would block its
+            # slot for other instances and prevent the wave from finishing.
             now = self._dependencies.timers.monotonic()
             self._excluded_until[claim.instance_id] = now + EXCLUSION_SECONDS
             await self.async_abort(claim, "undrainable")
@@ -172,10 +172,8 @@
         power = await self._dependencies.power.async_get(claim.instance_id)
         if await self._async_abort_if_changed(claim, power):
             return
-        # Work that ends by itself is not moved; a move puts an answer at risk.
-        if power.running > 0 and self.seconds_in_stage(claim) < self._get_grace_seconds(
-            claim
-        ):
+        # Moving work puts its response at risk, so work that completes is not moved.
+        if power.running > 0 and self.stage_seconds(claim) < self._grace_period(claim):
             return
         if not await self._async_finish_drain(claim, power):
             await self._recorder.async_advance(claim, ClaimStage.VACATING)
@@ -187,10 +185,10 @@
             await self._async_finish_drain(claim, power)
 
     async def _async_finish_drain(self, claim: Claim, power: InstancePower) -> bool:
-        """Note the claim as drained if nothing runs there any more.
+        """Advance the claim to drained once nothing runs on the instance.
 
-        There is no cut-off: each request has a bounded life and long work is
-        checkpointed, so this comes true without any work being lost.
+        There is no timeout: requests have a bounded duration and jobs are checkpointed,
+        so the instance becomes idle without losing work.
         """
         vacated = await self._dependencies.vacate(claim.instance_id)
         if vacated and power.running == 0 and power.state is PowerState.DRAINED:
@@ -222,22 +220,22 @@
 
     @STAGES.register(ClaimStage.REBOOTING)
     async def _async_await_return(self, claim: Claim) -> None:
-        requested_at = self._dependencies.timers.monotonic()
+        checked_at = self._dependencies.timers.monotonic()
         power = await self._dependencies.power.async_get(claim.instance_id)
         if power.boot > claim.boot and power.state is PowerState.SERVING:
-            # Membership still holds it for down, from the time of its reboot. Left so,
-            # the next claim would count it as failed and go back for nothing.
+            # Membership has marked the instance down during its reboot. Without this
+            # report the next claim would count it as failed and be aborted needlessly.
             self._dependencies.membership.report_instance(
-                claim.instance_id, True, "returned", requested_at
+                claim.instance_id, True, "returned", checked_at
             )
             await self._recorder.async_release(claim, Outcome.DONE, power.boot, "")
             return
         if power.state is PowerState.DRAINED:
-            # The call never arrived, or its executor died before it. The operation id
-            # makes a second one harmless.
+            # The reboot request was lost or its executor stopped before sending it. The
+            # operation id makes a repeated request idempotent.
             await self._async_reboot(claim)
             return
-        overdue = self.seconds_in_stage(claim) >= REBOOT_TIMEOUT_SECONDS
+        overdue = self.stage_seconds(claim) >= REBOOT_TIMEOUT_SECONDS
         if power.state is PowerState.DOWN or overdue:
             cause = "overdue" if overdue else "down"
             await self._recorder.async_release(claim, Outcome.FAILED, power.boot, cause)
@@ -245,16 +243,16 @@
     def check_budget(
         self, claim: Claim, unreported: Counter[str]
     ) -> BudgetExceededError | None:
-        """Return why a claimed instance should go back, or nothing."""
+        """Return the budget error that requires a claim to be aborted, if any."""
         instance = self._dependencies.log.state.instances[claim.instance_id]
         return check_held(
             self._dependencies.log.state, instance, unreported[instance.pool]
         )
 
     async def _async_abort_if_changed(self, claim: Claim, power: InstancePower) -> bool:
-        """End the claim if the instance is not as the stage says.
+        """Abort the claim if the instance was returned or restarted meanwhile.
 
-        Someone returned it, or it crashed: what was known of its drain holds no more.
+        Its drain is then no longer in effect. Return whether the claim was aborted.
         """
         if power.state is PowerState.SERVING:
             await self.async_abort(claim, "serving-again")
@@ -276,7 +274,7 @@
         current = self._dependencies.log.state.claims.get(claim.instance_id)
         return current is not None and current.generation == claim.generation
 
-    def _get_grace_seconds(self, claim: Claim) -> float:
+    def _grace_period(self, claim: Claim) -> float:
         instance = self._dependencies.log.state.instances[claim.instance_id]
         return self._grace_seconds(instance.pool)
 
--- a/mustardward/components/maintenance/claim_recorder.py
+++ b/mustardward/components/maintenance/claim_recorder.py
@@ -1,4 +1,4 @@
-"""Propose what happened to a claim, and announce it."""
+"""Append the progress of claims to the log and record decisions on them."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ClaimRecorder:
-    """Write claims' stages and ends into the log under their generations."""
+    """Append the stages and outcomes of claims, fenced by their generations."""
 
     def __init__(
         self, dependencies: ExecutorDependencies, journal: DecisionJournal
@@ -26,20 +26,20 @@
         self._journal = journal
 
     async def async_advance(self, claim: Claim, stage: ClaimStage) -> bool:
-        """Note that a claim reached a stage; tell whether the fold took it."""
+        """Append that a claim reached a stage; return whether it was accepted."""
         body = AdvanceClaim(claim.instance_id, claim.generation, stage)
         return await self._async_propose(claim, body, f"claim-{stage}")
 
     async def async_release(
         self, claim: Claim, outcome: Outcome, boot: int, reason: str
     ) -> None:
-        """End a claim."""
+        """Append the release of a claim."""
         body = ReleaseClaim(claim.instance_id, claim.generation, outcome, boot, reason)
         if await self._async_propose(claim, body, f"claim-{outcome}"):
             self.record(claim, f"claim-{outcome}", reason or outcome)
 
     def record(self, claim: Claim, decision: str, cause: str, *inputs: str) -> None:
-        """Announce a decision on a claim."""
+        """Record a decision on a claim."""
         self._journal.record(
             SubjectKind.INSTANCE,
             claim.instance_id,
--- a/mustardward/components/maintenance/const.py
+++ b/mustardward/components/maintenance/const.py
@@ -1,93 +1,93 @@
-"""Hold the constants of maintenance waves."""
+"""Define the constants of maintenance waves."""
 
 from __future__ import annotations
 
 from typing import Final
 
 STEP_INTERVAL_SECONDS: Final = 0.5
-"""Time between two looks at waves and claims."""
+"""Interval at which waves and claims are processed."""
 
 REPORT_INTERVAL_SECONDS: Final = 1.0
-"""Time between two looks for failed and returned instances."""
+"""Interval at which failed and returned instances are reported."""
 
 MAX_START_TAIL_AGE_SECONDS: Final = 5.0
-"""Age of the confirmed tail up to which a drain may begin."""
+"""Maximum age of the confirmed log tail at which a drain may start."""
 
 MAX_DRAIN_TAIL_AGE_SECONDS: Final = 15.0
-"""Age of the confirmed tail from which drained instances go back to serve."""
+"""Age of the confirmed log tail beyond which drained instances return to service."""
 
 CONFIRM_TIMEOUT_SECONDS: Final = 2.0
-"""Longest wait for the tail right before a reboot."""
+"""Timeout for confirming the log tail right before a reboot."""
 
 REBOOT_TIMEOUT_SECONDS: Final = 900.0
-"""Time after which an instance that did not come back counts as failed."""
+"""Time after which an instance that has not returned from a reboot has failed."""
 
 DRAIN_START_TIMEOUT_SECONDS: Final = 60.0
-"""Time after which an instance whose drain cannot even begin is given back."""
+"""Time after which a claim whose drain cannot start is aborted."""
 
 EXCLUSION_SECONDS: Final = 600.0
-"""Time for which such an instance is not taken again."""
+"""Time for which an instance that could not be drained is not claimed again."""
 
 DOWN_AFTER_SECONDS: Final = 3.0
-"""Time for which an instance has to look down before it is reported."""
+"""Time for which an instance has to be suspected before it is reported absent."""
 
 UP_AFTER_SECONDS: Final = 3.0
-"""Time for which an absent instance has to look up before it is reported."""
+"""Time for which an absent instance has to be up before it is reported returned."""
 
 CLAIM_PRIORITY: Final = 0
-"""Claims go into the log before all else: the margin they saw does not last."""
+"""Claims are appended first, since the margin they rely on may soon be used up."""
 
 MAX_CLAIMS_PER_STEP: Final = 64
-"""Claims proposed in one step by one data centre."""
+"""Maximum number of claims that a data centre proposes in one step."""
 
 UNREACHABLE_AFTER_SECONDS: Final = 10.0
-"""Time after which an instance that the platform calls serving counts as failed."""
+"""Time after which an unreachable instance has failed, even if listed as serving."""
 
 LIST_INTERVAL_SECONDS: Final = 10.0
-"""Least time between two readings of the platform's list."""
+"""Minimum interval between two reads of the platform's instance list."""
 
 LIST_INTERVAL_SECONDS_PER_INSTANCE: Final = 0.2
-"""What each listed instance adds to that time, so that the list stays cheap."""
+"""Minimum interval per listed instance, which bounds the cost of large lists."""
 
 MAX_CHECKS_PER_STEP: Final = 16
-"""Instances whose power state is asked for in one step."""
+"""Maximum number of suspects, and of absent instances, checked in one step."""
 
 RETURN_BACKOFF_SECONDS: Final = 10.0
 MAX_RETURN_BACKOFF_SECONDS: Final = 600.0
 
 REACHABLE_HOLD_SECONDS: Final = 600.0
-"""Time for which a data centre that said it speaks is not called silent again."""
+"""Time for which a data centre that reported itself reachable stays reachable."""
 
 PROBE_TIMEOUT_SECONDS: Final = 0.5
-"""Longest wait for one sign of life."""
+"""Timeout of one probe of a worker."""
 
 PROBE_ATTEMPTS: Final = 2
-"""A worker counts as down after this many looks without an answer."""
+"""Number of failed probes after which a worker counts as down."""
 
 MAX_CONCURRENT_PROBES: Final = 16
 
 PROBE_TTL_SECONDS: Final = 1.0
-"""Time for which a look at a pool serves the next claim too."""
+"""Time for which the probe of a pool is reused by further claims."""
 
 PEER_PROBE_TIMEOUT_SECONDS: Final = 2.5
-"""Longest wait for another data centre's look."""
+"""Timeout of the probe that another data centre runs."""
 
 DUTY_ABSENCES: Final = "absences"
 DUTY_REACHABILITY: Final = "silence"
 
 PLANNED_REBOOT_SECONDS: Final = 180.0
-"""What a plan takes a reboot to last."""
+"""Duration of a reboot that plans assume."""
 
 PLANNED_DRAIN_SECONDS: Final = 5.0
-"""What a plan takes the quick requests of an instance to need."""
+"""Duration that plans assume for the short requests of an instance to complete."""
 
 RESELECT_INTERVAL_SECONDS: Final = 10.0
-"""Time after which a choice that took nothing is made again though nothing changed."""
+"""Time after which an empty selection is retried although its inputs are unchanged."""
 
 LIMITS_TTL_SECONDS: Final = 300.0
-"""Time for which the chosen paces hold; to choose them for a whole fleet is dear."""
+"""Lifetime of rollout limits, which are expensive to compute for a whole fleet."""
 
-TASK_COUNT_TTL_SECONDS: Final = 30.0
-"""Time for which the count of running jobs by worker holds."""
+RUNNING_TASKS_TTL_SECONDS: Final = 30.0
+"""Lifetime of the cached list of running jobs by worker."""
 
 DEFAULT_GRACE_SECONDS: Final = 0.0
--- a/mustardward/components/maintenance/decisions.py
+++ b/mustardward/components/maintenance/decisions.py
@@ -1,4 +1,4 @@
-"""Announce why waves, claims and moves went as they did."""
+"""Publish the decisions on waves, claims and moves with their causes."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 _LOGGER = get_logger(__name__)
 
 _MAX_SUBJECTS: Final = 4096
-"""Subjects whose last decision is kept, so that it is not announced twice."""
+"""Number of subjects whose last decision is kept to suppress duplicates."""
 
 
 class DecisionJournal:
-    """Publish each decision once, with the offset that it was made at."""
+    """Publish decisions with the log offset at which they were made."""
 
     def __init__(self, events: EventBus, log: FleetLog) -> None:
         self._events = events
@@ -37,7 +37,7 @@
         cause: str,
         *inputs: str,
     ) -> None:
-        """Announce a decision, unless it is the last one again."""
+        """Publish and log a decision unless it repeats the last one on its subject."""
         if self._last_decisions.get((kind, subject_id)) == (decision, cause):
             return
         self._last_decisions[kind, subject_id] = (decision, cause)
@@ -60,7 +60,7 @@
 def record_selection(
     journal: DecisionJournal, wave: Wave, selection: Selection
 ) -> None:
-    """Announce what holds a wave back, if something does."""
+    """Record the budgets and closed windows that block a wave."""
     for pool, budget in selection.binding.items():
         journal.record(
             SubjectKind.WAVE,
--- a/mustardward/components/maintenance/messages.py
+++ b/mustardward/components/maintenance/messages.py
@@ -1,4 +1,4 @@
-"""Define how entries ask each other to look at a pool before a wave takes more."""
+"""Define the messages by which an entry node has a pool probed elsewhere."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolProbed:
-    """Reply how far the log is once what was seen is folded."""
+    """Return the log position after the failures that were found have been applied."""
 
     next_offset: int
 
@@ -17,6 +17,6 @@
 @peer_message("maintenance.look", PoolProbed)
 @dataclass(frozen=True, slots=True)
 class ProbePool:
-    """Ask an entry to look at its data centre's workers of a pool."""
+    """Request that an entry node probes the workers of a pool in its data centre."""
 
     pool: str
--- a/mustardward/components/maintenance/models.py
+++ b/mustardward/components/maintenance/models.py
@@ -1,4 +1,4 @@
-"""Model what a maintenance executor works with."""
+"""Define the models of maintenance executors."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Outcome(StrEnum):
-    """Say how a claim ends."""
+    """Enumerate the outcomes of a claim."""
 
     DONE = "done"
     GIVEN_BACK = "given-back"
@@ -25,17 +25,17 @@
 
 
 async def async_skip_probe(pool: str) -> None:
-    """Take what is folded for the whole truth."""
+    """Do nothing: the applied state is taken as complete."""
 
 
 @dataclass(frozen=True, slots=True)
 class ExecutorDependencies:
-    """Hold the parts that an executor calls.
+    """Hold the dependencies of an executor.
 
-    ``executor`` names this process and its start: a process that was replaced under the
-    same name has to adopt the claims of the one before. ``vacate`` moves
-    long work away and tells whether none is left. ``look`` folds what is down in a
-    pool; it comes before each claim and each reboot.
+    ``executor`` identifies this process and its incarnation: a process that restarts
+    under the same name has to adopt the claims of its predecessor. ``vacate`` moves
+    jobs away from an instance and returns whether none is left. ``probe`` reports the
+    unresponsive workers of a pool; it precedes each claim and each reboot.
     """
 
     executor: str
@@ -49,12 +49,12 @@
     probe: Callable[[str], Coroutine[Any, Any, None]] = async_skip_probe
 
     def may_start(self) -> bool:
-        """Tell whether something new may begin: the tail was confirmed just now."""
+        """Return whether operations may start, which requires a recent log tail."""
         log = self.log
         fresh = log.tail_age_seconds() <= MAX_START_TAIL_AGE_SECONDS
         return log.ready and log.may_decide and fresh
 
 
 def executor_name(member: Member) -> str:
-    """Return the name under which a process holds claims and acknowledges moves."""
+    """Return the identity with which a process holds claims and confirms moves."""
     return f"{member.name}#{member.start}"
--- a/mustardward/components/maintenance/plan_bounds.py
+++ b/mustardward/components/maintenance/plan_bounds.py
@@ -1,4 +1,4 @@
-"""Work out from the budgets what no plan can beat; pure."""
+"""Compute lower bounds of the rollout time from the budgets; pure."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 def rounds(instances: int, concurrency: int) -> int:
-    """Return how many turns a slot takes at least."""
+    """Return the minimum number of rounds at a given concurrency."""
     return math.ceil(instances / concurrency) if concurrency else 0
 
 
 def unit_bounds(plan_input: PlanInput) -> dict[PoolUnit, float]:
-    """Return for each unit the least seconds that its budgets allow.
+    """Return for each unit the minimum rollout seconds that its budgets allow.
 
-    At most so many instances are out at once, each for a cycle at least, so one of
-    the places that they take turns in serves that many cycles one after another.
+    The budgets limit how many instances are unavailable at once, each of them for at
+    least one cycle, so the instances take at least ``rounds`` consecutive cycles.
     """
     budgets = PlanBudgets(plan_input)
     return {
@@ -28,14 +28,15 @@
 
 
 def rollout_bound(plan_input: PlanInput) -> float:
-    """Return the least seconds that the budgets allow for the whole wave."""
+    """Return the minimum rollout seconds that the budgets allow for the wave."""
     return max(unit_bounds(plan_input).values(), default=0.0)
 
 
 def canary_bound(plan_input: PlanInput) -> float:
-    """Return the least seconds if the canary has to come back first.
+    """Return the minimum rollout seconds if the canary has to return first.
 
-    Until then nothing else is out, and the canary shortens its own unit alone.
+    Until then no other instance is claimed, and the canary reduces only the remaining
+    instances of its own unit.
     """
     budgets = PlanBudgets(plan_input)
     sizes = {
@@ -45,10 +46,13 @@
     if sum(size for size, _ in sizes.values()) <= plan_input.canary:
         return rollout_bound(plan_input)
     best = math.inf
-    for first in sizes:
-        after = max(
-            rounds(size - (plan_input.canary if unit == first else 0), most)
-            for unit, (size, most) in sizes.items()
+    for canary_unit in sizes:
+        remaining_rounds = max(
+            rounds(
+                size - (plan_input.canary if unit == canary_unit else 0),
+                limit,
+            )
+            for unit, (size, limit) in sizes.items()
         )
-        best = min(best, (1 + after) * plan_input.cycle_seconds)
+        best = min(best, (1 + remaining_rounds) * plan_input.cycle_seconds)
     return best
--- a/mustardward/components/maintenance/plan_budgets.py
+++ b/mustardward/components/maintenance/plan_budgets.py
@@ -1,4 +1,4 @@
-"""Count budgets for a plan, apart from the folded state; pure."""
+"""Track the budgets of a plan independently of the replicated state; pure."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class PlanBudgets:
-    """Keep the counters of all units while a plan takes and returns instances."""
+    """Track the counters of all units while instances are removed and restored."""
 
     def __init__(self, plan_input: PlanInput) -> None:
         self._users = plan_input.users
@@ -26,19 +26,19 @@
             self._counter(item.unit).add(item.rack, item.available, 1)
 
     def remove(self, item: PlanInstance) -> None:
-        """Count an instance out."""
+        """Count an instance as unavailable."""
         counter = self._counter(item.unit)
         counter.add(item.rack, True, -1)
         counter.add(item.rack, False, 1)
 
     def restore(self, item: PlanInstance) -> None:
-        """Count an instance in again."""
+        """Count an instance as available again."""
         counter = self._counter(item.unit)
         counter.add(item.rack, False, -1)
         counter.add(item.rack, True, 1)
 
     def tightest(self, unit: PoolUnit) -> Budget | None:
-        """Return the budget with the least margin, or nothing if nobody uses it."""
+        """Return the budget with the smallest margin, or None without users."""
         users = self._users.get(unit.pool, {})
         counts = {
             unit.data_centre: self._count(unit),
@@ -55,18 +55,18 @@
         )
 
     def margin(self, unit: PoolUnit) -> int:
-        """Return how many more instances of a unit may be taken out."""
+        """Return how many more instances of a unit may become unavailable."""
         tightest = self.tightest(unit)
         return self._count(unit).total if tightest is None else tightest.margin
 
     def available_in_rack(self, item: PlanInstance) -> int:
-        """Return how many instances of the unit are available in an item's rack."""
+        """Return the number of available instances of the unit in an item's rack."""
         return self._counter(item.unit).racks.get(item.rack, 0)
 
     def max_unavailable(self, unit: PoolUnit) -> int:
-        """Return how many instances could at most be out at once.
+        """Return the maximum number of instances that may be unavailable at once.
 
-        Instances go from the largest rack first, since that lowers the reserve.
+        Instances are removed from the largest rack first, which lowers the reserve.
         """
         racks = sorted(self._counter(unit).racks.values())
         removed = 0
@@ -108,18 +108,19 @@
 
 
 def group_by_unit(plan_input: PlanInput) -> dict[PoolUnit, list[PlanInstance]]:
-    """Return the instances to maintain, by unit, in order of their ids."""
+    """Return the instances to maintain by unit, sorted by id."""
     units: dict[PoolUnit, list[PlanInstance]] = defaultdict(list)
-    for item in sorted(plan_input.instances, key=lambda one: one.instance_id):
+    for item in sorted(plan_input.instances, key=lambda instance: instance.instance_id):
         if item.instance_id in plan_input.due:
             units[item.unit].append(item)
     return dict(units)
 
 
 def combine_weights(users: dict[str, Parameters]) -> PlanWeights:
-    """Return the weights of a pool: the mean over its organisations' shares.
+    """Return the weights of a pool as the mean of its organisations' weights.
 
-    Each organisation counts with its quota's weight, whatever the size of its numbers.
+    The weights of each organisation are normalised and then scaled by the weight of its
+    quota, so that their absolute size has no effect.
     """
     buffer = rollout = moves = 0.0
     for parameters in users.values():
--- a/mustardward/components/maintenance/plan_inputs.py
+++ b/mustardward/components/maintenance/plan_inputs.py
@@ -1,4 +1,4 @@
-"""Gather what a plan is made from out of the folded states."""
+"""Build the inputs of the planner from the replicated states."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 def running_tasks(work: WorkState | None) -> Tasks:
-    """Return, by worker, its jobs with the seconds that they are declared to run.
+    """Return the running jobs of each worker with their declared durations.
 
-    Declared times are far from the truth; they only order instances and tell how much
-    is at stake, and no budget rests on them.
+    Declared durations are inaccurate. They only order instances and estimate the number
+    of moves; no budget depends on them.
     """
     found: Tasks = defaultdict(list)
     for job in work.jobs.values() if work else ():
@@ -37,11 +37,11 @@
     due: frozenset[str],
     tasks: Tasks,
     canary: int = 1,
-    held: frozenset[str] = frozenset(),
+    claimed: frozenset[str] = frozenset(),
 ) -> PlanInput:
-    """Return the facts for maintaining the ``due`` instances of some pools.
+    """Return the inputs for maintaining the ``due`` instances of some pools.
 
-    :param held: instances that count as available although they are out now.
+    :param held: claimed instances, which count as available.
     """
     wanted = frozenset(pools)
     index = index_of(state)
@@ -52,7 +52,7 @@
             rack=item.rack,
             tasks=tuple(tasks.get(name, ())),
             slots=item.slots,
-            available=name in held or index.is_available(name),
+            available=name in claimed or index.is_available(name),
         )
         for name, item in state.instances.items()
         if item.pool in wanted and not item.removed
@@ -69,13 +69,13 @@
 
 
 def build_wave_input(state: FleetState, wave: Wave, tasks: Tasks) -> PlanInput:
-    """Return the facts for the whole of a wave as if it began now.
+    """Return the inputs for a whole wave as if it started now.
 
-    The paces follow from the whole and not from what is left, so that they stay the
-    same from the first instance to the last.
+    Limits derive from the whole wave and not from its remaining instances, so that they
+    stay constant during the wave.
     """
-    held = frozenset(
+    claimed = frozenset(
         name for name, claim in state.claims.items() if claim.wave_id == wave.wave_id
     )
-    due = frozenset(wave.pending | wave.done) | held
-    return build_plan_input(state, wave.pools, due, tasks, wave.canary, held)
+    due = frozenset(wave.pending | wave.done) | claimed
+    return build_plan_input(state, wave.pools, due, tasks, wave.canary, claimed)
--- a/mustardward/components/maintenance/plan_models.py
+++ b/mustardward/components/maintenance/plan_models.py
@@ -1,4 +1,4 @@
-"""Model what a maintenance plan is made from and what it promises."""
+"""Define the inputs and results of maintenance planning."""
 
 from __future__ import annotations
 
@@ -10,23 +10,24 @@
 
 
 class PoolUnit(NamedTuple):
-    """Name the instances that a pool has in one data centre."""
+    """Identify the part of a pool in one data centre."""
 
     pool: str
     data_centre: str
 
 
 class PlanTask(NamedTuple):
-    """Hold one long task: what it still runs, and how long such work runs, in seconds.
+    """Describe a long-running task by its remaining and total duration in seconds.
 
-    Long work waits its turn, so that another like it follows on the same instance.
+    Further tasks are assumed to be queued, so that a task of the same duration follows
+    on the same instance.
     """
 
     remaining: float
     duration: float
 
     def remaining_at(self, now: float) -> float:
-        """Return how long the task that runs then still has to go."""
+        """Return the remaining seconds of the task that runs at a time."""
         if now < self.remaining:
             return self.remaining - now
         return self.duration - (now - self.remaining) % self.duration
@@ -34,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanInstance:
-    """Hold one instance with the long tasks that it runs as the wave begins."""
+    """Describe an instance with its long-running tasks at the start of the wave."""
 
     instance_id: str
     unit: PoolUnit
@@ -46,10 +47,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanInput:
-    """Hold a wave as the planner sees it.
+    """Hold the inputs of the planner.
 
-    ``due`` names the instances to maintain; all others only serve. ``users`` holds the
-    parameters of the organisations on each pool. Times are in seconds.
+    ``due`` contains the ids of the instances to maintain; all others only serve.
+    ``users`` maps each pool to the parameters of the organisations that use it.
     """
 
     instances: tuple[PlanInstance, ...]
@@ -62,15 +63,16 @@
 
     @property
     def cycle_seconds(self) -> float:
-        """Return the least time for which an instance is out."""
+        """Return the minimum time for which a maintained instance is unavailable."""
         return self.reboot_seconds + self.drain_seconds
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutLimits:
-    """Say how a unit is taken: how many at once, and how long work may end by itself.
+    """Hold the concurrency and drain grace period of a unit.
 
-    ``patience`` is in seconds.
+    ``concurrency`` is the maximum number of claimed instances; ``grace_seconds`` is the
+    time for which a drain waits for work to complete before it moves the rest.
     """
 
     concurrency: int
@@ -79,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanStep:
-    """Hold one instance's turn, in seconds from the start of the wave."""
+    """Hold the maintenance of one instance, timed from the start of the wave."""
 
     instance_id: str
     unit: PoolUnit
@@ -90,10 +92,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanMetrics:
-    """Hold the three measures of a plan.
+    """Hold the metrics of a plan.
 
-    ``buffer`` is the sum over all units of the most instances out at once, which is
-    the spare capacity that has to be held; ``moves`` counts relocated tasks.
+    ``buffer`` is the sum over all units of the maximum number of instances that are
+    unavailable at once, which is the required spare capacity; ``moves`` is the number
+    of moved tasks.
     """
 
     buffer: int
@@ -103,10 +106,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Hold the turns in order, their measures, and what binds.
+    """Hold the steps of a plan in order, its metrics and its tightest budgets.
 
-    ``binding`` is the tightest budget of each unit before the wave; ``never`` names
-    the instances that no budget lets go.
+    ``binding`` is the tightest budget of each unit before the wave; ``blocked``
+    contains the ids of the instances that the budgets never allow to be claimed.
     """
 
     steps: tuple[PlanStep, ...]
--- a/mustardward/components/maintenance/planned_strategy.py
+++ b/mustardward/components/maintenance/planned_strategy.py
@@ -1,4 +1,4 @@
-"""Pace waves as the planner says."""
+"""Limit the progress of waves as the planner recommends."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from ...state.models.maintenance import WaveStatus
 from ...state.models.pools import Instance
 from ...state.work import WorkState
-from .const import DEFAULT_GRACE_SECONDS, LIMITS_TTL_SECONDS, TASK_COUNT_TTL_SECONDS
+from .const import DEFAULT_GRACE_SECONDS, LIMITS_TTL_SECONDS, RUNNING_TASKS_TTL_SECONDS
 from .plan_inputs import Tasks, build_wave_input, running_tasks
 from .plan_models import PoolUnit, RolloutLimits
 from .rollout_limits import choose_limits
@@ -18,10 +18,10 @@
 
 
 class PlannedRolloutStrategy:
-    """Choose paces for the running waves from time to time.
+    """Choose the rollout limits of the running waves and refresh them periodically.
 
-    They only order and slow down: whether an instance may be taken is decided by the
-    fold alone, so paces that are a little old do no harm.
+    Limits only order and delay claims. The replicated state alone decides whether a
+    claim is admitted, so slightly outdated limits are safe.
     """
 
     def __init__(
@@ -37,20 +37,20 @@
         self._timers = timers
         self._limits_by_unit: dict[PoolUnit, RolloutLimits] = {}
         self._tasks: Tasks = {}
-        self._tasks_counted_at = float("-inf")
+        self._tasks_updated_at = float("-inf")
         self._last_choice: tuple[float, frozenset[str]] = (float("-inf"), frozenset())
 
     def concurrency(self, pool: str) -> int:
-        """Return how many instances of a pool may be out at once here."""
+        """Return the maximum number of claimed instances of a pool."""
         return self._get_limits(pool).concurrency
 
     def grace_seconds(self, pool: str) -> float:
-        """Return the seconds for which work may end by itself in a drain."""
+        """Return the seconds that a drain waits before it moves work away."""
         return self._get_limits(pool).grace_seconds
 
     def drain_cost(self, instance: Instance) -> float:
-        """Return the number of jobs that a drain of the instance might move."""
-        return float(len(self._count_tasks().get(instance.instance_id, ())))
+        """Return the number of running jobs that draining the instance may move."""
+        return float(len(self._get_tasks().get(instance.instance_id, ())))
 
     def _get_limits(self, pool: str) -> RolloutLimits:
         self._refresh()
@@ -71,7 +71,7 @@
             return
         self._last_choice = (now, running)
         self._limits_by_unit = {}
-        tasks = self._count_tasks()
+        tasks = self._get_tasks()
         for wave_id in sorted(running):
             plan_input = build_wave_input(state, state.waves[wave_id], tasks)
             for unit, limits in choose_limits(plan_input).items():
@@ -82,9 +82,9 @@
                     key=lambda item: (item.concurrency, item.grace_seconds),
                 )
 
-    def _count_tasks(self) -> Tasks:
+    def _get_tasks(self) -> Tasks:
         now = self._timers.monotonic()
-        if now - self._tasks_counted_at >= TASK_COUNT_TTL_SECONDS:
-            self._tasks_counted_at = now
+        if now - self._tasks_updated_at >= RUNNING_TASKS_TTL_SECONDS:
+            self._tasks_updated_at = now
             self._tasks = running_tasks(self._get_work())
         return self._tasks
--- a/mustardward/components/maintenance/planner.py
+++ b/mustardward/components/maintenance/planner.py
@@ -1,7 +1,7 @@
-"""Plan a wave: which instance when, within every budget; pure.
+"""Plan when each instance of a wave is maintained, within all budgets; pure.
 
-The plan is the wave carried out on paper: the same canary, growth, budgets and paces
-as the executors keep, with nothing failing.
+The planner simulates the wave without failures, under the same canary, growth limit,
+budgets and rollout limits as the executors apply.
 """
 
 from __future__ import annotations
@@ -28,36 +28,36 @@
 
 
 def plan_wave(plan_input: PlanInput) -> Plan:
-    """Return the plan of a wave that nothing disturbs."""
-    planner = _WaveSimulator(plan_input, choose_limits(plan_input))
-    for _ in planner.run():
+    """Return the plan of a wave without failures."""
+    simulator = _WaveSimulator(plan_input, choose_limits(plan_input))
+    for _ in simulator.run():
         pass
-    return planner.plan()
+    return simulator.plan()
 
 
 async def async_plan_wave(plan_input: PlanInput) -> Plan:
-    """Return the plan, letting the loop go on in between.
+    """Return the plan of a wave without blocking the event loop.
 
-    A plan of thousands of instances takes seconds; made in one go it would stop every
-    request of this entry, and look to its timers like a pause of the process.
+    Planning thousands of instances takes seconds. Without yielding it would stall all
+    requests of this entry node, and its timers would detect a pause of the process.
     """
-    planner = _WaveSimulator(plan_input, choose_limits(plan_input))
-    for _ in planner.run():
+    simulator = _WaveSimulator(plan_input, choose_limits(plan_input))
+    for _ in simulator.run():
         await anyio.lowlevel.checkpoint()
-    return planner.plan()
+    return simulator.plan()
 
 
 @dataclass(slots=True)
 class _UnitProgress:
-    """Hold how far one unit is."""
+    """Track the progress of one unit."""
 
     pending: list[PlanInstance]
-    out: int = 0
-    max_out: int = 0
+    unavailable: int = 0
+    max_unavailable: int = 0
 
 
 class _WaveSimulator:
-    """Carry a wave out on paper."""
+    """Simulate a wave."""
 
     def __init__(
         self, plan_input: PlanInput, limits: dict[PoolUnit, RolloutLimits]
@@ -75,26 +75,26 @@
             for unit in self._units
             if (budget := self._budgets.tightest(unit)) is not None
         }
-        self._running: list[tuple[float, str, PlanInstance]] = []
+        self._in_progress: list[tuple[float, str, PlanInstance]] = []
         self._steps: list[PlanStep] = []
         self._finished = 0
         self._now = 0.0
         self._growth_limited = False
 
     def run(self) -> Iterator[None]:
-        """Take and return instances until nothing more can be taken.
+        """Start and finish instances until no further instance can be started.
 
-        Yields after each time at which instances came back.
+        Yields after each point in time at which instances finished.
         """
         self._start_units(self._order_units(self._units))
-        while self._running:
-            self._now = self._running[0][0]
+        while self._in_progress:
+            self._now = self._in_progress[0][0]
             pools = set()
-            while self._running and self._running[0][0] == self._now:
-                item = heapq.heappop(self._running)[2]
+            while self._in_progress and self._in_progress[0][0] == self._now:
+                item = heapq.heappop(self._in_progress)[2]
                 self._finish(item)
                 pools.add(item.unit.pool)
-            # Only growth holds back units of other pools than those that changed.
+            # Units of unchanged pools can only have been blocked by the growth limit.
             changed = {unit for unit in self._units if unit.pool in pools}
             self._start_units(
                 self._order_units(self._units if self._growth_limited else changed)
@@ -102,7 +102,7 @@
             yield
 
     def plan(self) -> Plan:
-        """Return what was planned."""
+        """Return the plan that results from the simulation."""
         unplanned = [
             item.instance_id
             for progress in self._units.values()
@@ -111,7 +111,7 @@
         return Plan(
             tuple(self._steps),
             PlanMetrics(
-                buffer=sum(item.max_out for item in self._units.values()),
+                buffer=sum(item.max_unavailable for item in self._units.values()),
                 rollout_seconds=self._now,
                 moves=sum(step.moves for step in self._steps),
             ),
@@ -121,13 +121,13 @@
 
     def _finish(self, item: PlanInstance) -> None:
         self._finished += 1
-        self._units[item.unit].out -= 1
+        self._units[item.unit].unavailable -= 1
         self._budgets.restore(item)
         self._tasks.finish(item)
 
     def _start_units(self, units: list[PoolUnit]) -> None:
         available_starts = growth_limit(self._finished, self._plan_input.canary) - len(
-            self._running
+            self._in_progress
         )
         for unit in units:
             while available_starts > 0 and self._may_start(unit):
@@ -136,7 +136,7 @@
         self._growth_limited = available_starts <= 0
 
     def _order_units(self, units: Iterable[PoolUnit]) -> list[PoolUnit]:
-        """Return units with something left, those with the most turns left first."""
+        """Return the units with pending instances, most remaining rounds first."""
         rounds_left = {
             unit: -len(self._units[unit].pending) / self._limits[unit].concurrency
             for unit in units
@@ -148,7 +148,7 @@
         progress = self._units[unit]
         return (
             bool(progress.pending)
-            and progress.out < self._limits[unit].concurrency
+            and progress.unavailable < self._limits[unit].concurrency
             and self._budgets.margin(unit) >= 1
         )
 
@@ -165,10 +165,10 @@
             ),
         )
         progress.pending.remove(item)
-        progress.out += 1
-        progress.max_out = max(progress.max_out, progress.out)
+        progress.unavailable += 1
+        progress.max_unavailable = max(progress.max_unavailable, progress.unavailable)
         self._budgets.remove(item)
         drain, moves = self._tasks.drain(item, now, grace_seconds)
         end_seconds = now + drain + self._plan_input.reboot_seconds
-        heapq.heappush(self._running, (end_seconds, item.instance_id, item))
+        heapq.heappush(self._in_progress, (end_seconds, item.instance_id, item))
         self._steps.append(PlanStep(item.instance_id, unit, now, end_seconds, moves))
--- a/mustardward/components/maintenance/pool_prober.py
+++ b/mustardward/components/maintenance/pool_prober.py
@@ -1,10 +1,10 @@
-"""Look at the workers beside the one that a wave is about to take.
+"""Probe the workers of a pool before a wave claims an instance of it.
 
-Failures are noticed by the requests that meet them. In a pool with little traffic, or
-while a data centre was cut off, nothing may have met them yet; the fold would then
-admit a claim against instances that are long down. So whoever takes an instance first
-asks the others for a sign of life, and folds those that give none: the log's order then
-decides as it does for every other failure.
+Failures are detected by failing requests. In a pool with little traffic, or while a
+data centre is disconnected, they can stay undetected, and a claim would be admitted
+although its budget counts failed instances as available. Each claim and reboot is
+therefore preceded by a probe of the pool, and unresponsive workers are reported to the
+log, whose order then decides as for every other failure.
 """
 
 from __future__ import annotations
@@ -39,11 +39,11 @@
 
 
 class PoolProber:
-    """Ask a pool's workers for a sign of life, here and in other data centres.
+    """Probe the workers of a pool in this and in other data centres.
 
-    :param parts: the log, membership and clock of this process.
-    :param workers: reaches the workers of this data centre.
-    :param find_peers: returns the transport to other entries once it is set up.
+    :param dependencies: the log, membership and clock of this process.
+    :param workers: client for the workers of this data centre.
+    :param find_peers: returns the transport to other entry nodes once it is set up.
     """
 
     def __init__(
@@ -58,10 +58,10 @@
         self._probed_at: dict[str, float] = {}
 
     async def async_probe(self, pool: str) -> None:
-        """Fold what is down in a pool, here and wherever an entry can be reached.
+        """Report the unresponsive workers of a pool in all reachable data centres.
 
-        A data centre that cannot be reached is left out; once it is silent for long,
-        the fold counts all of it as unavailable.
+        Unreachable data centres are skipped. Once one has been reported unreachable,
+        all of its instances count as unavailable.
         """
         async with anyio.create_task_group() as group:
             group.start_soon(self.async_probe_local, pool)
@@ -69,7 +69,7 @@
                 group.start_soon(self._async_probe_remote, member, pool)
 
     async def async_probe_local(self, pool: str) -> None:
-        """Fold what is down in a pool in this data centre."""
+        """Report the unresponsive workers of a pool in this data centre."""
         now = self._dependencies.timers.monotonic()
         if now - self._probed_at.get(pool, float("-inf")) < PROBE_TTL_SECONDS:
             return
@@ -93,7 +93,7 @@
         )
 
     async def async_handle(self, caller: str, message: Any) -> PoolProbed:
-        """Answer another entry that is about to take an instance of a pool."""
+        """Probe the workers of a pool on behalf of another entry node."""
         if isinstance(message, ProbePool):
             await self.async_probe_local(message.pool)
         return PoolProbed(self._dependencies.log.next_offset)
@@ -108,7 +108,7 @@
         ]
 
     def _remote_entries(self, pool: str) -> list[Member]:
-        """Return one live entry of each other data centre that has part of a pool."""
+        """Return one live entry node of each other data centre that the pool spans."""
         state = self._dependencies.log.state
         entries: list[Member] = []
         for data_centre in index_of(state).data_centres(pool):
--- a/mustardward/components/maintenance/reachability_reporter.py
+++ b/mustardward/components/maintenance/reachability_reporter.py
@@ -1,4 +1,4 @@
-"""Report data centres that give no sign, and that the own one speaks."""
+"""Report which data centres are unreachable and that the own one is reachable."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class ReachabilityReporter:
-    """Fold which data centres cannot report their failures.
+    """Report data centres that cannot append their failures to the log.
 
-    Only a data centre itself says that it speaks again: a record of its own shows that
-    its failures reach the log. Two halves of a partition that both have the log would
-    else call each other silent and speaking in turn, a record a second.
+    Only a data centre itself reports that it is reachable again, since its own record
+    proves that its failures reach the log. Otherwise the two sides of a partition that
+    both reach the log would report contradicting states, one record per second.
     """
 
     def __init__(self, dependencies: ExecutorDependencies) -> None:
@@ -21,7 +21,7 @@
         self._reachable_at: dict[str, float] = {}
 
     async def async_step(self) -> None:
-        """Report what changed."""
+        """Append the changes of reachability."""
         if not self._dependencies.may_start():
             return
         if not self._dependencies.membership.owns_duty(DUTY_REACHABILITY):
@@ -32,7 +32,7 @@
             )
 
     def handle_outcome(self, outcome: RecordOutcome) -> None:
-        """Remember that a data centre said it speaks."""
+        """Record when a data centre reported itself reachable."""
         if isinstance(outcome.body, ReportSilence) and not outcome.body.silent:
             now = self._dependencies.timers.monotonic()
             self._reachable_at[outcome.body.data_centre] = now
@@ -44,8 +44,8 @@
         changes = [ReportSilence(own, False)] if own in state.silent else []
         data_centres = {instance.data_centre for instance in state.instances.values()}
         for data_centre in sorted(data_centres - state.silent - {own}):
-            reachable_for = now - self._reachable_at.get(data_centre, float("-inf"))
-            if reachable_for < REACHABLE_HOLD_SECONDS:
+            report_age = now - self._reachable_at.get(data_centre, float("-inf"))
+            if report_age < REACHABLE_HOLD_SECONDS:
                 continue
             if self._dependencies.membership.is_silent(data_centre):
                 changes.append(ReportSilence(data_centre, True))
--- a/mustardward/components/maintenance/rollout_limits.py
+++ b/mustardward/components/maintenance/rollout_limits.py
@@ -1,8 +1,8 @@
-"""Choose for each unit how many instances to take at once and how long to wait; pure.
+"""Choose the concurrency and drain grace period of each unit; pure.
 
-The unit whose budgets are tightest sets the time of the wave. All others have time to
-spare, which is turned into less buffer (fewer at once) or fewer moves (more patience),
-as the weights of the organisations on the pool say.
+The unit with the tightest budgets determines the duration of the wave. All others have
+spare time, which the weights of the pool's organisations turn into a smaller buffer
+(lower concurrency) or fewer moves (a longer grace period).
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 from .plan_models import PlanInput, PlanInstance, PoolUnit, RolloutLimits
 
 MAX_DURATION_RATIO: Final = 1.25
-"""How much longer than its bound a wave may take for the sake of other measures."""
+"""Maximum ratio of the wave duration to its bound in favour of other metrics."""
 
 MAX_GRACE_SECONDS: Final = 3600.0
 
 
 @dataclass(frozen=True, slots=True)
 class _UnitInput:
-    """Hold what the choice for one unit is made from."""
+    """Hold the inputs of the choice for one unit."""
 
     items: list[PlanInstance]
     max_unavailable: int
@@ -35,7 +35,7 @@
 
 
 def choose_limits(plan_input: PlanInput) -> dict[PoolUnit, RolloutLimits]:
-    """Return the pace of each unit; none for one that no budget lets go."""
+    """Return the limits of each unit, without units that the budgets block."""
     budgets = PlanBudgets(plan_input)
     units = group_by_unit(plan_input)
     max_unavailable = {unit: budgets.max_unavailable(unit) for unit in units}
@@ -65,9 +65,9 @@
 
 
 def _target_cycles(bound_cycles: int, weights: PlanWeights) -> float:
-    """Return the cycles in which a unit has to be through once the canary is back.
+    """Return the cycles within which a unit has to finish after the canary.
 
-    The canary's cycle comes out of the time that may be spent beyond the bound.
+    The cycle of the canary is deducted from the time allowed beyond the bound.
     """
     if weights.rollout >= max(weights.buffer, weights.moves):
         return bound_cycles
@@ -81,7 +81,7 @@
 
 
 def _candidates(unit: _UnitInput) -> Iterator[RolloutLimits]:
-    """Yield paces that keep the target, from the fastest on."""
+    """Yield limits that meet the target, by descending concurrency."""
     for concurrency in range(unit.max_unavailable, 0, -1):
         rounds_needed = rounds(len(unit.items), concurrency)
         if (
@@ -98,7 +98,7 @@
 
 def _cost(unit: _UnitInput, limits: RolloutLimits) -> float:
     rounds_needed = rounds(len(unit.items), limits.concurrency)
-    # Within the bound of the tightest unit, time costs the wave nothing.
+    # Time within the bound of the tightest unit does not prolong the wave.
     seconds = max(
         unit.bound_seconds, rounds_needed * (unit.cycle_seconds + limits.grace_seconds)
     )
@@ -110,10 +110,10 @@
 
 
 def _moved_share(unit: _UnitInput, limits: RolloutLimits) -> float:
-    """Return the share of tasks that are still running when patience is over.
+    """Return the expected share of tasks that outlast the grace period.
 
-    A task is met at any point of its run, so one twice as long as the patience moves
-    in half of the cases.
+    A drain starts at a random point of a task's run, so a task that is twice as long
+    as the grace period is moved in half of the cases.
     """
     durations = [task.duration for item in unit.items for task in item.tasks]
     if not durations:
--- a/mustardward/components/maintenance/rollout_strategy.py
+++ b/mustardward/components/maintenance/rollout_strategy.py
@@ -1,4 +1,4 @@
-"""Pace a wave in one data centre by the weights of the organisations it touches."""
+"""Define the interface that limits the progress of a wave in one data centre."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class RolloutStrategy(Protocol):
-    """Say how many instances to take at once, which first, and how long to wait."""
+    """Provide the concurrency, drain grace period and order of claims."""
 
     def concurrency(self, pool: str) -> int:
-        """Return how many instances of a pool may be out at once here."""
+        """Return the maximum number of claimed instances of a pool."""
         ...
 
     def grace_seconds(self, pool: str) -> float:
-        """Return the seconds for which work may end by itself in a drain."""
+        """Return the seconds that a drain waits before it moves work away."""
         ...
 
     def drain_cost(self, instance: Instance) -> float:
-        """Return the cost of taking an instance now; the least goes first."""
+        """Return the cost of draining an instance; the cheapest is claimed first."""
         ...
--- a/mustardward/components/maintenance/selection.py
+++ b/mustardward/components/maintenance/selection.py
@@ -1,4 +1,4 @@
-"""Choose which instances a wave takes next; pure."""
+"""Select the instances that a wave claims next; pure."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Selection:
-    """Hold what to claim now, and what holds each pool back.
+    """Hold the instances to claim and the reasons that block further claims.
 
-    ``binding`` is the tightest budget of a pool that allows no more, ``closed`` names
-    pools outside their maintenance windows.
+    ``binding`` maps pools without margin to their tightest budgets; ``closed_pools``
+    contains pools outside their maintenance windows.
     """
 
     chosen: tuple[str, ...]
@@ -32,12 +32,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SelectionContext:
-    """Hold what a choice is made from besides the folded state.
-
-    :param evidence: instances by pool that look down and are not folded as such.
-    :param concurrency: most instances of a pool that may be out in the data centre.
-    :param burden: cost of taking an instance now; the least burdened go first.
-    :param excluded: instances not to be taken for now.
+    """Hold the inputs of a selection besides the replicated state.
+
+    :param unreported: number of failed instances per pool that are not in the log yet.
+    :param concurrency: returns the maximum number of claims of a pool here.
+    :param drain_cost: returns the cost of draining an instance; the cheapest come
+        first.
+    :param limit: maximum number of instances to select.
+    :param excluded: instances that must not be selected for now.
     """
 
     data_centre: str
@@ -51,9 +53,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SelectionKey:
-    """Hold what a selection came from: the same basis gives the same selection.
+    """Identify the inputs of a selection: equal keys give equal selections.
 
-    Windows and paces depend on time, so the period counts too.
+    Maintenance windows and rollout limits depend on time, so the period is included.
     """
 
     next_offset: int
@@ -64,7 +66,7 @@
 def select_claims(
     state: FleetState, wave: Wave, context: SelectionContext
 ) -> Selection:
-    """Return the instances of one data centre that a wave should claim now."""
+    """Return the instances of one data centre that a wave should claim."""
     remaining = min(
         context.limit, wave_limit(wave) - index_of(state).claims_of(wave.wave_id)
     )
@@ -91,7 +93,7 @@
         if allowed <= 0 and budget is not None:
             binding[pool] = budget
         selected = available[: max(0, allowed)]
-        if len(wave.done) >= wave.canary and _is_within(budget):
+        if len(wave.done) >= wave.canary and _is_within_budget(budget):
             selected = [*quarantined, *selected]
         chosen.extend(selected[: remaining - len(chosen)])
     return Selection(tuple(chosen), binding, frozenset(closed_pools))
@@ -112,14 +114,14 @@
 
 
 def _is_quarantined(state: FleetState, instance_id: str) -> bool:
-    """Tell whether an instance is in quarantine only: taking it costs no budget.
+    """Return whether an instance is quarantined only, so a claim costs no margin.
 
-    It never serves as a canary: that it fails would say nothing about the wave.
+    Such an instance is never a canary, since its failure says nothing about the wave.
     """
     return instance_status(state, instance_id) == "quarantined"
 
 
-def _is_within(budget: Budget | None) -> bool:
+def _is_within_budget(budget: Budget | None) -> bool:
     return budget is None or budget.margin >= 0
 
 
@@ -127,8 +129,8 @@
     state: FleetState, pool: str, context: SelectionContext
 ) -> tuple[int, Budget | None]:
     index = index_of(state)
-    out = sum(1 for _ in claimed_in(state, pool, context.data_centre))
-    concurrency_left = context.concurrency(pool) - out
+    claimed = sum(1 for _ in claimed_in(state, pool, context.data_centre))
+    concurrency_left = context.concurrency(pool) - claimed
     tightest = index.tightest(state, pool, context.data_centre)
     if tightest is None:
         return concurrency_left, None
@@ -145,9 +147,9 @@
 
 
 def abort_rank(stage: str) -> int:
-    """Return the rank in which claims go back when failures eat the margin.
+    """Return the rank of a claim stage for aborts when failures use up the margin.
 
-    A drained instance serves again at once and nothing of its work is disturbed; one
-    that still drains goes next.
+    A drained instance can serve again at once without disturbing work, so it ranks
+    first; claims that are still draining follow.
     """
     return {"drained": 0, "vacating": 1, "draining": 2, "claimed": 3}.get(stage, 4)
--- a/mustardward/components/maintenance/setup.py
+++ b/mustardward/components/maintenance/setup.py
@@ -1,4 +1,4 @@
-"""Put the parts of maintenance together in one process."""
+"""Set up the maintenance component of a process."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 
 
 async def async_setup_maintenance(core: Core) -> Unload:
-    """Start the executor and the reporters, and return what stops them."""
+    """Start the executor and the reporters; return the function that stops them."""
     base_dependencies = build_executor_dependencies(core)
-    probe = PoolProber(
+    prober = PoolProber(
         base_dependencies, core.get(WORKER_SERVICE), lambda: core.find(PEERS)
     )
-    dependencies = replace(base_dependencies, probe=probe.async_probe)
-    core.put(POOL_PROBER, probe)
+    dependencies = replace(base_dependencies, probe=prober.async_probe)
+    core.put(POOL_PROBER, prober)
     strategy = PlannedRolloutStrategy(
         dependencies.data_centre,
         lambda: core.get(FLEET_LOG).state,
@@ -46,7 +46,7 @@
     absences = AbsenceReporter(dependencies, core.find(LISTING_SERVICE))
     reachability = ReachabilityReporter(dependencies)
     unsubscribers = [
-        core.get(PEERS).handle(ProbePool, probe.async_handle),
+        core.get(PEERS).handle(ProbePool, prober.async_handle),
         dependencies.log.listen(executor.handle_outcome),
         dependencies.log.listen(reachability.handle_outcome),
         core.timers.subscribe(
@@ -69,7 +69,7 @@
 
 
 def build_executor_dependencies(core: Core) -> ExecutorDependencies:
-    """Return what executors of waves and moves call."""
+    """Return the dependencies of the executors of waves and moves."""
     membership = core.get(MEMBERSHIP)
     return ExecutorDependencies(
         executor=executor_name(membership.own),
--- a/mustardward/components/maintenance/task_simulation.py
+++ b/mustardward/components/maintenance/task_simulation.py
@@ -1,4 +1,4 @@
-"""Follow long tasks through a planned wave: which end, and which have to move; pure."""
+"""Simulate which long-running tasks end or move during a planned wave; pure."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class TaskSimulation:
-    """Hold each instance's own tasks, and when those moved to it end.
+    """Track the initial tasks of each instance and the ends of tasks moved to it.
 
-    :param prefer_finished: whether a moved task goes to an instance that the wave will
-        not take any more, so that it moves once.
+    :param prefer_finished: whether moved tasks prefer instances whose maintenance is
+        done or not due, so that each task moves only once.
     """
 
     def __init__(self, plan_input: PlanInput, prefer_finished: bool = True) -> None:
@@ -32,7 +32,7 @@
             self._peers[item.unit].append(item)
 
     def count_moves(self, item: PlanInstance, now: float, grace_seconds: float) -> int:
-        """Return how many tasks would have to move if the instance were taken now."""
+        """Return how many tasks would have to move if the instance were drained."""
         return sum(
             1 for remaining in self._running(item, now) if remaining > grace_seconds
         )
@@ -40,21 +40,21 @@
     def drain(
         self, item: PlanInstance, now: float, grace_seconds: float
     ) -> tuple[float, int]:
-        """Empty an instance; return how long that takes and how many tasks move."""
+        """Drain an instance; return the seconds taken and the number of moved tasks."""
         running = self._running(item, now)
         self._unavailable.add(item.instance_id)
         self._initial_tasks[item.instance_id] = ()
         self._moved_task_ends.pop(item.instance_id, None)
         moving = [remaining for remaining in running if remaining > grace_seconds]
         ending = [remaining for remaining in running if remaining <= grace_seconds]
-        # Tasks that have to move go when patience is over, not before.
+        # Tasks move only at the end of the grace period.
         drain_wait = grace_seconds if moving else max(ending, default=0.0)
         for remaining in moving:
             self._move_task(item.unit, now + drain_wait, now + remaining)
         return max(self._drain_seconds, drain_wait), len(moving)
 
     def finish(self, item: PlanInstance) -> None:
-        """Note that an instance serves again and is not taken any more."""
+        """Mark the maintenance of an instance as finished."""
         self._unavailable.discard(item.instance_id)
         self._finished.add(item.instance_id)
 
@@ -77,7 +77,7 @@
         def rank(peer: PlanInstance) -> tuple[bool, bool, int, str]:
             running = len(self._running(peer, now))
             due = self._prefer_finished and peer.instance_id not in self._finished
-            # The busiest go last, so a task on one of these has the most time to end.
+            # The busiest instances are drained last, so tasks there have time to end.
             order = -running if due else running
             return running >= peer.slots, due, order, peer.instance_id
 
--- a/mustardward/components/maintenance/unreported_failures.py
+++ b/mustardward/components/maintenance/unreported_failures.py
@@ -1,4 +1,4 @@
-"""Weigh what this process sees and the log does not say yet."""
+"""Count failures that this process has detected and the log does not contain yet."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 def count_unreported_failures(
     state: FleetState, membership: Membership, data_centre: str
 ) -> Counter[str]:
-    """Count, by pool, instances that look down here and count as available.
+    """Return the number of suspected instances per pool that still count as available.
 
-    Failures reach the log seconds after they are seen. A reboot that did not weigh
-    them in would take the instance that the failed one's work went to.
+    Failures reach the log seconds after their detection. A reboot that ignored them
+    could hit the instance that took over the work of a failed one.
     """
     index = index_of(state)
     found: Counter[str] = Counter()
--- a/mustardward/components/maintenance/wave_executor.py
+++ b/mustardward/components/maintenance/wave_executor.py
@@ -1,4 +1,4 @@
-"""Carry out waves: start, claim, step, give back, adopt, finish."""
+"""Execute waves: start, claim, process, abort, adopt and finish."""
 
 from __future__ import annotations
 
@@ -48,10 +48,10 @@
 
 
 class WaveExecutor:
-    """Carry out the waves of one data centre, as far as this process has the duty.
+    """Execute the waves of one data centre that are assigned to this process.
 
-    Two executors at once do no harm: the fold admits each claim once, and platform
-    calls are idempotent and fenced.
+    Concurrent executors are safe: each claim is admitted once, and platform calls are
+    idempotent and fenced.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         self._dependencies = dependencies
         self._strategy = strategy
         self._journal = DecisionJournal(dependencies.events, dependencies.log)
-        self._claims = ClaimProcessor(
+        self._claim_processor = ClaimProcessor(
             dependencies, self._journal, strategy.grace_seconds
         )
         self._refused_offsets: dict[str, int] = {}
@@ -69,25 +69,25 @@
 
     @property
     def journal(self) -> DecisionJournal:
-        """Return the journal of this executor's decisions."""
+        """Return the journal of the decisions of this executor."""
         return self._journal
 
     async def async_step(self) -> None:
-        """Look at every wave and claim once, and do what is due."""
+        """Process each wave and claim once."""
         if not self._dependencies.log.ready:
             return
-        self._claims.prune()
+        self._claim_processor.prune()
         await self._async_adopt_orphans()
         await self._async_abort_over_budget()
         async with anyio.create_task_group() as group:
             for claim in self._own_claims():
-                group.start_soon(self._claims.async_step, claim)
+                group.start_soon(self._claim_processor.async_step, claim)
         if self._dependencies.may_start():
             for wave in self._owned_waves():
                 await self._async_step_wave(wave)
 
     def handle_outcome(self, outcome: RecordOutcome) -> None:
-        """Announce a wave that the fold stopped, and why."""
+        """Record the status changes of waves that an applied record caused."""
         if not isinstance(outcome.body, _WAVE_CHANGES):
             return
         for wave in self._dependencies.log.state.waves.values():
@@ -138,8 +138,8 @@
             for member in membership.live(self._dependencies.data_centre)
         }
         for claim in self._local_claims():
-            # The holder may only be paused: its claim stays, and gets a generation
-            # that fences it when it wakes.
+            # The holder may only be paused. The adoption increments the generation of
+            # the claim, which fences the holder when it resumes.
             if claim.executor in live or not self._dependencies.log.may_decide:
                 continue
             if not membership.owns_duty(f"wave:{claim.wave_id}"):
@@ -152,7 +152,7 @@
             )
 
     async def _async_abort_over_budget(self) -> None:
-        """Give back as many claims as failures took margin, drained ones first."""
+        """Abort claims that exceed the margin after failures, drained ones first."""
         over_budget = self._claims_over_budget()
         async with anyio.create_task_group() as group:
             for claim, refusal in over_budget:
@@ -170,7 +170,7 @@
             claims, key=lambda item: (abort_rank(item.stage), -item.taken)
         ):
             pool = self._dependencies.log.state.instances[claim.instance_id].pool
-            refusal = self._claims.check_budget(claim, unreported)
+            refusal = self._claim_processor.check_budget(claim, unreported)
             if refusal is not None:
                 unreported[pool] -= 1
                 found.append((claim, refusal))
@@ -185,7 +185,7 @@
             refusal.detail,
         )
         try:
-            await self._claims.async_abort(claim, refusal.code)
+            await self._claim_processor.async_abort(claim, refusal.code)
         except PlatformError as error:
             _LOGGER.warning(
                 "claim_abort_postponed", instance=claim.instance_id, cause=error.code
@@ -203,7 +203,7 @@
             self._refused_offsets.get(wave.wave_id)
             == self._dependencies.log.next_offset
         ):
-            # Nothing was folded since the refusal, so the answer would be the same.
+            # No record was applied since the refusal, so it would be refused again.
             return
         unreported = self._count_unreported()
         selection_key = self._build_selection_key(unreported)
@@ -219,12 +219,12 @@
             for instance_id in selection.chosen:
                 group.start_soon(self._async_claim, wave, instance_id, proposed)
         if not proposed:
-            # Nothing may be taken, or the pool service knows none of it: the next step
-            # would search all that is pending for the same end.
+            # No instance may be claimed, or the platform reports none as claimable. The
+            # next step would search all pending instances for the same result.
             self._empty_selections[wave.wave_id] = selection_key
 
     async def _async_probe_pools(self, chosen: tuple[str, ...]) -> None:
-        """Fold what is down beside the chosen instances before any is claimed."""
+        """Probe the pools of the chosen instances before any of them is claimed."""
         instances = self._dependencies.log.state.instances
         pools = {instances[name].pool for name in chosen}
         async with anyio.create_task_group() as group:
@@ -245,7 +245,7 @@
             concurrency=self._strategy.concurrency,
             drain_cost=self._strategy.drain_cost,
             limit=MAX_CLAIMS_PER_STEP,
-            excluded=self._claims.excluded_instances(),
+            excluded=self._claim_processor.excluded_instances(),
         )
         return select_claims(state, wave, context)
 
--- a/mustardward/components/maintenance/windows.py
+++ b/mustardward/components/maintenance/windows.py
@@ -1,4 +1,4 @@
-"""Tell when organisations allow maintenance."""
+"""Evaluate the maintenance windows of organisations."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 _DAY_SECONDS: Final = 86_400
 _EPOCH_WEEKDAY: Final = 3
-"""Weekday of the first day of the epoch: a Thursday."""
+"""Weekday of the first day of the Unix epoch, a Thursday (Monday is 0)."""
 
 
 def is_window_open(window: MaintenanceWindow, now: float) -> bool:
-    """Tell whether a window is open; one that began yesterday may run on."""
+    """Return whether a window is open, including one that opened on an earlier day."""
     day, second_of_day = divmod(int(now), _DAY_SECONDS)
     for days_ago in range(window.length_seconds // _DAY_SECONDS + 2):
         weekday = (day - days_ago + _EPOCH_WEEKDAY) % 7
@@ -24,7 +24,7 @@
 
 
 def is_maintenance_allowed(users: Iterable[Parameters], now: float) -> bool:
-    """Tell whether every organisation allows maintenance now.
+    """Return whether all organisations allow maintenance at a time.
 
     An organisation without windows allows it at any time.
     """
--- a/tests/cli/test_waves.py
+++ b/tests/cli/test_waves.py
@@ -84,7 +84,7 @@
     Cause: only waves looked at the pool first.
     """
     site.driver.state.pools["casting"] = Pool("casting", 1)
-    site.unseen = ["dc1-etching-005", "dc1-etching-006", "dc1-etching-007"]
+    site.unreported = ["dc1-etching-005", "dc1-etching-006", "dc1-etching-007"]
     refused = run("pool", "move", FIRST, "casting")
     assert isinstance(refused.exception, BudgetExceededError)
     assert site.driver.state.moves == {}
--- a/tests/components/maintenance/harness.py
+++ b/tests/components/maintenance/harness.py
@@ -1,4 +1,4 @@
-"""Hold one fleet with everything that a data centre's executors call."""
+"""Provide a fleet with fakes for the dependencies of maintenance executors."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 FIRST, SECOND = "dc1-etching-000", "dc1-etching-001"
 
 
-class FixedPacing:
-    """Take as many as the budgets allow, and wait a minute for running work."""
+class FixedStrategy:
+    """Allow all claims that the budgets admit, with a grace period of a minute."""
 
     def concurrency(self, pool: str) -> int:
         return 100
@@ -34,7 +34,11 @@
 
 
 class MaintenanceHarness:
-    """Hold one fleet with the executors of one data centre."""
+    """Build maintenance executors of one data centre on a shared fleet state.
+
+    ``busy`` contains the instances that jobs occupy; ``unreported`` contains failed
+    instances that the next probe reports.
+    """
 
     def __init__(self, size: int = 8, **parameters: Any) -> None:
         user = build_organisation("dairy", ("etching",), **parameters)
@@ -47,10 +51,10 @@
         self.events.listen(DecisionMade, self.decisions.append)
         self.busy: set[str] = set()
         self.membership = FakeMembership()
-        self.unseen: list[str] = []
+        self.unreported: list[str] = []
 
     def dependencies(self, name: str = "entry-1") -> ExecutorDependencies:
-        """Return the parts of one process on the shared log."""
+        """Return the dependencies of one process on the shared log."""
         return ExecutorDependencies(
             executor=executor_name(build_member(name)),
             data_centre="dc1",
@@ -64,7 +68,7 @@
 
     def executor(self, name: str = "entry-1") -> WaveExecutor:
         """Return an executor on the shared log."""
-        executor = WaveExecutor(self.dependencies(name), FixedPacing())
+        executor = WaveExecutor(self.dependencies(name), FixedStrategy())
         self.log.listen(executor.handle_outcome)
         return executor
 
@@ -73,7 +77,7 @@
         self.driver.accept(ScheduleWave(wave_id, ("etching",), **more))
 
     def stage(self, instance: str) -> str:
-        """Return the stage of an instance's claim, or nothing."""
+        """Return the stage of an instance's claim, or an empty string without one."""
         claim = self.driver.state.claims.get(instance)
         return claim.stage if claim else ""
 
@@ -88,10 +92,10 @@
         return [item.cause for item in self.decisions if item.decision == decision]
 
     async def async_probe(self, pool: str) -> None:
-        """Fold the failures that nobody has met yet."""
-        if self.unseen:
-            self.driver.fail(*self.unseen)
-            self.unseen = []
+        """Report the failures that are not reported yet."""
+        if self.unreported:
+            self.driver.fail(*self.unreported)
+            self.unreported = []
 
     async def _async_vacate(self, instance_id: str) -> bool:
         return instance_id not in self.busy
--- a/tests/components/maintenance/test_api.py
+++ b/tests/components/maintenance/test_api.py
@@ -1,4 +1,4 @@
-"""Answer operators who plan and steer waves."""
+"""Test the operator API for waves."""
 
 from __future__ import annotations
 
@@ -16,55 +16,65 @@
 pytestmark = pytest.mark.anyio
 
 
-def ask(site: MaintenanceHarness, model: Any = None, **path: str) -> ApiRequest:
+def build_request(
+    harness: MaintenanceHarness, model: Any = None, **path: str
+) -> ApiRequest:
     """Return an operator's request."""
-    core = Core(cast(Any, None), site.timers, cast(Any, None))
-    core.put(FLEET_LOG, site.log)
+    core = Core(cast(Any, None), harness.timers, cast(Any, None))
+    core.put(FLEET_LOG, harness.log)
     return ApiRequest(core, "operator", path, {}, model)
 
 
-async def test_a_plan_changes_nothing_and_names_what_binds() -> None:
-    site = MaintenanceHarness(minimum_available=0.75)
-    answer = await api.async_plan(ask(site, api.WaveModel(pools=("etching",))))
-    assert site.log.proposed == []
-    assert len(answer.body["steps"]) == 8
-    assert answer.body["binding"][0]["organisation"] == "dairy"
-    assert answer.body["steps"][0]["begins"] == 0.0
+async def test_plan_proposes_nothing_and_returns_binding_budgets() -> None:
+    harness = MaintenanceHarness(minimum_available=0.75)
+    response = await api.async_plan(
+        build_request(harness, api.WaveModel(pools=("etching",)))
+    )
+    assert harness.log.proposed == []
+    assert len(response.body["steps"]) == 8
+    assert response.body["binding"][0]["organisation"] == "dairy"
+    assert response.body["steps"][0]["begins"] == 0.0
 
 
-async def test_a_wave_is_scheduled_watched_and_paused() -> None:
-    site = MaintenanceHarness()
+async def test_wave_is_scheduled_shown_and_paused() -> None:
+    harness = MaintenanceHarness()
     model = api.WaveModel(pools=("etching",), canary=2)
-    answer = await api.async_schedule(ask(site, model, wave_id="w1"))
-    assert answer.status == 202
-    executor = site.executor()
+    response = await api.async_schedule(build_request(harness, model, wave_id="w1"))
+    assert response.status == 202
+    executor = harness.executor()
     await executor.async_step()
     await executor.async_step()
-    shown = (await api.async_show(ask(site, wave_id="w1"))).body
+    shown = (await api.async_show(build_request(harness, wave_id="w1"))).body
     assert (shown["status"], shown["out"], shown["limit"]) == ("running", 2, 2)
     assert shown["claims"][0]["instance"] == FIRST
     assert [claim["stage"] for claim in shown["claims"]] == ["claimed", "claimed"]
-    signal = ask(site, api.SignalModel(reason="storm"), wave_id="w1", signal="pause")
+    signal = build_request(
+        harness, api.SignalModel(reason="storm"), wave_id="w1", signal="pause"
+    )
     await api.async_signal(signal)
-    listed = (await api.async_list(ask(site))).body
+    listed = (await api.async_list(build_request(harness))).body
     assert (listed[0]["status"], listed[0]["reason"]) == ("paused", "storm")
 
 
-async def test_an_operator_who_saw_an_older_wave_gets_a_conflict() -> None:
-    site = MaintenanceHarness()
-    site.schedule()
-    seen = site.driver.state.waves["w1"].revision
-    site.signal("start")
+async def test_outdated_base_revision_is_rejected() -> None:
+    harness = MaintenanceHarness()
+    harness.schedule()
+    seen = harness.driver.state.waves["w1"].revision
+    harness.signal("start")
     model = api.SignalModel(base_revision=seen)
     with pytest.raises(RevisionConflictError):
-        await api.async_signal(ask(site, model, wave_id="w1", signal="cancel"))
+        await api.async_signal(
+            build_request(harness, model, wave_id="w1", signal="cancel")
+        )
 
 
-async def test_unknown_waves_and_signals_are_named() -> None:
-    site = MaintenanceHarness()
-    site.schedule()
+async def test_unknown_waves_and_signals_are_rejected() -> None:
+    harness = MaintenanceHarness()
+    harness.schedule()
     with pytest.raises(api.WaveUnknownError):
-        await api.async_show(ask(site, wave_id="w9"))
+        await api.async_show(build_request(harness, wave_id="w9"))
     with pytest.raises(api.SignalUnknownError):
         model = api.SignalModel()
-        await api.async_signal(ask(site, model, wave_id="w1", signal="finish"))
+        await api.async_signal(
+            build_request(harness, model, wave_id="w1", signal="finish")
+        )
--- a/tests/components/maintenance/test_planner.py
+++ b/tests/components/maintenance/test_planner.py
@@ -1,4 +1,4 @@
-"""Plan waves, and take the plans through the fold."""
+"""Test wave plans by applying them to the replicated state."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def build_driver(weights: PlanWeights = EVEN, minimum: float = 0.5) -> FoldDriver:
-    """Return a fleet of a tight pool and a loose one in two data centres."""
+    """Return a fleet of two pools, one with tight budgets, in two data centres."""
     tight = build_organisation(
         "dairy", ("etching",), minimum_available=0.75, weights=weights
     )
@@ -38,7 +38,7 @@
 
 
 def build_input(driver: FoldDriver) -> PlanInput:
-    """Return the facts for a wave over all, with tasks of several lengths."""
+    """Return the inputs for a wave over all instances, with tasks of any length."""
     names = sorted(driver.state.instances)
     tasks = {
         name: [
@@ -52,15 +52,15 @@
     )
 
 
-def fold_plan(driver: FoldDriver, plan: Plan) -> None:
-    """Fold every turn of a plan at its time; the fold has to admit all."""
+def apply_plan(driver: FoldDriver, plan: Plan) -> None:
+    """Apply each step of a plan at its time; all of them must be admitted."""
     driver.run_wave(pools=("etching", "casting"))
-    begins = [(step.start_seconds, 1, step) for step in plan.steps]
+    starts = [(step.start_seconds, 1, step) for step in plan.steps]
     ends = [(step.end_seconds, 0, step) for step in plan.steps]
     generations: dict[str, int] = {}
-    for _, begin, step in sorted(begins + ends, key=lambda item: item[:2]):
+    for _, is_start, step in sorted(starts + ends, key=lambda item: item[:2]):
         name = step.instance_id
-        if begin:
+        if is_start:
             generations[name] = driver.accept(TakeClaim("w1", name, "e#1", 1))
             continue
         for stage in ("draining", "drained", "rebooting"):
@@ -69,15 +69,15 @@
 
 
 @pytest.mark.parametrize("weights", [EVEN, MOVES, BUFFER])
-def test_the_fold_admits_every_turn_of_a_plan(weights: PlanWeights) -> None:
+def test_every_step_of_a_plan_is_admitted(weights: PlanWeights) -> None:
     driver = build_driver(weights)
     plan = plan_wave(build_input(driver))
     assert len(plan.steps) == 32
-    fold_plan(driver, plan)
+    apply_plan(driver, plan)
     assert len(driver.state.waves["w1"].done) == 32
 
 
-def test_the_canary_comes_first_and_alone() -> None:
+def test_canary_is_planned_first_and_alone() -> None:
     plan = plan_wave(build_input(build_driver()))
     first, second = plan.steps[:2]
     assert first.start_seconds == 0.0
@@ -85,14 +85,14 @@
     assert first.moves == 0
 
 
-def test_weights_steer_between_moves_and_buffer() -> None:
+def test_weights_trade_moves_against_buffer() -> None:
     by_moves = plan_wave(build_input(build_driver(MOVES))).metrics
     by_buffer = plan_wave(build_input(build_driver(BUFFER))).metrics
     assert by_moves.moves < by_buffer.moves
     assert by_buffer.buffer < by_moves.buffer
 
 
-def test_a_plan_keeps_near_the_bound_of_the_budgets() -> None:
+def test_rollout_time_is_close_to_its_lower_bound() -> None:
     plan_input = build_input(build_driver())
     plan = plan_wave(plan_input)
     assert rollout_bound(plan_input) <= canary_bound(plan_input)
@@ -100,7 +100,7 @@
     assert plan.metrics.rollout_seconds <= 1.3 * rollout_bound(plan_input)
 
 
-def test_what_no_budget_lets_go_is_said_and_not_taken() -> None:
+def test_instances_blocked_by_budgets_are_returned_and_not_planned() -> None:
     driver = build_driver(minimum=1.0)
     plan = plan_wave(build_input(driver))
     assert {name.split("-")[1] for name in plan.blocked} == {"casting"}
@@ -110,7 +110,7 @@
     assert binding["casting"].organisation == "club"
 
 
-def test_the_same_facts_give_the_same_plan() -> None:
+def test_plan_is_independent_of_input_order() -> None:
     plan_input = build_input(build_driver())
     shuffled = replace(plan_input, instances=tuple(reversed(plan_input.instances)))
     assert plan_wave(plan_input).steps == plan_wave(shuffled).steps
--- a/tests/components/maintenance/test_pool_prober.py
+++ b/tests/components/maintenance/test_pool_prober.py
@@ -1,4 +1,4 @@
-"""Look at a pool before a wave takes one more of it."""
+"""Test the probe of a pool that precedes claims and reboots."""
 
 from __future__ import annotations
 
@@ -15,132 +15,134 @@
 from mustardward.standin.protocol.models import WorkerUsage
 from mustardward.standin.protocol.protocols import WorkerService
 from mustardward.state.models.pools import AddInstance
-from tests.components.maintenance.harness import FIRST, FixedPacing, MaintenanceHarness
+from tests.components.maintenance.harness import (
+    FIRST,
+    FixedStrategy,
+    MaintenanceHarness,
+)
 from tests.fakes.waves import build_member
 
 pytestmark = pytest.mark.anyio
 
 
-class Workers:
-    """Answer for the workers that are up."""
+class FakeWorkers:
+    """Respond for workers that are up and count the probes."""
 
     def __init__(self) -> None:
         self.down: set[str] = set()
-        self.asked = 0
+        self.probes = 0
 
     async def async_usage(self, address: str) -> WorkerUsage:
-        self.asked += 1
+        self.probes += 1
         if address in self.down:
             raise PlatformUnavailableError(address)
         return WorkerUsage(address, 0, 0, 0.0)
 
 
-class PeerCalls:
-    """Note the calls to other entries."""
+class FakePeers:
+    """Record the calls to other entry nodes."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[str, Any]] = []
-        self.cut = False
+        self.disconnected = False
 
     async def async_call(
         self, member: Any, message: Any, timeout_seconds: float
     ) -> None:
         self.calls.append((member.name, message))
-        if self.cut:
+        if self.disconnected:
             raise PeerError(member.name)
 
 
-class Looking:
-    """Hold a site whose executor looks before it takes."""
+class ProberHarness:
+    """Build an executor that probes pools before claims and reboots."""
 
     def __init__(self) -> None:
-        self.site = MaintenanceHarness(reserve_largest_rack=False)
-        for name, instance in self.site.driver.state.instances.items():
+        self.maintenance = MaintenanceHarness(reserve_largest_rack=False)
+        for name, instance in self.maintenance.driver.state.instances.items():
             instance.address = name
-        self.workers = Workers()
-        self.peers = PeerCalls()
-        dependencies = self.site.dependencies()
-        self.probe = PoolProber(
+        self.workers = FakeWorkers()
+        self.peers = FakePeers()
+        dependencies = self.maintenance.dependencies()
+        self.pool_prober = PoolProber(
             dependencies,
             cast(WorkerService, self.workers),
             lambda: cast(Peers, self.peers),
         )
-        looking = replace(dependencies, probe=self.probe.async_probe)
-        self.executor = WaveExecutor(looking, FixedPacing())
+        probing_dependencies = replace(dependencies, probe=self.pool_prober.async_probe)
+        self.executor = WaveExecutor(probing_dependencies, FixedStrategy())
 
     def fail(self, number: int) -> list[str]:
-        """Let the last workers of the data centre answer nothing."""
-        names = sorted(self.site.driver.state.instances)[-number:]
+        """Make the last workers of the data centre unresponsive; return their ids."""
+        names = sorted(self.maintenance.driver.state.instances)[-number:]
         self.workers.down = set(names)
         return names
 
 
-async def test_workers_that_nobody_missed_hold_a_wave_back() -> None:
-    """Fold what is down before one more instance goes out.
+async def test_undetected_failures_block_a_wave() -> None:
+    """Guard against a drain that violates a floor of 2 of 4 while two workers are down.
 
-    Symptom: a floor of 2 of 4 is broken by a drain while two workers have been down
-    for seconds. Sequence: a rack fails in a pool without traffic; a wave begins.
-    Cause: failures were only noticed by requests that met them.
+    A rack fails in a pool without traffic, so that no request detects the failures
+    before a wave starts.
     """
-    looking = Looking()
-    down = looking.fail(4)
-    looking.site.schedule()
+    prober = ProberHarness()
+    down = prober.fail(4)
+    prober.maintenance.schedule()
     for _ in range(6):
-        await looking.executor.async_step()
-    assert set(looking.site.driver.state.absences) == set(down)
-    assert looking.site.driver.state.claims == {}
-    assert looking.site.power.count("drain") == 0
+        await prober.executor.async_step()
+    assert set(prober.maintenance.driver.state.absences) == set(down)
+    assert prober.maintenance.driver.state.claims == {}
+    assert prober.maintenance.power.count("drain") == 0
 
 
-async def test_the_look_before_the_reboot_sends_a_drained_instance_back() -> None:
-    """Look again right before the step that can't be taken back.
+async def test_probe_before_the_reboot_aborts_the_claim() -> None:
+    """Guard against a reboot while other workers of the pool are down.
 
-    Symptom: a reboot goes on while its neighbours are down. Sequence: claim and drain
-    with all well; half the pool fails unnoticed; the reboot begins. Cause: the look
-    was taken once, before the claim.
+    Half of the pool fails undetected after the claim and the drain, so that a probe
+    before the claim alone does not find the failures.
     """
-    looking = Looking()
-    looking.site.schedule()
-    while looking.site.stage(FIRST) != "drained":
-        await looking.executor.async_step()
-    looking.site.timers.pause(5.0)
-    looking.fail(4)
-    await looking.executor.async_step()
-    assert looking.site.power.count("reboot") == 0
-    assert looking.site.stage(FIRST) == ""
+    prober = ProberHarness()
+    prober.maintenance.schedule()
+    while prober.maintenance.stage(FIRST) != "drained":
+        await prober.executor.async_step()
+    prober.maintenance.timers.pause(5.0)
+    prober.fail(4)
+    await prober.executor.async_step()
+    assert prober.maintenance.power.count("reboot") == 0
+    assert prober.maintenance.stage(FIRST) == ""
 
 
-async def test_one_lost_answer_is_no_failure() -> None:
-    looking = Looking()
-    answer, lost = looking.workers.async_usage, iter([True])
+async def test_one_lost_response_is_no_failure() -> None:
+    prober = ProberHarness()
+    respond, lost = prober.workers.async_usage, iter([True])
 
     async def lose_first(address: str) -> WorkerUsage:
         if next(lost, False):
             raise PlatformUnavailableError(address)
-        return await answer(address)
-
-    looking.workers.async_usage = lose_first  # type: ignore[method-assign]
-    await looking.probe.async_probe_local("etching")
-    assert looking.site.driver.state.absences == {}
-
-
-async def test_a_look_serves_several_claims() -> None:
-    looking = Looking()
-    await looking.probe.async_probe_local("etching")
-    asked = looking.workers.asked
-    await looking.probe.async_probe_local("etching")
-    assert looking.workers.asked == asked
-    looking.site.timers.pause(2.0)
-    await looking.probe.async_probe_local("etching")
-    assert looking.workers.asked == 2 * asked
-
-
-async def test_another_data_centre_is_asked_and_may_be_cut_off() -> None:
-    looking = Looking()
-    far = AddInstance("far-worker", "dc2", "rack", "far-worker", "etching")
-    looking.site.driver.accept(far)
-    looking.site.membership.others.append(build_member("far-1", "dc2"))
-    looking.peers.cut = True
-    await looking.probe.async_probe("etching")
-    assert looking.peers.calls == [("far-1", ProbePool("etching"))]
-    assert looking.site.driver.state.absences == {}
+        return await respond(address)
+
+    prober.workers.async_usage = lose_first  # type: ignore[method-assign]
+    await prober.pool_prober.async_probe_local("etching")
+    assert prober.maintenance.driver.state.absences == {}
+
+
+async def test_probe_is_reused_within_its_lifetime() -> None:
+    prober = ProberHarness()
+    await prober.pool_prober.async_probe_local("etching")
+    probes = prober.workers.probes
+    await prober.pool_prober.async_probe_local("etching")
+    assert prober.workers.probes == probes
+    prober.maintenance.timers.pause(2.0)
+    await prober.pool_prober.async_probe_local("etching")
+    assert prober.workers.probes == 2 * probes
+
+
+async def test_disconnected_data_centre_does_not_block_the_probe() -> None:
+    prober = ProberHarness()
+    remote_instance = AddInstance("far-worker", "dc2", "rack", "far-worker", "etching")
+    prober.maintenance.driver.accept(remote_instance)
+    prober.maintenance.membership.others.append(build_member("far-1", "dc2"))
+    prober.peers.disconnected = True
+    await prober.pool_prober.async_probe("etching")
+    assert prober.peers.calls == [("far-1", ProbePool("etching"))]
+    assert prober.maintenance.driver.state.absences == {}
--- a/tests/components/maintenance/test_reporters.py
+++ b/tests/components/maintenance/test_reporters.py
@@ -1,4 +1,4 @@
-"""Report failures, returns and silence."""
+"""Test the reports of absences and data centre reachability."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class FakeInstanceList:
-    """List what it is told."""
+    """List the given instances."""
 
     def __init__(self, *names: str) -> None:
         self.names = set(names)
@@ -33,135 +33,132 @@
         )
 
 
-async def watch(
-    site: MaintenanceHarness, reporter: AbsenceReporter, seconds: int
+async def run_reporter(
+    harness: MaintenanceHarness, reporter: AbsenceReporter, seconds: int
 ) -> None:
     for _ in range(seconds):
         await reporter.async_step()
-        site.timers.pause(1.0)
+        harness.timers.pause(1.0)
 
 
-def reports(site: MaintenanceHarness) -> list[ReportAbsences]:
-    return [item for item in site.log.proposed if isinstance(item, ReportAbsences)]
+def reports(harness: MaintenanceHarness) -> list[ReportAbsences]:
+    return [item for item in harness.log.proposed if isinstance(item, ReportAbsences)]
 
 
-async def test_failures_of_a_rack_make_one_record_and_one_for_the_return() -> None:
-    site = MaintenanceHarness()
-    reporter = AbsenceReporter(site.dependencies(), None)
+async def test_failures_and_returns_of_a_rack_are_batched() -> None:
+    harness = MaintenanceHarness()
+    reporter = AbsenceReporter(harness.dependencies(), None)
     for name in (FIRST, SECOND):
-        site.membership.down.add(name)
-        site.power.put(name, state=PowerState.DOWN)
-    await watch(site, reporter, 8)
-    assert [len(item.changes) for item in reports(site)] == [2]
-    assert set(site.driver.state.absences) == {FIRST, SECOND}
-    site.membership.down.clear()
+        harness.membership.down.add(name)
+        harness.power.put(name, state=PowerState.DOWN)
+    await run_reporter(harness, reporter, 8)
+    assert [len(item.changes) for item in reports(harness)] == [2]
+    assert set(harness.driver.state.absences) == {FIRST, SECOND}
+    harness.membership.down.clear()
     for name in (FIRST, SECOND):
-        site.power.put(name, state=PowerState.SERVING, boot=2)
-    await watch(site, reporter, 12)
-    assert site.driver.state.absences == {}
-    assert len(reports(site)) == 2
+        harness.power.put(name, state=PowerState.SERVING, boot=2)
+    await run_reporter(harness, reporter, 12)
+    assert harness.driver.state.absences == {}
+    assert len(reports(harness)) == 2
 
 
-async def test_a_short_suspicion_is_not_reported() -> None:
-    site = MaintenanceHarness()
-    reporter = AbsenceReporter(site.dependencies(), None)
-    site.membership.down.add(FIRST)
-    await watch(site, reporter, 2)
-    site.membership.down.clear()
-    await watch(site, reporter, 8)
-    assert reports(site) == []
+async def test_short_suspicion_is_not_reported() -> None:
+    harness = MaintenanceHarness()
+    reporter = AbsenceReporter(harness.dependencies(), None)
+    harness.membership.down.add(FIRST)
+    await run_reporter(harness, reporter, 2)
+    harness.membership.down.clear()
+    await run_reporter(harness, reporter, 8)
+    assert reports(harness) == []
 
 
-async def test_an_instance_that_the_list_no_longer_names_is_looked_at() -> None:
-    site = MaintenanceHarness()
-    listing = FakeInstanceList(*site.driver.state.instances)
+async def test_unlisted_instance_is_checked() -> None:
+    harness = MaintenanceHarness()
+    listing = FakeInstanceList(*harness.driver.state.instances)
     listing.names.discard(FIRST)
-    reporter = AbsenceReporter(site.dependencies(), listing)
-    await watch(site, reporter, 20)
-    assert reports(site) == []
-    site.power.put(FIRST, state=PowerState.DOWN)
-    await watch(site, reporter, 2)
-    assert set(site.driver.state.absences) == {FIRST}
+    reporter = AbsenceReporter(harness.dependencies(), listing)
+    await run_reporter(harness, reporter, 20)
+    assert reports(harness) == []
+    harness.power.put(FIRST, state=PowerState.DOWN)
+    await run_reporter(harness, reporter, 2)
+    assert set(harness.driver.state.absences) == {FIRST}
 
 
-async def test_an_unreachable_instance_goes_in_and_out_ever_more_slowly() -> None:
-    """Spare the log an instance that the platform serves and nobody reaches.
+async def test_returns_of_an_unreachable_instance_back_off() -> None:
+    """Guard against thousands of absence records per day for one instance.
 
-    Symptom: thousands of absence records a day name one instance.
-    Sequence: entries cannot reach it, the platform says serving, it is called up, work
-    fails, it is called down. Cause: each round took as long as the one before.
+    The platform lists the instance as serving, but no entry node reaches it. It is
+    reported returned, its work fails, and it is reported absent again.
     """
-    site = MaintenanceHarness()
-    reporter = AbsenceReporter(site.dependencies(), None)
-    site.membership.down.add(FIRST)
-    await watch(site, reporter, 3600)
-    assert 4 <= len(reports(site)) <= 30
+    harness = MaintenanceHarness()
+    reporter = AbsenceReporter(harness.dependencies(), None)
+    harness.membership.down.add(FIRST)
+    await run_reporter(harness, reporter, 3600)
+    assert 4 <= len(reports(harness)) <= 30
 
 
-async def test_an_instance_that_a_dead_executor_left_drained_is_returned() -> None:
-    """Return what was drained for a claim or move that is no more.
+async def test_instance_left_drained_by_a_dead_executor_is_returned() -> None:
+    """Guard against an instance that never serves again although it is unclaimed.
 
-    Symptom: an instance serves nothing for ever, and no claim names it.
-    Sequence: the claim is released or the move cancelled; the executor dies before it
-    calls. Cause: nobody looked after an end that was in the log already.
+    The claim is released or the move is cancelled in the log, and the executor stops
+    before it returns the instance through the platform.
     """
-    site = MaintenanceHarness()
-    site.driver.run_wave()
-    site.power.put(FIRST, state=PowerState.DRAINED, generation=1)
-    site.membership.down.add(FIRST)
-    reporter = AbsenceReporter(site.dependencies(), None)
-    await watch(site, reporter, 6)
-    assert site.power.held[FIRST].state is PowerState.SERVING
-
-
-async def test_what_the_platform_drains_itself_is_left_alone() -> None:
-    site = MaintenanceHarness()
-    site.power.put(FIRST, state=PowerState.DRAINED, generation=0)
-    site.membership.down.add(FIRST)
-    reporter = AbsenceReporter(site.dependencies(), None)
-    await watch(site, reporter, 6)
-    assert site.power.held[FIRST].state is PowerState.DRAINED
-    assert site.driver.state.absences[FIRST].cause == "leaving"
-
-
-async def test_two_halves_that_both_have_the_log_do_not_report_in_turn() -> None:
-    """Report a silence once, and not again after the other side spoke.
-
-    Symptom: silence records fill the log during a partition between data centres.
-    Sequence: each half sees the other as silent and itself as speaking.
-    Cause: both told what they saw, again and again.
+    harness = MaintenanceHarness()
+    harness.driver.run_wave()
+    harness.power.put(FIRST, state=PowerState.DRAINED, generation=1)
+    harness.membership.down.add(FIRST)
+    reporter = AbsenceReporter(harness.dependencies(), None)
+    await run_reporter(harness, reporter, 6)
+    assert harness.power.held[FIRST].state is PowerState.SERVING
+
+
+async def test_instance_drained_by_the_platform_is_not_returned() -> None:
+    harness = MaintenanceHarness()
+    harness.power.put(FIRST, state=PowerState.DRAINED, generation=0)
+    harness.membership.down.add(FIRST)
+    reporter = AbsenceReporter(harness.dependencies(), None)
+    await run_reporter(harness, reporter, 6)
+    assert harness.power.held[FIRST].state is PowerState.DRAINED
+    assert harness.driver.state.absences[FIRST].cause == "leaving"
+
+
+async def test_partitioned_data_centres_do_not_report_alternately() -> None:
+    """Guard against reachability records that fill the log during a partition.
+
+    Each side reaches the log, observes the other as unreachable and itself as
+    reachable, and would contradict the last record of the other side.
     """
-    site = MaintenanceHarness()
-    site.driver.state.instances[SECOND].data_centre = "dc2"
-    reporter = ReachabilityReporter(site.dependencies())
-    site.log.listen(reporter.handle_outcome)
-    site.membership.silent.add("dc2")
+    harness = MaintenanceHarness()
+    harness.driver.state.instances[SECOND].data_centre = "dc2"
+    reporter = ReachabilityReporter(harness.dependencies())
+    harness.log.listen(reporter.handle_outcome)
+    harness.membership.silent.add("dc2")
     await reporter.async_step()
-    assert site.driver.state.silent == {"dc2"}
-    await site.log.async_propose(ReportSilence("dc2", False), actor="entry-9")
+    assert harness.driver.state.silent == {"dc2"}
+    await harness.log.async_propose(ReportSilence("dc2", False), actor="entry-9")
     for _ in range(60):
         await reporter.async_step()
-        site.timers.pause(1.0)
-    assert site.driver.state.silent == set()
-    site.timers.pause(600.0)
+        harness.timers.pause(1.0)
+    assert harness.driver.state.silent == set()
+    harness.timers.pause(600.0)
     await reporter.async_step()
-    assert site.driver.state.silent == {"dc2"}
+    assert harness.driver.state.silent == {"dc2"}
 
 
-async def test_a_data_centre_itself_says_that_it_speaks() -> None:
-    site = MaintenanceHarness()
-    site.driver.accept(ReportSilence("dc1", True))
-    reporter = ReachabilityReporter(site.dependencies())
-    site.log.tail_age = 60.0
+async def test_data_centre_reports_itself_reachable() -> None:
+    harness = MaintenanceHarness()
+    harness.driver.accept(ReportSilence("dc1", True))
+    reporter = ReachabilityReporter(harness.dependencies())
+    harness.log.tail_age = 60.0
     await reporter.async_step()
-    assert site.driver.state.silent == {"dc1"}
-    site.log.tail_age = 0.0
+    assert harness.driver.state.silent == {"dc1"}
+    harness.log.tail_age = 0.0
     await reporter.async_step()
-    assert site.driver.state.silent == set()
+    assert harness.driver.state.silent == set()
 
 
 @pytest.mark.parametrize(
-    ("wall", "wanted"),
+    ("wall", "expected"),
     [
         (WEDNESDAY + 23 * 3600, True),
         (WEDNESDAY + DAY + 3600, True),
@@ -170,6 +167,6 @@
         (WEDNESDAY + DAY + 23 * 3600, False),
     ],
 )
-async def test_a_window_may_run_past_midnight(wall: float, wanted: bool) -> None:
+async def test_window_may_extend_past_midnight(wall: float, expected: bool) -> None:
     window = MaintenanceWindow(22 * 3600, 4 * 3600, weekdays=(2,))
-    assert is_window_open(window, wall) is wanted
+    assert is_window_open(window, wall) is expected
--- a/tests/components/maintenance/test_wave_executor.py
+++ b/tests/components/maintenance/test_wave_executor.py
@@ -1,4 +1,4 @@
-"""Carry out waves against failures of executors, instances and the platform."""
+"""Test waves under failures of executors, instances and the platform."""
 
 from __future__ import annotations
 
@@ -33,403 +33,394 @@
         await executor.async_step()
 
 
-async def take_to(site: MaintenanceHarness, executor: WaveExecutor, stage: str) -> str:
-    """Step until one claim is at a stage; return its instance."""
+async def step_until(
+    harness: MaintenanceHarness, executor: WaveExecutor, stage: str
+) -> str:
+    """Run steps until a claim reaches a stage; return its instance."""
     for _ in range(12):
-        for name, claim in site.driver.state.claims.items():
+        for name, claim in harness.driver.state.claims.items():
             if claim.stage == stage:
                 return name
         await executor.async_step()
     raise AssertionError(f"no claim reached {stage}")
 
 
-async def test_a_wave_is_carried_out_whole() -> None:
-    site = MaintenanceHarness()
-    site.schedule()
-    executor = site.executor()
+async def test_wave_maintains_all_instances() -> None:
+    harness = MaintenanceHarness()
+    harness.schedule()
+    executor = harness.executor()
     for _ in range(40):
         await executor.async_step()
-        site.power.finish_reboots()
-    assert site.status() == "done"
-    assert len(site.driver.state.waves["w1"].done) == 8
-    assert site.power.count("reboot") == 8
-    assert site.causes("wave-done") == ["signal"]
+        harness.power.finish_reboots()
+    assert harness.status() == "done"
+    assert len(harness.driver.state.waves["w1"].done) == 8
+    assert harness.power.count("reboot") == 8
+    assert harness.causes("wave-done") == ["signal"]
 
 
-async def test_running_work_is_waited_for_and_never_cut() -> None:
-    """Reboot only an instance on which nothing runs.
+async def test_running_work_is_never_interrupted() -> None:
+    """Guard against a reboot that truncates the response of a running request.
 
-    Symptom: a tablet's answer breaks off in the middle of a wave.
-    Sequence: drain, a long request goes on, reboot. Cause: the drain had a timer.
+    A long request continues during the drain, which must therefore not have a timeout.
     """
-    site = MaintenanceHarness()
-    site.schedule()
-    executor = site.executor()
-    name = await take_to(site, executor, "draining")
-    site.power.put(name, running=1)
+    harness = MaintenanceHarness()
+    harness.schedule()
+    executor = harness.executor()
+    name = await step_until(harness, executor, "draining")
+    harness.power.put(name, running=1)
     await steps(executor, 5)
-    assert site.stage(name) == "draining"
-    site.timers.pause(3600.0)
+    assert harness.stage(name) == "draining"
+    harness.timers.pause(3600.0)
     await steps(executor, 5)
-    assert site.stage(name) == "vacating"
-    site.power.put(name, running=0)
-    site.busy.add(name)
+    assert harness.stage(name) == "vacating"
+    harness.power.put(name, running=0)
+    harness.busy.add(name)
     await steps(executor, 5)
-    assert site.stage(name) == "vacating"
-    assert site.power.count("reboot") == 0
-    site.busy.clear()
+    assert harness.stage(name) == "vacating"
+    assert harness.power.count("reboot") == 0
+    harness.busy.clear()
     await steps(executor, 3)
-    assert site.power.count("reboot") == 1
+    assert harness.power.count("reboot") == 1
 
 
-async def test_a_drained_instance_goes_back_when_a_rack_fails() -> None:
-    """Give back what is not yet rebooting when failures eat the margin.
+async def test_drained_instance_is_returned_when_a_rack_fails() -> None:
+    """Guard against a wave and a failed rack that together violate a budget.
 
-    Symptom: a wave and a failed rack together break a budget.
-    Sequence: claim, drain, half the pool fails, reboot all the same.
-    Cause: the executor went on with a claim that the budget no longer covers.
+    Half of the pool fails after the drain, so that the budget no longer covers the
+    claim, whose reboot has not started yet.
     """
-    site = MaintenanceHarness(reserve_largest_rack=False)
-    site.schedule()
-    executor = site.executor()
-    name = await take_to(site, executor, "drained")
-    others = [item for item in site.driver.state.instances if item != name]
-    site.driver.fail(*others[:4])
+    harness = MaintenanceHarness(reserve_largest_rack=False)
+    harness.schedule()
+    executor = harness.executor()
+    name = await step_until(harness, executor, "drained")
+    others = [item for item in harness.driver.state.instances if item != name]
+    harness.driver.fail(*others[:4])
     await steps(executor, 3)
-    assert site.stage(name) == ""
-    assert site.power.count("reboot") == 0
-    assert site.power.held[name].state is PowerState.SERVING
-    assert "budget-exceeded" in site.causes("claim-given-back")
+    assert harness.stage(name) == ""
+    assert harness.power.count("reboot") == 0
+    assert harness.power.held[name].state is PowerState.SERVING
+    assert "budget-exceeded" in harness.causes("claim-given-back")
 
 
-async def test_what_an_executor_sees_itself_counts_before_the_reboot() -> None:
-    """Weigh failures that are seen and not yet in the log.
+async def test_unreported_failures_count_before_the_reboot() -> None:
+    """Guard against a reboot of the instance that took over work of a failed one.
 
-    Symptom: a reboot takes the instance that a failed one's work just went to.
-    Sequence: instances fail; their report is on the way; the reboot begins.
-    Cause: only the folded state was looked at.
+    Instances fail and their report is not in the log yet when the reboot is due, so
+    that the replicated state alone shows sufficient margin.
     """
-    site = MaintenanceHarness(reserve_largest_rack=False)
-    site.schedule()
-    executor = site.executor()
-    name = await take_to(site, executor, "drained")
-    others = [item for item in site.driver.state.instances if item != name]
-    site.membership.down.update(others[:4])
+    harness = MaintenanceHarness(reserve_largest_rack=False)
+    harness.schedule()
+    executor = harness.executor()
+    name = await step_until(harness, executor, "drained")
+    others = [item for item in harness.driver.state.instances if item != name]
+    harness.membership.down.update(others[:4])
     await steps(executor, 2)
-    assert site.power.count("reboot") == 0
-    assert site.stage(name) == ""
+    assert harness.power.count("reboot") == 0
+    assert harness.stage(name) == ""
 
 
-async def test_failures_folded_by_the_confirmation_stop_the_reboot() -> None:
-    site = MaintenanceHarness(reserve_largest_rack=False)
-    site.schedule()
-    executor = site.executor()
-    name = await take_to(site, executor, "drained")
-    others = [item for item in site.driver.state.instances if item != name]
-    site.log.before_confirm = lambda: site.driver.fail(*others[:4])
+async def test_failures_applied_by_the_tail_confirmation_prevent_the_reboot() -> None:
+    harness = MaintenanceHarness(reserve_largest_rack=False)
+    harness.schedule()
+    executor = harness.executor()
+    name = await step_until(harness, executor, "drained")
+    others = [item for item in harness.driver.state.instances if item != name]
+    harness.log.before_confirm = lambda: harness.driver.fail(*others[:4])
     await executor.async_step()
-    assert site.power.count("reboot") == 0
-    assert site.stage(name) == ""
+    assert harness.power.count("reboot") == 0
+    assert harness.stage(name) == ""
 
 
-async def test_an_instance_that_returned_does_not_send_the_next_claim_back() -> None:
-    """Take the end of a reboot as evidence that the instance is up.
+async def test_returned_instance_does_not_abort_the_next_claim() -> None:
+    """Guard against claims aborted for budget-exceeded although nothing has failed.
 
-    Symptom: a wave gives claims back for budget-exceeded while nothing has failed, and
-    drains the same instance twice. Sequence: an instance reboots and is seen down by
-    its peers; it returns and its claim is released; the next one is about to reboot.
-    Cause: local evidence still held the returned instance for down.
+    An instance is suspected during its reboot and its claim is released after its
+    return. If membership still suspects it, the next claim is aborted and its instance
+    is drained twice.
     """
-    site = MaintenanceHarness(reserve_largest_rack=False)
-    site.schedule()
-    executor = site.executor()
-    name = await take_to(site, executor, "rebooting")
-    site.membership.down.add(name)
-    site.power.finish_reboots()
-    while name in site.driver.state.claims:
+    harness = MaintenanceHarness(reserve_largest_rack=False)
+    harness.schedule()
+    executor = harness.executor()
+    name = await step_until(harness, executor, "rebooting")
+    harness.membership.down.add(name)
+    harness.power.finish_reboots()
+    while name in harness.driver.state.claims:
         await executor.async_step()
-    assert site.membership.instance_may_get_work(name)
-    await take_to(site, executor, "rebooting")
-    assert site.causes("claim-given-back") == []
+    assert harness.membership.instance_may_get_work(name)
+    await step_until(harness, executor, "rebooting")
+    assert harness.causes("claim-given-back") == []
 
 
-async def test_a_wave_that_is_held_back_does_not_search_the_fleet_at_every_step(
+async def test_blocked_wave_does_not_select_instances_at_every_step(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Look for instances again only when something changed.
+    """Guard against a selection at each step although its inputs are unchanged.
 
-    Symptom: an entry that holds 12,000 instances spends 6 % of a core on nothing while
-    a wave waits. Sequence: the budget allows no more; each step sorts what is pending.
-    Cause: the step did not know that it would choose nothing again.
+    While the budget blocks a wave, sorting the pending instances of a fleet of 12,000
+    at each step takes 6 % of a core.
     """
-    site = MaintenanceHarness()
-    site.schedule()
-    executor = site.executor()
-    searches: list[str] = []
+    harness = MaintenanceHarness()
+    harness.schedule()
+    executor = harness.executor()
+    selections: list[str] = []
 
-    def search(*arguments: Any) -> Selection:
-        searches.append("search")
+    def count_selection(*arguments: Any) -> Selection:
+        selections.append("search")
         return select_claims(*arguments)
 
-    monkeypatch.setattr(wave_executor, "select_claims", search)
-    await take_to(site, executor, "rebooting")
+    monkeypatch.setattr(wave_executor, "select_claims", count_selection)
+    await step_until(harness, executor, "rebooting")
     await executor.async_step()
-    before = len(searches)
+    before = len(selections)
     await steps(executor, 20)
-    assert len(searches) == before
-    site.timers.pause(RESELECT_INTERVAL_SECONDS)
+    assert len(selections) == before
+    harness.timers.pause(RESELECT_INTERVAL_SECONDS)
     await executor.async_step()
-    assert len(searches) == before + 1
+    assert len(selections) == before + 1
 
 
-async def test_a_paused_executor_is_fenced_by_its_adopter() -> None:
-    """Let a woken executor do nothing to a claim that another adopted.
+async def test_paused_executor_is_fenced_after_adoption() -> None:
+    """Guard against an instance that reboots twice or after it was returned.
 
-    Symptom: an instance reboots twice, or after it was given back.
-    Sequence: the executor pauses between claim and reboot; its peers see it gone; one
-    adopts, reboots and finishes; the first wakes with its old state.
-    Cause: the platform could not tell the two apart.
+    An executor pauses between claim and reboot. Another one adopts the claim, reboots
+    the instance and releases it, and the first one resumes with outdated state. The
+    platform has to reject its calls by their generation.
     """
-    site = MaintenanceHarness()
-    site.schedule()
-    first = site.executor("entry-0")
-    site.membership.others.append(build_member("entry-0"))
-    name = await take_to(site, first, "drained")
-    old_generation = site.driver.state.claims[name].generation
-    site.membership.others.clear()
-    second = site.executor("entry-1")
+    harness = MaintenanceHarness()
+    harness.schedule()
+    first = harness.executor("entry-0")
+    harness.membership.others.append(build_member("entry-0"))
+    name = await step_until(harness, first, "drained")
+    old_generation = harness.driver.state.claims[name].generation
+    harness.membership.others.clear()
+    second = harness.executor("entry-1")
     await steps(second, 2)
-    assert site.driver.state.claims[name].executor == "entry-1#1"
-    assert site.power.count("reboot") == 1
+    assert harness.driver.state.claims[name].executor == "entry-1#1"
+    assert harness.power.count("reboot") == 1
     await first.async_step()
     with pytest.raises(StaleGenerationError):
-        await site.power.async_reboot(name, "late", old_generation)
-    assert site.power.count("reboot") == 1
-    site.power.finish_reboots()
+        await harness.power.async_reboot(name, "late", old_generation)
+    assert harness.power.count("reboot") == 1
+    harness.power.finish_reboots()
     await steps(second, 2)
-    assert name in site.driver.state.waves["w1"].done
+    assert name in harness.driver.state.waves["w1"].done
 
 
-async def test_an_answer_lost_after_the_reboot_began_reboots_once() -> None:
-    """Reboot once although the platform's answer is lost and the executor dies.
+async def test_lost_reboot_response_causes_one_reboot() -> None:
+    """Guard against two reboots of an instance in one wave.
 
-    Symptom: an instance goes through two reboots in one wave.
-    Sequence: the reboot begins, its answer is lost, the executor dies, its adopter
-    calls again. Cause: the adopter's call had an operation id of its own.
+    The reboot starts, its response is lost and the executor stops. The call of the
+    adopting executor must have the same operation id.
     """
-    site = MaintenanceHarness()
-    site.schedule()
-    first = site.executor("entry-0")
-    site.membership.others.append(build_member("entry-0"))
-    name = await take_to(site, first, "drained")
-    site.power.lose_answers.add("reboot")
+    harness = MaintenanceHarness()
+    harness.schedule()
+    first = harness.executor("entry-0")
+    harness.membership.others.append(build_member("entry-0"))
+    name = await step_until(harness, first, "drained")
+    harness.power.lose_answers.add("reboot")
     await first.async_step()
-    assert site.stage(name) == "rebooting"
-    site.membership.others.clear()
-    second = site.executor("entry-1")
+    assert harness.stage(name) == "rebooting"
+    harness.membership.others.clear()
+    second = harness.executor("entry-1")
     await steps(second, 2)
-    site.power.finish_reboots()
+    harness.power.finish_reboots()
     await steps(second, 2)
-    assert name in site.driver.state.waves["w1"].done
-    assert site.power.calls.count(("reboot", name)) == 1
+    assert name in harness.driver.state.waves["w1"].done
+    assert harness.power.calls.count(("reboot", name)) == 1
 
 
-async def test_an_instance_that_never_comes_back_stops_the_wave() -> None:
-    site = MaintenanceHarness(size=20)
-    site.schedule(maximum_failures=1)
-    executor = site.executor()
-    name = await take_to(site, executor, "rebooting")
-    site.timers.pause(REBOOT_TIMEOUT_SECONDS - 1)
+async def test_instance_that_never_returns_pauses_the_wave() -> None:
+    harness = MaintenanceHarness(size=20)
+    harness.schedule(maximum_failures=1)
+    executor = harness.executor()
+    name = await step_until(harness, executor, "rebooting")
+    harness.timers.pause(REBOOT_TIMEOUT_SECONDS - 1)
     await steps(executor, 2)
-    assert site.stage(name) == "rebooting"
-    site.timers.pause(REBOOT_TIMEOUT_SECONDS)
+    assert harness.stage(name) == "rebooting"
+    harness.timers.pause(REBOOT_TIMEOUT_SECONDS)
     await steps(executor, 2)
-    assert site.driver.state.absences[name].cause == "reboot-failed"
-    assert site.status() == "paused"
-    assert site.causes("wave-paused") == ["failures=1 maximum=1"]
+    assert harness.driver.state.absences[name].cause == "reboot-failed"
+    assert harness.status() == "paused"
+    assert harness.causes("wave-paused") == ["failures=1 maximum=1"]
 
 
-async def test_an_outage_of_the_log_lets_instances_return_and_starts_nothing() -> None:
-    """Begin nothing without the tail, and let what began come back.
+async def test_log_outage_returns_instances_and_starts_nothing() -> None:
+    """Guard against a wave that continues while its failures are unknown.
 
-    Symptom: a wave goes on while nobody can see its failures.
-    Sequence: the log goes out while one instance is drained and one reboots.
-    Cause: the executor acted on state whose age it did not look at.
+    The log becomes unavailable after instances are drained. The age of the state has to
+    prevent reboots, and drained instances have to return to service.
     """
-    site = MaintenanceHarness(size=20)
-    site.schedule(canary=2)
-    executor = site.executor()
-    await take_to(site, executor, "drained")
-    site.log.out = True
+    harness = MaintenanceHarness(size=20)
+    harness.schedule(canary=2)
+    executor = harness.executor()
+    await step_until(harness, executor, "drained")
+    harness.log.out = True
     await steps(executor, 3)
-    assert site.power.count("reboot") == 0
-    site.log.tail_age = 60.0
+    assert harness.power.count("reboot") == 0
+    harness.log.tail_age = 60.0
     await steps(executor, 2)
-    assert site.power.count("return") == 2
-    before = len(site.driver.state.claims)
-    site.log.out, site.log.tail_age = False, 0.0
+    assert harness.power.count("return") == 2
+    before = len(harness.driver.state.claims)
+    harness.log.out, harness.log.tail_age = False, 0.0
     await steps(executor, 1)
     assert before == 2
-    assert site.causes("claim-given-back")
+    assert harness.causes("claim-given-back")
 
 
-async def test_two_waves_and_a_failing_rack_keep_the_floor() -> None:
-    site = MaintenanceHarness(
+async def test_two_waves_and_a_failed_rack_keep_the_floor() -> None:
+    harness = MaintenanceHarness(
         size=12, minimum_available=0.5, reserve_largest_rack=False
     )
-    site.schedule("w1", canary=6)
-    site.schedule("w2", canary=6)
-    executor = site.executor()
+    harness.schedule("w1", canary=6)
+    harness.schedule("w2", canary=6)
+    executor = harness.executor()
     for number in range(30):
         await executor.async_step()
         if number == 3:
-            site.driver.fail(*(f"dc1-etching-{item:03d}" for item in range(8, 12)))
+            harness.driver.fail(*(f"dc1-etching-{item:03d}" for item in range(8, 12)))
         absent_or_rebooting = {
-            *site.driver.state.absences,
+            *harness.driver.state.absences,
             *(
                 name
-                for name, claim in site.driver.state.claims.items()
+                for name, claim in harness.driver.state.claims.items()
                 if claim.stage == "rebooting"
             ),
         }
         assert 12 - len(absent_or_rebooting) >= 6
         if number % 3 == 2:
-            site.power.finish_reboots()
-    assert len(site.driver.state.waves["w1"].done) == 8
+            harness.power.finish_reboots()
+    assert len(harness.driver.state.waves["w1"].done) == 8
 
 
-async def test_refused_claims_do_not_spin() -> None:
-    """Propose again only after the fold changed.
+async def test_refused_claim_is_not_repeated_without_changes() -> None:
+    """Guard against a blocked wave that uses up the append budget of the log.
 
-    Symptom: a held-back wave fills the log's append budget.
-    Sequence: a claim is refused, and proposed again at each step.
-    Cause: nothing had changed that could have let it through.
+    A refused claim that is proposed again at each step is refused again while the state
+    is unchanged.
     """
-    site = MaintenanceHarness(minimum_available=1.0)
-    site.schedule()
-    executor = site.executor()
+    harness = MaintenanceHarness(minimum_available=1.0)
+    harness.schedule()
+    executor = harness.executor()
     await steps(executor, 2)
-    site.log.proposed.clear()
+    harness.log.proposed.clear()
     await steps(executor, 20)
-    assert site.log.proposed == []
-    assert site.causes("claim-held-back") == ["budget-exceeded"]
+    assert harness.log.proposed == []
+    assert harness.causes("claim-held-back") == ["budget-exceeded"]
 
 
-async def test_a_closed_window_holds_claims_back() -> None:
-    site = MaintenanceHarness(
+async def test_closed_window_blocks_claims() -> None:
+    harness = MaintenanceHarness(
         windows=(MaintenanceWindow(start_second=0, length_seconds=3600),)
     )
-    site.schedule()
-    executor = site.executor()
-    site.timers.pause(86_400 - site.timers.wall() % 86_400 + 3601)
+    harness.schedule()
+    executor = harness.executor()
+    harness.timers.pause(86_400 - harness.timers.wall() % 86_400 + 3601)
     await steps(executor, 4)
-    assert site.driver.state.claims == {}
-    assert site.causes("claim-held-back") == ["window-closed"]
-    site.timers.pause(86_400 - 3601)
+    assert harness.driver.state.claims == {}
+    assert harness.causes("claim-held-back") == ["window-closed"]
+    harness.timers.pause(86_400 - 3601)
     await steps(executor, 2)
-    assert len(site.driver.state.claims) == 1
+    assert len(harness.driver.state.claims) == 1
 
 
-async def test_pause_and_cancel_give_back_what_is_not_rebooting() -> None:
-    site = MaintenanceHarness()
-    site.schedule()
-    executor = site.executor()
-    name = await take_to(site, executor, "drained")
-    site.signal("cancel")
+async def test_cancelled_wave_returns_instances_not_yet_rebooting() -> None:
+    harness = MaintenanceHarness()
+    harness.schedule()
+    executor = harness.executor()
+    name = await step_until(harness, executor, "drained")
+    harness.signal("cancel")
     await steps(executor, 2)
-    assert site.stage(name) == ""
-    assert site.power.held[name].state is PowerState.SERVING
-    assert site.power.count("reboot") == 0
-
-
-async def test_an_instance_that_crashes_while_it_drains_is_not_called_done() -> None:
-    site = MaintenanceHarness()
-    site.schedule()
-    executor = site.executor()
-    name = await take_to(site, executor, "draining")
-    site.power.put(name, state=PowerState.SERVING, boot=2)
-    site.membership.duty = False
+    assert harness.stage(name) == ""
+    assert harness.power.held[name].state is PowerState.SERVING
+    assert harness.power.count("reboot") == 0
+
+
+async def test_instance_that_crashes_during_its_drain_stays_pending() -> None:
+    harness = MaintenanceHarness()
+    harness.schedule()
+    executor = harness.executor()
+    name = await step_until(harness, executor, "draining")
+    harness.power.put(name, state=PowerState.SERVING, boot=2)
+    harness.membership.duty = False
     await steps(executor, 2)
-    assert site.stage(name) == ""
-    assert name in site.driver.state.waves["w1"].pending
+    assert harness.stage(name) == ""
+    assert name in harness.driver.state.waves["w1"].pending
 
 
-async def test_a_claim_by_another_live_executor_is_left_to_it() -> None:
-    site = MaintenanceHarness()
-    site.schedule()
-    executor = site.executor()
+async def test_claim_of_another_live_executor_is_not_adopted() -> None:
+    harness = MaintenanceHarness()
+    harness.schedule()
+    executor = harness.executor()
     await executor.async_step()
-    site.membership.others.append(build_member("entry-9"))
-    site.driver.accept(TakeClaim("w1", FIRST, "entry-9#1", 1))
+    harness.membership.others.append(build_member("entry-9"))
+    harness.driver.accept(TakeClaim("w1", FIRST, "entry-9#1", 1))
     await steps(executor, 4)
-    assert site.driver.state.claims[FIRST].executor == "entry-9#1"
-    assert site.stage(FIRST) == "claimed"
+    assert harness.driver.state.claims[FIRST].executor == "entry-9#1"
+    assert harness.stage(FIRST) == "claimed"
 
 
-async def test_drained_instances_go_back_before_draining_ones() -> None:
-    site = MaintenanceHarness(
+async def test_drained_instances_are_returned_before_draining_ones() -> None:
+    harness = MaintenanceHarness(
         size=12, minimum_available=0.5, reserve_largest_rack=False
     )
-    site.schedule(canary=2)
-    executor = site.executor()
+    harness.schedule(canary=2)
+    executor = harness.executor()
     await steps(executor, 2)
-    site.power.put(FIRST, running=1)
+    harness.power.put(FIRST, running=1)
     await steps(executor, 2)
-    assert (site.stage(FIRST), site.stage(SECOND)) == ("draining", "drained")
-    site.membership.duty = False
-    site.driver.fail(*(f"dc1-etching-{number:03d}" for number in range(7, 12)))
+    assert (harness.stage(FIRST), harness.stage(SECOND)) == ("draining", "drained")
+    harness.membership.duty = False
+    harness.driver.fail(*(f"dc1-etching-{number:03d}" for number in range(7, 12)))
     await steps(executor, 1)
-    assert (site.stage(FIRST), site.stage(SECOND)) == ("draining", "")
+    assert (harness.stage(FIRST), harness.stage(SECOND)) == ("draining", "")
 
 
-async def test_a_quarantined_instance_is_taken_without_any_margin() -> None:
-    """Reboot what is in quarantine although no budget has a margin left.
+async def test_quarantined_instance_is_claimed_without_margin() -> None:
+    """Guard against a wave that never finishes and a permanent quarantine.
 
-    Symptom: a wave never ends, and one bad worker stays in quarantine for ever.
-    Sequence: the worker is quarantined; it eats the last margin; the wave can take
-    neither it nor another. Cause: it was asked to cost a margin that it costs already.
+    A quarantined worker uses up the last margin. Its claim must not require the margin
+    again, or neither it nor any other instance can be claimed.
     """
-    site = MaintenanceHarness(size=8, minimum_available=0.75)
-    site.schedule()
-    executor = site.executor()
-    first = await take_to(site, executor, "rebooting")
-    site.power.finish_reboots()
-    await executor._claims.async_step(site.driver.state.claims[first])
+    harness = MaintenanceHarness(size=8, minimum_available=0.75)
+    harness.schedule()
+    executor = harness.executor()
+    first = await step_until(harness, executor, "rebooting")
+    harness.power.finish_reboots()
+    await executor._claim_processor.async_step(harness.driver.state.claims[first])
     bad = "dc1-etching-005"
     change = AbsenceChange(bad, False, 1, "quarantined")
-    site.driver.accept(ReportAbsences("dc1", (change,)))
+    harness.driver.accept(ReportAbsences("dc1", (change,)))
     for _ in range(8):
         await executor.async_step()
-        site.power.finish_reboots()
-    assert bad in site.driver.state.waves["w1"].done
-    assert bad not in site.driver.state.absences
+        harness.power.finish_reboots()
+    assert bad in harness.driver.state.waves["w1"].done
+    assert bad not in harness.driver.state.absences
 
 
-async def test_a_quarantined_instance_is_no_canary() -> None:
-    site = MaintenanceHarness()
-    site.schedule()
+async def test_quarantined_instance_is_no_canary() -> None:
+    harness = MaintenanceHarness()
+    harness.schedule()
     change = AbsenceChange(FIRST, False, 1, "quarantined")
-    site.driver.accept(ReportAbsences("dc1", (change,)))
-    executor = site.executor()
+    harness.driver.accept(ReportAbsences("dc1", (change,)))
+    executor = harness.executor()
     await steps(executor, 2)
-    assert SECOND in site.driver.state.claims
+    assert SECOND in harness.driver.state.claims
 
 
-async def test_an_instance_that_cannot_be_drained_does_not_hold_the_wave() -> None:
-    """Go on with others when the platform cannot reach an instance.
+async def test_undrainable_instance_does_not_block_the_wave() -> None:
+    """Guard against a wave that is blocked for hours by one claimed instance.
 
-    Symptom: a wave stands still and names one claimed instance for hours.
-    Sequence: the worker hangs after the claim; each drain is refused as unavailable.
-    Cause: the claim waited for a drain that could not begin.
+    The worker hangs after the claim and the platform rejects each drain as unavailable,
+    so that a claim without a timeout would wait for a drain that cannot start.
     """
-    site = MaintenanceHarness(size=8, minimum_available=0.75)
-    site.schedule()
-    executor = site.executor()
-    site.power.undrainable.add(FIRST)
+    harness = MaintenanceHarness(size=8, minimum_available=0.75)
+    harness.schedule()
+    executor = harness.executor()
+    harness.power.undrainable.add(FIRST)
     for _ in range(4):
         await executor.async_step()
-        site.timers.pause(DRAIN_START_TIMEOUT_SECONDS / 2)
+        harness.timers.pause(DRAIN_START_TIMEOUT_SECONDS / 2)
     await steps(executor, 1)
-    assert site.stage(FIRST) == ""
-    assert "undrainable" in site.causes("claim-given-back")
-    assert SECOND in site.driver.state.claims
+    assert harness.stage(FIRST) == ""
+    assert "undrainable" in harness.causes("claim-given-back")
+    assert SECOND in harness.driver.state.claims
