--- a/bench/planner.py
+++ b/bench/planner.py
@@ -1,4 +1,4 @@
-"""Measure the planner's three measures against baselines and bounds.
+"""Measure the planner's three metrics against baselines and bounds.
 
 ``python -m bench.planner`` draws seeded cases, plans each with its own users' weights
 and with two others, folds every turn of the plans, and exits non-zero when an aim is
--- a/bench/planner_baselines.py
+++ b/bench/planner_baselines.py
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Baseline:
-    """Hold a baseline's measures and how many floors it broke."""
+    """Hold a baseline's metrics and how many floors it broke."""
 
     metrics: PlanMetrics
     broken: int
--- a/mustardward/components/maintenance/api.py
+++ b/mustardward/components/maintenance/api.py
@@ -25,13 +25,13 @@
 
 
 class WaveUnknownError(MustardwardError):
-    """Raised for an unknown wave or pool."""
+    """Report an unknown wave, pool or instance."""
 
     code = "wave-unknown"
 
 
 class SignalUnknownError(MustardwardError):
-    """Raised for a signal that is not an operator signal."""
+    """Report a signal that operators cannot send."""
 
     code = "signal-unknown"
 
--- a/tests/components/maintenance/test_api.py
+++ b/tests/components/maintenance/test_api.py
@@ -59,9 +59,9 @@
 async def test_outdated_base_revision_is_rejected() -> None:
     harness = MaintenanceHarness()
     harness.schedule()
-    seen = harness.driver.state.waves["w1"].revision
+    outdated_revision = harness.driver.state.waves["w1"].revision
     harness.signal("start")
-    model = api.SignalModel(base_revision=seen)
+    model = api.SignalModel(base_revision=outdated_revision)
     with pytest.raises(RevisionConflictError):
         await api.async_signal(
             build_request(harness, model, wave_id="w1", signal="cancel")
