--- a/tests/cli/test_waves.py
+++ b/tests/cli/test_waves.py
@@ -19,7 +19,7 @@
 from mustardward.components.pools.api import EntriesUnknownError
 from mustardward.state.budgets import BudgetExceededError
 from mustardward.state.models.pools import Pool
-from tests.components.maintenance.site import FIRST, MaintenanceHarness
+from tests.components.maintenance.harness import FIRST, MaintenanceHarness
 from tests.fakes.routes import async_route
 
 
@@ -84,7 +84,7 @@
     Cause: only waves looked at the pool first.
     """
     site.driver.state.pools["casting"] = Pool("casting", 1)
-    site.unseen = ["dc1-etching-005", "dc1-etching-006", "dc1-etching-007"]
+    site.unreported = ["dc1-etching-005", "dc1-etching-006", "dc1-etching-007"]
     refused = run("pool", "move", FIRST, "casting")
     assert isinstance(refused.exception, BudgetExceededError)
     assert site.driver.state.moves == {}
