--- a/mustardward/components/fleet/cordons.py
+++ b/mustardward/components/fleet/cordons.py
@@ -35,5 +35,5 @@
     """Return whether a worker is cordoned; a later incarnation of its id is not."""
     started_at_ms = cordoned.get(worker.id)
     return started_at_ms is not None and not is_other_incarnation(
-        worker.born, started_at_ms
+        worker.started_at_ms, started_at_ms
     )
--- a/mustardward/components/fleet/services.py
+++ b/mustardward/components/fleet/services.py
@@ -221,7 +221,7 @@
             return
         worker = self.scheduler.state.workers.get(order.worker_id)
         if worker is not None and is_other_incarnation(
-            worker.born, order.started_at_ms
+            worker.started_at_ms, order.started_at_ms
         ):
             return
         self.dispatcher.remove_worker(order.worker_id, LossCause.ORDERED)
@@ -304,7 +304,7 @@
 
 def _load_of(worker: WorkerState) -> Load:
     """Return the load of a worker; most workers of a large fleet have no tasks."""
-    if not worker.tasks and not worker.born:
+    if not worker.tasks and not worker.started_at_ms:
         return _IDLE
     long_running = sum(task.step.spec.long_running for task in worker.tasks.values())
-    return Load(long_running, len(worker.tasks) - long_running, worker.born)
+    return Load(long_running, len(worker.tasks) - long_running, worker.started_at_ms)
--- a/mustardward/components/scheduling/crashes.py
+++ b/mustardward/components/scheduling/crashes.py
@@ -144,7 +144,7 @@
         _LOGGER.warning(
             "worker_crashed",
             worker=worker.id,
-            born=worker.born,
+            born=worker.started_at_ms,
             tasks=len(suspects),
             suspects=",".join(
                 encode_task(t.name) for t in suspects[:MAX_RUNS_PER_LINE]
--- a/mustardward/components/scheduling/incarnations.py
+++ b/mustardward/components/scheduling/incarnations.py
@@ -6,9 +6,12 @@
 from .worker_state import WorkerState
 
 
-def is_other_incarnation(born: int, known: int) -> bool:
+def is_other_incarnation(started_at_ms: int, known_started_at_ms: int) -> bool:
     """Return whether two start times are known and of different incarnations."""
-    return bool(born and known) and born != known
+    return (
+        bool(started_at_ms and known_started_at_ms)
+        and started_at_ms != known_started_at_ms
+    )
 
 
 def make_worker(worker_id: str, entry: WorkerEntry) -> WorkerState:
@@ -23,5 +26,5 @@
         free_cpu=room.cpu,
         free_mem=room.mem_mb,
         free_gpu=room.gpu,
-        born=entry.born,
+        started_at_ms=entry.born,
     )
--- a/mustardward/components/scheduling/losses.py
+++ b/mustardward/components/scheduling/losses.py
@@ -43,7 +43,7 @@
     _LOGGER.info(
         "worker_lost",
         worker=worker.id,
-        born=worker.born,
+        born=worker.started_at_ms,
         cause=cause.value,
         draining=worker.draining,
         leaving=worker.cordoned,
--- a/mustardward/components/scheduling/scheduler.py
+++ b/mustardward/components/scheduling/scheduler.py
@@ -117,7 +117,7 @@
         return self.worker_entries.update(worker_id, entry, now)
 
     def replace_worker(
-        self, worker_id: str, born: int, entry: WorkerEntry, now: float
+        self, worker_id: str, started_at_ms: int, entry: WorkerEntry, now: float
     ) -> None:
         """Replace a worker that restarted under its id.
 
@@ -126,14 +126,14 @@
         """
         old = self.state.workers.get(worker_id)
         new = make_worker(worker_id, entry)
-        new.born = born
-        new.described = entry.born == born
+        new.started_at_ms = started_at_ms
+        new.described = entry.born == started_at_ms
         new.absent = not new.described
         _LOGGER.info(
             "worker_restarted",
             worker=worker_id,
-            born=born,
-            previous_born=old.born if old is not None else 0,
+            born=started_at_ms,
+            previous_born=old.started_at_ms if old is not None else 0,
             described=new.described,
         )
         if old is None:
--- a/mustardward/components/scheduling/worker_entries.py
+++ b/mustardward/components/scheduling/worker_entries.py
@@ -44,12 +44,12 @@
         if worker is None:
             worker = make_worker(worker_id, entry)
             self.state.workers[worker_id] = worker
-        elif not worker.described and entry.born == worker.born:
+        elif not worker.described and entry.born == worker.started_at_ms:
             worker.describe(entry)
-        elif is_other_incarnation(entry.born, worker.born):
+        elif is_other_incarnation(entry.born, worker.started_at_ms):
             # An entry of a previous incarnation that was written or read late.
             return False
-        worker.born = worker.born or entry.born
+        worker.started_at_ms = worker.started_at_ms or entry.born
         if entry.service != worker.service:
             # An incarnation never changes its pool, so one of the two entries was
             # written by someone else.
--- a/mustardward/components/scheduling/worker_state.py
+++ b/mustardward/components/scheduling/worker_state.py
@@ -31,8 +31,8 @@
     :param speed: its learned speed relative to the expected run times, at most 1.
     :param stale: whether it is unresponsive, so that its last report may be outdated.
     :param clock_ms: its own clock in its last report, in milliseconds.
-    :param born: when it started, in milliseconds since 1970, or 0 if unknown; a worker
-        that restarts under the same id is another incarnation.
+    :param started_at_ms: when it started, in milliseconds since 1970, or 0 if unknown;
+        a worker that restarts under the same id is another incarnation.
     :param described: whether an entry of this incarnation has been read. Otherwise its
         pool, labels and capacity are those of the previous incarnation.
     :param orphan_steps: the steps of its orphan runs, which no task owns.
@@ -64,7 +64,7 @@
     stale: bool = False
     reported_at: float = 0.0
     clock_ms: float = 0.0
-    born: int = 0
+    started_at_ms: int = 0
     described: bool = True
     orphan_steps: list[StepRun] = field(default_factory=list)
     unknown_runs: bool = False
@@ -117,7 +117,7 @@
     @property
     def incarnation(self) -> str:
         """Return a name that is unique to the incarnation, if its start is known."""
-        return f"{self.id}/{self.born}" if self.born else self.id
+        return f"{self.id}/{self.started_at_ms}" if self.started_at_ms else self.id
 
     @property
     def rack(self) -> str:
--- a/tests/components/fleet/test_cordons.py
+++ b/tests/components/fleet/test_cordons.py
@@ -272,7 +272,7 @@
     for restarted in (False, True):
         fleet = FleetHarness(instances)
         for worker in fleet.bench.scheduler.state.workers.values():
-            worker.born = 1000
+            worker.started_at_ms = 1000
         if kind == "maintenance":
             fleet.wave_planner.runs[1] = a_wave(["m-04"])
             fleet.apply_list(instances)
@@ -280,7 +280,7 @@
         wanted = Move if kind == "move" else Maintain
         order = next(order for order in fleet.orders if isinstance(order, wanted))
         worker_id = order.machine.replace("m", "i")
-        fleet.worker(worker_id).born += restarted
+        fleet.worker(worker_id).started_at_ms += restarted
         if isinstance(order, Move):
             await fleet.fleet._async_move(order)
         else:
--- a/tests/components/scheduling/liveness_owner.py
+++ b/tests/components/scheduling/liveness_owner.py
@@ -51,9 +51,13 @@
     world: World
 
     def _open_session(
-        self, worker_id: str, entry: WorkerEntry, born: int, lease_ends_at: float
+        self,
+        worker_id: str,
+        entry: WorkerEntry,
+        started_at_ms: int,
+        lease_ends_at: float,
     ) -> None:
-        super()._open_session(worker_id, entry, born, lease_ends_at)
+        super()._open_session(worker_id, entry, started_at_ms, lease_ends_at)
         client: Any = ModelClient(self.world, worker_id, self.token)
         self.sessions[worker_id].client = client
 
--- a/tests/components/scheduling/liveness_world.py
+++ b/tests/components/scheduling/liveness_world.py
@@ -71,13 +71,13 @@
 class ModelWorker:
     """Model one incarnation of a worker.
 
-    :param born: its start time as it reports it, or 0 if it reports none.
+    :param started_at_ms: its start time as it reports it, or 0 if it reports none.
     :param checks_room: whether it rejects starts for which it has no room.
     :param unreachable: whether calls to it get no response.
     """
 
     id: str
-    born: int
+    started_at_ms: int
     service: str
     zone: str
     labels: tuple[str, ...]
@@ -106,7 +106,7 @@
             self.capacity,
             list(self.labels),
             1000 * max(0.0, self.dies_at - now) if self.draining else None,
-            self.born,
+            self.started_at_ms,
         )
 
     def clock_ms(self, now: float) -> float:
@@ -167,7 +167,9 @@
             RunningTask(run.name, run.run, "", run.percent(now), 0.0)
             for run in self.runs.values()
         ]
-        return HoldAnswer(self.clock_ms(now), rows, list(self.ended), self.born)
+        return HoldAnswer(
+            self.clock_ms(now), rows, list(self.ended), self.started_at_ms
+        )
 
 
 def room_of(step: SubmittedStep) -> Room:
--- a/tests/components/scheduling/test_accounting_walks.py
+++ b/tests/components/scheduling/test_accounting_walks.py
@@ -34,11 +34,11 @@
         super().__init__(seed)
 
     def _update_worker(self, name: str) -> None:
-        born = self.worker_models[name].born
-        entry = an_entry(born=born, capacity=self.rooms[name])
+        started_at_ms = self.worker_models[name].started_at_ms
+        entry = an_entry(born=started_at_ms, capacity=self.rooms[name])
         known = self.scheduler.state.workers.get(name)
-        if known is not None and known.born != born:
-            self.scheduler.replace_worker(name, born, entry, self.now)
+        if known is not None and known.started_at_ms != started_at_ms:
+            self.scheduler.replace_worker(name, started_at_ms, entry, self.now)
         self.scheduler.update_worker(name, entry, self.now)
 
     def _check_start(self, order: _Order) -> None:
@@ -47,11 +47,15 @@
     def _hold(self, name: str) -> None:
         worker = self.worker_models[name]
         known = self.scheduler.state.workers.get(name)
-        if worker.silent or known is None or known.born != worker.born:
+        if (
+            worker.silent
+            or known is None
+            or known.started_at_ms != worker.started_at_ms
+        ):
             return
         worker.token = max(worker.token, self.epoch)
         rows = [RunningTask(t, r, "", 50.0, 0.0) for t, r in worker.running.items()]
-        answer = HoldAnswer(0.0, rows, list(worker.ended), worker.born)
+        answer = HoldAnswer(0.0, rows, list(worker.ended), worker.started_at_ms)
         self.scheduler.apply_worker_report(name, answer, self.now, self.now)
         self.orphans_seen += len(known.orphan_steps)
 
--- a/tests/components/scheduling/test_capacity_changes.py
+++ b/tests/components/scheduling/test_capacity_changes.py
@@ -10,20 +10,22 @@
 
 from .builders import POOL, SchedulerBench, a_job, a_row, a_step, an_entry
 
-BORN = 1_700_000_000_000
+STARTED_AT_MS = 1_700_000_000_000
 HALF = Room(cpu=4000, mem_mb=8000)
 
 
 def one_worker_bench() -> SchedulerBench:
     """Return a scheduler with one worker of eight cores."""
     bench = SchedulerBench()
-    bench.worker("w1", born=BORN)
+    bench.worker("w1", born=STARTED_AT_MS)
     return bench
 
 
-def update_worker(bench: SchedulerBench, room: Room, born: int = BORN) -> None:
+def update_worker(
+    bench: SchedulerBench, room: Room, started_at_ms: int = STARTED_AT_MS
+) -> None:
     """Apply an entry of the worker with a capacity."""
-    entry = an_entry(capacity=room, born=born)
+    entry = an_entry(capacity=room, born=started_at_ms)
     bench.scheduler.update_worker("w1", entry, bench.now)
 
 
@@ -61,7 +63,7 @@
 def test_capacity_of_an_ended_incarnation_is_ignored() -> None:
     """Guards against an entry of a previous incarnation that is read late."""
     bench = one_worker_bench()
-    update_worker(bench, HALF, born=BORN - 1000)
+    update_worker(bench, HALF, started_at_ms=STARTED_AT_MS - 1000)
     bench.add(a_job(a_step(count=8)))
     assert len(bench.plan_starts()) == 8
 
@@ -75,7 +77,7 @@
     bench.scheduler.remove_worker("w1", LossCause.LEASES_EXPIRED, bench.now)
     bench.worker("w2")
     bench.plan_starts()
-    bench.scheduler.update_worker("w1", an_entry(born=BORN), bench.now)
+    bench.scheduler.update_worker("w1", an_entry(born=STARTED_AT_MS), bench.now)
     bench.hold("w1", running=[orphan])
     bench.add(a_job(a_step(count=1, cpu=4000), job="00000000000000bb"))
     assert bench.plan_starts() == []
--- a/tests/components/scheduling/test_crash_walks.py
+++ b/tests/components/scheduling/test_crash_walks.py
@@ -58,7 +58,7 @@
     """
 
     id: str
-    born: int
+    started_at_ms: int
     runs: dict[TaskName, tuple[int, float]] = field(default_factory=dict)
     ended: list[EndedTask] = field(default_factory=list)
     ends: int = 0
@@ -76,7 +76,7 @@
         self._crashes_randomly = crashes_randomly
         self.now = 1000.0
         self._epoch = 0
-        self._born = 1
+        self._last_started_at_ms = 1
         self._policy = QueuePolicy(service=POOL, target_seconds=1.0)
         self._jobs: dict[str, LedgerJob] = {}
         self._stored: dict[str, Progress] = {}
@@ -130,11 +130,11 @@
 
     def _entry(self, worker: _Worker) -> WorkerEntry:
         state = "draining" if worker.draining else "ready"
-        return an_entry(born=worker.born, state=state)
+        return an_entry(born=worker.started_at_ms, state=state)
 
     def _start_worker(self, name: str) -> None:
-        self._born += 1
-        worker = _Worker(name, self._born)
+        self._last_started_at_ms += 1
+        worker = _Worker(name, self._last_started_at_ms)
         self._workers[name] = worker
         self._update_worker(worker)
 
@@ -222,7 +222,7 @@
             RunningTask(name, run, "", min(100.0, 1000 * (self.now - began_at)), 0.0)
             for name, (run, began_at) in worker.runs.items()
         ]
-        answer = HoldAnswer(1000 * self.now, rows, worker.ended, worker.born)
+        answer = HoldAnswer(1000 * self.now, rows, worker.ended, worker.started_at_ms)
         worker.ended = []
         self._scheduler.apply_worker_report(worker.id, answer, self.now, self.now)
 
@@ -243,11 +243,13 @@
                 self._uncounted[name] += 1
         restarts = self._rng.random() < 0.5
         if restarts:
-            self._born += 1
-            new = _Worker(worker.id, self._born)
+            self._last_started_at_ms += 1
+            new = _Worker(worker.id, self._last_started_at_ms)
             self._workers[worker.id] = new
             entry = self._entry(new)
-            self._scheduler.replace_worker(worker.id, new.born, entry, self.now)
+            self._scheduler.replace_worker(
+                worker.id, new.started_at_ms, entry, self.now
+            )
             self._hold(new)
             return
         self._end(worker, LossCause.UNLISTED)
@@ -255,7 +257,7 @@
     def _end(self, worker: _Worker, cause: LossCause) -> None:
         del self._workers[worker.id]
         self._scheduler.remove_worker(worker.id, cause, self.now)
-        self._start_worker(f"w{self._born}")
+        self._start_worker(f"w{self._last_started_at_ms}")
 
     def _drain(self) -> None:
         """Drain a worker, which ends while tasks still run there."""
--- a/tests/components/scheduling/test_quota_walks.py
+++ b/tests/components/scheduling/test_quota_walks.py
@@ -65,7 +65,7 @@
         an order that is carried out in that very moment from running twice.
     """
 
-    born: int = 1
+    started_at_ms: int = 1
     token: int = 0
     running: dict[TaskName, int] = field(default_factory=dict)
     ended: list[EndedTask] = field(default_factory=list)
@@ -104,10 +104,10 @@
         )
 
     def _update_worker(self, name: str) -> None:
-        entry = an_entry(born=self.worker_models[name].born)
+        entry = an_entry(born=self.worker_models[name].started_at_ms)
         state = self.scheduler.state
         known = state.workers.get(name)
-        if known is not None and known.born != entry.born:
+        if known is not None and known.started_at_ms != entry.born:
             self.scheduler.replace_worker(name, entry.born, entry, self.now)
         self.scheduler.update_worker(name, entry, self.now)
 
@@ -208,7 +208,11 @@
     def _hold(self, name: str) -> None:
         worker = self.worker_models[name]
         known = self.scheduler.state.workers.get(name)
-        if worker.silent or known is None or known.born != worker.born:
+        if (
+            worker.silent
+            or known is None
+            or known.started_at_ms != worker.started_at_ms
+        ):
             return
         worker.token = max(worker.token, self.epoch)
         rows = [RunningTask(t, r, "", 50.0, 0.0) for t, r in worker.running.items()]
@@ -216,7 +220,7 @@
             if end.how == "done":
                 assert self.started_at[end.task] < at, "started after it was done"
                 self.known_done.add(end.task)
-        answer = HoldAnswer(0.0, rows, list(worker.ended), worker.born)
+        answer = HoldAnswer(0.0, rows, list(worker.ended), worker.started_at_ms)
         self.scheduler.apply_worker_report(name, answer, self.now, self.now)
 
     def execute_late(self, name: str, number: int) -> None:
@@ -266,7 +270,7 @@
         """
         old = self.worker_models[name]
         self.worker_models[name] = _Worker(
-            old.born + 1,
+            old.started_at_ms + 1,
             late=[order for order in old.late if order.token == self.epoch],
             silent=old.silent,
             unsent=old.unsent,
