--- a/mustardward/components/jobs/placement.py
+++ b/mustardward/components/jobs/placement.py
@@ -1,4 +1,4 @@
-"""Choose the next job and its worker: pure but for the dice."""
+"""Choose the next job and its worker, without I/O; randomness is passed in."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from .const import AGING_SECONDS, CANDIDATES, RESERVE_AFTER_SECONDS
-from .models import Need, WorkerRoom
+from .const import AGING_SECONDS, RESERVE_AFTER_SECONDS, WORKER_SAMPLE_SIZE
+from .models import Need, WorkerCapacity
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """Hold a waiting job that may be placed now; ``excluded`` are workers."""
+    """A waiting job that may be placed; ``excluded`` are workers it must not use."""
 
     job_id: str
     organisation: str
@@ -24,114 +24,126 @@
 
 @dataclass(slots=True)
 class PoolView:
-    """Hold what one pool has to offer to long work at this moment.
+    """What a pool currently offers to jobs.
 
-    ``slots_left`` is what long work may still take under the urgent headroom;
-    ``running`` and ``weights`` are by organisation.
+    ``slots_left`` is the number of slots that jobs may still take without using the
+    urgent reserve; ``running`` and ``weights`` are by organisation.
     """
 
-    rooms: list[WorkerRoom]
+    capacities: list[WorkerCapacity]
     slots_left: int
     running: dict[str, int] = field(default_factory=dict)
     weights: dict[str, float] = field(default_factory=dict)
-    reserved: str = ""
+    reserved_worker: str = ""
 
-    def place(self, candidate: Candidate, room: WorkerRoom) -> None:
-        """Count a placement in."""
-        room.take(candidate.need)
+    def place(self, candidate: Candidate, capacity: WorkerCapacity) -> None:
+        """Account for a placement."""
+        capacity.reserve(candidate.need)
         self.slots_left -= 1
         count = self.running.get(candidate.organisation, 0)
         self.running[candidate.organisation] = count + 1
 
 
-def claim(view: PoolView, candidate: Candidate) -> float:
-    """Return a candidate's claim to the next slot; the lowest goes first.
+def fair_share_rank(view: PoolView, candidate: Candidate) -> float:
+    """Return a candidate's rank for the next slot; the lowest goes first.
 
-    An organisation with few running jobs for its weight goes first, and waiting makes
-    up for that, so that neither a large organisation's flood nor a steady stream of
-    small ones starves anybody.
+    An organisation with few running jobs for its weight goes first, and waiting time
+    lowers the rank, so that neither a burst of jobs from a large organisation nor a
+    steady stream from small ones starves others.
     """
     weight = max(0.01, view.weights.get(candidate.organisation, 1.0))
     share = view.running.get(candidate.organisation, 0) / weight
     return share - candidate.waited_seconds / AGING_SECONDS
 
 
-def choose_room(
+def choose_worker(
     view: PoolView, candidate: Candidate, random: Random
-) -> WorkerRoom | None:
-    """Return the tightest of a few random workers with room, else any with room.
+) -> WorkerCapacity | None:
+    """Return the fullest worker that fits out of a random sample, else out of all.
 
-    The tightest keeps whole workers free for jobs that need one. A worker that a wave
-    will take soon comes last: what starts there would have to move again.
+    Filling the fullest worker keeps whole workers free for jobs that need one. Workers
+    that a maintenance wave will claim soon come last, since a job started there would
+    have to move again.
     """
-    usable = view.rooms
-    sample = random.sample(usable, min(CANDIDATES, len(usable)))
-    fitting = [room for room in sample if _may_use(view, candidate, room)]
-    if all(room.due for room in fitting):
-        fitting = [room for room in usable if _may_use(view, candidate, room)]
+    capacities = view.capacities
+    sample = random.sample(capacities, min(WORKER_SAMPLE_SIZE, len(capacities)))
+    fitting = [capacity for capacity in sample if _can_place(view, candidate, capacity)]
+    if all(capacity.due for capacity in fitting):
+        fitting = [
+            capacity for capacity in capacities if _can_place(view, candidate, capacity)
+        ]
     return min(
         fitting,
-        key=lambda room: (room.due, room.cores, room.slots, room.instance.instance_id),
+        key=lambda capacity: (
+            capacity.due,
+            capacity.cores,
+            capacity.slots,
+            capacity.instance.instance_id,
+        ),
         default=None,
     )
 
 
-def reserve_for(view: PoolView, candidate: Candidate) -> None:
-    """Keep the emptiest worker that could ever take a long-waiting job free for it.
+def reserve_worker(view: PoolView, candidate: Candidate) -> None:
+    """Reserve the emptiest worker that is large enough for a job that waited long.
 
-    Without that, small jobs take each slot as it falls free, and a job that needs most
-    of a worker waits for ever while the pool is never idle.
+    Otherwise small jobs take each slot as it becomes free, and in a busy pool a job
+    that needs most of a worker waits indefinitely.
     """
-    if view.reserved or candidate.waited_seconds < RESERVE_AFTER_SECONDS:
+    if view.reserved_worker or candidate.waited_seconds < RESERVE_AFTER_SECONDS:
         return
-    able = [
-        room
-        for room in view.rooms
-        if room.instance.cores >= candidate.need.cores
-        and room.instance.memory_gigabytes >= candidate.need.memory_gigabytes
-        and room.instance.accelerators >= candidate.need.accelerators
-        and room.instance.instance_id not in candidate.excluded
+    large_enough = [
+        capacity
+        for capacity in view.capacities
+        if capacity.instance.cores >= candidate.need.cores
+        and capacity.instance.memory_gigabytes >= candidate.need.memory_gigabytes
+        and capacity.instance.accelerators >= candidate.need.accelerators
+        and capacity.instance.instance_id not in candidate.excluded
     ]
     best = max(
-        able,
-        key=lambda room: (room.cores, room.slots, room.instance.instance_id),
+        large_enough,
+        key=lambda capacity: (
+            capacity.cores,
+            capacity.slots,
+            capacity.instance.instance_id,
+        ),
         default=None,
     )
     if best is not None:
-        view.reserved = best.instance.instance_id
+        view.reserved_worker = best.instance.instance_id
 
 
-def _may_use(view: PoolView, candidate: Candidate, room: WorkerRoom) -> bool:
-    instance_id = room.instance.instance_id
-    if instance_id == view.reserved or instance_id in candidate.excluded:
+def _can_place(view: PoolView, candidate: Candidate, capacity: WorkerCapacity) -> bool:
+    instance_id = capacity.instance.instance_id
+    if instance_id == view.reserved_worker or instance_id in candidate.excluded:
         return False
-    return room.fits(candidate.need)
+    return capacity.fits(candidate.need)
 
 
 def plan_placements(
     view: PoolView, candidates: Sequence[Candidate], limit: int, random: Random
-) -> list[tuple[Candidate, WorkerRoom]]:
-    """Return which jobs to start where, the strongest claim first."""
-    placed: list[tuple[Candidate, WorkerRoom]] = []
-    hopeless: set[Need] = set()
-    waiting = [(claim(view, item), item.job_id, item) for item in candidates]
+) -> list[tuple[Candidate, WorkerCapacity]]:
+    """Return which jobs to start on which workers, ordered by fair share rank."""
+    placed: list[tuple[Candidate, WorkerCapacity]] = []
+    unplaceable: set[Need] = set()
+    waiting = [(fair_share_rank(view, item), item.job_id, item) for item in candidates]
     heapq.heapify(waiting)
     while waiting and view.slots_left > 0 and len(placed) < limit:
-        filed, job_id, candidate = heapq.heappop(waiting)
-        present = claim(view, candidate)
-        # A claim only weakens while its organisation is given slots, so filing it
-        # again keeps the order without sorting everything anew for each slot.
-        if present > filed:
-            heapq.heappush(waiting, (present, job_id, candidate))
+        queued_rank, job_id, candidate = heapq.heappop(waiting)
+        current_rank = fair_share_rank(view, candidate)
+        # A rank only rises while its organisation gets slots, so re-queueing outdated
+        # entries keeps the order without sorting all of them again for each slot.
+        if current_rank > queued_rank:
+            heapq.heappush(waiting, (current_rank, job_id, candidate))
             continue
-        if candidate.need in hopeless:
+        if candidate.need in unplaceable:
             continue
-        room = choose_room(view, candidate, random)
-        if room is not None:
-            view.place(candidate, room)
-            placed.append((candidate, room))
+        capacity = choose_worker(view, candidate, random)
+        if capacity is not None:
+            view.place(candidate, capacity)
+            placed.append((candidate, capacity))
             continue
         if not candidate.excluded:
-            hopeless.add(candidate.need)
-        reserve_for(view, candidate)
+            unplaceable.add(candidate.need)
+        reserve_worker(view, candidate)
     return placed
--- a/tests/components/scheduling/test_accounting_walks.py
+++ b/tests/components/scheduling/test_accounting_walks.py
@@ -48,7 +48,7 @@
         worker = self.worker_models[name]
         known = self.scheduler.state.workers.get(name)
         if (
-            worker.silent
+            worker.unreachable
             or known is None
             or known.started_at_ms != worker.started_at_ms
         ):
@@ -111,7 +111,7 @@
         self.jobs[name] = job
         self.scheduler.add_job(job, self.now, self.now)
 
-    def counts_match(self) -> None:
+    def check_usage(self) -> None:
         """Compare rooms, quotas and counts with a recount of the runs."""
         state = self.scheduler.state
         used: Counter[str] = Counter()
@@ -149,12 +149,12 @@
         lambda: walk.hold(rng.choice(WORKERS)),
         lambda: walk.hold(rng.choice(WORKERS)),
         lambda: walk.execute_late(rng.choice(WORKERS), rng.randint(0, 3)),
-        lambda: walk.toggle_cut(rng.choice(WORKERS)),
-        lambda: walk.lapse(),
+        lambda: walk.toggle_reachable(rng.choice(WORKERS)),
+        lambda: walk.expire_leases(),
         lambda: walk.restart(rng.choice(WORKERS)),
         lambda: walk.configure(rng.choice(ORGANISATIONS), rng.randint(1, 6)),
         lambda: walk.take_over(),
-        lambda: walk.release(),
+        lambda: walk.end_takeover_hold(),
         lambda: walk.resize(rng.choice(WORKERS)),
         lambda: walk.orphan(rng.choice(WORKERS)),
         lambda: walk.repeat_end(rng.choice(WORKERS)),
@@ -164,7 +164,7 @@
     ]
     for _ in range(steps):
         rng.choice(events)()
-        walk.counts_match()
+        walk.check_usage()
     return walk
 
 
