--- a/bench/planner_baselines.py
+++ b/bench/planner_baselines.py
@@ -10,14 +10,14 @@
 
 from returns.result import Success
 
+from mustardward.components.maintenance.plan_budgets import PlanBudgets
 from mustardward.components.maintenance.plan_models import (
     Plan,
     PlanInput,
     PlanInstance,
     PlanMetrics,
 )
-from mustardward.components.maintenance.plan_tasks import TaskSimulation
-from mustardward.components.maintenance.plan_units import PlanBudgets
+from mustardward.components.maintenance.task_simulation import TaskSimulation
 from mustardward.state.fleet import FleetState
 from mustardward.state.fold import Fold
 from mustardward.state.handlers.all import FLEET_HANDLERS
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Baseline:
-    """Hold a baseline's measures and how many floors it broke."""
+    """Hold a baseline's metrics and how many floors it broke."""
 
     metrics: PlanMetrics
     broken: int
