--- a/mustardward/platform/__init__.py
+++ b/mustardward/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Speak the users' platform: names, formats and calls, decoded once into types.
+"""Provide clients, names and data formats of the users' platform.
 
-Nothing here decides. What the calls mean for the product stands in the components.
+Responses are decoded into types here; decisions are made in the components.
 """
--- a/mustardward/platform/advice.py
+++ b/mustardward/platform/advice.py
@@ -1,4 +1,4 @@
-"""Ask the advice service which workers may run a step."""
+"""Call the advice service, which says which workers may run a step."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StepAdvice:
-    """Hold the ticket of each worker that may run a step, and how long it is valid."""
+    """Tickets of the workers that may run a step, and how long they are valid."""
 
     tickets: dict[str, str]
     valid_ms: float
 
 
 class AdviceClient:
-    """Call the advice service."""
+    """Client of the advice service."""
 
     def __init__(self, http: HttpCaller, address: str) -> None:
         self._http = http
@@ -40,7 +40,9 @@
     ) -> StepAdvice:
         """Return which of the workers may run a step.
 
-        :raises CallRefusedError: if there was no advice.
+        At most ``MAX_WORKERS`` of them are sent.
+
+        :raises CallRefusedError: if the service gave no usable advice.
         """
         body = AdviseBody(f"{job}.{occurrence}.{step}", workers[:MAX_WORKERS])
         try:
--- a/mustardward/platform/bodies.py
+++ b/mustardward/platform/bodies.py
@@ -1,4 +1,4 @@
-"""Hold the bodies of the platform's calls, as they are sent."""
+"""Define the request and response bodies of the platform's calls."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class StartBody(msgspec.Struct, rename="kebab", omit_defaults=True):
-    """Hold an order to start a task."""
+    """Request to start a task."""
 
     task: str
     run: int
@@ -20,7 +20,7 @@
 
 
 class StopBody(msgspec.Struct):
-    """Hold an order to stop a run."""
+    """Request to stop a run."""
 
     task: str
     run: int
@@ -28,7 +28,7 @@
 
 
 class PaceBody(msgspec.Struct):
-    """Hold an order to let a run work at a share of its speed."""
+    """Request to limit a run to a percentage of its speed."""
 
     task: str
     run: int
@@ -37,7 +37,7 @@
 
 
 class HoldBody(msgspec.Struct, rename="kebab", omit_defaults=True):
-    """Hold a renewal of the lease and what was acknowledged of the ends."""
+    """Request to renew the lease and acknowledge ended runs."""
 
     fence: int
     seen_upto: int
@@ -46,7 +46,7 @@
 
 
 class HoldAnswerBody(msgspec.Struct, rename="kebab"):
-    """Hold what runs and has ended: rows of mixed values.
+    """Response that lists running and ended runs as rows of mixed values.
 
     :param born: when the worker's process started, in milliseconds since 1970.
     """
@@ -58,34 +58,34 @@
 
 
 class ClockBody(msgspec.Struct, rename="kebab"):
-    """Hold a worker's answer to an order."""
+    """Response of a worker to a command."""
 
     clock_ms: float = 0
     reason: str = ""
 
 
 class AppendedBody(msgspec.Struct):
-    """Hold where records were appended."""
+    """Response to an append: the records' offset and the log's end."""
 
     offset: int = 0
     end: int = 0
 
 
 class AppendRefusedBody(msgspec.Struct):
-    """Hold why records were not appended."""
+    """Response to a rejected append."""
 
     reason: str = ""
     seq: int = 0
 
 
 class GoneBody(msgspec.Struct):
-    """Hold the oldest offset that is kept."""
+    """Response to a read of deleted records: the oldest retained offset."""
 
     first: int = 0
 
 
 class NewestItem(msgspec.Struct):
-    """Hold the newest record of a key; the value in base64."""
+    """Newest record of a key; its value is encoded in base64."""
 
     key: str
     offset: int
@@ -93,13 +93,13 @@
 
 
 class ItemKey(msgspec.Struct):
-    """Hold the key of an item whose other fields may not be readable."""
+    """Key of an item whose other fields may not be decodable."""
 
     key: str
 
 
 class NewestBody(msgspec.Struct, rename="kebab"):
-    """Hold a page of the newest record of each key, each still to be decoded."""
+    """Page of the newest record of each key; items are not yet decoded."""
 
     items: list[msgspec.Raw]
     end: int
@@ -107,41 +107,41 @@
 
 
 class ListedBody(msgspec.Struct, rename="kebab"):
-    """Hold a page of the fleet's list, each row still to be decoded."""
+    """Page of the instance list; rows are not yet decoded."""
 
     machines: list[msgspec.Raw]
     next_token: str | None = None
 
 
 class MoveBody(msgspec.Struct):
-    """Hold an order to move an instance."""
+    """Request to move an instance to another pool."""
 
     machine: str
     pool: str
 
 
 class MaintainBody(msgspec.Struct):
-    """Hold an order to maintain an instance."""
+    """Request to start an instance's maintenance."""
 
     machine: str
     wave: int
 
 
 class RefusedBody(msgspec.Struct):
-    """Hold why an order to the fleet was refused."""
+    """Response to a rejected fleet command."""
 
     reason: str = ""
 
 
 class AdviseBody(msgspec.Struct):
-    """Hold a question which workers may run a step."""
+    """Request for advice on which workers may run a step."""
 
     step: str
     workers: list[str]
 
 
 class AdviceBody(msgspec.Struct, rename="kebab"):
-    """Hold rows of the workers that may run a step and their tickets."""
+    """Response with rows of a worker that may run the step and its ticket."""
 
     allowed: list[list[str]] = []
     valid_ms: float = 0
--- a/mustardward/platform/boot.py
+++ b/mustardward/platform/boot.py
@@ -1,4 +1,4 @@
-"""Read the settings file that the platform lays for a process."""
+"""Load the settings file that the platform provides for each process."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class BootLimits(msgspec.Struct, frozen=True, rename="kebab"):
-    """Hold what the instance offers this process."""
+    """Resource limits of this process on its instance."""
 
     cpu_share: float = 1.0
     cores: float = 1.0
@@ -25,7 +25,7 @@
 
 
 class BootListen(msgspec.Struct, frozen=True, rename="kebab"):
-    """Hold the addresses to listen on, as ``host:port``; empty means not served."""
+    """Addresses to listen on, as ``host:port``; empty ones are not served."""
 
     front: str = ""
     ready: str = ""
@@ -33,7 +33,7 @@
 
 
 class BootStore(msgspec.Struct, frozen=True, rename="kebab"):
-    """Hold where the platform's store is and what it takes."""
+    """Address and limits of the platform's store."""
 
     address: str
     writes_per_s: float = 300.0
@@ -44,7 +44,7 @@
 
 
 class BootFleet(msgspec.Struct, frozen=True, rename="kebab"):
-    """Hold where the platform's fleet calls go and how many it takes a second."""
+    """Address and rate limits of the platform's fleet service."""
 
     address: str = ""
     rate_per_s: float = 10.0
@@ -52,7 +52,7 @@
 
 
 class BootBounds(msgspec.Struct, frozen=True):
-    """Hold the bounds that the product's own figures follow from."""
+    """Bounds from which the product derives its own timings."""
 
     stability_window_ms: float = msgspec.field(default=3000, name="stability-window-ms")
     grace_s: float = msgspec.field(default=6, name="grace-s")
@@ -78,7 +78,7 @@
 
 
 class BootSettings(msgspec.Struct, frozen=True, rename="kebab"):
-    """Hold the fields of the settings file that the product uses."""
+    """Fields of the settings file that the product uses."""
 
     node: str
     ip: str
@@ -98,14 +98,14 @@
 
     @property
     def has_organisations(self) -> bool:
-        """Return whether callers of this deployment show keys."""
+        """Return whether callers of this deployment authenticate with API keys."""
         return _CONTRACT_ORGANISATIONS in self.contracts
 
 
 def decode_boot(content: bytes) -> BootSettings:
-    """Return the settings; unknown fields are ignored.
+    """Return the decoded settings; unknown fields are ignored.
 
-    :raises BootSettingsError: naming the field that is missing or wrong.
+    :raises BootSettingsError: if a field is missing or invalid; names the field.
     """
     try:
         return msgspec.json.decode(content, type=BootSettings)
@@ -114,9 +114,9 @@
 
 
 def load_boot(environment: Any = os.environ) -> BootSettings:
-    """Read the file that the environment names.
+    """Load the file named by the ``MUSTARDWARD_BOOT`` variable.
 
-    :raises BootSettingsError: if it is not named, not there or not usable.
+    :raises BootSettingsError: if the variable is not set or the file is unusable.
     """
     path = environment.get(PATH_VARIABLE)
     if not path:
--- a/mustardward/platform/callers.py
+++ b/mustardward/platform/callers.py
@@ -1,4 +1,4 @@
-"""Name what callers send, and decode and encode their bodies."""
+"""Define callers' headers and limits, and decode and encode their bodies."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 HEADER_DEADLINE_MS: Final = "Mustardward-Deadline-Ms"
 HEADER_KEY: Final = "Authorization"
 MAX_KEY_LENGTH: Final = 256
-"""A longer text is no key; it is not even compared."""
+"""Longer values are rejected without comparing them to any key."""
 MAX_SPEC_BYTES: Final = 4000
 MAX_TASKS: Final = 100_000
-"""Most tasks of one step: each takes some 400 bytes in the owner's memory."""
+"""Maximum tasks of a step; each takes about 400 bytes of the owner's memory."""
 
 STATE_QUEUED: Final = "queued"
 STATE_RUNNING: Final = "running"
@@ -32,12 +32,12 @@
 
 
 def is_job_id(text: str) -> bool:
-    """Return whether a path's last part can name a job."""
+    """Return whether a text has the format of a job id."""
     return _JOB_ID.fullmatch(text) is not None
 
 
 def decode_key(header: str) -> str:
-    """Return the key that a caller shows, or nothing if it shows none."""
+    """Return the API key in an Authorization header, or an empty string."""
     scheme, _, key = header.strip().partition(" ")
     key = key.strip()
     if scheme.lower() != _KEY_SCHEME or len(key) > MAX_KEY_LENGTH:
@@ -46,9 +46,9 @@
 
 
 def decode_job(body: bytes) -> SubmittedJob:
-    """Return a submitted job.
+    """Return the decoded and validated job.
 
-    :raises MalformedJobError: saying what is wrong with it.
+    :raises MalformedJobError: if it is malformed or exceeds a limit.
     """
     try:
         job = msgspec.json.decode(body, type=SubmittedJob)
@@ -65,11 +65,11 @@
 
 
 def check_steps(steps: list[SubmittedStep]) -> None:
-    """Check that steps can be carried out.
+    """Check the count, dependencies and amounts of each step.
 
-    A negative processor share would give a worker more room than it has.
+    A negative CPU request would give a worker more capacity than it has.
 
-    :raises MalformedJobError: saying what is wrong with which step.
+    :raises MalformedJobError: if a step is invalid; names the step.
     """
     for number, step in enumerate(steps):
         if not 1 <= step.count <= MAX_TASKS:
@@ -86,15 +86,15 @@
 
 
 def encode_state(state: str) -> bytes:
-    """Return the body that tells a job's state."""
+    """Return the response body with a job's state."""
     return msgspec.json.encode({"state": state})
 
 
 def encode_pending(count: int) -> bytes:
-    """Return the body that tells how many jobs wait."""
+    """Return the response body with the number of pending jobs."""
     return msgspec.json.encode({"pending": count})
 
 
 def encode_error(code: str, detail: str) -> bytes:
-    """Return the body of a refusal."""
+    """Return the body of an error response."""
     return msgspec.json.encode({"error": code, "detail": detail})
--- a/mustardward/platform/entries.py
+++ b/mustardward/platform/entries.py
@@ -1,10 +1,10 @@
-"""Read what workers say of themselves, and tell what can't be used.
+"""Decode and validate the entries that workers register in the store.
 
-A record may come from another writer than a worker: fields missing or of another type,
-a state that is not known, room that no machine has, an address that is none. Taken at
-its word it would end the owner's loop (an address that is no URL, an id that can't
-stand in a header) or have work placed beyond a worker's room. So a record is used only
-if all of it can be, and else names no worker.
+A record may come from a writer other than a worker, with missing fields, wrong types,
+an unknown state, an impossible capacity or an invalid address. Used unchecked, it would
+terminate the owner's loop (an address that is no URL, an id that is invalid in a
+header) or place work beyond a worker's capacity. A record is therefore used only if
+all of its known fields are valid.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 from .models import Room, WorkerEntry
 
 MAX_ENTRY_BYTES: Final = 16_384
-"""An entry takes some 300 bytes; a larger one is not decoded at all."""
+"""An entry takes about 300 bytes; larger ones are rejected before decoding."""
 
 MAX_NAME_LENGTH: Final = 200
 MAX_CPU: Final = 4_096_000
-"""Thousandths of a core; four times what the largest machines have."""
+"""Thousandths of a core; four times the size of the largest machines."""
 
 MAX_MEMORY_MB: Final = 256 * 1024 * 1024
 MAX_ACCELERATORS: Final = 1024
 
 MAX_STARTED_AT_MS: Final = 2**45
-"""A start later than this, in milliseconds since 1970, lies a thousand years ahead."""
+"""Latest valid start time, in milliseconds since 1970; about a thousand years ahead."""
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
 
@@ -54,34 +54,34 @@
 
 
 def decode_worker_entry(key: str, value: bytes) -> WorkerEntry:
-    """Return a worker's entry.
+    """Return the decoded and validated entry of a worker.
 
-    :param key: the id under which it stands; it is sent in a header.
-    :raises UnreadableRecordError: if it names no worker to use.
+    :param key: the worker's id, under which the record is stored; sent in a header.
+    :raises UnreadableRecordError: if the id or a field is invalid.
     """
-    if not key or len(key) > MAX_NAME_LENGTH or not _is_plain(key):
-        raise UnreadableRecordError("the id can't be sent")
+    if not key or len(key) > MAX_NAME_LENGTH or not _is_header_value(key):
+        raise UnreadableRecordError("the id is not valid in a header")
     if len(value) > MAX_ENTRY_BYTES:
-        raise UnreadableRecordError(f"bytes={len(value)}")
+        raise UnreadableRecordError(f"entry is too large: bytes={len(value)}")
     try:
         body = _DECODER.decode(value)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         raise UnreadableRecordError(str(error)) from error
     _check_address(body.address)
-    room = body.capacity
+    capacity = body.capacity
     return WorkerEntry(
         body.service,
         body.address,
         body.zone,
         body.state,
-        Room(room.cpu, room.mem_mb, room.gpu),
+        Room(capacity.cpu, capacity.mem_mb, capacity.gpu),
         body.labels,
         body.remaining_ms,
         body.born,
     )
 
 
-def _is_plain(text: str) -> bool:
+def _is_header_value(text: str) -> bool:
     return text.isascii() and text.isprintable() and " " not in text
 
 
@@ -91,6 +91,6 @@
         ipaddress.IPv4Address(host)
         usable = port.isascii() and port.isdigit() and 0 < int(port) < 65536
     except ValueError as error:
-        raise UnreadableRecordError(f"address={address}") from error
+        raise UnreadableRecordError(f"address={address} is invalid") from error
     if not usable:
-        raise UnreadableRecordError(f"address={address}")
+        raise UnreadableRecordError(f"address={address} is invalid")
--- a/mustardward/platform/exceptions.py
+++ b/mustardward/platform/exceptions.py
@@ -1,4 +1,7 @@
-"""Type what a call to the platform says about its effect."""
+"""Define errors of the platform's calls and formats.
+
+Errors of calls state whether the call may have had an effect.
+"""
 
 from __future__ import annotations
 
@@ -10,27 +13,27 @@
 
 
 class CallRefusedError(MustardwardError):
-    """Report that a call certainly had no effect."""
+    """Raised when a call definitely had no effect."""
 
     code = "call-refused"
 
 
 class CallUnknownError(MustardwardError):
-    """Report that a call may have had its effect, or may have it later."""
+    """Raised when a call may have had its effect, or may have it later."""
 
     code = "call-unknown"
 
 
 class FencedError(MustardwardError):
-    """Report that a newer owner's fencing token was seen by the other side."""
+    """Raised when the other side has seen a newer owner's fencing token."""
 
     code = "fenced"
 
 
 class SequenceError(MustardwardError):
-    """Report that an append did not follow the producer's last one.
+    """Raised when an append's sequence number does not follow the last one.
 
-    :param expected: the sequence number that the log waits for.
+    :param expected: the sequence number that the log expects next.
     """
 
     code = "sequence"
@@ -41,9 +44,9 @@
 
 
 class OffsetGoneError(MustardwardError):
-    """Report that the records asked for were deleted.
+    """Raised when the requested records were deleted.
 
-    :param first: the oldest offset that is kept.
+    :param first: the oldest retained offset.
     """
 
     code = "offset-gone"
@@ -54,25 +57,25 @@
 
 
 class UnreadableRecordError(MustardwardError):
-    """Report a record that can't be used, whoever wrote it."""
+    """Raised when a record can't be decoded or is invalid."""
 
     code = "unreadable-record"
 
 
 class WrongIncarnationError(MustardwardError):
-    """Report that another incarnation answers at a worker's address."""
+    """Raised when another incarnation responds at a worker's address."""
 
     code = "wrong-incarnation"
 
 
 class BootSettingsError(MustardwardError):
-    """Report a settings file that names no usable process."""
+    """Raised when the settings file is missing or invalid."""
 
     code = "boot-settings"
 
 
 class MalformedJobError(MustardwardError):
-    """Report a submitted body that is not a job."""
+    """Raised when a submitted body is not a valid job."""
 
     code = "malformed-job"
 
@@ -84,4 +87,4 @@
     MalformedJobError,
     UnreadableRecordError,
 )
-"""All that decoding and checking a record of any writer may raise."""
+"""Exceptions that decoding and validating an untrusted record may raise."""
--- a/mustardward/platform/fleet.py
+++ b/mustardward/platform/fleet.py
@@ -26,11 +26,11 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetPage:
-    """Hold one page of the list.
+    """Page of the instance list.
 
-    :param complete: whether each row could be read. Where one could not, that a worker
-        is not in the list does not say that it is gone.
-    :param next_token: names the page behind it; nothing if it is the last.
+    :param complete: whether all rows could be decoded. Otherwise the absence of a
+        worker from the list does not prove that it is gone.
+    :param next_token: token of the next page; empty if this is the last one.
     """
 
     instances: list[Instance]
@@ -50,9 +50,9 @@
 
 
 class FleetClient:
-    """Call the fleet service in the name of one owner.
+    """Client of the fleet service, on behalf of one owner.
 
-    :param holder: the owner's name; calls of two holders are told apart by it.
+    :param holder: the owner's name, which identifies it to the service.
     """
 
     def __init__(self, http: HttpCaller, address: str, holder: str) -> None:
@@ -63,32 +63,34 @@
     async def async_fetch_page(self, token: str = "") -> FleetPage:
         """Return a page of the list of instances.
 
-        :param token: names the page, as the one before it did; nothing for the first.
-        :raises CallRefusedError: if the page was not to be had.
+        :param token: ``next_token`` of the previous page; empty for the first page.
+        :raises CallRefusedError: if the page could not be read.
         """
         body = await self._async_get_page(token)
         rows = [_decode_row(raw) for raw in body.machines]
-        found = [row for row in rows if row is not None]
-        complete = len(found) == len(rows)
-        return FleetPage(found, complete, body.next_token or "")
+        instances = [row for row in rows if row is not None]
+        complete = len(instances) == len(rows)
+        return FleetPage(instances, complete, body.next_token or "")
 
     async def async_move(self, machine: str, pool: str, token: int) -> None:
-        """Move an instance to another pool; everything on it ends at once.
+        """Move an instance to another pool; all runs on it end at once.
 
         :raises CallRefusedError: if it did not move.
         :raises CallUnknownError: if it may have moved.
         :raises FencedError: if a newer owner acted on it.
         """
-        await self._async_order(names.MACHINE_MOVE, MoveBody(machine, pool), token)
+        await self._async_send_command(
+            names.MACHINE_MOVE, MoveBody(machine, pool), token
+        )
 
     async def async_maintain(self, machine: str, wave: int, token: int) -> None:
-        """Begin an instance's maintenance; everything on it ends at once.
+        """Start an instance's maintenance; all runs on it end at once.
 
-        :raises CallRefusedError: if it did not begin.
-        :raises CallUnknownError: if it may have begun.
+        :raises CallRefusedError: if it did not start.
+        :raises CallUnknownError: if it may have started.
         :raises FencedError: if a newer owner acted on it.
         """
-        await self._async_order(
+        await self._async_send_command(
             names.MACHINE_UPKEEP, MaintainBody(machine, wave), token
         )
 
@@ -107,7 +109,9 @@
         except (CallUnknownError, msgspec.MsgspecError) as error:
             raise CallRefusedError(str(error)) from error
 
-    async def _async_order(self, call: str, body: msgspec.Struct, token: int) -> None:
+    async def _async_send_command(
+        self, call: str, body: msgspec.Struct, token: int
+    ) -> None:
         answer = await self._http.async_call(
             "POST",
             self._base + call,
@@ -121,7 +125,7 @@
         )
         if answer.status == 200:
             return
-        reason = _reason(answer)
+        reason = _decode_reason(answer)
         if answer.status == 409 and reason == names.REASON_FENCE:
             raise FencedError(call)
         if answer.status in (400, 409, 429, 503):
@@ -129,7 +133,7 @@
         raise CallUnknownError(f"status={answer.status}")
 
 
-def _reason(answer: HttpResponse) -> str:
+def _decode_reason(answer: HttpResponse) -> str:
     try:
         return msgspec.json.decode(answer.body, type=RefusedBody).reason
     except msgspec.MsgspecError:
--- a/mustardward/platform/http.py
+++ b/mustardward/platform/http.py
@@ -1,4 +1,7 @@
-"""Make HTTP calls, and type what goes wrong by what it says about the effect."""
+"""Make HTTP calls over pooled connections.
+
+Errors state whether the call may have had an effect.
+"""
 
 from __future__ import annotations
 
@@ -15,39 +18,39 @@
 from .exceptions import CallRefusedError, CallUnknownError
 
 CONNECT_TIMEOUT_SECONDS: Final = 0.6
-"""A partner that is cut off answers no opening packet; one retransmission is 1 s."""
+"""An unreachable peer answers no SYN packet, and its retransmission takes 1 s."""
 
 KEEP_ALIVE_SECONDS: Final = 30.0
 UNACKNOWLEDGED_TIMEOUT_MS: Final = 1500
-"""Unacknowledged bytes for so long close a connection, so that a pool of connections
-that went silent empties itself."""
+"""TCP user timeout: closes connections whose sent bytes stay unacknowledged, so that
+dead connections leave the pool."""
 
 PRUNE_INTERVAL_SECONDS: Final = 5.0
-"""Shortest time between two looks for hosts that are not called any more. With a look
-at each new host an owner of 600 workers looked 448,000 times before it had heard of all
-of them, more than a third of its processor time; it grows with the square of them."""
+"""Minimum interval between scans for unused hosts. A scan for each new host grows with
+the square of their number: with 600 workers an owner does 448,000 checks before it has
+called all of them, more than a third of its CPU time."""
 
 MAX_CONNECTIONS_PER_HOST: Final = 8
 
 
 def open_socket() -> socket.socket:
-    """Open a client's socket that notices a silent partner."""
-    channel = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    channel.setblocking(False)
-    channel.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    """Return a client socket with TCP_NODELAY and, if available, a user timeout."""
+    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    sock.setblocking(False)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     user_timeout = getattr(socket, "TCP_USER_TIMEOUT", None)
     if user_timeout is not None:
-        channel.setsockopt(socket.IPPROTO_TCP, user_timeout, UNACKNOWLEDGED_TIMEOUT_MS)
-    return channel
+        sock.setsockopt(socket.IPPROTO_TCP, user_timeout, UNACKNOWLEDGED_TIMEOUT_MS)
+    return sock
 
 
 def base_url(address: str) -> str:
-    """Return the URL of a ``host:port``, without a path."""
+    """Return the base URL of a ``host:port`` address."""
     return f"http://{address}"
 
 
 class Caller(Protocol):
-    """Make a call, on whichever way."""
+    """Interface for HTTP calls, made directly or through a relay."""
 
     async def async_call(
         self,
@@ -62,44 +65,44 @@
     ) -> HttpResponse:
         """Make one call.
 
-        :param silence_seconds: longest time in which no byte of the answer comes.
-        :raises CallRefusedError: if it was certainly not sent.
-        :raises CallUnknownError: if it was sent and its answer was lost.
+        :param read_timeout_seconds: maximum time without receiving a byte.
+        :raises CallRefusedError: if the request was definitely not sent.
+        :raises CallUnknownError: if it was sent but no complete response arrived.
         """
 
 
 class _Host:
-    """Hold the connections to one address.
+    """Connection pool for one address.
 
-    :param most: connections at the same time.
+    :param max_connections: maximum number of open connections.
     """
 
-    def __init__(self, address: str, most: int) -> None:
+    def __init__(self, address: str, max_connections: int) -> None:
         host, _, port = address.rpartition(":")
         self._address = (host, int(port))
-        self._most = most
+        self._max_connections = max_connections
         self._open = 0
         self._idle: list[HttpConnection] = []
         self._waiters: deque[asyncio.Future[None]] = deque()
-        self.head = f"Host: {address}\r\n"
+        self.host_header = f"Host: {address}\r\n"
 
     async def async_acquire(self, timeout_seconds: float) -> HttpConnection:
-        """Return a connection that no other call uses, the one used last if any is.
+        """Return an exclusive connection, preferably the most recently used one.
 
-        :raises CallRefusedError: if none could be had in time; nothing was sent.
+        :raises CallRefusedError: if none was available in time; nothing was sent.
         """
         loop = asyncio.get_running_loop()
-        until = loop.time() + timeout_seconds
+        deadline = loop.time() + timeout_seconds
         while True:
-            connection = self._reusable(loop.time())
+            connection = self._pop_idle(loop.time())
             if connection is not None:
                 return connection
-            if self._open < self._most:
-                return await self._async_open(max(0.0, until - loop.time()))
-            await self._async_wait(until - loop.time())
+            if self._open < self._max_connections:
+                return await self._async_open(max(0.0, deadline - loop.time()))
+            await self._async_wait(deadline - loop.time())
 
     def release(self, connection: HttpConnection) -> None:
-        """Take a connection back, and let the next call have its place."""
+        """Return a connection to the pool and wake the next waiting call."""
         if connection.usable:
             self._idle.append(connection)
         else:
@@ -108,11 +111,11 @@
 
     @property
     def unused(self) -> bool:
-        """Return whether there is neither a connection nor a call that wants one."""
+        """Return whether there are neither connections nor waiting calls."""
         return self._open == 0 and not self._waiters
 
     def close_idle(self, now: float, idle_seconds: float) -> None:
-        """Close the connections that no call used for so long."""
+        """Close connections that have been idle for at least ``idle_seconds``."""
         kept = [c for c in self._idle if now - c.idle_since < idle_seconds]
         for connection in self._idle:
             if connection not in kept:
@@ -120,11 +123,11 @@
                 self._open -= 1
         self._idle = kept
 
-    def _reusable(self, now: float) -> HttpConnection | None:
+    def _pop_idle(self, now: float) -> HttpConnection | None:
         while self._idle:
             connection = self._idle.pop()
-            fresh = now - connection.idle_since < KEEP_ALIVE_SECONDS
-            if connection.usable and fresh:
+            is_fresh = now - connection.idle_since < KEEP_ALIVE_SECONDS
+            if connection.usable and is_fresh:
                 return connection
             connection.close()
             self._open -= 1
@@ -133,25 +136,23 @@
     async def _async_open(self, timeout_seconds: float) -> HttpConnection:
         loop = asyncio.get_running_loop()
         self._open += 1
-        channel: socket.socket | None = None
+        sock: socket.socket | None = None
         try:
-            channel = open_socket()
+            sock = open_socket()
             with anyio.fail_after(min(CONNECT_TIMEOUT_SECONDS, timeout_seconds)):
-                await loop.sock_connect(channel, self._address)
-                _, connection = await loop.create_connection(
-                    HttpConnection, sock=channel
-                )
+                await loop.sock_connect(sock, self._address)
+                _, connection = await loop.create_connection(HttpConnection, sock=sock)
         except (OSError, TimeoutError) as error:
-            self._abandon(channel)
+            self._discard(sock)
             raise CallRefusedError(type(error).__name__) from error
         except BaseException:
-            self._abandon(channel)
+            self._discard(sock)
             raise
         return connection
 
-    def _abandon(self, channel: socket.socket | None) -> None:
-        if channel is not None:
-            channel.close()
+    def _discard(self, sock: socket.socket | None) -> None:
+        if sock is not None:
+            sock.close()
         self._open -= 1
         self._wake_next()
 
@@ -162,17 +163,18 @@
             with anyio.fail_after(max(0.0, timeout_seconds)):
                 await waiter
         except TimeoutError as error:
-            self._stop_waiting(waiter)
+            self._remove_waiter(waiter)
             raise CallRefusedError("no connection free") from error
         except BaseException:
-            self._stop_waiting(waiter)
+            self._remove_waiter(waiter)
             raise
 
-    def _stop_waiting(self, waiter: asyncio.Future[None]) -> None:
+    def _remove_waiter(self, waiter: asyncio.Future[None]) -> None:
         if waiter in self._waiters:
             self._waiters.remove(waiter)
         else:
-            # Its turn had come: unless another takes it, all behind it wait for ever.
+            # It was woken already: unless the next waiter is woken instead, all the
+            # remaining ones wait forever.
             self._wake_next()
 
     def _wake_next(self) -> None:
@@ -184,20 +186,20 @@
 
 
 class HttpCaller:
-    """Make calls over kept connections.
+    """Make HTTP calls over persistent connections.
 
-    :param connections_a_host: most connections to one address.
+    :param max_connections_per_host: maximum connections to one address.
     """
 
     def __init__(
         self, max_connections_per_host: int = MAX_CONNECTIONS_PER_HOST
     ) -> None:
-        self._most = max_connections_per_host
+        self._max_connections_per_host = max_connections_per_host
         self._hosts: dict[str, _Host] = {}
-        self._looked_at = -math.inf
+        self._pruned_at = -math.inf
 
     async def async_close(self) -> None:
-        """Close all connections that no call uses."""
+        """Close all idle connections."""
         for host in self._hosts.values():
             host.close_idle(math.inf, 0.0)
 
@@ -214,44 +216,44 @@
     ) -> HttpResponse:
         """Make one call.
 
-        :param timeout_seconds: for the answer, and as much for a connection.
-        :param silence_seconds: longest time in which no byte of the answer comes.
-        :raises CallRefusedError: if it was certainly not sent.
-        :raises CallUnknownError: if it was sent and its answer was lost.
+        :param timeout_seconds: limit for the response, and again for a connection.
+        :param read_timeout_seconds: maximum time without receiving a byte.
+        :raises CallRefusedError: if the request was definitely not sent.
+        :raises CallUnknownError: if it was sent but no complete response arrived.
         """
         address, path = _split(url)
         host = self._hosts.get(address)
         if host is None:
-            self._forget_unused()
-            host = self._hosts[address] = _Host(address, self._most)
-        request = _encode(method, path, host.head, body, params, headers)
+            self._prune_hosts()
+            host = self._hosts[address] = _Host(address, self._max_connections_per_host)
+        request = _encode(method, path, host.host_header, body, params, headers)
         while True:
             connection = await host.async_acquire(timeout_seconds)
-            kept = connection.exchanges > 0
+            is_reused = connection.exchanges > 0
             try:
                 return await connection.async_exchange(
                     request, timeout_seconds, read_timeout_seconds
                 )
             except ExchangeError as error:
-                if method == "GET" and kept and error.closed_before_response:
-                    # The other side closed a kept connection as the call was sent.
+                if method == "GET" and is_reused and error.closed_before_response:
+                    # The server closed an idle connection while the request was sent.
                     continue
-                # Bytes may have reached the other side: to call this "had no effect"
-                # would let a caller act twice.
+                # Bytes may have reached the server. Reporting no effect would let the
+                # caller repeat an action that was carried out.
                 raise CallUnknownError(error.detail) from error
             finally:
                 host.release(connection)
 
-    def _forget_unused(self) -> None:
-        """Forget hosts that are not called any more.
+    def _prune_hosts(self) -> None:
+        """Remove hosts that are no longer called.
 
-        Workers come at new addresses all day; connections to those that went would
-        use up the process's descriptors.
+        Workers keep appearing at new addresses; connections to former ones would
+        exhaust the process's file descriptors.
         """
         now = asyncio.get_running_loop().time()
-        if now - self._looked_at < PRUNE_INTERVAL_SECONDS:
+        if now - self._pruned_at < PRUNE_INTERVAL_SECONDS:
             return
-        self._looked_at = now
+        self._pruned_at = now
         for address, host in list(self._hosts.items()):
             host.close_idle(now, KEEP_ALIVE_SECONDS)
             if host.unused:
@@ -259,7 +261,7 @@
 
 
 def _split(url: str) -> tuple[str, str]:
-    """Return the address and the path of a URL."""
+    """Split a URL into its address and path."""
     address, slash, path = url.removeprefix("http://").partition("/")
     return address, slash + path
 
@@ -267,17 +269,17 @@
 def _encode(
     method: str,
     path: str,
-    host_line: str,
+    host_header: str,
     body: bytes | None,
     params: dict[str, str] | None,
     headers: dict[str, str] | None,
 ) -> bytes:
-    """Return a request's bytes."""
+    """Return the encoded request."""
     query = f"?{urlencode(params, safe='/')}" if params else ""
-    lines = "".join(f"{name}: {value}\r\n" for name, value in (headers or {}).items())
+    fields = "".join(f"{name}: {value}\r\n" for name, value in (headers or {}).items())
     if body is None and method in ("GET", "HEAD"):
-        return f"{method} {path}{query} HTTP/1.1\r\n{host_line}{lines}\r\n".encode()
+        return f"{method} {path}{query} HTTP/1.1\r\n{host_header}{fields}\r\n".encode()
     content = body or b""
     length = f"Content-Length: {len(content)}\r\n"
-    head = f"{method} {path}{query} HTTP/1.1\r\n{host_line}{lines}{length}\r\n"
+    head = f"{method} {path}{query} HTTP/1.1\r\n{host_header}{fields}{length}\r\n"
     return head.encode() + content
--- a/mustardward/platform/models.py
+++ b/mustardward/platform/models.py
@@ -1,4 +1,4 @@
-"""Hold what the platform's bodies say, decoded into types."""
+"""Define data models of the platform's configuration, fleet and jobs."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class QueueAdvice(msgspec.Struct, frozen=True, rename="kebab"):
-    """Hold what asking for advice on a queue's steps costs in time."""
+    """Timings of the advice for a queue's steps."""
 
     decide_ms: float = 0
     period_ms: float = 0
@@ -16,7 +16,7 @@
 
 
 class Queue(msgspec.Struct, frozen=True, rename="kebab"):
-    """Hold one queue of the operator's configuration."""
+    """Queue of the operator's configuration."""
 
     name: str
     host: str
@@ -32,7 +32,7 @@
 
 
 class PoolSettings(msgspec.Struct, frozen=True, rename="kebab"):
-    """Hold one pool of the operator's configuration."""
+    """Pool of the operator's configuration."""
 
     name: str
     max_conns: int = 64
@@ -41,7 +41,7 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True, rename="kebab"):
-    """Hold what callers may send."""
+    """Limits on callers' requests."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 262144
@@ -50,7 +50,7 @@
 
 
 class Room(msgspec.Struct, frozen=True, rename="kebab"):
-    """Hold processor (thousandths of a core), memory (MB) and accelerators."""
+    """Amounts of CPU (thousandths of a core), memory (MB) and accelerators."""
 
     cpu: int = 0
     mem_mb: int = 0
@@ -58,11 +58,11 @@
 
 
 class OrganisationSettings(msgspec.Struct, frozen=True, rename="kebab"):
-    """Hold one organisation of the operator's configuration.
+    """Organisation of the operator's configuration.
 
-    :param keys: secrets by which callers show that they belong to it.
-    :param weight: its share where all is full, in jobs a second.
-    :param quota: most of each resource that it may have running; 0 for no limit.
+    :param keys: secret API keys that authenticate its callers.
+    :param weight: its share under full load, in jobs per second.
+    :param quota: maximum of each resource in use by its runs; 0 for no limit.
     """
 
     name: str
@@ -71,14 +71,14 @@
     quota: Room = msgspec.field(default=Room(), name="max-count")
 
     def __repr__(self) -> str:
-        """Return a text without the keys: it may end up in a log line."""
+        """Return a text without the keys, since it may be logged."""
         return f"OrganisationSettings(name={self.name!r}, keys={len(self.keys)})"
 
 
 class OperatorConfig(msgspec.Struct, frozen=True, rename="kebab"):
-    """Hold one version of the operator's configuration.
+    """Version of the operator's configuration.
 
-    :param organisations: None where the deployment has none, and no key is asked for.
+    :param organisations: None if the deployment has none and requires no API keys.
     """
 
     version: int
@@ -91,10 +91,10 @@
 
 
 class WorkerEntry(msgspec.Struct, frozen=True, rename="kebab"):
-    """Hold what a worker says of itself.
+    """Entry that a worker registers in the store.
 
     :param born: when its process started, in milliseconds since 1970. A worker that
-        starts again under its id runs nothing and knows nothing of before.
+        restarts under its id runs nothing and has no state of its previous process.
     """
 
     service: str
@@ -108,7 +108,7 @@
 
 
 class MaintenanceWave(msgspec.Struct, frozen=True, rename="kebab"):
-    """Hold one maintenance wave."""
+    """Maintenance wave of the operator."""
 
     wave: int
     machines: list[str]
@@ -117,7 +117,7 @@
 
 
 class Instance(msgspec.Struct, frozen=True, rename="kebab"):
-    """Hold one instance of the fleet's list."""
+    """Row of the fleet's instance list."""
 
     machine: str
     pool: str
@@ -129,7 +129,7 @@
 
 
 class SubmittedStep(msgspec.Struct, frozen=True, rename="kebab", omit_defaults=True):
-    """Hold one step of a job as callers submit it."""
+    """Step of a job as submitted by a caller."""
 
     count: int
     cpu: int = 0
@@ -152,12 +152,12 @@
 
     @property
     def requested_resources(self) -> Room:
-        """Return what one task asks for."""
+        """Return the resources that one task requests."""
         return Room(self.cpu, self.mem_mb, self.gpu)
 
 
 class SubmittedJob(msgspec.Struct, frozen=True, rename="kebab", omit_defaults=True):
-    """Hold a job as callers submit it."""
+    """Job as submitted by a caller."""
 
     spec: str
     steps: list[SubmittedStep]
--- a/mustardward/platform/names.py
+++ b/mustardward/platform/names.py
@@ -1,4 +1,4 @@
-"""Name the platform's calls and headers."""
+"""Define the paths, headers, reasons and parameters of the platform's calls."""
 
 from __future__ import annotations
 
--- a/mustardward/platform/store.py
+++ b/mustardward/platform/store.py
@@ -1,4 +1,4 @@
-"""Call the platform's store: appends, reads, and the newest record of each key."""
+"""Call the platform's store: append, read, and list the newest record of each key."""
 
 from __future__ import annotations
 
@@ -43,23 +43,23 @@
 _LENGTH: Final = struct.Struct(">I")
 _HEAD: Final = struct.Struct(">QQ")
 CALL_TIMEOUT_SECONDS: Final = 0.7
-"""An answer takes some 6 ms; a store that is 60 times slower still answers. A call that
-was sent into an outage hangs so long after it."""
+"""A response takes about 6 ms, so a store that is 60 times slower still responds in
+time. A call sent during an outage blocks its caller for this long."""
 
 LONG_POLL_SLACK_SECONDS: Final = 0.5
-"""The same, beyond the time that the store was asked to wait."""
+"""Timeout of a long poll, in addition to the requested wait."""
 
-LARGE_ANSWER_SECONDS: Final = 5.0
-"""Added where an answer may hold much: a page of 1 MB takes 2 s over a link of
-10 Mbit/s that others use too. A silent connection is given up long before."""
+LARGE_RESPONSE_SECONDS: Final = 5.0
+"""Additional timeout for large responses: a page of 1 MB takes 2 s over a shared link
+of 10 Mbit/s. The read timeout ends a stalled connection much earlier."""
 
 READ_KILOBYTES: Final = 256
-"""Most of one read of the tail, so that a narrow link carries other answers between."""
+"""Maximum size of one read, so that other responses share a slow link."""
 
 
 @dataclass(frozen=True, slots=True)
 class KeyedRecord:
-    """Hold one record of a keyed topic; an empty value removes the key."""
+    """Record of a keyed topic; an empty value removes the key."""
 
     offset: int
     key: str
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """Hold the records of one read, and where reading goes on."""
+    """Records of one read, the offset of the next read, and the log's end."""
 
     records: list[KeyedRecord]
     next_offset: int
@@ -77,9 +77,9 @@
 
 @dataclass(frozen=True, slots=True)
 class NewestPage:
-    """Hold one page of the newest record of each key.
+    """Page of the newest record of each key.
 
-    :param last_key: the last key, where its record could not be read.
+    :param last_key: last key of the page, including undecodable records.
     """
 
     records: list[KeyedRecord]
@@ -89,13 +89,13 @@
 
     @property
     def after(self) -> str:
-        """Return the key that the next page begins behind, or nothing."""
+        """Return the key after which the next page starts, or an empty string."""
         return self.last_key or (self.records[-1].key if self.records else "")
 
 
 @dataclass(frozen=True, slots=True)
 class Producer:
-    """Name who appends, under which epoch, and the append's number."""
+    """Identify an append: its producer, the producer's epoch and a sequence number."""
 
     name: str
     epoch: int
@@ -103,7 +103,7 @@
 
 
 def encode_keyed(records: Iterable[tuple[str, bytes]]) -> bytes:
-    """Return the body of an append to a keyed topic."""
+    """Return the request body of an append to a keyed topic."""
     parts: list[bytes] = []
     for key, value in records:
         name = key.encode()
@@ -115,7 +115,7 @@
 
 
 def decode_keyed(body: bytes, first_offset: int) -> Page:
-    """Return the records of a read's body."""
+    """Return the page in the response body of a read."""
     end, first = _HEAD.unpack_from(body, 0)
     offset = max(first_offset, first)
     position = _HEAD.size
@@ -124,7 +124,7 @@
         (length,) = _LENGTH.unpack_from(body, position)
         position += _LENGTH.size
         if position + length > len(body):
-            # The answer was cut off: the rest is read again from here.
+            # The response is truncated: the next read starts at this record.
             break
         record = _decode_record(offset, body[position : position + length])
         if record is not None:
@@ -135,15 +135,15 @@
 
 
 def _decode_record(offset: int, content: bytes) -> KeyedRecord | None:
-    """Return a record, or None if its key can't be read: it names nothing then.
+    """Return a record, or None if its key can't be decoded.
 
-    One such record must not spoil the others of its page: the tail would be read from
-    the same offset for ever.
+    Such a record is skipped: failing its whole page would repeat the read from the
+    same offset forever.
     """
     name_end = 1 + (content[0] if content else 0)
     try:
         if not content or name_end > len(content):
-            raise UnreadableRecordError("key is cut off")
+            raise UnreadableRecordError("key is truncated")
         key = content[1:name_end].decode()
     except (UnicodeDecodeError, UnreadableRecordError) as error:
         report_unreadable_record("key", f"offset={offset}", str(error))
@@ -152,7 +152,7 @@
 
 
 def _decode_item(raw: msgspec.Raw) -> KeyedRecord | None:
-    """Return a record of a page of newest ones, or None if it can't be read."""
+    """Return an item of a newest page as a record, or None if it can't be decoded."""
     try:
         item = msgspec.json.decode(raw, type=NewestItem)
         value = base64.b64decode(item.value, validate=True)
@@ -162,8 +162,8 @@
     return KeyedRecord(item.offset, item.key, value)
 
 
-def _key_of(raw: msgspec.Raw) -> str:
-    """Return the key of an item that may be unreadable otherwise, or nothing."""
+def _decode_item_key(raw: msgspec.Raw) -> str:
+    """Return an item's key even if the rest is invalid, or an empty string."""
     try:
         return msgspec.json.decode(raw, type=ItemKey).key
     except (msgspec.MsgspecError, ValueError, RecursionError):
@@ -171,9 +171,9 @@
 
 
 class StoreClient:
-    """Call the store.
+    """Client of the store.
 
-    :param http: carries the calls.
+    :param http: makes the HTTP calls.
     :param address: the store's ``host:port``.
     """
 
@@ -191,9 +191,9 @@
         """Append keyed records, all or none, and return the log's new end.
 
         :raises CallRefusedError: if nothing was appended.
-        :raises CallUnknownError: if that is not known.
-        :raises FencedError: if a higher epoch of this producer was seen.
-        :raises SequenceError: if the number does not follow the producer's last.
+        :raises CallUnknownError: if the records may have been appended.
+        :raises FencedError: if the store has seen a higher epoch of this producer.
+        :raises SequenceError: if the sequence number is not the expected one.
         """
         params = {names.PARAM_TOPIC: topic, names.PARAM_PART: "0"}
         if producer is not None:
@@ -210,7 +210,7 @@
         if answer.status == 200:
             return _decode(answer, AppendedBody).end
         if answer.status == 409:
-            raise _append_refusal(answer)
+            raise _decode_append_error(answer)
         raise CallRefusedError(f"status={answer.status}")
 
     async def async_read(
@@ -220,10 +220,10 @@
         wait_ms: int,
         kilobytes: int = READ_KILOBYTES,
     ) -> Page:
-        """Return the records from an offset on, waiting for the first.
+        """Return the records from an offset on; wait for the first one if needed.
 
-        :raises OffsetGoneError: if records from there on were deleted.
-        :raises CallRefusedError: if the store did not answer with records.
+        :raises OffsetGoneError: if records at this offset were deleted.
+        :raises CallRefusedError: if the store returned no records response.
         """
         answer = await self._async_get(
             names.LOG_READ,
@@ -243,7 +243,7 @@
         return decode_keyed(answer.body, from_offset)
 
     async def async_is_reachable(self) -> bool:
-        """Return whether the store answers reads at once."""
+        """Return whether the store responds to a read without waiting."""
         try:
             page = await self.async_read(TOPIC_OPERATOR, 0, 0, kilobytes=1)
         except OffsetGoneError:
@@ -255,7 +255,8 @@
     async def async_read_newest(self, topic: str, after: str = "") -> NewestPage:
         """Return a page of the newest record of each key.
 
-        :raises CallRefusedError: if the store did not answer with records.
+        :param after: key after which the page starts; empty for the first page.
+        :raises CallRefusedError: if the store returned no records response.
         """
         params = {names.PARAM_TOPIC: topic, names.PARAM_PART: "0"}
         if after:
@@ -264,29 +265,29 @@
         if answer.status != 200:
             raise CallRefusedError(f"status={answer.status}")
         newest = _decode(answer, NewestBody)
-        found = [_decode_item(raw) for raw in newest.items]
-        records = [record for record in found if record is not None]
-        last_key = next(filter(None, map(_key_of, reversed(newest.items))), "")
+        decoded = [_decode_item(raw) for raw in newest.items]
+        records = [record for record in decoded if record is not None]
+        last_key = next(filter(None, map(_decode_item_key, reversed(newest.items))), "")
         return NewestPage(records, newest.more_pages, newest.end, last_key)
 
     async def _async_get(
         self, call: str, params: dict[str, str], read_timeout_seconds: float
     ) -> HttpResponse:
-        """Read what may be large, for as long as bytes of it come."""
+        """Read a possibly large response, for as long as bytes keep arriving."""
         try:
             return await self._http.async_call(
                 "GET",
                 self._base + call,
                 params=params,
-                timeout_seconds=read_timeout_seconds + LARGE_ANSWER_SECONDS,
+                timeout_seconds=read_timeout_seconds + LARGE_RESPONSE_SECONDS,
                 read_timeout_seconds=read_timeout_seconds,
             )
         except CallUnknownError as error:
-            # A read has no effect, so a lost answer is as good as a refusal.
+            # A read has no effect, so a lost response equals a rejected call.
             raise CallRefusedError(str(error)) from error
 
 
-def _append_refusal(answer: HttpResponse) -> Exception:
+def _decode_append_error(answer: HttpResponse) -> Exception:
     refusal = _decode(answer, AppendRefusedBody)
     if refusal.reason == names.REASON_FENCED:
         return FencedError("append")
--- a/mustardward/platform/workers.py
+++ b/mustardward/platform/workers.py
@@ -1,4 +1,4 @@
-"""Call workers: start, stop, hold and pace tasks."""
+"""Call workers: start, stop and throttle runs, and poll their state."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 from .http import HttpCaller
 
 START_TIMEOUT_SECONDS: Final = 0.35
-"""An answer takes 2 to 5 ms; an order that is carried out late gets none at all, and
-its task waits until it is given up."""
+"""A response takes 2 to 5 ms; a command that is executed late gets none, and its task
+waits until this timeout."""
 
-HOLD_SLACK_SECONDS: Final = 0.35
-"""The same, beyond the time that the worker was asked to wait."""
+POLL_SLACK_SECONDS: Final = 0.35
+"""Timeout of a poll, in addition to the requested wait."""
 
 REFUSED_ROOM: Final = "room"
 REFUSED_OLD: Final = "old"
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskName:
-    """Name one task: its job, occurrence, step and index."""
+    """Identify a task by its job, occurrence, step and index."""
 
     job: str
     occurrence: int
@@ -50,10 +50,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RunningTask:
-    """Hold one row of what runs on a worker.
+    """Run in progress on a worker.
 
-    :param figure: the tail in milliseconds of a task that serves, else processor in
-        use, in thousandths of a core; over the last half second.
+    :param figure: tail latency in milliseconds of a task that serves, otherwise CPU
+        in use in thousandths of a core; over the last half second.
     """
 
     task: TaskName
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndedTask:
-    """Hold one row of what ended on a worker."""
+    """Ended run of a worker."""
 
     number: int
     task: TaskName
@@ -76,10 +76,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerReport:
-    """Hold what a worker says it runs and has ended; its clock in milliseconds.
+    """Running and ended runs that a worker reports, and its clock in milliseconds.
 
     :param born: when the worker's process started, in milliseconds since 1970, or 0 if
-        it does not say.
+        it is not reported.
     """
 
     clock_ms: float
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartResponse:
-    """Hold the answer to a start; an empty reason means that the task runs."""
+    """Response to a start request; an empty reason means that the task runs."""
 
     clock_ms: float
     reason: str
@@ -98,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartRequest:
-    """Hold what a start says."""
+    """Parameters of a run to start."""
 
     task: TaskName
     run: int
@@ -109,25 +109,25 @@
 
 
 def encode_task(task: TaskName) -> str:
-    """Return a task's name as workers know it."""
+    """Return a task's name in the workers' format."""
     return f"{task.job}.{task.occurrence}.{task.step}.{task.index}"
 
 
 def decode_task(text: str) -> TaskName:
-    """Return the task that a worker names.
+    """Return the task identified by a name in the workers' format.
 
-    :raises ValueError: if the text names none.
+    :raises ValueError: if the name is malformed.
     """
     job, occurrence, step, index = text.split(".")
     return TaskName(job, int(occurrence), int(step), int(index))
 
 
 class WorkerClient:
-    """Call one incarnation of a worker under one fencing token.
+    """Client of one incarnation of a worker, with one fencing token.
 
-    :param http: carries the calls.
+    :param http: makes the HTTP calls.
     :param address: the worker's ``host:port``.
-    :param incarnation: the worker's id; another one answers nothing.
+    :param incarnation: the worker's id; calls to another incarnation are rejected.
     :param token: the fencing token of the caller's ownership.
     """
 
@@ -142,29 +142,29 @@
             "Content-Type": "application/json",
         }
 
-    async def async_start(self, order: StartRequest) -> StartResponse:
+    async def async_start(self, request: StartRequest) -> StartResponse:
         """Start a task.
 
-        :raises CallRefusedError: if it certainly does not run by this order.
+        :raises CallRefusedError: if this request definitely did not start it.
         :raises CallUnknownError: if it may run, now or later.
-        :raises FencedError: if a newer owner's token was seen.
-        :raises WrongIncarnationError: if another incarnation answered.
+        :raises FencedError: if the worker has seen a newer owner's token.
+        :raises WrongIncarnationError: if another incarnation responded.
         """
         body = StartBody(
-            encode_task(order.task),
-            order.run,
-            order.spec,
-            order.deadline_ms,
+            encode_task(request.task),
+            request.run,
+            request.spec,
+            request.deadline_ms,
             self._token,
-            order.checkpoint,
-            order.ticket,
+            request.checkpoint,
+            request.ticket,
         )
         answer = await self._async_post(names.RUN_START, body, START_TIMEOUT_SECONDS)
         clock = _decode_clock(answer)
         return StartResponse(clock.clock_ms, clock.reason)
 
     async def async_stop(self, task: TaskName, run: int) -> None:
-        """Stop a run; one that is not there yet will be rejected.
+        """Stop a run; the worker rejects a later start of it.
 
         :raises CallUnknownError: if it may still run.
         """
@@ -172,22 +172,22 @@
         await self._async_post(names.RUN_STOP, body, START_TIMEOUT_SECONDS)
 
     async def async_set_speed(self, task: TaskName, run: int, percent: int) -> None:
-        """Let a run work at a share of its speed."""
+        """Limit a run to a percentage of its speed."""
         body = PaceBody(encode_task(task), run, percent, self._token)
         await self._async_post(names.PACE, body, START_TIMEOUT_SECONDS)
 
     async def async_poll(
         self, seen_upto: int, deadline_ms: int | None, wait_ms: int
     ) -> WorkerReport:
-        """Renew the lease, acknowledge ends, and return what runs and has ended.
+        """Renew the lease, acknowledge ended runs, and return the worker's report.
 
-        :raises CallUnknownError: if there was no answer.
+        :raises CallUnknownError: if there was no valid response.
         """
         body = HoldBody(self._token, seen_upto, deadline_ms, wait_ms)
         answer = await self._async_post(
-            names.HOLD, body, wait_ms / 1000 + HOLD_SLACK_SECONDS
+            names.HOLD, body, wait_ms / 1000 + POLL_SLACK_SECONDS
         )
-        return _decode_hold(answer)
+        return _decode_report(answer)
 
     async def _async_post(
         self, call: str, body: msgspec.Struct, timeout_seconds: float
@@ -217,11 +217,11 @@
         raise CallUnknownError(str(error)) from error
 
 
-def _decode_hold(answer: HttpResponse) -> WorkerReport:
+def _decode_report(answer: HttpResponse) -> WorkerReport:
     try:
-        hold = msgspec.json.decode(answer.body, type=HoldAnswerBody)
-        running = [decode_running(row) for row in hold.running]
-        ended = [decode_ended(row) for row in hold.ended]
+        body = msgspec.json.decode(answer.body, type=HoldAnswerBody)
+        running = [decode_running(row) for row in body.running]
+        ended = [decode_ended(row) for row in body.ended]
     except (
         msgspec.MsgspecError,
         ValueError,
@@ -231,15 +231,15 @@
         OverflowError,
     ) as error:
         raise CallUnknownError(str(error)) from error
-    return WorkerReport(hold.clock_ms, running, ended, hold.born)
+    return WorkerReport(body.clock_ms, running, ended, body.born)
 
 
 def decode_ended(row: list[Any]) -> EndedTask:
-    """Return a row of what ended."""
+    """Return the ended run described by a row."""
     return EndedTask(int(row[0]), decode_task(row[1]), int(row[2]), row[3], row[4])
 
 
 def decode_running(row: list[Any]) -> RunningTask:
-    """Return a row of what runs."""
+    """Return the running task described by a row."""
     figure = float(row[4]) if len(row) > 4 else 0.0
     return RunningTask(decode_task(row[0]), int(row[1]), row[2], float(row[3]), figure)
