--- a/mustardward/helpers/backoff.py
+++ b/mustardward/helpers/backoff.py
@@ -1,4 +1,4 @@
-"""Spread retries out, so that many nodes never retry in step."""
+"""Compute retry delays, spread so that nodes don't retry at the same time."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class Backoff:
-    """Give waits that double up to a bound, with full jitter.
+    """Exponential backoff with jitter.
 
-    :param initial_seconds: upper end of the first wait.
-    :param maximum_seconds: upper end that no wait passes.
+    :param initial_seconds: upper bound of the first delay.
+    :param maximum_seconds: upper bound of all delays.
     :param random: source of the jitter.
     """
 
@@ -22,11 +22,11 @@
         self._ceiling_seconds = initial_seconds
 
     def next_seconds(self) -> float:
-        """Return the next wait, at least a tenth of its upper end."""
+        """Return the next delay, at least a tenth of its upper bound."""
         ceiling = self._ceiling_seconds
         self._ceiling_seconds = min(ceiling * 2, self._maximum_seconds)
         return ceiling * (0.1 + 0.9 * self._random.random())
 
     def reset(self) -> None:
-        """Begin again with the shortest wait, after a success."""
+        """Restart with the initial delay, after a success."""
         self._ceiling_seconds = self._initial_seconds
--- a/mustardward/helpers/bounded_output.py
+++ b/mustardward/helpers/bounded_output.py
@@ -1,4 +1,4 @@
-"""Write log lines without ever waiting, and not more than a bound."""
+"""Write log lines without blocking, at a bounded rate and buffer size."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 from typing import Final
 
 MAX_PENDING_LINES: Final = 4000
-"""Lines that wait for the reader; beyond it the oldest go."""
+"""Maximum buffered lines; beyond it the oldest are dropped."""
 
 MAX_LINES_PER_SECOND: Final = 400
-"""Ordinary lines a second; one takes some 30 microseconds of the processor."""
+"""Limit for lines below warning level; a line takes about 30 us of CPU time."""
 
-EVENT_SHARE: Final = 0.4
-"""Most of them that one event may take: an owner that starts 600 tasks a second would
-else leave out the rare lines that tell what the fleet and the shard do."""
+MAX_EVENT_SHARE: Final = 0.4
+"""Maximum share of the rate for one event. Otherwise the lines of an owner that starts
+600 tasks a second would displace the rare ones about the fleet and the shard."""
 
 Write = Callable[[bytes], int]
 
 
 class BoundedOutput(logging.Handler):
-    """Keep lines until they can be written; say how many were left out.
+    """Log handler that buffers lines until they can be written.
 
-    A reader that stops reading would else stop the process with its next line, which
-    shows as a process that hangs for no cause that its log could tell.
+    With blocking writes, a reader that stops reading would block the process at its
+    next line, with no trace in the log. The number of dropped lines is logged.
 
-    :param write: writes bytes without waiting, and returns how many it took.
-    :param clock: returns steady seconds.
+    :param write: writes bytes without blocking and returns how many were written.
+    :param clock: returns monotonic seconds.
     """
 
     def __init__(
@@ -42,15 +42,15 @@
         self._clock = clock
         self._lines_a_second = max_lines_per_second
         self._lines: deque[bytes] = deque()
-        self._rest = b""
+        self._unwritten = b""
         self._second = -1
-        self._in_second = 0
-        self._by_event: Counter[str] = Counter()
+        self._count_in_second = 0
+        self._counts_by_event: Counter[str] = Counter()
         self.dropped = 0
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Take a line; warnings are taken beyond the rate."""
-        if record.levelno < logging.WARNING and not self._has_room(record):
+        """Buffer a line; warnings and errors are exempt from the rate limit."""
+        if record.levelno < logging.WARNING and not self._is_within_rate(record):
             self.dropped += 1
             return
         if len(self._lines) >= MAX_PENDING_LINES:
@@ -58,41 +58,41 @@
             self.dropped += 1
         self._lines.append(self.format(record).encode() + b"\n")
 
-    def _has_room(self, record: logging.LogRecord) -> bool:
+    def _is_within_rate(self, record: logging.LogRecord) -> bool:
         second = int(self._clock())
         if second != self._second:
             self._second = second
-            self._in_second = 0
-            self._by_event.clear()
+            self._count_in_second = 0
+            self._counts_by_event.clear()
         event = record.getMessage().partition(" ")[0]
-        if self._in_second >= self._lines_a_second:
+        if self._count_in_second >= self._lines_a_second:
             return False
-        if self._by_event[event] >= self._lines_a_second * EVENT_SHARE:
+        if self._counts_by_event[event] >= self._lines_a_second * MAX_EVENT_SHARE:
             return False
-        self._in_second += 1
-        self._by_event[event] += 1
+        self._count_in_second += 1
+        self._counts_by_event[event] += 1
         return True
 
     def flush_some(self) -> None:
-        """Write what the reader takes now."""
+        """Write as many buffered bytes as the output accepts now."""
         if self.dropped and len(self._lines) < MAX_PENDING_LINES:
             self._lines.append(
                 f"event=log_lines_dropped count={self.dropped}\n".encode()
             )
             self.dropped = 0
-        self._rest += b"".join(self._lines)
+        self._unwritten += b"".join(self._lines)
         self._lines.clear()
-        while self._rest:
+        while self._unwritten:
             try:
-                taken = self._write(self._rest)
+                written = self._write(self._unwritten)
             except BlockingIOError:
                 return
-            if taken <= 0:
+            if written <= 0:
                 return
-            self._rest = self._rest[taken:]
+            self._unwritten = self._unwritten[written:]
 
 
 def open_output(descriptor: int) -> Write:
-    """Return how to write to a descriptor without waiting."""
+    """Make a file descriptor non-blocking and return a function that writes to it."""
     os.set_blocking(descriptor, False)
     return lambda data: os.write(descriptor, data)
--- a/mustardward/helpers/chart.py
+++ b/mustardward/helpers/chart.py
@@ -1,4 +1,4 @@
-"""Interpret state charts that stand in YAML files.
+"""Load state charts from YAML files and evaluate their transitions.
 
 A chart file has ``name``, ``initial``, and ``states``: a map from state to ``final``
 (optional) and ``on``, a map from event to next state.
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Chart:
-    """Describe the states of one kind of thing and the events between them."""
+    """State machine of one kind of object: its states and transitions."""
 
     name: str
     initial: str
@@ -35,18 +35,18 @@
         return target
 
     def accepts(self, state: str, event: str) -> bool:
-        """Tell whether ``event`` is possible in ``state``."""
+        """Return whether ``state`` accepts ``event``."""
         return event in self.transitions.get(state, {})
 
     def is_final(self, state: str) -> bool:
-        """Tell whether nothing can follow ``state``."""
+        """Return whether ``state`` has no transitions."""
         return state in self.final_states
 
 
 def parse_chart(text: str) -> Chart:
-    """Return the chart that a YAML text describes.
+    """Return the chart defined by a YAML text.
 
-    :raises ChartError: if a state is named but not described.
+    :raises ChartError: if a transition or the initial state refers to no state.
     """
     data = yaml.safe_load(text)
     states = data["states"]
@@ -62,7 +62,7 @@
 def load_chart(name: str) -> Chart:
     """Return the chart in ``charts/<name>.yaml``.
 
-    :raises ChartError: if the file has faults.
+    :raises ChartError: if the file is invalid.
     """
     folder = resources.files("mustardward") / "charts"
     return parse_chart((folder / f"{name}.yaml").read_text(encoding="utf-8"))
--- a/mustardward/helpers/connection.py
+++ b/mustardward/helpers/connection.py
@@ -1,4 +1,4 @@
-"""Serve one HTTP connection with hypercorn, and end it when its other side has."""
+"""Serve one HTTP connection with hypercorn, and close it once the client has."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 class HttpConnection(TCPServer):
-    """Serve the requests of one connection.
+    """Server side of one connection.
 
-    :param state: what the requests' scopes carry along.
+    :param state: lifespan state, included in the scope of each request.
     """
 
     def __init__(
@@ -38,8 +38,8 @@
         )
 
     async def _read_data(self) -> None:
-        # hypercorn ends a connection only once its idle timer has run out, also when
-        # the other side closed it long ago. It shows as sockets in CLOSE-WAIT, one
-        # for each connection of the last minutes, until none can be opened any more.
+        # hypercorn closes a connection only when its idle timer expires, even if the
+        # client closed it before. Such sockets stay in CLOSE-WAIT and accumulate
+        # until no more connections can be opened.
         await super()._read_data()
         await self.idle_task.stop()
--- a/mustardward/helpers/duty.py
+++ b/mustardward/helpers/duty.py
@@ -1,9 +1,9 @@
-"""Bound the share of this process's time that repeated work takes; pure.
+"""Limit the share of this process's time that periodic work takes; pure.
 
-Load pattern: looking over 3,000 instances takes 30 ms, and ten looks a second leave an
-owner on half a core no time to answer its workers: they count as silent, its renewals
-are late, and another owner begins anew. Work that finds out what it costs is done less
-often in a large fleet or on a slow instance, and as often as ever elsewhere.
+Scanning 3,000 instances takes 30 ms. Ten scans a second leave an owner on half a core
+no time for its workers: they count as unresponsive, its lease renewals are late, and
+another owner takes over. The interval therefore follows the measured duration, and
+grows only in a large fleet or on a slow instance.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DutyCycle:
-    """Hold how often something is done.
+    """Pauses between the runs of periodic work.
 
-    :param least_pause: seconds between two times, however little one takes.
-    :param share: most of this process's time that it may take.
-    :param longest_pause: the most, in seconds: a process that is frozen in the middle
-        of a time has not worked for so long, and must not rest for it.
+    :param min_pause_seconds: minimum pause, however short a run is.
+    :param share: maximum share of this process's time.
+    :param max_pause_seconds: maximum pause. The measured duration of a run includes
+        the time in which the process was suspended, which was not spent on work.
     """
 
     min_pause_seconds: float
@@ -26,6 +26,6 @@
     max_pause_seconds: float
 
     def pause(self, spent_seconds: float) -> float:
-        """Return how long to wait after a time that took so many seconds."""
-        owed = spent_seconds * (1 / self.share - 1)
-        return max(self.min_pause_seconds, min(self.max_pause_seconds, owed))
+        """Return the pause in seconds after a run of the given duration."""
+        pause_seconds = spent_seconds * (1 / self.share - 1)
+        return max(self.min_pause_seconds, min(self.max_pause_seconds, pause_seconds))
--- a/mustardward/helpers/http_connection.py
+++ b/mustardward/helpers/http_connection.py
@@ -1,7 +1,7 @@
-"""Carry one HTTP/1.1 exchange after the other over one kept connection.
+"""Make sequential HTTP/1.1 requests over one persistent connection.
 
-An owner makes three calls for each task, so what a call costs beyond its bytes bounds
-how many tasks one owner can start: a parser, a future and a timer, nothing more.
+An owner makes three calls for each task, so the overhead of a call limits how many
+tasks it can start. An exchange therefore uses only a parser, a future and a timer.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 from ..exceptions import MustardwardError
 
-LATE_SECONDS: Final = 0.05
-"""A timer that fires so much too late shows that this process was held up."""
+LATE_TIMER_SECONDS: Final = 0.05
+"""A timer that fires this much too late shows that the event loop was blocked."""
 
 
 class ExchangeError(MustardwardError):
-    """Report that an answer did not come whole; the call may have had its effect.
+    """Raised when no complete response arrived; the call may have had its effect.
 
-    :param closed_unheard: whether the other side closed before any byte came.
+    :param closed_before_response: whether the server closed before sending any byte.
     """
 
     code = "exchange-failed"
@@ -33,14 +33,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """Hold one answer; its headers as they came, in their order."""
+    """HTTP response; headers are unchanged and in the received order."""
 
     status: int
     body: bytes
     headers: list[tuple[bytes, bytes]] = field(default_factory=list)
 
     def header(self, name: str) -> str:
-        """Return a header's value, or nothing; its name in any case."""
+        """Return a header's value or an empty string; names are case-insensitive."""
         wanted = name.lower().encode()
         for key, value in self.headers:
             if key.lower() == wanted:
@@ -49,10 +49,10 @@
 
 
 class HttpConnection(asyncio.Protocol):
-    """Send a request, wait for its answer, and keep the connection for the next.
+    """Client side of one persistent connection.
 
-    A connection whose exchange failed is closed: a late answer would else be taken for
-    that of the next request.
+    A connection whose exchange failed is closed: otherwise a late response would be
+    taken for that of the next request.
     """
 
     def __init__(self) -> None:
@@ -63,46 +63,46 @@
         self._headers: list[tuple[bytes, bytes]] = []
         self._chunks: list[bytes] = []
         self._timer: asyncio.TimerHandle | None = None
-        self._due_at = 0.0
-        self._heard_at = 0.0
+        self._deadline = 0.0
+        self._last_byte_at = 0.0
         self._silence_seconds: float | None = None
-        self._excused = False
-        self._began = False
-        self._whole = True
+        self._extended = False
+        self._response_started = False
+        self._complete = True
         self.exchanges = 0
         self.idle_since = self._loop.time()
 
     @property
     def usable(self) -> bool:
-        """Return whether another request may be sent."""
+        """Return whether the connection is open for another request."""
         return self._transport is not None and not self._transport.is_closing()
 
     def close(self) -> None:
-        """Close at once."""
+        """Close the connection without flushing its buffers."""
         if self._transport is not None:
             self._transport.abort()
 
     async def async_exchange(
         self, request: bytes, timeout_seconds: float, read_timeout_seconds: float | None
     ) -> HttpResponse:
-        """Send a request and return its answer.
+        """Send a request and return its response.
 
-        :param silence_seconds: longest time in which no byte of the answer comes.
-        :raises ExchangeError: if the answer did not come whole in time.
+        :param read_timeout_seconds: maximum time without receiving a byte.
+        :raises ExchangeError: if no complete response arrived in time.
         """
         if self._transport is None or self._transport.is_closing():
             raise ExchangeError("closed", closed_before_response=True)
         self.exchanges += 1
         self._headers = []
         self._chunks = []
-        self._began = False
-        self._whole = False
-        self._excused = False
+        self._response_started = False
+        self._complete = False
+        self._extended = False
         self._silence_seconds = read_timeout_seconds
         self._waiter = self._loop.create_future()
         now = self._loop.time()
-        self._heard_at = now
-        self._due_at = now + timeout_seconds
+        self._last_byte_at = now
+        self._deadline = now + timeout_seconds
         self._set_timer()
         self._transport.write(request)
         try:
@@ -112,87 +112,87 @@
             if self._timer is not None:
                 self._timer.cancel()
                 self._timer = None
-            if not self._whole:
+            if not self._complete:
                 self.close()
 
-    # What the loop calls.
+    # Callbacks of asyncio.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take in that the connection is open."""
+        """Store the transport of the opened connection."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came."""
-        self._heard_at = self._loop.time()
+        """Parse received bytes."""
+        self._last_byte_at = self._loop.time()
         if self._waiter is None:
-            # Nobody asked: the other side closes, or answers what was given up.
+            # The bytes belong to no exchange or to an abandoned one.
             self.close()
             return
-        self._began = True
+        self._response_started = True
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
             self._fail(type(error).__name__)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Take in that the connection is gone."""
+        """Fail the exchange in progress."""
         self._transport = None
         detail = type(exc).__name__ if exc is not None else "disconnected"
-        self._fail(detail, closed_before_response=not self._began)
+        self._fail(detail, closed_before_response=not self._response_started)
 
-    # What the parser calls.
+    # Callbacks of the parser.
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take one header in."""
+        """Collect a header."""
         self._headers.append((name, value))
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body in."""
+        """Collect a part of the body."""
         self._chunks.append(body)
 
     def on_message_complete(self) -> None:
-        """Hand the answer over."""
-        if self._whole:
-            # More than was asked for; whose answer it is nobody can tell.
+        """Complete the exchange with the parsed response."""
+        if self._complete:
+            # A second response to one request can't be assigned to any request.
             self.close()
             return
-        self._whole = True
+        self._complete = True
         status = self._parser.get_status_code()
         answer = HttpResponse(status, b"".join(self._chunks), self._headers)
-        self.idle_since = self._heard_at
+        self.idle_since = self._last_byte_at
         if not self._parser.should_keep_alive():
             self.close()
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(answer)
 
     def _set_timer(self) -> None:
-        at = self._due_at
+        at = self._deadline
         if self._silence_seconds is not None:
-            at = min(at, self._heard_at + self._silence_seconds)
-        self._timer = self._loop.call_at(at, self._look, at)
+            at = min(at, self._last_byte_at + self._silence_seconds)
+        self._timer = self._loop.call_at(at, self._check_timeout, at)
 
-    def _look(self, planned_at: float) -> None:
-        """Give up, unless bytes came meanwhile or this process was held up itself.
+    def _check_timeout(self, scheduled_at: float) -> None:
+        """Fail the exchange on a timeout, unless the event loop was blocked.
 
-        Symptom without it: an owner that was held up for half a second took every
-        call under way for unanswered, stopped what had begun, and began it elsewhere,
-        which held it up again. A timer that fires late says nothing of the other
-        side: it has the time that this process lost once more.
+        A timer that fires late says nothing about the server, so the deadline is
+        extended once by the delay. Without this, an owner whose loop was blocked for
+        half a second treats all calls in flight as unanswered, and stops and restarts
+        their tasks, which blocks the loop again.
         """
         now = self._loop.time()
-        late = now - planned_at
-        if late > LATE_SECONDS and not self._excused:
-            self._excused = True
-            self._heard_at = max(self._heard_at, now)
-            self._due_at = max(self._due_at, now + late)
+        delay = now - scheduled_at
+        if delay > LATE_TIMER_SECONDS and not self._extended:
+            self._extended = True
+            self._last_byte_at = max(self._last_byte_at, now)
+            self._deadline = max(self._deadline, now + delay)
             self._set_timer()
             return
-        silent = (
+        stalled = (
             self._silence_seconds is not None
-            and now >= self._heard_at + self._silence_seconds
+            and now >= self._last_byte_at + self._silence_seconds
         )
-        if silent or now >= self._due_at:
+        if stalled or now >= self._deadline:
             self._fail("timeout")
             self.close()
             return
--- a/mustardward/node/__init__.py
+++ b/mustardward/node/__init__.py
@@ -1,1 +1,1 @@
-"""Run an entry on the users' platform."""
+"""Run an entry node on the users' platform."""
--- a/mustardward/node/__main__.py
+++ b/mustardward/node/__main__.py
@@ -1,4 +1,4 @@
-"""Run an entry with ``python -m mustardward.node``."""
+"""Run an entry node with ``python -m mustardward.node``."""
 
 from __future__ import annotations
 
--- a/mustardward/node/app.py
+++ b/mustardward/node/app.py
@@ -1,4 +1,4 @@
-"""Set up one entry, and let it leave without cutting a request."""
+"""Set up one entry node, and shut it down without interrupting requests."""
 
 from __future__ import annotations
 
@@ -43,29 +43,30 @@
 
 _LOGGER = get_logger(__name__)
 
-CONFIG_GAP_SECONDS = 0.05
-CUT_OFF_SECONDS = 0.3
-"""Time without the log after which an entry asks for no more callers, unless peers
-answer for it; the balancer looks once a second, and believes the second look."""
+CONFIG_POLL_SECONDS = 0.05
+LOG_OUTAGE_SECONDS = 0.3
+"""Log outage after which a node is not ready, unless peers respond in its place. The
+load balancer probes once a second and acts on the second failure."""
 
-PEER_FRESH_SECONDS = 1.0
-"""Time for which a peer's answer shows that callers can be answered here."""
+PEER_RESPONSE_MAX_AGE_SECONDS = 1.0
+"""Time for which a peer's response shows that callers can be served here."""
 
 METRICS_PORT = 9464
-"""Named in the deploy file too."""
+"""Also set in the deployment file."""
 
-LEAVE_SHARE = 0.55
-"""Share of the grace period in which a leaving entry goes on taking callers."""
+ACCEPT_SHARE = 0.55
+"""Share of the grace period in which a stopping node still accepts requests."""
 
-ANSWER_SHARE = 0.85
-"""Share of it by whose end all of them are answered."""
+RESPOND_SHARE = 0.85
+"""Share of the grace period after which all requests have a response."""
 
 CLOSE_SHARE = 0.9
-"""Share of it by whose end connections are closed; the rest is for the process."""
+"""Share of the grace period after which connections are closed; the rest is for the
+process to exit."""
 
 
 class Node:
-    """Hold the parts of one entry."""
+    """Entry node: serves callers, follows the ledger and competes for ownership."""
 
     def __init__(self, boot: BootSettings, tasks: TaskGroup) -> None:
         self._boot = boot
@@ -75,7 +76,7 @@
         self._peers_http = HttpCaller()
         self._configuration = Configuration(require_api_keys=boot.has_organisations)
         self._ledger = Ledger()
-        self._relay = self._make_relay(boot)
+        self._relay = self._build_relay(boot)
         store = StoreClient(self._relay, boot.platform.address)
         self._config_follower = TopicFollower(
             store,
@@ -83,7 +84,7 @@
             TOPIC_OPERATOR,
             self._configuration.apply,
             self._configuration.keys,
-            CONFIG_GAP_SECONDS,
+            CONFIG_POLL_SECONDS,
             entries=self._count_entries,
             node=boot.node,
         )
@@ -149,18 +150,18 @@
                 self._configuration,
                 boot.bounds,
                 unlogged,
-                _speed(boot),
+                _core_count(boot),
                 advice,
                 fleet,
                 boot.cloud,
             ),
-            _share(boot),
+            _claim_fraction(boot),
         )
 
     def _count_entries(self) -> int:
         return len(self._ledger.nodes)
 
-    def _make_relay(self, boot: BootSettings) -> StoreRelay:
+    def _build_relay(self, boot: BootSettings) -> StoreRelay:
         address = boot.platform.address
         # Separate from the forwarder of callers' requests: a peer that can't reach the
         # store is left out here only, since it may still answer those.
@@ -182,16 +183,16 @@
 
     @property
     def owns(self) -> bool:
-        """Return whether this entry owns the shard."""
+        """Return whether this node owns the shard."""
         return self._ownership.owner is not None
 
     @property
     def ready(self) -> bool:
-        """Return whether callers are served here."""
+        """Return whether this node can serve callers."""
         return self._is_ready()
 
     async def async_start(self) -> None:
-        """Listen, and begin to take part."""
+        """Start the listeners and background tasks."""
         self._timers.start()
         listen = self._boot.listen
         await self._server.async_listen(listen.front, listen.ready)
@@ -215,9 +216,9 @@
         self._tasks.start_soon(self._async_register, address)
 
     async def _async_register(self, address: str) -> None:
-        """Tell the other entries where this one answers them."""
+        """Record this node's peer address in the ledger for the other nodes."""
         await self._follower.async_wait_loaded()
-        record = NodeRecord(address, self._boot.zone, _speed(self._boot))
+        record = NodeRecord(address, self._boot.zone, _core_count(self._boot))
         if self._ledger.nodes.get(self._boot.node) != record:
             self._appender.post([(PREFIX_NODE + self._boot.node, encode(record))])
 
@@ -231,50 +232,50 @@
         await self._peers_http.async_close()
 
     async def async_shut_down(self) -> None:
-        """Give up what is owned, and go on answering until callers went elsewhere."""
-        _LOGGER.info("node_leaving", node=self._boot.node)
+        """Resign ownership, and serve callers until they have moved elsewhere."""
+        _LOGGER.info("node_stopping", node=self._boot.node)
         grace = self._boot.bounds.grace_s
-        began = self._timers.monotonic()
-        self._server.drain_within(grace * ANSWER_SHARE)
+        started_at = self._timers.monotonic()
+        self._server.drain_within(grace * RESPOND_SHARE)
         await self._ownership.async_resign()
-        await self._timers.async_sleep(grace * LEAVE_SHARE)
-        left = began + grace * CLOSE_SHARE - self._timers.monotonic()
-        await self._server.async_close(max(0.0, left))
+        await self._timers.async_sleep(grace * ACCEPT_SHARE)
+        remaining = started_at + grace * CLOSE_SHARE - self._timers.monotonic()
+        await self._server.async_close(max(0.0, remaining))
         with anyio.move_on_after(0.2):
             await self._async_close_calls()
         _LOGGER.info("node_stopped", node=self._boot.node)
 
     def _is_ready(self) -> bool:
-        """Return whether callers are served here.
+        """Return whether this node can serve callers.
 
-        An entry that is cut off from the log answers as long as a peer does; else the
-        balancer sends callers elsewhere.
+        A node without access to the log is ready as long as a peer responds in its
+        place; otherwise the load balancer sends callers elsewhere.
         """
         if self._server.draining or self._configuration.config is None:
             return False
         if not self._follower.loaded:
             return False
-        # Whichever topic is read next shows a cut: where many entries follow the
-        # shard's, each reads it only every 0.7 s.
+        # Both followers are checked, since either may detect an outage first: with
+        # many nodes, each reads the shard's topic only every 0.7 s.
         now = self._timers.monotonic()
         outage = longest_outage(
             now, self._follower.failing_since, self._config_follower.failing_since
         )
-        if outage < CUT_OFF_SECONDS:
+        if outage < LOG_OUTAGE_SECONDS:
             return True
-        return now - self._forwarder.last_answer_at < PEER_FRESH_SECONDS
+        return now - self._forwarder.last_answer_at < PEER_RESPONSE_MAX_AGE_SECONDS
 
 
 def _max_key_age_seconds(boot: BootSettings) -> float | None:
-    """Return the age of a configuration by which keys are still taken, in seconds."""
+    """Return the maximum configuration age for accepting keys, or None for no limit."""
     return boot.bounds.revoke_ms / 1000 if boot.bounds.strict_revoke else None
 
 
-def _speed(boot: BootSettings) -> float:
-    """Return an instance's cores."""
+def _core_count(boot: BootSettings) -> float:
+    """Return the number of cores available to this node."""
     return boot.limits.cpu_share * max(1.0, boot.limits.cores)
 
 
-def _share(boot: BootSettings) -> float:
-    """Return where in the spread of claims an entry stands, the same each time."""
+def _claim_fraction(boot: BootSettings) -> float:
+    """Return a stable fraction in [0, 1) that spreads the nodes' ownership claims."""
     return (zlib.crc32(boot.node.encode()) % 1000) / 1000
--- a/mustardward/node/main.py
+++ b/mustardward/node/main.py
@@ -1,4 +1,4 @@
-"""Run one entry: its arguments, its log, its signals."""
+"""Run one entry node: command line, logging and signals."""
 
 from __future__ import annotations
 
@@ -28,21 +28,21 @@
 )
 
 FLUSH_SECONDS = 0.1
-"""Interval of writing log lines."""
+"""Interval at which buffered log lines are written."""
 
 
 class UnexpectedExitError(MustardwardError):
-    """Report that an entry ended though nobody asked for it."""
+    """Raised when an entry node ended without a stop signal."""
 
     code = "unasked-end"
 
 
 async def async_main(boot: BootSettings, output: BoundedOutput) -> None:
-    """Run one entry until it is told to stop.
+    """Run one entry node until it receives SIGTERM.
 
-    :raises UnaskedEndError: if it ended though nobody asked for it.
+    :raises UnaskedEndError: if a task was cancelled without a stop signal.
     """
-    asked = False
+    stop_requested = False
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(async_flush, output)
         node = Node(boot, tasks)
@@ -50,26 +50,26 @@
             await node.async_start()
             async for number in signals:
                 if number == signal.SIGTERM:
-                    asked = True
+                    stop_requested = True
                     break
                 _LOGGER.info("settings_reloaded", node=boot.node)
         await node.async_shut_down()
         tasks.cancel_scope.cancel()
-    if not asked:
-        # A part that is cancelled by anything but this entry takes all others along.
-        # Without a word, and with code 0, its end could be told from no planned one.
-        raise UnexpectedExitError("a part of the entry was cancelled")
+    if not stop_requested:
+        # A task that is cancelled from elsewhere cancels the whole group. Without an
+        # error, the exit would look like a planned one, with status 0.
+        raise UnexpectedExitError("a task of the entry node was cancelled")
 
 
 async def async_flush(output: BoundedOutput) -> None:
-    """Write log lines as the reader takes them."""
+    """Write buffered log lines periodically, as far as the output accepts them."""
     while True:
         output.flush_some()
         await anyio.sleep(FLUSH_SECONDS)
 
 
 def set_up_logging() -> BoundedOutput:
-    """Collect events for standard output, a line of pairs for each."""
+    """Log events to standard output as lines of key=value pairs; return the output."""
     flags.FLAGS.mark_as_parsed()
     absl_logging.use_absl_handler()
     output = BoundedOutput(open_output(sys.stdout.fileno()), time.monotonic)
@@ -81,10 +81,11 @@
     return output
 
 
-def read_arguments(arguments: list[str]) -> None:
-    """Take in the command line: ``--settings FILE``, the entry's own settings.
+def parse_arguments(arguments: list[str]) -> None:
+    """Parse the command line and apply the settings file of ``--settings``.
 
-    :raises SettingsError: if it names what there is not.
+    :raises SettingsError: if a flag or the settings file is invalid.
+    :raises UnknownPolicyError: if the settings name an unknown policy.
     """
     try:
         flags.FLAGS(arguments)
@@ -94,17 +95,17 @@
 
 
 def main() -> None:
-    """Run the entry that the settings file describes."""
+    """Run the entry node that the platform's settings file describes."""
     output = set_up_logging()
     try:
-        read_arguments(sys.argv)
+        parse_arguments(sys.argv)
         boot = load_boot()
         anyio.run(async_main, boot, output)
     except (BootSettingsError, SettingsError, UnknownPolicyError) as error:
         _LOGGER.error("settings_unusable", code=error.code, detail=error.detail)
         sys.exit(2)
     except UnexpectedExitError as error:
-        _LOGGER.error("node_ended_unasked", code=error.code, detail=error.detail)
+        _LOGGER.error("node_exited_unexpectedly", code=error.code, detail=error.detail)
         sys.exit(1)
     finally:
         output.flush_some()
--- a/mustardward/node/settings.py
+++ b/mustardward/node/settings.py
@@ -1,4 +1,4 @@
-"""Read an entry's own settings, which hold nothing that the platform says."""
+"""Load an entry node's own settings, which the platform does not provide."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 class EntrySettings(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename="kebab"
 ):
-    """Hold an entry's own settings.
+    """An entry node's own settings.
 
-    :param policies_off: policies that are replaced by plainer ones, to measure what
-        each is worth.
+    :param policies_off: policies replaced by simpler ones, to measure the effect of
+        each.
     """
 
     policies_off: tuple[str, ...] = ()
 
 
 def load_settings(path: str) -> EntrySettings:
-    """Return the settings of a YAML file, the default ones if no file is named.
+    """Return the settings of a YAML file, or the defaults if the path is empty.
 
-    :raises SettingsError: if the file can't be read, or holds what there is not.
+    :raises SettingsError: if the file can't be read or its content is invalid.
     """
     if not path:
         return EntrySettings()
