--- a/mustardward/__init__.py
+++ b/mustardward/__init__.py
@@ -1,4 +1,4 @@
-"""Manage fleet capacity and maintenance between callers and workers."""
+"""Schedule callers' work on a fleet of workers and manage its maintenance."""
 
 from __future__ import annotations
 
--- a/mustardward/__main__.py
+++ b/mustardward/__main__.py
@@ -1,4 +1,4 @@
-"""Run the command line with ``python -m mustardward``."""
+"""Run the command-line interface with ``python -m mustardward``."""
 
 from __future__ import annotations
 
--- a/mustardward/app.py
+++ b/mustardward/app.py
@@ -1,4 +1,4 @@
-"""Assemble one entry process from its components."""
+"""Set up an entry process from its components."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 async def async_setup_entry(core: Core) -> list[Unload]:
-    """Set up every component of an entry; return the unloads in order of use."""
+    """Set up all components; return their unload functions in order of execution."""
     for domain in DOMAINS:
         import_module(f".components.{domain}", package=__package__)
     return await async_setup_components(core, DOMAINS)
--- a/mustardward/const.py
+++ b/mustardward/const.py
@@ -1,4 +1,4 @@
-"""Hold constants that more than one component needs."""
+"""Define constants that several components share."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 HEADER_SERVICE: Final = "mw-service"
 
 CONFIGURATION_BOUND_SECONDS: Final = 5.0
-"""Longest time from acceptance of a configuration to its effect everywhere."""
+"""Maximum time from acceptance of a configuration to its effect on all nodes."""
 
 LEAVING_BOUND_SECONDS: Final = 3.0
-"""Longest time in which a leaving instance may still be given new work."""
+"""Maximum time in which a leaving instance may still receive new work."""
 
 URGENT_START_BOUND_SECONDS: Final = 3.1
-"""Longest time in which urgent work must start."""
+"""Maximum time until urgent work starts."""
--- a/mustardward/core.py
+++ b/mustardward/core.py
@@ -1,4 +1,4 @@
-"""Hold one running process: its settings, timers, events and components."""
+"""Provide the core of a process: settings, timers, events and components."""
 
 from __future__ import annotations
 
@@ -24,26 +24,26 @@
 
 
 def callback(function: CallableT) -> CallableT:
-    """Mark a plain function that is called in the loop and never waits."""
+    """Mark a function as safe to call in the event loop: it never blocks."""
     function._mustardward_callback = True  # type: ignore[attr-defined]
     return function
 
 
 @dataclass(frozen=True, slots=True)
 class ComponentKey(Generic[T]):
-    """Name a component's public object, with its type."""
+    """Typed key of a component's public object."""
 
     domain: str
 
 
 class ComponentMissingError(MustardwardError):
-    """Report that a component was asked for before it was set up."""
+    """Raised when a component is requested before it was set up."""
 
     code = "component-missing"
 
 
 class EventBus:
-    """Deliver typed events to the callbacks that asked for their type."""
+    """Deliver events to the listeners of their type."""
 
     def __init__(self) -> None:
         self._listeners: dict[type, list[Callable[[Any], None]]] = {}
@@ -51,7 +51,7 @@
     def listen(
         self, event_type: type[EventT], listener: Callable[[EventT], None]
     ) -> Callable[[], None]:
-        """Call ``listener`` for each event of a type until unsubscribed."""
+        """Call ``listener`` for each event of a type; return the unsubscriber."""
         listeners = self._listeners.setdefault(event_type, [])
         listeners.append(listener)
 
@@ -62,14 +62,14 @@
         return unsubscribe
 
     def publish(self, event: object) -> None:
-        """Deliver an event at once, in order of subscription."""
+        """Call the event's listeners synchronously, in order of subscription."""
         for listener in list(self._listeners.get(type(event), ())):
             listener(event)
 
 
 @dataclass(slots=True, eq=False)
 class Core:
-    """Tie the parts of one process together."""
+    """Root object of a process, shared by its components."""
 
     settings: Settings
     timers: TimerService
@@ -78,11 +78,11 @@
     _components: dict[str, Any] = field(default_factory=dict)
 
     def put(self, key: ComponentKey[T], component: T) -> None:
-        """Publish a component's object under its key."""
+        """Register a component's public object."""
         self._components[key.domain] = component
 
     def get(self, key: ComponentKey[T]) -> T:
-        """Return a component's object.
+        """Return a component's public object.
 
         :raises ComponentMissingError: if it was not set up.
         """
@@ -93,11 +93,11 @@
         return component
 
     def find(self, key: ComponentKey[T]) -> T | None:
-        """Return a component's object, or nothing if it was not set up."""
+        """Return a component's public object, or None if it was not set up."""
         return self._components.get(key.domain)
 
     def remove(self, key: ComponentKey[T]) -> None:
-        """Withdraw a component's object."""
+        """Unregister a component's public object."""
         self._components.pop(key.domain, None)
 
 
@@ -106,9 +106,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ComponentDescription:
-    """Describe how a component is set up.
+    """Setup function and dependencies of a component.
 
-    ``async_setup`` returns the coroutine function that undoes it.
+    :param async_setup: returns the coroutine function that unloads the component.
     """
 
     domain: str
@@ -120,7 +120,10 @@
 
 
 async def async_setup_components(core: Core, domains: tuple[str, ...]) -> list[Unload]:
-    """Set components up after their dependencies; return their unloads, last first."""
+    """Set up components after their dependencies; return their unload functions.
+
+    The unload function of the last component comes first.
+    """
     unloads: list[Unload] = []
     done: set[str] = set()
     for domain in domains:
--- a/mustardward/exceptions.py
+++ b/mustardward/exceptions.py
@@ -1,7 +1,7 @@
-"""Define every failure the product can name.
+"""Define the exceptions of the product.
 
-A failure is a type with a stable ``code``; the code is what operators see in logs,
-in ``application/problem+json`` answers and in ``explain``. Text only adds detail.
+Each type has a stable ``code``, which appears in logs, in ``application/problem+json``
+responses and in ``explain``. The text only adds detail.
 """
 
 from __future__ import annotations
@@ -10,9 +10,9 @@
 
 
 class MustardwardError(Exception):
-    """Serve as the root of all failures.
+    """Base class of all exceptions.
 
-    :param detail: what happened, for people; never parsed.
+    :param detail: human-readable text, never parsed.
     """
 
     code: ClassVar[str] = "internal-error"
@@ -23,7 +23,7 @@
 
     @property
     def detail(self) -> str:
-        """Return the text for people."""
+        """Return the human-readable text."""
         return self._detail
 
 
@@ -31,7 +31,7 @@
 
 
 class SettingsError(MustardwardError):
-    """Report that a settings file has faults."""
+    """Raised when a settings file is invalid."""
 
     code = "settings-invalid"
 
@@ -40,45 +40,45 @@
 
 
 class PlatformError(MustardwardError):
-    """Serve as the root of failures of the platform's services."""
+    """Base class of errors of the platform's services."""
 
     code = "platform-error"
 
 
 class PlatformUnavailableError(PlatformError):
-    """Report that a call certainly had no effect, and may be tried again."""
+    """Raised when a call definitely had no effect and may be retried."""
 
     code = "platform-unavailable"
 
 
 class PlatformOutcomeUnknownError(PlatformError):
-    """Report that a call was sent and its answer was lost: it may have taken effect."""
+    """Raised when a call was sent but got no response: it may have taken effect."""
 
     code = "platform-outcome-unknown"
 
 
 class PlatformRefusedError(PlatformError):
-    """Report a refusal by the platform that a repetition would meet again."""
+    """Raised when the platform rejects a call permanently: a retry would fail too."""
 
     code = "platform-refused"
 
 
 class StaleGenerationError(PlatformRefusedError):
-    """Report that the call carried a generation older than one already seen."""
+    """Raised when a call has an older generation than one already seen."""
 
     code = "stale-generation"
 
 
 class AppendRateError(PlatformUnavailableError):
-    """Report that the log refused an append because its rate limit was reached."""
+    """Raised when the log rejects an append at its rate limit."""
 
     code = "append-rate-exceeded"
 
 
 class OffsetExpiredError(PlatformError):
-    """Report that the wanted offset is older than the log's retention.
+    """Raised when the requested offset is older than the log's retention.
 
-    :param oldest: the oldest offset that the log still keeps.
+    :param oldest: the oldest retained offset.
     """
 
     code = "offset-expired"
@@ -89,7 +89,7 @@
 
     @property
     def oldest(self) -> int:
-        """Return the oldest offset still kept."""
+        """Return the oldest retained offset."""
         return self._oldest
 
 
@@ -97,37 +97,37 @@
 
 
 class StateError(MustardwardError):
-    """Serve as the root of failures of the folded state."""
+    """Base class of errors of the replicated state."""
 
     code = "state-error"
 
 
 class UnknownRecordError(StateError):
-    """Report a record of a kind or version that this build does not know."""
+    """Raised for a record of an unknown kind or version."""
 
     code = "record-unknown"
 
 
 class CorruptRecordError(StateError):
-    """Report a record or snapshot that does not match its digest or its schema."""
+    """Raised for a record or snapshot that does not match its digest or schema."""
 
     code = "record-corrupt"
 
 
 class LogGapError(StateError):
-    """Report that the log skipped or repeated an offset."""
+    """Raised when the log skips or repeats an offset."""
 
     code = "log-gap"
 
 
 class SnapshotUnusableError(StateError):
-    """Report a snapshot that is missing, corrupt, or older than the state held."""
+    """Raised for a snapshot that is missing, corrupt or older than the state."""
 
     code = "snapshot-unusable"
 
 
 class NotReadyError(StateError):
-    """Report that there is no state to decide from yet."""
+    """Raised when the state is not loaded yet."""
 
     code = "not-ready"
 
@@ -136,13 +136,13 @@
 
 
 class PeerError(MustardwardError):
-    """Report that a peer could not be reached or answered wrongly."""
+    """Raised when a peer is unreachable or its response is invalid."""
 
     code = "peer-error"
 
 
 class PeerOutcomeUnknownError(PeerError):
-    """Report that a call to a peer was sent and its answer was lost."""
+    """Raised when a call to a peer was sent but got no response."""
 
     code = "peer-outcome-unknown"
 
@@ -151,13 +151,13 @@
 
 
 class ChartError(MustardwardError):
-    """Report a state chart file with faults."""
+    """Raised when a state chart file is invalid."""
 
     code = "chart-invalid"
 
 
 class TransitionError(MustardwardError):
-    """Report an event that the present state of a chart does not accept."""
+    """Raised when the current state of a chart does not accept an event."""
 
     code = "transition-refused"
 
@@ -166,24 +166,24 @@
 
 
 class EntryError(MustardwardError):
-    """Serve as the root of failures on a caller's request path."""
+    """Base class of errors in the processing of a caller's request."""
 
     code = "entry-error"
 
 
 class TruncatedAnswerError(EntryError):
-    """Report that a worker ended its answer before it was whole."""
+    """Raised when a worker's response ends before it is complete."""
 
     code = "answer-truncated"
 
 
 class BodyTooLargeError(EntryError):
-    """Report that a caller sent more of a body than the limit allows."""
+    """Raised when a caller's body exceeds the size limit."""
 
     code = "body-too-large"
 
 
 class CallerGoneError(EntryError):
-    """Report that the caller went away before its request was whole."""
+    """Raised when a caller disconnects before its request is complete."""
 
     code = "caller-gone"
--- a/mustardward/helpers/chart.py
+++ b/mustardward/helpers/chart.py
@@ -74,4 +74,4 @@
     targets = {target for on in transitions.values() for target in on.values()}
     missing = (targets | {initial}) - transitions.keys()
     if missing:
-        raise ChartError(f"chart={name} undescribed={sorted(missing)}")
+        raise ChartError(f"chart={name} undefined={sorted(missing)}")
--- a/mustardward/helpers/instruments.py
+++ b/mustardward/helpers/instruments.py
@@ -1,4 +1,4 @@
-"""Declare what an entry counts and times, for its metrics address."""
+"""Define the Prometheus metrics of an entry node."""
 
 from __future__ import annotations
 
@@ -14,7 +14,19 @@
 
 REGISTRY: Final = CollectorRegistry(auto_describe=False)
 
-_FAST: Final = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
+_BUCKETS_SECONDS: Final = (
+    0.005,
+    0.01,
+    0.025,
+    0.05,
+    0.1,
+    0.25,
+    0.5,
+    1.0,
+    2.5,
+    5.0,
+    10.0,
+)
 
 REQUESTS: Final = Counter(
     "mustardward_requests",
@@ -26,7 +38,7 @@
     "mustardward_request_seconds",
     "Time from a request's last byte to its answer.",
     ("method",),
-    buckets=_FAST,
+    buckets=_BUCKETS_SECONDS,
     registry=REGISTRY,
 )
 APPENDS: Final = Counter(
@@ -38,7 +50,7 @@
 APPEND_SECONDS: Final = Histogram(
     "mustardward_append_seconds",
     "Time until an append's fate was known.",
-    buckets=_FAST,
+    buckets=_BUCKETS_SECONDS,
     registry=REGISTRY,
 )
 STARTS: Final = Counter(
@@ -50,13 +62,13 @@
 START_WAIT_SECONDS: Final = Histogram(
     "mustardward_start_wait_seconds",
     "Time from a task's turn to its start.",
-    buckets=_FAST,
+    buckets=_BUCKETS_SECONDS,
     registry=REGISTRY,
 )
 LOOP_LAG_SECONDS: Final = Histogram(
     "mustardward_loop_lag_seconds",
     "How much too late an owner's looks at itself came.",
-    buckets=_FAST,
+    buckets=_BUCKETS_SECONDS,
     registry=REGISTRY,
 )
 CALLS_UNDER_WAY: Final = Gauge(
@@ -135,5 +147,5 @@
 
 
 def render() -> bytes:
-    """Return all values as text."""
+    """Return all metrics in the text exposition format."""
     return generate_latest(REGISTRY)
--- a/mustardward/helpers/listener.py
+++ b/mustardward/helpers/listener.py
@@ -1,4 +1,4 @@
-"""Listen for HTTP with hypercorn's asyncio worker."""
+"""Serve HTTP with hypercorn's asyncio server."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 
 
 class EventLog(Logger):
-    """Write hypercorn's messages as events; its access lines are not needed."""
+    """Log hypercorn's messages as events and drop its access log."""
 
     def __init__(self, config: Config) -> None:
         self.access_logger = None
         self.error_logger = None
 
     async def access(self, request: Any, response: Any, request_time: float) -> None:
-        """Write nothing: the entry writes one line for each request."""
+        """Do nothing: the application logs each request itself."""
 
     async def info(self, message: str, *args: Any, **kwargs: Any) -> None:
         """Log an ordinary message."""
@@ -62,9 +62,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ListenerOptions:
-    """Hold what differs between listeners.
+    """Options of a listener.
 
-    ``graceful_seconds`` bounds how long requests in progress may go on after a stop.
+    :param graceful_seconds: time limit for requests in progress after a stop.
     """
 
     header_bytes: int = 65_536
@@ -77,8 +77,8 @@
     """Serve one ASGI application on one address.
 
     :param app: the application.
-    :param address: where to listen; port 0 takes a free one.
-    :raises SettingsError: if a file of the TLS settings can't be used.
+    :param address: address to listen on; port 0 selects a free port.
+    :raises SettingsError: if a file of the TLS settings is unusable.
     """
 
     def __init__(
@@ -96,25 +96,25 @@
 
     @property
     def host(self) -> str:
-        """Return the IP number listened on."""
+        """Return the IP address of the listening socket."""
         return str(self._host)
 
     @property
     def port(self) -> int:
-        """Return the port listened on."""
+        """Return the port of the listening socket."""
         return int(self._port)
 
     @property
     def connections(self) -> int:
-        """Return how many connections are open."""
+        """Return the number of open connections."""
         return len(self._connections)
 
     def start(self, tasks: TaskGroup) -> None:
-        """Begin to take connections."""
+        """Start to accept connections."""
         tasks.start_soon(self._async_serve)
 
     async def async_stop(self) -> None:
-        """Take no new connections, and wait until requests in progress are done."""
+        """Stop accepting connections and wait until requests in progress are done."""
         self._stop.set()
         await self._stopped.wait()
 
@@ -143,29 +143,33 @@
             with anyio.CancelScope(shield=True):
                 server.close()
                 await context.terminated.set()
-                await _async_finish(self._connections, self._options.graceful_seconds)
+                await _async_finish_connections(
+                    self._connections, self._options.graceful_seconds
+                )
             self._stopped.set()
 
 
 async def _async_run(connection: HttpConnection) -> None:
-    # asyncio prints a traceback for a handler that fails, and one caller's broken
-    # connection is not worth more than a line.
+    # asyncio prints a traceback for a failed handler; a broken connection only needs
+    # one log line.
     try:
         await connection
     except Exception as error:
         _LOGGER.warning("connection_failed", error=type(error).__name__)
 
 
-async def _async_finish(connections: set[asyncio.Task[Any]], seconds: float) -> None:
-    """Wait until all connections ended; cut those that take longer."""
+async def _async_finish_connections(
+    connections: set[asyncio.Task[Any]], seconds: float
+) -> None:
+    """Wait until all connections are closed; cancel those that exceed the limit."""
     if not connections:
         return
-    _, late = await asyncio.wait(set(connections), timeout=seconds)
-    for task in late:
+    _, overdue = await asyncio.wait(set(connections), timeout=seconds)
+    for task in overdue:
         task.cancel()
-    if late:
-        _LOGGER.warning("connections_cut", connections=len(late))
-        await asyncio.gather(*late, return_exceptions=True)
+    if overdue:
+        _LOGGER.warning("connections_cancelled", connections=len(overdue))
+        await asyncio.gather(*overdue, return_exceptions=True)
 
 
 def _http_config(options: ListenerOptions) -> Config:
@@ -175,8 +179,8 @@
     config.include_date_header = False
     config.keep_alive_timeout = options.keepalive_seconds
     config.keep_alive_max_requests = 1_000_000
-    # Twice the limit: the application refuses what is over it with a clear problem,
-    # and the server cuts off only what is far beyond.
+    # Twice the limit: the application rejects requests over the limit with a problem
+    # response, and the server closes connections only far beyond it.
     config.h11_max_incomplete_size = 2 * options.header_bytes
     config.h2_max_header_list_size = 2 * options.header_bytes
     if options.tls is not None:
--- a/mustardward/helpers/log_output.py
+++ b/mustardward/helpers/log_output.py
@@ -1,4 +1,4 @@
-"""Send the product's log lines to standard error, a line of pairs for each."""
+"""Configure logging of events as lines of key=value pairs to standard error."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class PairFormatter(logging.Formatter):
-    """Put time and level before the pairs of an event."""
+    """Format an event with its time and level."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return one line."""
+        """Return the log line."""
         level = _LEVELS.get(record.levelname, "error")
         message = record.getMessage()
         if record.exc_info:
@@ -30,15 +30,14 @@
 
 
 class LibraryHandler(logging.Handler):
-    """Write what libraries say as events of ours, so that the bound of lines holds.
+    """Log library messages as events, so that the line rate limit applies to them.
 
-    Symptom without it: lines without pairs between an entry's events, some sixty in a
-    cut, past the bound and its count. Cause: a library that logs by itself, and finds
-    no handler, writes to standard error.
+    Without a handler, libraries write directly to standard error: about sixty lines
+    without pairs in a network partition, neither limited nor counted.
     """
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one line."""
+        """Log the message as one event."""
         raised = record.exc_info[0] if record.exc_info else None
         _LOGGER.info(
             "library_line",
@@ -49,15 +48,14 @@
 
 
 def set_up_logging(verbose: bool = False) -> None:
-    """Begin to write events; ``verbose`` adds those for fault finding."""
-    # click parses the command line; absl would first warn that nobody had.
+    """Configure logging of events; ``verbose`` includes debug events."""
+    # click parses the command line; absl warns unless its flags count as parsed.
     flags.FLAGS.mark_as_parsed()
     absl_logging.use_absl_handler()
     absl_logging.get_absl_handler().setFormatter(PairFormatter())
     absl_logging.set_verbosity(absl_logging.DEBUG if verbose else absl_logging.INFO)
     absl_logging.set_stderrthreshold("info")
-    # Libraries write sentences, a line for each call, with whole URLs in them: an
-    # operator would look for events in vain between them, and a secret in a query
-    # would stand in the log.
+    # Libraries log a sentence with the whole URL for each call, which hides events and
+    # writes secrets of query strings to the log.
     for name in _LIBRARIES:
         logging.getLogger(name).setLevel(logging.WARNING)
--- a/mustardward/helpers/log_pairs.py
+++ b/mustardward/helpers/log_pairs.py
@@ -1,4 +1,4 @@
-"""Read back the ``key=value`` pairs of a log line; pure."""
+"""Parse the ``key=value`` pairs of a log line; pure."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 def read_pairs(line: str) -> dict[str, str]:
-    """Return a line's pairs, or nothing.
+    """Return the pairs of a line; empty if it has none.
 
-    :raises ValueError: if a quoted value is cut off.
+    :raises ValueError: if a quoted value is truncated.
     """
     pairs: dict[str, str] = {}
     for key, value in _PAIR.findall(line):
--- a/mustardward/helpers/logging.py
+++ b/mustardward/helpers/logging.py
@@ -1,4 +1,4 @@
-"""Write one line of key=value pairs for each event through absl.logging."""
+"""Log events as lines of key=value pairs through absl.logging."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from absl import logging as absl_logging
 
-_PLAIN: Final = frozenset(
+_UNQUOTED: Final = frozenset(
     "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.:/@+%,"
 )
 
@@ -15,10 +15,10 @@
 
 
 def format_value(value: LogValue) -> str:
-    """Return a value as it stands behind the equals sign.
+    """Return the text of a value in a pair.
 
-    Text with other than plain characters is quoted as JSON, so that a caller's header
-    can never start a new line or forge a pair.
+    Text with any special character is quoted as JSON, so that a caller's header can
+    neither start a new line nor forge a pair.
     """
     if value is None:
         return "-"
@@ -27,20 +27,20 @@
     if isinstance(value, float):
         return f"{value:.6g}"
     text = str(value)
-    if text and all(character in _PLAIN for character in text):
+    if text and all(character in _UNQUOTED for character in text):
         return text
     return json.dumps(text)
 
 
 def format_event(event: str, fields: dict[str, LogValue]) -> str:
-    """Return the line for one event."""
+    """Return the log line of an event."""
     pairs = [f"event={format_value(event)}"]
     pairs.extend(f"{key}={format_value(value)}" for key, value in fields.items())
     return " ".join(pairs)
 
 
 class EventLogger:
-    """Log the events of one module.
+    """Logger for the events of one module.
 
     :param name: the module's ``__name__``.
     """
@@ -49,20 +49,20 @@
         self._name = name.removeprefix("mustardward.")
 
     def debug(self, event: str, **fields: LogValue) -> None:
-        """Log detail that only helps while a fault is being looked for."""
+        """Log detail for debugging."""
         if absl_logging.level_debug():
             absl_logging.debug("%s", self._line(event, fields))
 
     def info(self, event: str, **fields: LogValue) -> None:
-        """Log something that happened as planned."""
+        """Log normal operation."""
         absl_logging.info("%s", self._line(event, fields))
 
     def warning(self, event: str, **fields: LogValue) -> None:
-        """Log something that an operator may have to look at."""
+        """Log a condition that may need an operator's attention."""
         absl_logging.warning("%s", self._line(event, fields))
 
     def error(self, event: str, **fields: LogValue) -> None:
-        """Log a failure that an operator has to look at."""
+        """Log a failure that needs an operator's attention."""
         absl_logging.error("%s", self._line(event, fields))
 
     def _line(self, event: str, fields: dict[str, LogValue]) -> str:
--- a/mustardward/helpers/metrics.py
+++ b/mustardward/helpers/metrics.py
@@ -1,4 +1,4 @@
-"""Feed statsd: declare names once, add up between flushes, send now and then."""
+"""Declare metrics, aggregate their values and send them to statsd periodically."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 FLUSH_SECONDS: Final = 1.0
 TIMINGS_PER_FLUSH: Final = 256
-"""Longest list of timings kept between flushes; the rest are left out."""
+"""Maximum number of timings between flushes; further ones are dropped."""
 
 
 class MetricKind(StrEnum):
-    """Name what statsd does with the values of a metric."""
+    """Statsd type of a metric."""
 
     COUNTER = "counter"
     GAUGE = "gauge"
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Metric:
-    """Describe one metric; ``labels`` names the parts that follow its name."""
+    """Metric definition; ``labels`` names the parts appended to its name."""
 
     name: str
     kind: MetricKind
@@ -42,12 +42,12 @@
 
 
 def declare_metric(name: str, kind: MetricKind, text: str, *labels: str) -> Metric:
-    """File a metric and return it."""
+    """Register a metric and return it."""
     return METRICS.register(name)(Metric(name, kind, text, labels))
 
 
 class StatsdPipeline(Protocol):
-    """Collect values into as few datagrams as fit."""
+    """Batch of values that are sent in as few datagrams as possible."""
 
     def incr(self, stat: str, count: int) -> None:
         """Add to a counter."""
@@ -62,14 +62,14 @@
         ...
 
     def send(self) -> None:
-        """Send what was collected."""
+        """Send the batch."""
         ...
 
 
 class Metrics:
-    """Add up values and send them at each flush.
+    """Aggregate values and send them at each flush.
 
-    :param open_pipeline: begins a batch; nothing keeps all values at home.
+    :param open_pipeline: opens a batch; None disables metrics.
     """
 
     def __init__(self, open_pipeline: Callable[[], StatsdPipeline] | None) -> None:
@@ -81,7 +81,7 @@
 
     @property
     def enabled(self) -> bool:
-        """Tell whether values go anywhere."""
+        """Return whether values are sent."""
         return self._open_pipeline is not None
 
     def count(self, metric: Metric, *labels: str, by: int = 1) -> None:
@@ -102,12 +102,12 @@
         self._timings.append((metric_name(metric, labels), seconds * 1000.0))
 
     def add_source(self, source: Callable[[], None]) -> Callable[[], None]:
-        """Call ``source`` before each flush, to set gauges, until unsubscribed."""
+        """Call ``source`` before each flush to set gauges; return the unsubscriber."""
         self._sources.append(source)
         return lambda: self._sources.remove(source)
 
     async def async_flush(self) -> None:
-        """Send what was added up since the last flush."""
+        """Send the values aggregated since the last flush."""
         if self._open_pipeline is None:
             return
         for source in list(self._sources):
@@ -126,7 +126,7 @@
 
 
 def metric_name(metric: Metric, labels: tuple[str, ...]) -> str:
-    """Return the name as it is sent; dots of a label would add levels to it."""
+    """Return the name on the wire; dots in labels are replaced, as they add levels."""
     if not labels:
         return metric.name
     safe = [label.replace(".", "_").replace(":", "_") for label in labels]
@@ -134,15 +134,14 @@
 
 
 def open_metrics(settings: MetricsSettings, entry: str) -> Metrics:
-    """Return the metrics of a process; a feed that can't be opened is left out."""
+    """Return the metrics of a process, disabled if statsd's address is unusable."""
     if not settings.enabled:
         return Metrics(None)
     prefix = f"{settings.prefix}.{entry.replace('.', '_')}"
     try:
         client = StatsClient(settings.host, settings.port, prefix)
     except OSError as error:
-        # Serving goes before measuring: a name that does not resolve must not keep an
-        # entry from starting.
+        # An unresolvable host name must not prevent the process from starting.
         _LOGGER.warning("metrics_unavailable", error=str(error))
         return Metrics(None)
     return Metrics(client.pipeline)
--- a/mustardward/helpers/msgpack_codec.py
+++ b/mustardward/helpers/msgpack_codec.py
@@ -1,4 +1,4 @@
-"""Encode peer messages with msgspec's MessagePack, for grpclib."""
+"""Encode peer messages of grpclib as MessagePack."""
 
 from __future__ import annotations
 
@@ -9,11 +9,10 @@
 
 
 class MsgpackCodec(CodecBase):
-    """Carry data classes as MessagePack; no code has to be generated for it.
+    """Codec that encodes data classes as MessagePack, without generated code.
 
-    A field that a newer build adds with a default is ignored by an older one, and
-    filled in by a newer one that hears an older, so builds mix while a release rolls
-    out.
+    A new field with a default is ignored by older builds, and takes its default in
+    messages from them, so builds can be mixed during a rollout.
     """
 
     __content_subtype__ = "msgpack"
@@ -22,16 +21,16 @@
         self._encoder = msgspec.msgpack.Encoder()
 
     def encode(self, message: Any, message_type: Any) -> bytes:
-        """Return the bytes of a message.
+        """Return the encoded message.
 
-        :raises TypeError: if the message is of another type than agreed.
+        :raises TypeError: if the message is not of the expected type.
         """
         if not isinstance(message, message_type):
-            raise TypeError(f"wanted={message_type} got={type(message)}")
+            raise TypeError(f"expected={message_type} got={type(message)}")
         return self._encoder.encode(message)
 
     def decode(self, data: bytes, message_type: Any) -> Any:
-        """Return the message in ``data``.
+        """Return the decoded message.
 
         :raises msgspec.MsgspecError: if it does not match the type.
         """
--- a/mustardward/helpers/peer_channels.py
+++ b/mustardward/helpers/peer_channels.py
@@ -1,4 +1,4 @@
-"""Keep connections to other entries."""
+"""Pool connections to other entry nodes."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 CONNECT_TIMEOUT_SECONDS: Final = 1.0
 KEEPALIVE_SECONDS: Final = 5.0
 KEEPALIVE_TIMEOUT_SECONDS: Final = 3.0
-"""Pings on a connection with forwarded requests, and the wait for their answer."""
+"""Interval and timeout of pings on connections for forwarded requests."""
 
 IDLE_SECONDS: Final = 120.0
-"""Time after which an unused connection is closed."""
+"""Time after which an idle connection is closed."""
 
 
 class PeerUnreachableError(PeerError):
-    """Report that no connection to a peer could be made; nothing was sent."""
+    """Raised when no connection to a peer could be made; nothing was sent."""
 
     code = "peer-unreachable"
 
 
 class Purpose(StrEnum):
-    """Keep control apart from callers' bodies, so that no digest waits behind one."""
+    """Use of a connection; control messages must not queue behind callers' bodies."""
 
     CONTROL = "control"
     FORWARD = "forward"
@@ -39,16 +39,16 @@
 
 @dataclass(slots=True, eq=False)
 class _Slot:
-    """Hold one connection and what keeps it open."""
+    """Pooled connection with the calls in flight that keep it open."""
 
     channel: Any
-    used: float
-    running: int = 0
+    last_used_at: float
+    calls_in_flight: int = 0
     retired: bool = False
 
 
 class ChannelLease:
-    """Hold a connection for one call."""
+    """Use of a pooled connection by one call."""
 
     def __init__(self, pool: ChannelPool, slot: _Slot) -> None:
         self._pool = pool
@@ -61,21 +61,21 @@
         return self._slot.channel
 
     def retire(self) -> None:
-        """Let no further call begin on this connection."""
+        """Use this connection for no further calls."""
         self._pool.retire(self._slot)
 
     def release(self) -> None:
-        """Note that the call ended; a second call does nothing."""
+        """Return the connection to the pool; repeated calls have no effect."""
         if not self._released:
             self._released = True
             self._pool.release(self._slot)
 
 
 class ChannelPool:
-    """Open one connection for each peer and purpose, and close the unused ones.
+    """Pool of one connection for each peer and purpose.
 
     :param clock: returns monotonic seconds.
-    :param connect_seconds: longest wait for a new connection.
+    :param connect_seconds: timeout for opening a connection.
     """
 
     def __init__(
@@ -91,19 +91,19 @@
         self._slots: dict[tuple[str, Purpose], _Slot] = {}
 
     def __len__(self) -> int:
-        """Return the number of connections that calls can begin on."""
+        """Return the number of connections available for new calls."""
         return len(self._slots)
 
     async def async_acquire(self, address: str, purpose: Purpose) -> ChannelLease:
-        """Return a connected channel, to be released.
+        """Return a lease of a connected channel; the caller must release it.
 
-        :raises PeerUnreachableError: if there is no connection in time.
+        :raises PeerUnreachableError: if no connection was made in time.
         """
         slot = self._slots.get((address, purpose))
         if slot is None:
             slot = _Slot(self._open(address, purpose), self._clock())
             self._slots[(address, purpose)] = slot
-        slot.running += 1
+        slot.calls_in_flight += 1
         try:
             with anyio.fail_after(self._connect_seconds):
                 await slot.channel.__connect__()
@@ -118,28 +118,28 @@
         return ChannelLease(self, slot)
 
     def retire(self, slot: _Slot) -> None:
-        """Begin no further call on a connection, and close it after the last one.
+        """Use a connection for no further calls, and close it after the last one.
 
-        A connection whose packets are dropped looks open until TCP gives up, minutes
-        later: every call on it times out although the peer could be reached anew.
+        A connection whose packets are dropped looks open until TCP gives up minutes
+        later: all calls on it time out even if a new connection would succeed.
         """
         slot.retired = True
-        for key, held in list(self._slots.items()):
-            if held is slot:
+        for key, pooled in list(self._slots.items()):
+            if pooled is slot:
                 del self._slots[key]
 
     def release(self, slot: _Slot) -> None:
-        """Note that a call on a connection ended."""
-        slot.running -= 1
-        slot.used = self._clock()
-        if slot.retired and slot.running <= 0:
+        """Record that a call on a connection ended; close it if it is retired."""
+        slot.calls_in_flight -= 1
+        slot.last_used_at = self._clock()
+        if slot.retired and slot.calls_in_flight <= 0:
             slot.channel.close()
 
     def close_idle(self) -> None:
-        """Close connections that were not used for a while."""
-        before = self._clock() - IDLE_SECONDS
+        """Close connections that have been idle for ``IDLE_SECONDS``."""
+        threshold = self._clock() - IDLE_SECONDS
         for key, slot in list(self._slots.items()):
-            if slot.running <= 0 and slot.used < before:
+            if slot.calls_in_flight <= 0 and slot.last_used_at < threshold:
                 del self._slots[key]
                 slot.channel.close()
 
@@ -163,9 +163,8 @@
 
 
 def _keepalive() -> Configuration:
-    # A forwarded request waits as long as its deadline says. Without pings one whose
-    # connection leads nowhere any more, and all that follow on it, would wait till
-    # then, and end as unknown.
+    # A forwarded request waits until its deadline. Without pings, all requests on a
+    # dead connection would wait that long and end with an unknown outcome.
     return Configuration(
         _keepalive_time=KEEPALIVE_SECONDS,
         _keepalive_timeout=KEEPALIVE_TIMEOUT_SECONDS,
--- a/mustardward/helpers/policies.py
+++ b/mustardward/helpers/policies.py
@@ -1,7 +1,7 @@
-"""Name the policies that settings can switch off, and what stands in for each.
+"""Register policies that settings can disable, with a simpler function for each.
 
-What a policy is worth is told by runs without it. Each is a function that a decorator
-files under a name, beside the plainer function that takes its place.
+The effect of a policy is measured by running without it. A decorator registers each
+policy function under a name, with the simpler function that replaces it.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 R = TypeVar("R")
 
 POLICIES: Final[Registry[str, str]] = Registry("policies")
-"""What each policy is for, by its name."""
+"""Purpose of each policy, by name."""
 
-_OFF: Final[set[str]] = set()
+_DISABLED: Final[set[str]] = set()
 
 
 class UnknownPolicyError(MustardwardError):
-    """Report the name of a policy that nobody registered."""
+    """Raised for the name of a policy that is not registered."""
 
     code = "unknown-policy"
 
@@ -31,16 +31,17 @@
 def switchable(
     name: str, purpose: str, without: Callable[P, R]
 ) -> Callable[[Callable[P, R]], Callable[P, R]]:
-    """File a policy, and call what stands in for it while it is switched off.
+    """Register a policy and call its replacement while it is disabled.
 
-    :param purpose: what callers have of it, in one line.
+    :param purpose: its benefit to callers, in one line.
+    :param without: replacement with the same signature.
     """
     POLICIES.register(name)(purpose)
 
     def decorate(policy: Callable[P, R]) -> Callable[P, R]:
         @functools.wraps(policy)
         def choose(*args: P.args, **kwargs: P.kwargs) -> R:
-            if name in _OFF:
+            if name in _DISABLED:
                 return without(*args, **kwargs)
             return policy(*args, **kwargs)
 
@@ -50,18 +51,18 @@
 
 
 def switch_off(names: Iterable[str]) -> None:
-    """Switch off just these policies, and all others on.
+    """Disable exactly these policies and enable all others.
 
-    :raises UnknownPolicyError: if there is no policy of a name; none is changed then.
+    :raises UnknownPolicyError: if a name is not registered; nothing changes then.
     """
-    wanted = set(names)
-    for name in sorted(wanted):
+    disabled = set(names)
+    for name in sorted(disabled):
         if name not in POLICIES:
-            raise UnknownPolicyError(f"{name} is none of {', '.join(POLICIES)}")
-    _OFF.clear()
-    _OFF.update(wanted)
+            raise UnknownPolicyError(f"{name} is not one of {', '.join(POLICIES)}")
+    _DISABLED.clear()
+    _DISABLED.update(disabled)
 
 
 def switched_off() -> list[str]:
-    """Return the policies that are off, in the order of their names."""
-    return sorted(_OFF)
+    """Return the sorted names of the disabled policies."""
+    return sorted(_DISABLED)
--- a/mustardward/helpers/registry.py
+++ b/mustardward/helpers/registry.py
@@ -1,4 +1,4 @@
-"""Provide registries that decorators fill."""
+"""Provide a registry that is filled by decorators."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 class RegistryError(MustardwardError):
-    """Report a key registered twice, or one that nobody registered."""
+    """Raised for a key that is registered twice or not registered."""
 
     code = "registry-key"
 
 
 class Registry(Generic[K, V]):
-    """Map keys to variants of one behaviour.
+    """Map keys to registered values.
 
-    :param name: what the registry holds, for error texts.
+    :param name: kind of the values, for error messages.
     """
 
     def __init__(self, name: str) -> None:
@@ -28,9 +28,9 @@
         self._entries: dict[K, V] = {}
 
     def register(self, key: K) -> Callable[[V], V]:
-        """Return a decorator that files its target under ``key``.
+        """Return a decorator that registers its target under ``key``.
 
-        :raises RegistryError: if the key is taken.
+        :raises RegistryError: if the key is already registered.
         """
 
         def decorate(value: V) -> V:
@@ -42,13 +42,13 @@
         return decorate
 
     def get(self, key: K) -> V | None:
-        """Return the variant for ``key``, or nothing."""
+        """Return the value for ``key``, or None."""
         return self._entries.get(key)
 
     def __getitem__(self, key: K) -> V:
-        """Return the variant for ``key``.
+        """Return the value for ``key``.
 
-        :raises RegistryError: if nobody registered the key.
+        :raises RegistryError: if the key is not registered.
         """
         try:
             return self._entries[key]
@@ -56,7 +56,7 @@
             raise RegistryError(f"{self._name}: {key} is not registered") from None
 
     def __contains__(self, key: object) -> bool:
-        """Tell whether ``key`` is registered."""
+        """Return whether ``key`` is registered."""
         return key in self._entries
 
     def __iter__(self) -> Iterator[K]:
--- a/mustardward/helpers/timer.py
+++ b/mustardward/helpers/timer.py
@@ -1,6 +1,6 @@
-"""Provide the timer service that all parts subscribe to.
+"""Provide the timer service of all components.
 
-Nothing else in the product reads a clock, so tests drive all time by hand.
+Components read time only through it, so tests control their clock.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 _LOGGER = get_logger(__name__)
 
 PAUSE_THRESHOLD_SECONDS: Final = 1.0
-_PULSE_SECONDS: Final = 0.25
+_PAUSE_CHECK_SECONDS: Final = 0.25
 
 TimerCallback = Callable[[], Awaitable[None]]
 PauseCallback = Callable[[float], None]
@@ -28,14 +28,14 @@
 
 
 class TimerService(Protocol):
-    """Tell the time, wait, and call subscribers at intervals."""
+    """Interface for reading clocks, sleeping and periodic callbacks."""
 
     def monotonic(self) -> float:
-        """Return seconds on a clock that never goes back."""
+        """Return seconds of a monotonic clock."""
         ...
 
     def wall(self) -> float:
-        """Return seconds since the epoch; for people and windows only."""
+        """Return seconds since the epoch; only for display and time windows."""
         ...
 
     async def async_sleep(self, seconds: float) -> None:
@@ -49,13 +49,13 @@
         ...
 
     def subscribe_pause(self, callback: PauseCallback) -> Unsubscribe:
-        """Call ``callback`` with the seconds lost after the process was paused."""
+        """Call ``callback`` with the seconds of each pause of the process."""
         ...
 
 
 @dataclass(slots=True, eq=False)
 class _Subscription:
-    """Hold one periodic call."""
+    """Periodic callback."""
 
     name: str
     interval_seconds: float
@@ -65,8 +65,8 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Subscriptions:
-    """Hold the callbacks that want to hear of pauses."""
+class _PauseListeners:
+    """Callbacks for pauses of the process."""
 
     callbacks: list[PauseCallback] = field(default_factory=list)
 
@@ -79,31 +79,31 @@
 
         return unsubscribe
 
-    def announce(self, lost_seconds: float) -> None:
+    def notify(self, pause_seconds: float) -> None:
         for callback in list(self.callbacks):
-            callback(lost_seconds)
+            callback(pause_seconds)
 
 
 class LoopTimerService:
-    """Keep real time on the running loop.
+    """Timer service with the real clocks, on the running event loop.
 
-    :param task_group: the group that carries the subscribers' tasks.
+    :param task_group: runs the subscribers' tasks.
     """
 
     def __init__(self, task_group: TaskGroup) -> None:
         self._task_group = task_group
-        self._pauses = _Subscriptions()
+        self._pauses = _PauseListeners()
 
     def start(self) -> None:
-        """Begin to look for pauses of the process."""
+        """Start to detect pauses of the process."""
         self._task_group.start_soon(self._async_watch_pauses)
 
     def monotonic(self) -> float:
-        """Return seconds on a clock that never goes back."""
+        """Return seconds of a monotonic clock."""
         return time.monotonic()
 
     def wall(self) -> float:
-        """Return seconds since the epoch; for people and windows only."""
+        """Return seconds since the epoch; only for display and time windows."""
         return time.time()
 
     async def async_sleep(self, seconds: float) -> None:
@@ -123,7 +123,7 @@
         return unsubscribe
 
     def subscribe_pause(self, callback: PauseCallback) -> Unsubscribe:
-        """Call ``callback`` with the seconds lost after the process was paused."""
+        """Call ``callback`` with the seconds of each pause of the process."""
         return self._pauses.add(callback)
 
     async def _async_repeat(self, subscription: _Subscription) -> None:
@@ -134,43 +134,42 @@
             await _async_call(subscription)
 
     async def _async_watch_pauses(self) -> None:
-        # A stopped process does not notice that it was stopped: its leases and its
-        # picture of the fleet are old, yet every variable looks as before. A sleep
-        # that took far longer than asked for is the sign, and subscribers then
-        # confirm the log's tail before they act again.
+        # A suspended process has stale leases and a stale view of the fleet when it
+        # resumes, and nothing else shows it. It is detected by a sleep that takes far
+        # longer than requested; subscribers then read the log's tail before they act.
         last = time.monotonic()
         while True:
-            await anyio.sleep(_PULSE_SECONDS)
+            await anyio.sleep(_PAUSE_CHECK_SECONDS)
             now = time.monotonic()
-            lost = now - last - _PULSE_SECONDS
+            pause_seconds = now - last - _PAUSE_CHECK_SECONDS
             last = now
-            if lost > PAUSE_THRESHOLD_SECONDS:
-                _LOGGER.warning("process_paused", lost_seconds=lost)
-                self._pauses.announce(lost)
+            if pause_seconds > PAUSE_THRESHOLD_SECONDS:
+                _LOGGER.warning("process_paused", pause_seconds=pause_seconds)
+                self._pauses.notify(pause_seconds)
 
 
 class DrivenTimerService:
-    """Stand still until told to advance; for tests and the planner's dry runs.
+    """Timer service whose clock only advances on request; for tests and dry runs.
 
-    :param start: first value of both clocks, in seconds.
+    :param start: initial value of both clocks, in seconds.
     """
 
     def __init__(self, start: float = 1_000_000.0) -> None:
         self._now = start
         self._subscriptions: list[_Subscription] = []
         self._sleepers: list[tuple[float, anyio.Event]] = []
-        self._pauses = _Subscriptions()
+        self._pauses = _PauseListeners()
 
     def monotonic(self) -> float:
-        """Return seconds on a clock that never goes back."""
+        """Return seconds of a monotonic clock."""
         return self._now
 
     def wall(self) -> float:
-        """Return seconds since the epoch; for people and windows only."""
+        """Return seconds since the epoch; only for display and time windows."""
         return self._now
 
     async def async_sleep(self, seconds: float) -> None:
-        """Wait until the clock was advanced by ``seconds``."""
+        """Wait until the clock has advanced by ``seconds``."""
         event = anyio.Event()
         self._sleepers.append((self._now + seconds, event))
         await event.wait()
@@ -178,7 +177,7 @@
     def subscribe(
         self, name: str, interval_seconds: float, callback: TimerCallback
     ) -> Unsubscribe:
-        """Call ``callback`` every ``interval_seconds`` of driven time."""
+        """Call ``callback`` every ``interval_seconds`` of simulated time."""
         subscription = _Subscription(
             name, interval_seconds, callback, due=self._now + interval_seconds
         )
@@ -190,11 +189,11 @@
         return unsubscribe
 
     def subscribe_pause(self, callback: PauseCallback) -> Unsubscribe:
-        """Call ``callback`` when ``async_pause`` is driven."""
+        """Call ``callback`` with the duration of each simulated pause, in seconds."""
         return self._pauses.add(callback)
 
     async def async_advance(self, seconds: float) -> None:
-        """Move time on, calling all that falls due in its order."""
+        """Advance the clock, and run due callbacks and sleepers in order of time."""
         end = self._now + seconds
         while (due := self.next_due()) <= end:
             self._now = max(self._now, due)
@@ -202,20 +201,20 @@
         self._now = end
 
     def pause(self, seconds: float) -> None:
-        """Jump ahead without calling what fell due, as a stopped process would."""
+        """Advance the clock without running due callbacks, like a suspended process."""
         self._now += seconds
-        self._pauses.announce(seconds)
+        self._pauses.notify(seconds)
 
     def next_due(self) -> float:
-        """Return when something falls due next, or infinity."""
+        """Return the time of the next callback or sleeper, or infinity."""
         subscribers = [s.due for s in self._subscriptions if not s.cancelled]
         sleepers = [due for due, _ in self._sleepers]
         return min(subscribers + sleepers, default=math.inf)
 
     async def _async_fire(self) -> None:
-        awake = [event for due, event in self._sleepers if due <= self._now]
+        elapsed = [event for due, event in self._sleepers if due <= self._now]
         self._sleepers = [item for item in self._sleepers if item[0] > self._now]
-        for event in awake:
+        for event in elapsed:
             event.set()
         for subscription in list(self._subscriptions):
             if not subscription.cancelled and subscription.due <= self._now:
@@ -225,8 +224,8 @@
 
 
 async def _async_call(subscription: _Subscription) -> None:
-    # One part's bug must not end the timer of all others; it would show as every
-    # periodic duty stopping at once, with a single traceback long before.
+    # A failing callback must not stop the other timers: all periodic work would end
+    # with a single traceback.
     try:
         await subscription.callback()
     except Exception as error:
--- a/mustardward/helpers/token_bucket.py
+++ b/mustardward/helpers/token_bucket.py
@@ -1,4 +1,4 @@
-"""Count what may still be done within a rate that allows some at once; pure."""
+"""Limit a rate with a token bucket; pure."""
 
 from __future__ import annotations
 
@@ -7,27 +7,29 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Hold what is saved up, and until when it was filled.
+    """Token bucket.
 
-    The rate and the most are told with each filling, since settings change them.
+    Each refill takes the rate and the capacity, since settings may change them.
 
-    :param left: tokens that may be taken now.
-    :param filled_at: in seconds, on the clock of those who fill it.
+    :param left: available tokens.
+    :param filled_at: time of the last refill in seconds, on the caller's clock.
     """
 
     left: float
     filled_at: float
 
-    def refill(self, now: float, rate: float, most: float) -> None:
-        """Save up what a rate, in tokens a second, gives until now.
+    def refill(self, now: float, rate: float, capacity: float) -> None:
+        """Add tokens for the time since the last refill.
 
-        A time before the last filling adds nothing.
+        A time before the last refill adds nothing.
+
+        :param rate: in tokens per second.
         """
-        self.left = min(most, self.left + rate * max(0.0, now - self.filled_at))
+        self.left = min(capacity, self.left + rate * max(0.0, now - self.filled_at))
         self.filled_at = max(self.filled_at, now)
 
     def try_take(self) -> bool:
-        """Take a token, or tell that there is none."""
+        """Take a token and return True, or return False if there is none."""
         if self.left < 1.0:
             return False
         self.left -= 1.0
--- a/mustardward/helpers/unreadable.py
+++ b/mustardward/helpers/unreadable.py
@@ -1,4 +1,4 @@
-"""Tell of records that can't be read, without one line for each repetition."""
+"""Count and log unreadable records, without repeating log lines."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 _LOGGER = get_logger(__name__)
 
-MOST_REMEMBERED: Final = 512
-"""Keys whose last complaint is remembered; beyond it all are forgotten together."""
+MAX_LOGGED_DETAILS: Final = 512
+"""Maximum number of stored details; all are cleared when it is reached."""
 
-_told: dict[tuple[str, str], str] = {}
+_logged_details: dict[tuple[str, str], str] = {}
 
 
 def report_unreadable_record(kind: str, key: str, detail: str) -> None:
-    """Count an unreadable record, and log it unless the same was logged last.
+    """Count an unreadable record, and log it unless its last log line was the same.
 
-    A writer that goes on writing such records each second would else fill the log.
+    Otherwise a writer that repeats such a record every second would fill the log.
 
-    :param kind: what the record was taken for.
+    :param kind: expected kind of the record.
     """
     UNREADABLE.labels(kind).inc()
-    if _told.get((kind, key)) == detail:
+    if _logged_details.get((kind, key)) == detail:
         return
-    if len(_told) >= MOST_REMEMBERED:
-        _told.clear()
-    _told[kind, key] = detail
+    if len(_logged_details) >= MAX_LOGGED_DETAILS:
+        _logged_details.clear()
+    _logged_details[kind, key] = detail
     _LOGGER.error("record_unreadable", kind=kind, key=key, detail=detail)
--- a/mustardward/helpers/waiting.py
+++ b/mustardward/helpers/waiting.py
@@ -1,4 +1,4 @@
-"""Wait no longer than the timer service says."""
+"""Wait with a timeout on the timer service's clock."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 async def async_wait_for(
     event: anyio.Event, timers: TimerService, seconds: float
 ) -> bool:
-    """Wait for an event up to ``seconds``; tell whether it happened."""
+    """Wait for an event up to ``seconds``; return whether it is set."""
     if event.is_set():
         return True
     async with anyio.create_task_group() as group:
@@ -33,8 +33,8 @@
 async def async_call_with_timeout(
     timers: TimerService, seconds: float, call: Callable[[], Awaitable[T]]
 ) -> T | None:
-    """Return what a call gives, or nothing if it takes longer than ``seconds``."""
-    answers: list[T] = []
+    """Return the result of a call, or None if it takes longer than ``seconds``."""
+    results: list[T] = []
     async with anyio.create_task_group() as group:
 
         async def expire() -> None:
@@ -42,6 +42,6 @@
             group.cancel_scope.cancel()
 
         group.start_soon(expire)
-        answers.append(await call())
+        results.append(await call())
         group.cancel_scope.cancel()
-    return answers[0] if answers else None
+    return results[0] if results else None
