--- a/mustardward/components/configuration/services.py
+++ b/mustardward/components/configuration/services.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from ...helpers.logging import get_logger
-from ...helpers.unreadable import report_unreadable_record
+from ...helpers.unreadable_records import report_unreadable_record
 from ...platform.exceptions import RECORD_ERRORS, UnreadableRecordError
 from ...platform.models import MaintenanceWave, OperatorConfig, Room
 from ...platform.store import KEY_CONFIG, KEY_WAVE_PREFIX, KeyedRecord
--- a/mustardward/components/fleet/services.py
+++ b/mustardward/components/fleet/services.py
@@ -9,7 +9,7 @@
 
 from anyio.abc import TaskGroup
 
-from ...helpers.duty import DutyCycle
+from ...helpers.duty_cycle import DutyCycle
 from ...helpers.logging import get_logger
 from ...helpers.timer import TimerService
 from ...platform.models import INSTANCE_UP, Instance
--- a/mustardward/components/ledger/ledger.py
+++ b/mustardward/components/ledger/ledger.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ...helpers.unreadable import report_unreadable_record
+from ...helpers.unreadable_records import report_unreadable_record
 from ...platform.callers import check_steps
 from ...platform.exceptions import RECORD_ERRORS, UnreadableRecordError
 from ...platform.store import KeyedRecord
--- a/mustardward/components/ownership/directory.py
+++ b/mustardward/components/ownership/directory.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from ...helpers.unreadable import report_unreadable_record
+from ...helpers.unreadable_records import report_unreadable_record
 from ...platform.entries import decode_worker_entry
 from ...platform.exceptions import UnreadableRecordError
 from ...platform.models import WorkerEntry
--- a/mustardward/components/ownership/owner.py
+++ b/mustardward/components/ownership/owner.py
@@ -7,7 +7,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from ...helpers.duty import DutyCycle
+from ...helpers.duty_cycle import DutyCycle
 from ...helpers.logging import get_logger
 from ...platform.fleet import FleetClient
 from ...platform.models import WorkerEntry
--- a/mustardward/components/scheduling/worker_entries.py
+++ b/mustardward/components/scheduling/worker_entries.py
@@ -6,7 +6,7 @@
 from typing import Final
 
 from ...helpers.logging import get_logger
-from ...helpers.unreadable import report_unreadable_record
+from ...helpers.unreadable_records import report_unreadable_record
 from ...platform.models import WORKER_DRAINING, WorkerEntry
 from .const import MISSING_GRACE_SECONDS
 from .incarnations import is_other_incarnation, make_worker
--- a/mustardward/platform/store.py
+++ b/mustardward/platform/store.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ..helpers.http_connection import HttpResponse
-from ..helpers.unreadable import report_unreadable_record
+from ..helpers.unreadable_records import report_unreadable_record
 from . import names
 from .bodies import (
     AppendedBody,
--- a/tests/helpers/test_duty.py
+++ b/tests/helpers/test_duty_cycle.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from mustardward.helpers.duty import DutyCycle
+from mustardward.helpers.duty_cycle import DutyCycle
 
 
 def test_cheap_work_is_done_as_often_as_wanted() -> None:
