--- a/tests/helpers/test_duty_cycle.py
+++ b/tests/helpers/test_duty_cycle.py
@@ -1,4 +1,4 @@
-"""Test that repeated work takes no more than its share of a process's time."""
+"""Test that periodic work takes no more than its share of a process's time."""
 
 from __future__ import annotations
 
@@ -7,25 +7,24 @@
 from mustardward.helpers.duty_cycle import DutyCycle
 
 
-def test_cheap_work_is_done_as_often_as_wanted() -> None:
+def test_short_runs_use_the_minimum_pause() -> None:
     assert DutyCycle(0.1, 0.2, 10.0).pause(0.0) == 0.1
     assert DutyCycle(0.1, 0.2, 10.0).pause(0.02) == 0.1
 
 
 @pytest.mark.parametrize("spent", [0.03, 0.1, 2.0])
-def test_dear_work_takes_its_share_however_dear_it_is(spent: float) -> None:
-    """Symptom: an owner of 3,000 instances is late with its renewals, and is replaced.
+def test_long_runs_take_at_most_their_share(spent: float) -> None:
+    """Guard against an owner of 3,000 instances that renews late and is replaced.
 
-    Load: looking over the instances takes a third of its time, ten times a second.
+    Scanning the instances ten times a second takes a third of its time.
     """
     pause = DutyCycle(0.1, 0.2, 10.0).pause(spent)
     assert spent / (spent + pause) == pytest.approx(0.2)
 
 
-def test_a_process_that_was_frozen_does_not_rest_for_it() -> None:
-    """Symptom: an owner that was frozen for four seconds orders nothing for 22 more.
+def test_suspension_during_a_run_does_not_extend_the_pause() -> None:
+    """Guard against an owner that is idle for 22 s after a suspension of 4 s.
 
-    Sequence: it was stopped in the middle of a look, and went on. Cause: the time until
-    then counted as work.
+    It is suspended during a scan, and the time of the suspension counts as work.
     """
     assert DutyCycle(0.1, 0.15, 2.0).pause(4.0) == 2.0
--- a/tests/helpers/test_log_output.py
+++ b/tests/helpers/test_log_output.py
@@ -1,4 +1,4 @@
-"""Write events as an operator reads them."""
+"""Test the format of log lines."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 
 @pytest.fixture
-def quiet_root() -> Iterator[None]:
-    """Put the root logger back as it was."""
+def restore_root_logger() -> Iterator[None]:
+    """Restore the root logger after the test."""
     root = logging.getLogger()
     level, handlers = root.level, list(root.handlers)
     yield
@@ -22,12 +22,11 @@
 
 
 def test_only_events_reach_the_log(
-    quiet_root: None, capsys: pytest.CaptureFixture[str]
+    restore_root_logger: None, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """Keep libraries' sentences out of the log.
+    """Guard against log lines of libraries that are not key=value pairs.
 
-    Symptom: the log holds several lines for each request that are not key=value pairs.
-    Sequence: an entry polls the platform. Cause: httpx logs each call at info level.
+    httpx logs each call at info level, so polling the platform adds several lines.
     """
     set_up_logging()
     logging.getLogger("httpx").info("HTTP Request: GET http://127.0.0.1/?token=secret")
@@ -37,13 +36,12 @@
     assert lines[0].endswith("level=info event=polled part=part stream=fleet")
 
 
-def test_a_value_cannot_forge_a_pair(
-    quiet_root: None, capsys: pytest.CaptureFixture[str]
+def test_value_cannot_forge_a_pair(
+    restore_root_logger: None, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """Keep a caller's header from writing lines of its own.
+    """Guard against a log event that never happened.
 
-    Symptom: the log shows an event that never happened. Sequence: a caller sends a
-    request id with a line break. Cause: values were written unquoted.
+    A caller sends a request id with a line break, and values are written unquoted.
     """
     set_up_logging()
     get_logger("part").info("request", request_id="x\nevent=reboot")
@@ -52,10 +50,10 @@
     assert lines[0].endswith(r'request_id="x\nevent=reboot"')
 
 
-def test_what_a_library_says_is_one_event(
-    quiet_root: None, capsys: pytest.CaptureFixture[str]
+def test_library_message_is_one_event(
+    restore_root_logger: None, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """Symptom: an entry's log has lines without pairs, past the bound of lines."""
+    """Guard against library lines without pairs, which bypass the rate limit."""
     set_up_logging()
     library = logging.getLogger("some.library")
     library.propagate = False
--- a/tests/helpers/test_metrics.py
+++ b/tests/helpers/test_metrics.py
@@ -1,4 +1,4 @@
-"""Feed a statsd socket and look at what came."""
+"""Test the metrics sent to statsd."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     )
 
 
-async def test_finished_requests_reach_statsd_added_up() -> None:
+async def test_finished_requests_are_aggregated_for_statsd() -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as receiver:
         receiver.bind(("127.0.0.1", 0))
         receiver.settimeout(5.0)
@@ -61,21 +61,21 @@
     } <= lines
 
 
-async def test_a_feed_that_cannot_be_opened_keeps_nobody_from_serving() -> None:
+async def test_unresolvable_statsd_host_disables_metrics() -> None:
     settings = MetricsSettings(host="no.such.host.invalid", enabled=True)
     metrics = open_metrics(settings, "entry-1")
     await metrics.async_flush()
     assert not metrics.enabled
 
 
-async def test_nothing_is_kept_without_a_feed() -> None:
+async def test_disabled_metrics_accept_values() -> None:
     metrics = Metrics(None)
     metrics.count(entry_metrics.ATTEMPTS)
     metrics.timing(entry_metrics.LATENCY, 1.0, "urgent")
     assert not metrics.enabled
 
 
-def test_every_metric_stands_on_the_operators_page() -> None:
+def test_every_metric_is_documented_for_operators() -> None:
     page = PAGE.read_text(encoding="utf-8")
     missing = [name for name in METRICS if f"`{name}`" not in page]
     assert missing == []
--- a/tests/helpers/test_policies.py
+++ b/tests/helpers/test_policies.py
@@ -1,4 +1,4 @@
-"""Test that policies can be switched off by name, and that nothing else changes."""
+"""Test that policies can be disabled by name without affecting others."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 
-import mustardward.node.app  # noqa: F401 - all policies are registered by it
+import mustardward.node.app  # noqa: F401 - registers all policies
 from mustardward.components.fleet.pool_surplus import idle_timeout_seconds, surplus
 from mustardward.components.scheduling.job_order import (
     Capacity,
@@ -28,13 +28,13 @@
 
 
 @pytest.fixture(autouse=True)
-def all_on() -> Iterator[None]:
-    """Leave all policies on behind each test."""
+def enable_all() -> Iterator[None]:
+    """Enable all policies after each test."""
     yield
     switch_off(())
 
 
-def test_a_policy_that_is_off_gives_way_to_what_stands_in_for_it() -> None:
+def test_disabled_policy_is_replaced() -> None:
     overload = (1000.0, Capacity(available=1.0))
     assert choose_order(*overload) is by_work
     assert surplus(5, 2) == 3
@@ -47,14 +47,14 @@
     assert choose_order(*overload) is by_work
 
 
-def test_a_name_that_nobody_registered_changes_nothing() -> None:
+def test_unknown_name_changes_nothing() -> None:
     switch_off(["idle-time"])
     with pytest.raises(UnknownPolicyError, match="no-such"):
         switch_off(["lending", "no-such"])
     assert switched_off() == ["idle-time"]
 
 
-def test_settings_name_the_policies_that_are_off(tmp_path: Path) -> None:
+def test_settings_list_the_disabled_policies(tmp_path: Path) -> None:
     path = tmp_path / "entry.yaml"
     path.write_text("policies-off: [lending]\n")
     assert load_settings(str(path)).policies_off == ("lending",)
@@ -62,9 +62,7 @@
 
 
 @pytest.mark.parametrize("text", ["policy-off: [lending]", "policies-off: 3", "a: ["])
-def test_settings_that_hold_anything_else_are_refused(
-    tmp_path: Path, text: str
-) -> None:
+def test_invalid_settings_are_rejected(tmp_path: Path, text: str) -> None:
     path = tmp_path / "entry.yaml"
     path.write_text(text)
     with pytest.raises(SettingsError, match=r"entry\.yaml"):
@@ -73,7 +71,7 @@
         load_settings(str(tmp_path / "missing.yaml"))
 
 
-def test_each_policy_says_what_it_is_for_and_has_its_row_of_figures() -> None:
+def test_each_policy_has_a_purpose_and_a_documented_measurement() -> None:
     page = PAGE.read_text()
     for name in POLICIES:
         assert POLICIES[name]
--- a/tests/helpers/test_timer.py
+++ b/tests/helpers/test_timer.py
@@ -1,4 +1,4 @@
-"""Drive the timer service."""
+"""Test the simulated timer service."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
     timers = DrivenTimerService()
     called: list[float] = []
 
-    async def note() -> None:
+    async def record() -> None:
         called.append(timers.monotonic())
 
-    unsubscribe = timers.subscribe("note", 2.0, note)
+    unsubscribe = timers.subscribe("note", 2.0, record)
     start = timers.monotonic()
     await timers.async_advance(5.0)
     unsubscribe()
@@ -25,10 +25,9 @@
 
 
 async def test_one_failing_subscriber_does_not_stop_the_others() -> None:
-    """Keep every other timer going.
+    """Guard against heartbeats that stop although the process serves.
 
-    Symptom: heartbeats stop although the process serves. Sequence: one duty raises.
-    Cause: its exception ended the task that called all duties.
+    The exception of one callback ends the task that runs all callbacks.
     """
     timers = DrivenTimerService()
     called: list[str] = []
@@ -46,9 +45,9 @@
     assert called == ["fail", "work", "fail", "work"]
 
 
-async def test_a_pause_is_announced_without_calling_what_fell_due() -> None:
+async def test_pause_notifies_listeners_without_running_callbacks() -> None:
     timers = DrivenTimerService()
-    lost: list[float] = []
-    timers.subscribe_pause(lost.append)
+    pauses: list[float] = []
+    timers.subscribe_pause(pauses.append)
     timers.pause(60.0)
-    assert lost == [60.0]
+    assert pauses == [60.0]
--- a/tests/helpers/test_token_bucket.py
+++ b/tests/helpers/test_token_bucket.py
@@ -1,4 +1,4 @@
-"""Test that a rate is kept, and what it allows at once."""
+"""Test the rate and burst limits of a token bucket."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 from mustardward.helpers.token_bucket import TokenBucket
 
 RATE = 10.0
-MOST = 5.0
+CAPACITY = 5.0
 
 
-def test_what_is_saved_up_may_be_taken_at_once_and_no_more() -> None:
-    bucket = TokenBucket(MOST, 100.0)
+def test_available_tokens_can_be_taken_at_once() -> None:
+    bucket = TokenBucket(CAPACITY, 100.0)
     assert [bucket.try_take() for _ in range(6)] == [True] * 5 + [False]
 
 
-def test_the_rate_fills_it_up_to_the_most() -> None:
+def test_refill_stops_at_the_capacity() -> None:
     bucket = TokenBucket(0.0, 100.0)
-    bucket.refill(100.25, RATE, MOST)
+    bucket.refill(100.25, RATE, CAPACITY)
     assert bucket.left == 2.5
-    bucket.refill(200.0, RATE, MOST)
-    assert bucket.left == MOST
+    bucket.refill(200.0, RATE, CAPACITY)
+    assert bucket.left == CAPACITY
 
 
-def test_a_time_that_lies_before_the_last_one_neither_adds_nor_counts_again() -> None:
+def test_earlier_time_adds_no_tokens() -> None:
     bucket = TokenBucket(0.0, 100.0)
-    bucket.refill(100.1, RATE, MOST)
-    bucket.refill(99.0, RATE, MOST)
-    bucket.refill(100.1, RATE, MOST)
+    bucket.refill(100.1, RATE, CAPACITY)
+    bucket.refill(99.0, RATE, CAPACITY)
+    bucket.refill(100.1, RATE, CAPACITY)
     assert bucket.left == pytest.approx(1.0)
--- a/tests/node/__init__.py
+++ b/tests/node/__init__.py
@@ -1,1 +1,1 @@
-"""Test an entry's own program."""
+"""Test the entry node."""
--- a/tests/node/test_main.py
+++ b/tests/node/test_main.py
@@ -1,4 +1,4 @@
-"""Test that an entry's end says whether anybody asked for it."""
+"""Test that a node's exit shows whether it was requested."""
 
 from __future__ import annotations
 
@@ -25,44 +25,44 @@
 )
 
 
-def an_output() -> BoundedOutput:
+def build_output() -> BoundedOutput:
     return BoundedOutput(len, lambda: 0.0)
 
 
-def a_node(monkeypatch: pytest.MonkeyPatch, ends_itself: bool) -> list[str]:
-    """Let an entry be one whose part is cancelled, or one that is told to stop."""
-    told: list[str] = []
+def patch_node(monkeypatch: pytest.MonkeyPatch, is_cancelled: bool) -> list[str]:
+    """Replace Node by a fake that is cancelled or gets SIGTERM; return its calls."""
+    calls: list[str] = []
 
     class _Node:
         def __init__(self, boot: Any, tasks: TaskGroup) -> None:
             self.tasks = tasks
 
         async def async_start(self) -> None:
-            if ends_itself:
+            if is_cancelled:
                 self.tasks.cancel_scope.cancel()
                 await anyio.sleep_forever()
             os.kill(os.getpid(), signal.SIGTERM)
 
         async def async_shut_down(self) -> None:
-            told.append("left")
+            calls.append("left")
 
     monkeypatch.setattr(program, "Node", _Node)
-    return told
+    return calls
 
 
-async def test_an_entry_that_ends_unasked_says_so(
+async def test_unexpected_exit_is_an_error(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Symptom: an entry is gone, with code 0 and no line; nobody stopped it."""
-    told = a_node(monkeypatch, ends_itself=True)
+    """Guard against a node that exits with status 0 and no log line on its own."""
+    calls = patch_node(monkeypatch, is_cancelled=True)
     with pytest.raises(program.UnexpectedExitError):
-        await program.async_main(BOOT, an_output())
-    assert told == []
+        await program.async_main(BOOT, build_output())
+    assert calls == []
 
 
-async def test_an_entry_that_is_told_to_stop_leaves(
+async def test_node_shuts_down_on_sigterm(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    told = a_node(monkeypatch, ends_itself=False)
-    await program.async_main(BOOT, an_output())
-    assert told == ["left"]
+    calls = patch_node(monkeypatch, is_cancelled=False)
+    await program.async_main(BOOT, build_output())
+    assert calls == ["left"]
--- a/tests/platform/test_callers.py
+++ b/tests/platform/test_callers.py
@@ -1,4 +1,4 @@
-"""Test what callers send beside their jobs."""
+"""Test the decoding of callers' headers."""
 
 from __future__ import annotations
 
@@ -20,5 +20,5 @@
         ("Token " + "x" * (MAX_KEY_LENGTH + 1), ""),
     ],
 )
-def test_a_key_stands_behind_its_scheme(header: str, key: str) -> None:
+def test_api_key_follows_its_scheme(header: str, key: str) -> None:
     assert decode_key(header) == key
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -1,8 +1,8 @@
-"""Test what is read of entries, lists and pages that another writer may have spoilt.
+"""Test the decoding of entries, lists and pages that contain invalid records.
 
-Symptom: the owner ends, or work goes to a worker that does not exist. Sequence: a
-record that no worker wrote appears in the store beside good ones. Cause: one record's
-fault is taken for its page's, or what it says is used unchecked.
+Guards against an owner that terminates, or assigns work to a worker that does not
+exist. A record of a invalid_key writer is stored beside valid ones, and fails its whole
+page or is used unchecked.
 """
 
 from __future__ import annotations
@@ -58,14 +58,14 @@
     return msgspec.json.encode({**GOOD, **changes})
 
 
-def test_a_good_entry_is_read() -> None:
+def test_valid_entry_is_decoded() -> None:
     entry = decode_worker_entry("w-1", encoded(state="draining", **{"remaining-ms": 5}))
     assert (entry.service, entry.state, entry.remaining_ms) == ("pool-a", "draining", 5)
     assert entry.capacity == Room(8000, 8000, 0)
 
 
 @pytest.mark.parametrize(("name", "value"), CASES)
-def test_a_field_of_another_kind_names_no_worker(name: str, value: object) -> None:
+def test_invalid_field_is_rejected(name: str, value: object) -> None:
     with pytest.raises(UnreadableRecordError):
         decode_worker_entry("w-1", encoded(**{name: value}))
 
@@ -73,15 +73,15 @@
 @pytest.mark.parametrize(
     "name", ["service", "address", "zone", "state", "capacity", "labels"]
 )
-def test_a_missing_field_names_no_worker(name: str) -> None:
-    """Every worker writes all of them, so what lacks one is no worker's."""
+def test_missing_field_is_rejected(name: str) -> None:
+    """Every worker writes all of these fields."""
     rest = {key: value for key, value in GOOD.items() if key != name}
     with pytest.raises(UnreadableRecordError):
         decode_worker_entry("w-1", msgspec.json.encode(rest))
 
 
 @pytest.mark.parametrize("key", ["", "w 1", "w\n1", "w\r\nHost: x", "wé", "w" * 300])
-def test_an_id_that_no_header_carries_names_no_worker(key: str) -> None:
+def test_id_that_is_invalid_in_a_header_is_rejected(key: str) -> None:
     with pytest.raises(UnreadableRecordError):
         decode_worker_entry(key, encoded())
 
@@ -98,13 +98,13 @@
         encoded().replace(b"rack-1", b"rack\xff1"),
     ],
 )
-def test_other_bytes_name_no_worker(value: bytes) -> None:
+def test_invalid_bytes_are_rejected(value: bytes) -> None:
     with pytest.raises(UnreadableRecordError):
         decode_worker_entry("w-1", value)
 
 
 @given(value=st.binary(max_size=200), key=st.text(max_size=20))
-def test_random_bytes_are_read_or_told_as_unreadable(value: bytes, key: str) -> None:
+def test_random_bytes_are_rejected(value: bytes, key: str) -> None:
     with pytest.raises(UnreadableRecordError):
         decode_worker_entry(key, value)
 
@@ -121,12 +121,12 @@
 
 @given(
     changes=st.dictionaries(st.sampled_from(sorted(BAD_VALUES)), _JSON, min_size=1),
-    cut=st.none() | st.integers(0, 200),
+    length=st.none() | st.integers(0, 200),
 )
-def test_a_mutated_entry_is_usable_whole_or_not_at_all(
-    changes: dict[str, Any], cut: int | None
+def test_mutated_entry_is_either_valid_or_rejected(
+    changes: dict[str, Any], length: int | None
 ) -> None:
-    value = encoded(**changes)[:cut]
+    value = encoded(**changes)[:length]
     try:
         entry = decode_worker_entry("w-1", value)
     except UnreadableRecordError:
@@ -136,25 +136,25 @@
     assert all(isinstance(label, str) for label in entry.labels)
 
 
-def test_a_key_that_cant_be_read_leaves_the_others_of_its_page() -> None:
-    foreign = struct.pack(">I", 4) + b"\x02\xff\xfe{"
-    no_room = struct.pack(">I", 2) + b"\xc8{"
+def test_undecodable_key_is_skipped_within_its_page() -> None:
+    invalid_key = struct.pack(">I", 4) + b"\x02\xff\xfe{"
+    oversized_key = struct.pack(">I", 2) + b"\xc8{"
     empty = struct.pack(">I", 0)
     body = struct.pack(">QQ", 9, 4) + encode_keyed([("a", b"1")])
-    body += foreign + no_room + empty + encode_keyed([("b", b"2")])
+    body += invalid_key + oversized_key + empty + encode_keyed([("b", b"2")])
     page = decode_keyed(body, 4)
     assert [(r.offset, r.key) for r in page.records] == [(4, "a"), (8, "b")]
     assert (page.next_offset, page.end) == (9, 9)
 
 
-def test_a_record_that_is_cut_off_is_read_again() -> None:
-    whole = struct.pack(">QQ", 9, 4) + encode_keyed([("a", b"1"), ("b", b"2")])
-    page = decode_keyed(whole[:-1], 4)
+def test_truncated_record_is_read_again() -> None:
+    body = struct.pack(">QQ", 9, 4) + encode_keyed([("a", b"1"), ("b", b"2")])
+    page = decode_keyed(body[:-1], 4)
     assert ([r.key for r in page.records], page.next_offset) == (["a"], 5)
 
 
-class _OneAnswer:
-    """Answer each call with the same body."""
+class _FixedResponseCaller:
+    """Return the same response body for each call."""
 
     def __init__(self, body: object) -> None:
         self._body = msgspec.json.encode(body)
@@ -163,32 +163,37 @@
         return HttpResponse(200, self._body, CIMultiDictProxy(CIMultiDict()))
 
 
-def item(key: object, value: object, offset: object = 3) -> dict[str, object]:
+def build_item(key: object, value: object, offset: object = 3) -> dict[str, object]:
     return {"key": key, "offset": offset, "value": value}
 
 
 @pytest.mark.anyio
-async def test_a_page_of_newest_records_leaves_out_what_cant_be_read() -> None:
+async def test_newest_page_skips_undecodable_items() -> None:
     good = base64.b64encode(b"1").decode()
-    items = [item("a", good), item(None, good), item("c", "%%%"), item("d", good, "x")]
-    body = {"items": [*items, item("e", good), item("f", 7)], "end": 8}
-    client = StoreClient(_OneAnswer({**body, "more-pages": True}), "s:1")  # type: ignore[arg-type]
+    items = [
+        build_item("a", good),
+        build_item(None, good),
+        build_item("c", "%%%"),
+        build_item("d", good, "x"),
+    ]
+    body = {"items": [*items, build_item("e", good), build_item("f", 7)], "end": 8}
+    client = StoreClient(_FixedResponseCaller({**body, "more-pages": True}), "s:1")  # type: ignore[arg-type]
     page = await client.async_read_newest("keyed.t")
     assert [record.key for record in page.records] == ["a", "e"]
-    # The next page begins behind the last key, though its record was left out.
+    # The next page starts after the last key even if its record was skipped.
     assert (page.more, page.after) == (True, "f")
 
 
 @pytest.mark.anyio
-async def test_a_list_says_whether_each_of_its_rows_could_be_read() -> None:
-    """A worker that is missing from a list with unreadable rows is not known gone."""
+async def test_instance_list_reports_undecodable_rows() -> None:
+    """A worker missing from a list with undecodable rows is not known to be gone."""
     good = {"machine": "m-1", "pool": "pool-a", "state": "up", "id": "w-1"}
     bad = [{"machine": 1}, None, {**good, "capacity": {"cpu": -5}}]
-    client = FleetClient(_OneAnswer({"machines": [good, *bad]}), "c:1", "h")  # type: ignore[arg-type]
+    client = FleetClient(_FixedResponseCaller({"machines": [good, *bad]}), "c:1", "h")  # type: ignore[arg-type]
     listed = await client.async_fetch_page()
     assert [row.machine for row in listed.instances] == ["m-1"]
     assert not listed.complete
-    client = FleetClient(_OneAnswer({"machines": [good]}), "c:1", "h")  # type: ignore[arg-type]
+    client = FleetClient(_FixedResponseCaller({"machines": [good]}), "c:1", "h")  # type: ignore[arg-type]
     assert (await client.async_fetch_page()).complete
 
 
@@ -197,8 +202,8 @@
     [{"cpu": -1000}, {"mem-mb": -1}, {"gpu": -1}, {"estimate-ms": -1}, {"count": 0}]
     + [{"count": 10**9}, {"may-miss": -1}, {"max-per-server": -1}, {"after": [0]}],
 )
-def test_a_job_with_a_negative_amount_is_refused(change: dict[str, Any]) -> None:
-    """A task of minus one core would give its worker a core that it has not."""
+def test_job_with_an_invalid_amount_is_rejected(change: dict[str, Any]) -> None:
+    """A task of minus one core would add a core to its worker's capacity."""
     step = {"count": 1, "cpu": 1000, **change}
     with pytest.raises(MalformedJobError):
         decode_job(msgspec.json.encode({"spec": "x", "steps": [step]}))
--- a/tests/platform/test_formats.py
+++ b/tests/platform/test_formats.py
@@ -1,4 +1,4 @@
-"""Test the formats that the platform publishes."""
+"""Test the platform's data formats."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 }
 
 
-def test_keyed_records_are_read_as_they_were_written() -> None:
+def test_keyed_records_round_trip() -> None:
     records = [("config", b"{}"), ("gone", b""), ("x/1", bytes(range(256)))]
     body = struct.pack(">QQ", 12, 9) + encode_keyed(records)
     page = decode_keyed(body, 9)
@@ -35,40 +35,40 @@
     assert (page.next_offset, page.end) == (12, 12)
 
 
-def test_an_empty_read_goes_on_where_it_was() -> None:
+def test_empty_read_keeps_the_offset() -> None:
     page = decode_keyed(struct.pack(">QQ", 7, 0), 7)
     assert (page.records, page.next_offset) == ([], 7)
 
 
-def test_task_names_are_read_as_they_were_written() -> None:
+def test_task_names_round_trip() -> None:
     task = TaskName("5c0e7a21d94b36f8", 0, 1, 17)
     assert encode_task(task) == "5c0e7a21d94b36f8.0.1.17"
     assert decode_task(encode_task(task)) == task
 
 
 @pytest.mark.parametrize("text", ["", "abc", "5c0e7a21d94b36f", "5c0e7a21d94b36fg"])
-def test_other_texts_are_no_job_ids(text: str) -> None:
+def test_malformed_job_ids_are_rejected(text: str) -> None:
     assert not is_job_id(text)
 
 
-def test_settings_ignore_what_they_do_not_know() -> None:
+def test_unknown_settings_are_ignored() -> None:
     boot = decode_boot(msgspec.json.encode({**BOOT, "brand-new": [1, {"a": 2}]}))
     assert boot.node == "edge-1"
     assert boot.bounds.grace_s == 6
 
 
 @pytest.mark.parametrize("field", sorted(BOOT))
-def test_a_missing_setting_is_named(field: str) -> None:
+def test_error_names_the_missing_setting(field: str) -> None:
     rest = {key: value for key, value in BOOT.items() if key != field}
     with pytest.raises(BootSettingsError, match=field):
         decode_boot(msgspec.json.encode(rest))
 
 
-def test_an_absent_settings_file_is_a_clear_error() -> None:
+def test_unset_settings_path_is_reported() -> None:
     with pytest.raises(BootSettingsError, match="not set"):
         load_boot({})
 
 
-def test_unknown_fields_of_the_operator_are_ignored() -> None:
+def test_unknown_fields_of_the_operator_config_are_ignored() -> None:
     body = b'{"version":3,"routes":[],"services":[],"limits":{"new":1},"new":{}}'
     assert msgspec.json.decode(body, type=OperatorConfig).version == 3
--- a/tests/platform/test_http.py
+++ b/tests/platform/test_http.py
@@ -1,4 +1,4 @@
-"""Test calls over kept connections, and what is said of those that fail."""
+"""Test HTTP calls over persistent connections and the errors of failed calls."""
 
 from __future__ import annotations
 
@@ -22,13 +22,15 @@
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-def an_answer(body: bytes = b"ok", more: str = "", status: int = 200) -> bytes:
-    head = f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{more}\r\n"
+def build_response(
+    body: bytes = b"ok", extra_headers: str = "", status: int = 200
+) -> bytes:
+    head = f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{extra_headers}\r\n"
     return head.encode() + body
 
 
 async def async_read_request(reader: asyncio.StreamReader) -> bytes:
-    """Return a request's head, its body read too."""
+    """Read a request and return its head and body."""
     head = await reader.readuntil(b"\r\n\r\n")
     for line in head.split(b"\r\n"):
         name, _, value = line.partition(b":")
@@ -38,7 +40,7 @@
 
 
 class Server:
-    """Play a server that a function scripts, and count its connections."""
+    """Server with a scripted connection handler that counts its connections."""
 
     def __init__(self, serve: Serve) -> None:
         self.serve = serve
@@ -59,7 +61,7 @@
 
 
 @asynccontextmanager
-async def a_server(serve: Serve) -> AsyncIterator[Server]:
+async def run_server(serve: Serve) -> AsyncIterator[Server]:
     server = Server(serve)
     listening = await asyncio.start_server(server.async_handle, "127.0.0.1", 0)
     server.address = f"127.0.0.1:{listening.sockets[0].getsockname()[1]}"
@@ -69,23 +71,23 @@
         listening.close()
 
 
-def answering(*answers: bytes) -> Serve:
-    """Return a server that gives these answers on each connection, then closes."""
+def respond_with(*responses: bytes) -> Serve:
+    """Return a handler that sends these responses on each connection, then closes."""
 
     async def async_serve(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        for answer in answers:
+        for response in responses:
             await async_read_request(reader)
-            writer.write(answer)
+            writer.write(response)
             await writer.drain()
 
     return async_serve
 
 
-async def async_get(http: HttpCaller, server: Server, **more: float) -> bytes:
+async def async_get(http: HttpCaller, server: Server, **options: float) -> bytes:
     url = f"http://{server.address}/a"
-    answer = await http.async_call("GET", url, timeout_seconds=1.0, **more)
+    answer = await http.async_call("GET", url, timeout_seconds=1.0, **options)
     return answer.body
 
 
@@ -95,24 +97,26 @@
     return answer.body
 
 
-async def test_calls_one_after_the_other_share_a_connection() -> None:
-    async with a_server(answering(an_answer(b"1"), an_answer(b"2"))) as server:
+async def test_sequential_calls_share_a_connection() -> None:
+    async with run_server(
+        respond_with(build_response(b"1"), build_response(b"2"))
+    ) as server:
         http = HttpCaller()
         assert [await async_get(http, server) for _ in "ab"] == [b"1", b"2"]
         assert server.connections == 1
 
 
-async def test_a_request_has_its_query_headers_and_body() -> None:
+async def test_request_includes_query_headers_and_body() -> None:
     seen: list[bytes] = []
 
     async def async_serve(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         seen.append(await async_read_request(reader))
-        writer.write(an_answer(more="X-Id: 7\r\n", status=409))
+        writer.write(build_response(extra_headers="X-Id: 7\r\n", status=409))
         await writer.drain()
 
-    async with a_server(async_serve) as server:
+    async with run_server(async_serve) as server:
         answer = await HttpCaller().async_call(
             "POST",
             f"http://{server.address}/log",
@@ -128,41 +132,41 @@
     assert (answer.status, answer.header("x-id")) == (409, "7")
 
 
-async def test_a_server_that_does_not_listen_was_sent_nothing() -> None:
-    async with a_server(answering()) as server:
+async def test_refused_connection_means_nothing_was_sent() -> None:
+    async with run_server(respond_with()) as server:
         pass
     with pytest.raises(CallRefusedError):
         await async_post(HttpCaller(), server)
 
 
-async def test_an_answer_that_is_cut_off_is_no_short_answer() -> None:
-    async with a_server(answering(an_answer(b"whole")[:-2])) as server:
+async def test_truncated_response_is_an_error() -> None:
+    async with run_server(respond_with(build_response(b"whole")[:-2])) as server:
         with pytest.raises(CallUnknownError):
             await async_post(HttpCaller(), server)
 
 
-def closing_on_the_second(seen: list[bytes]) -> Serve:
-    """Return a server that closes each connection as its second request comes."""
+def close_on_second_request(seen: list[bytes]) -> Serve:
+    """Return a handler that closes each connection after its second request."""
 
     async def async_serve(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         seen.append(await async_read_request(reader))
-        writer.write(an_answer())
+        writer.write(build_response())
         await writer.drain()
         seen.append(await async_read_request(reader))
 
     return async_serve
 
 
-async def test_a_post_whose_kept_connection_closes_is_not_sent_twice() -> None:
-    """Symptom: a start was carried out twice.
+async def test_post_on_a_closed_connection_is_not_repeated() -> None:
+    """Guard against a start that is executed twice.
 
-    Sequence: a worker closed a kept connection as the next order was sent on it, and
-    the client sent the order again by itself. Cause: it may have been read before.
+    A worker closes a persistent connection while the next command is sent on it. The
+    command may have been read, so the client must not send it again by itself.
     """
     seen: list[bytes] = []
-    async with a_server(closing_on_the_second(seen)) as server:
+    async with run_server(close_on_second_request(seen)) as server:
         http = HttpCaller()
         await async_post(http, server)
         with pytest.raises(CallUnknownError):
@@ -170,33 +174,33 @@
     assert (len(seen), server.connections) == (2, 1)
 
 
-async def test_a_read_whose_kept_connection_closes_is_made_on_another() -> None:
+async def test_get_on_a_closed_connection_is_repeated() -> None:
     seen: list[bytes] = []
-    async with a_server(closing_on_the_second(seen)) as server:
+    async with run_server(close_on_second_request(seen)) as server:
         http = HttpCaller()
         assert [await async_get(http, server) for _ in "ab"] == [b"ok", b"ok"]
     assert (len(seen), server.connections) == (3, 2)
 
 
-async def test_a_late_answer_is_never_taken_for_that_of_the_next_call() -> None:
-    """Symptom: a caller receives another caller's answer.
+async def test_late_response_is_not_used_for_the_next_call() -> None:
+    """Guard against a caller that receives the response to another caller's request.
 
-    Sequence: a call was given up, its answer came later on the kept connection, where
-    the next call waited. Cause: a connection with an open exchange was used again.
+    A call times out and its response arrives later on the same connection, where the
+    next call waits, if a connection with an unfinished exchange is reused.
     """
-    first = True
+    is_first = True
 
     async def async_serve(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        nonlocal first
-        late, first = first, False
+        nonlocal is_first
+        late, is_first = is_first, False
         await async_read_request(reader)
         await asyncio.sleep(0.2 if late else 0.0)
-        writer.write(an_answer(b"late" if late else b"own"))
+        writer.write(build_response(b"late" if late else b"own"))
         await writer.drain()
 
-    async with a_server(async_serve) as server:
+    async with run_server(async_serve) as server:
         http = HttpCaller()
         with pytest.raises(CallUnknownError):
             await async_post(http, server, timeout=0.1)
@@ -205,26 +209,26 @@
         assert await async_post(http, server) == b"own"
 
 
-async def test_silence_within_an_answer_ends_the_call_before_its_time() -> None:
+async def test_read_timeout_ends_a_stalled_response() -> None:
     async def async_serve(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         await async_read_request(reader)
-        for part in (an_answer(b"abc")[:-3], b"a", b"b"):
+        for part in (build_response(b"abc")[:-3], b"a", b"b"):
             writer.write(part)
             await writer.drain()
             await asyncio.sleep(0.06)
         await asyncio.sleep(5.0)
 
-    async with a_server(async_serve) as server:
-        began = time.monotonic()
+    async with run_server(async_serve) as server:
+        started_at = time.monotonic()
         with pytest.raises(CallUnknownError):
             await async_get(HttpCaller(), server, read_timeout_seconds=0.15)
-        assert 0.15 < time.monotonic() - began < 0.9
+        assert 0.15 < time.monotonic() - started_at < 0.9
 
 
-async def test_calls_beyond_the_most_connections_wait_for_one() -> None:
-    async with a_server(answering(*[an_answer()] * 9)) as server:
+async def test_calls_beyond_the_connection_limit_wait() -> None:
+    async with run_server(respond_with(*[build_response()] * 9)) as server:
         http = HttpCaller(max_connections_per_host=2)
         async with anyio.create_task_group() as tasks:
             for _ in range(8):
@@ -232,15 +236,15 @@
         assert server.connections == 2
 
 
-async def test_a_call_that_waits_for_a_connection_too_long_was_not_sent() -> None:
+async def test_timeout_while_waiting_for_a_connection_means_nothing_was_sent() -> None:
     async def async_serve(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         await async_read_request(reader)
         await asyncio.sleep(0.3)
-        writer.write(an_answer())
+        writer.write(build_response())
 
-    async with a_server(async_serve) as server:
+    async with run_server(async_serve) as server:
         http = HttpCaller(max_connections_per_host=1)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(async_post, http, server)
@@ -250,14 +254,16 @@
         assert await async_post(http, server) == b"ok"
 
 
-async def test_a_caller_that_was_held_up_itself_does_not_blame_the_other_side() -> None:
-    """Symptom: an owner that was late stopped and repeated what had begun.
+async def test_blocked_event_loop_does_not_time_out_calls() -> None:
+    """Guard against an owner that stops and restarts tasks after its own delay.
 
-    Sequence: calls were under way, the loop was held up for longer than their time, and
-    all answers lay in the sockets meanwhile. Cause: the timers that fell due in between
-    were looked at before the answers.
+    The event loop is blocked for longer than the timeout of the calls in flight while
+    their responses arrive in the sockets, and then runs expired timers before it reads
+    the responses.
     """
-    async with async_elsewhere(a_server(answering(*[an_answer()] * 9))) as server:
+    async with async_elsewhere(
+        run_server(respond_with(*[build_response()] * 9))
+    ) as server:
         http = HttpCaller()
         outcomes: list[bytes] = []
 
@@ -270,40 +276,39 @@
                     tasks.start_soon(async_one, timeout)
                 await anyio.lowlevel.checkpoint()
                 if timeout < 1.0:
-                    time.sleep(0.3)  # noqa: ASYNC251 - it holds the loop up
+                    time.sleep(0.3)  # noqa: ASYNC251 - it blocks the event loop
         assert outcomes == [b"ok"] * 16
 
 
-async def test_hosts_that_went_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Symptom: descriptors run out on a day with many moved instances."""
+async def test_unused_hosts_are_removed(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guard against exhausted file descriptors after many instances have moved."""
     monkeypatch.setattr("mustardward.platform.http.KEEP_ALIVE_SECONDS", 0.0)
     monkeypatch.setattr("mustardward.platform.http.PRUNE_INTERVAL_SECONDS", 0.0)
     http = HttpCaller()
     for _ in range(5):
-        async with a_server(answering(an_answer())) as server:
+        async with run_server(respond_with(build_response())) as server:
             await async_post(http, server)
     assert len(http._hosts) == 1
 
 
-async def test_thousands_of_new_hosts_are_not_each_weighed_against_all_others(
+async def test_new_hosts_do_not_each_scan_all_hosts(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Symptom: an owner of 3,000 workers starts nothing, and its renewals are late.
+    """Guard against an owner of 3,000 workers that starts nothing and renews late.
 
-    Sequence: it calls each worker for the first time, and each of these calls looks
-    through all hosts for those that went. Cause: work that grows with the square of
-    the fleet.
+    It calls each worker for the first time. If each of these calls scans all hosts for
+    unused ones, the work grows with the square of the fleet.
     """
-    looks = 0
+    checks = 0
     close_idle = _Host.close_idle
 
     def count(host: _Host, now: float, idle_seconds: float) -> None:
-        nonlocal looks
-        looks += 1
+        nonlocal checks
+        checks += 1
         close_idle(host, now, idle_seconds)
 
     monkeypatch.setattr(_Host, "close_idle", count)
-    # As if each of them had a connection, of which this machine has not so many.
+    # Simulates a connection to each host without opening that many.
     monkeypatch.setattr(_Host, "unused", False)
     http = HttpCaller()
     hosts = 300
@@ -314,35 +319,35 @@
                 f"http://127.0.1.{number % 250 + 1}:{9 + number // 250}/",
                 timeout_seconds=1.0,
             )
-    assert looks <= 2 * hosts
+    assert checks <= 2 * hosts
 
 
 @given(st.lists(st.integers(1, 30), max_size=12), st.booleans(), st.binary())
-def test_an_answer_is_read_whole_however_its_bytes_come(
-    cuts: list[int], chunked: bool, body: bytes
+def test_response_is_complete_for_any_split_of_its_bytes(
+    part_sizes: list[int], chunked: bool, body: bytes
 ) -> None:
-    whole = an_answer(body)
+    response = build_response(body)
     if chunked:
         parts = b"".join(
             b"%x\r\n%b\r\n" % (1, body[i : i + 1]) for i in range(len(body))
         )
-        whole = b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n" + parts
-        whole += b"0\r\n\r\n"
+        response = b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n" + parts
+        response += b"0\r\n\r\n"
 
     async def async_serve(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         await async_read_request(reader)
-        rest = whole
-        for cut in cuts:
-            writer.write(rest[:cut])
-            rest = rest[cut:]
+        rest = response
+        for size in part_sizes:
+            writer.write(rest[:size])
+            rest = rest[size:]
             await asyncio.sleep(0)
         writer.write(rest)
         await writer.drain()
 
     async def async_run() -> bytes:
-        async with a_server(async_serve) as server:
+        async with run_server(async_serve) as server:
             return await async_get(HttpCaller(), server)
 
     assert asyncio.run(async_run()) == body
--- a/tests/platform/test_names.py
+++ b/tests/platform/test_names.py
@@ -1,4 +1,4 @@
-"""Test that the platform's names stay in their folder."""
+"""Test that only the platform folder contains the platform's names."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 )
 
 
-def test_nothing_outside_the_folder_knows_the_platforms_names() -> None:
+def test_platform_names_occur_only_in_the_platform_folder() -> None:
     found = [
         f"{path.relative_to(PACKAGE)}: {line.strip()}"
         for path in sorted(PACKAGE.rglob("*.py"))
@@ -24,7 +24,7 @@
     assert found == []
 
 
-def test_the_folder_knows_no_component() -> None:
+def test_platform_folder_imports_no_component() -> None:
     found = [
         str(path.name)
         for path in sorted((PACKAGE / "platform").glob("*.py"))
