--- a/bench/capacity/measures.py
+++ b/bench/capacity/measures.py
@@ -159,7 +159,7 @@
         """Return one of them."""
         return self.live()[0]
 
-    def instance_may_get_work(self, instance_id: str) -> bool:
+    def is_instance_eligible(self, instance_id: str) -> bool:
         """Trust every instance."""
         return True
 
--- a/bench/history/removals.py
+++ b/bench/history/removals.py
@@ -92,7 +92,7 @@
     from mustardward.components.routing.index import FleetIndex
 
     setattr(  # noqa: B010
-        MembershipService, "instance_may_get_work", lambda self, instance_id: True
+        MembershipService, "is_instance_eligible", lambda self, instance_id: True
     )
     setattr(FleetIndex, "_may_get_work", lambda self, instance_id: True)  # noqa: B010
 
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -152,7 +152,7 @@
     statuses: set[str | None] = {MemberStatus.SUSPECT}
 
     def is_known(nodes: list[Node]) -> bool:
-        silent = all(node.membership.is_silent(centre) for node in nodes)
+        silent = all(node.membership.is_unreachable(centre) for node in nodes)
         return _learnt(nodes, name, statuses) or silent
 
     here = await _async_until(cluster, lambda: is_known(cluster.nodes_in(centre)))
@@ -167,7 +167,7 @@
     nodes = cluster.nodes_in(node.core.settings.entry.data_centre)
     return await _async_until(
         cluster,
-        lambda: not any(n.membership.instance_may_get_work(worker) for n in nodes),
+        lambda: not any(n.membership.is_instance_eligible(worker) for n in nodes),
     )
 
 
--- a/bench/path_targets.py
+++ b/bench/path_targets.py
@@ -176,7 +176,7 @@
         """Return the one entry."""
         return (self.own,)
 
-    def instance_may_get_work(self, instance_id: str) -> bool:
+    def is_instance_eligible(self, instance_id: str) -> bool:
         """Let every worker get work."""
         return True
 
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -303,7 +303,7 @@
     def monotonic(self) -> float:
         return 0.0
 
-    def instance_may_get_work(self, instance_id: str) -> bool:
+    def is_instance_eligible(self, instance_id: str) -> bool:
         return True
 
 
--- a/bench/policy_model.py
+++ b/bench/policy_model.py
@@ -227,7 +227,7 @@
         """Return the live members."""
         return self._members if data_centre in (None, DATA_CENTRE) else ()
 
-    def instance_may_get_work(self, instance_id: str) -> bool:
+    def is_instance_eligible(self, instance_id: str) -> bool:
         """Leave all judgement to the router."""
         return True
 
@@ -236,7 +236,7 @@
         instance_id: str,
         healthy: bool,
         cause: str,
-        began: float | None = None,
+        sent_at: float | None = None,
     ) -> None:
         """Take no evidence."""
 
--- a/mustardward/components/jobs/setup.py
+++ b/mustardward/components/jobs/setup.py
@@ -65,7 +65,7 @@
     membership = core.find(MEMBERSHIP)
     incarnation = membership.own.incarnation if membership else 0
     identity = home_name(entry.name, incarnation)
-    is_eligible = membership.instance_may_get_work if membership else _always_true
+    is_eligible = membership.is_instance_eligible if membership else _always_true
     pools = PoolIndex(fleet, entry.data_centre, is_eligible)
     attempt_manager = AttemptManager(
         log=core.get(WORK_LOG),
--- a/mustardward/components/maintenance/absence_reporter.py
+++ b/mustardward/components/maintenance/absence_reporter.py
@@ -86,7 +86,7 @@
         parts = self._parts
         state = parts.log.state
         index = index_of(state)
-        suspected = parts.membership.instances_held_back() | self._missing
+        suspected = parts.membership.suspended_instances() | self._missing
         return {
             name
             for name in suspected
--- a/mustardward/components/maintenance/evidence.py
+++ b/mustardward/components/maintenance/evidence.py
@@ -19,7 +19,7 @@
     """
     index = index_of(state)
     found: Counter[str] = Counter()
-    for instance_id in membership.instances_held_back():
+    for instance_id in membership.suspended_instances():
         instance = state.instances.get(instance_id)
         if instance is None or instance.data_centre != data_centre:
             continue
--- a/mustardward/components/maintenance/silence_reporter.py
+++ b/mustardward/components/maintenance/silence_reporter.py
@@ -45,6 +45,6 @@
             contradicted = now - self._spoke.get(centre, float("-inf"))
             if contradicted < CONTRADICTION_SECONDS:
                 continue
-            if self._parts.membership.is_silent(centre):
+            if self._parts.membership.is_unreachable(centre):
                 changes.append(ReportSilence(centre, True))
         return changes
--- a/mustardward/components/membership/instances.py
+++ b/mustardward/components/membership/instances.py
@@ -19,9 +19,9 @@
 )
 from .counter import ChangeCounter, Changes
 from .messages import InstanceNote
-from .models import InstanceHeldBack, InstanceLeaving, InstanceReturned
+from .models import InstanceBackoffStarted, InstanceLeaving, InstanceReturned
 
-InstanceEvent = InstanceLeaving | InstanceReturned | InstanceHeldBack
+InstanceEvent = InstanceLeaving | InstanceReturned | InstanceBackoffStarted
 
 
 @dataclass(slots=True, eq=False)
@@ -181,7 +181,7 @@
         hold = SUSPECT_HOLD_SECONDS * 2.0 ** min(excess, 10)
         hold = min(hold, MAXIMUM_HOLD_SECONDS)
         failures.held_until = now + hold
-        return [InstanceHeldBack(instance_id, cause, failures.number, hold)]
+        return [InstanceBackoffStarted(instance_id, cause, failures.number, hold)]
 
     def note_success(
         self, instance_id: str, began: float | None, now: float
--- a/mustardward/components/membership/models.py
+++ b/mustardward/components/membership/models.py
@@ -1,4 +1,4 @@
-"""Model the entries as their peers know them."""
+"""Define the models and events of the membership component."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class MemberStatus(StrEnum):
-    """Name the states of ``charts/member.yaml``."""
+    """List the states of ``charts/member.yaml``."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -17,17 +17,18 @@
 
 
 FINAL_STATUSES: Final = frozenset({MemberStatus.LEAVING, MemberStatus.GONE})
-"""States from which nothing leads back within one incarnation."""
+"""States that a member can't leave within one incarnation."""
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """Hold one entry process.
+    """Represent one entry process.
 
-    ``incarnation`` is drawn anew at each start and grows; leaving is final for it.
-    ``refutations`` counts the suspicions that it has refuted since.
-    ``fleet_offset`` is the next offset its fold wants, ``fleet_digest`` the beginning
-    of its digest there, both as last told by the member itself.
+    ``incarnation`` is set anew at each start and grows; within one incarnation, leaving
+    is final. ``refutations`` counts the suspicions refuted in this incarnation.
+    ``fleet_offset`` is the next offset of the fleet log that the member will apply, and
+    ``fleet_digest`` a prefix of its state digest at that offset, both as last reported
+    by the member itself.
     """
 
     name: str
@@ -42,20 +43,20 @@
 
     @property
     def start(self) -> int:
-        """Return the incarnation: what stays the same until the process starts anew."""
+        """Return the incarnation, which is constant until the process restarts."""
         return self.incarnation
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipChanged:
-    """Announce on the event bus that a member's status changed."""
+    """Represent a change of a member's status; the event bus carries it."""
 
     member: Member
     previous: MemberStatus | None
 
 
-class OwnVerdict(StrEnum):
-    """Say what others believe of this process that is not so."""
+class ContestReason(StrEnum):
+    """List the wrong beliefs that peers may hold about this process."""
 
     SUSPECTED = "suspected"
     DECLARED_GONE = "declared-gone"
@@ -63,16 +64,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OwnContested:
-    """Announce that this process had to answer what others believe of it."""
+class OwnStatusContested:
+    """Represent this process's reaction to a wrong belief of its peers."""
 
-    verdict: OwnVerdict
+    verdict: ContestReason
     incarnation: int
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceLeaving:
-    """Announce that a worker instance is leaving and gets no new work."""
+    """Represent that a worker instance is leaving and gets no new work."""
 
     instance_id: str
     source: str
@@ -80,15 +81,18 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceReturned:
-    """Announce that a worker instance was positively seen to take work again."""
+    """Represent that a worker instance was confirmed to accept work again."""
 
     instance_id: str
     source: str
 
 
 @dataclass(frozen=True, slots=True)
-class InstanceHeldBack:
-    """Announce that this entry's attempts fail and a worker gets none for a while."""
+class InstanceBackoffStarted:
+    """Represent that this entry node stops using a worker after failed attempts.
+
+    ``seconds`` is the length of the backoff.
+    """
 
     instance_id: str
     source: str
@@ -97,11 +101,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DataCentreSilent:
-    """Announce that a data centre gives no sign any more, or (``silent`` false) again.
+class DataCentreReachabilityChanged:
+    """Represent that a data centre became unreachable or reachable again.
 
-    Every entry that hears of other data centres comes to this by itself.
+    Each entry node detects this by itself.
     """
 
     data_centre: str
-    silent: bool
+    unreachable: bool
--- a/mustardward/components/membership/protocols.py
+++ b/mustardward/components/membership/protocols.py
@@ -1,4 +1,4 @@
-"""Define what other components ask of membership."""
+"""Define the interface of membership for other components."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Membership(Protocol):
-    """Know the live entries and the instances that are leaving."""
+    """Track live entry nodes and the availability of worker instances."""
 
     @property
     def own(self) -> Member:
@@ -16,28 +16,31 @@
         ...
 
     def members(self, data_centre: str | None = None) -> tuple[Member, ...]:
-        """Return all members known, this process included."""
+        """Return all known members that are not gone, this process included."""
         ...
 
     def live(self, data_centre: str | None = None) -> tuple[Member, ...]:
-        """Return the members that are alive, this process included."""
+        """Return the live members of reachable data centres, this process included."""
         ...
 
     def owns_duty(self, duty: str, holders: int = 1) -> bool:
-        """Tell whether this process is among the holders of a duty now.
+        """Return whether a duty is assigned to this process.
 
-        A division of labour only: two holders at once must do no harm.
+        The assignment is no lock: a duty must tolerate more holders than ``holders``.
         """
         ...
 
-    def instance_may_get_work(self, instance_id: str) -> bool:
-        """Tell whether a worker is neither leaving, suspect nor known as down."""
+    def is_instance_eligible(self, instance_id: str) -> bool:
+        """Return whether a worker may get work.
+
+        Excludes instances that are leaving, in backoff, claimed, moving or absent.
+        """
         ...
 
-    def instances_held_back(self) -> frozenset[str]:
-        """Return the instances that evidence speaks against, folded or not.
+    def suspended_instances(self) -> frozenset[str]:
+        """Return the instances that are leaving or in backoff.
 
-        Few at any time, so that looking for them costs nothing as the fleet grows.
+        They are few at any time, so that the cost doesn't grow with the fleet.
         """
         ...
 
@@ -46,27 +49,30 @@
         instance_id: str,
         healthy: bool,
         cause: str,
-        began: float | None = None,
+        sent_at: float | None = None,
     ) -> None:
-        """Take the evidence of an attempt or a probe into account.
+        """Record the outcome of an attempt or a probe.
 
         :param cause: the worker's refusal or the failure; ``draining`` means leaving.
-        :param began: when the attempt was sent, in monotonic seconds. A success clears
-            a leaving instance only if it was sent after the last sign of leaving.
+        :param sent_at: when the attempt was sent, in monotonic seconds. A success marks
+            a leaving instance as returned only if it was sent after the last evidence
+            of its leaving.
         """
         ...
 
-    def is_silent(self, data_centre: str) -> bool:
-        """Tell whether a data centre has given no sign for a while."""
+    def is_unreachable(self, data_centre: str) -> bool:
+        """Return whether no member of a data centre has been reachable for a while."""
         ...
 
     def is_gone(self, name: str, start: int) -> bool:
-        """Tell whether a start of an entry is proven to have ended.
+        """Return whether an incarnation of an entry node is known to have ended.
+
+        An unresponsive entry node is not gone: it may be paused and still hold work.
 
-        An entry that is only silent is not gone: it may be paused with work in hand.
+        :param start: the incarnation.
         """
         ...
 
     async def async_announce_leaving(self) -> None:
-        """Tell all peers at once that this process is leaving."""
+        """Announce to all peers without delay that this process is leaving."""
         ...
--- a/mustardward/components/membership/reporter.py
+++ b/mustardward/components/membership/reporter.py
@@ -9,29 +9,29 @@
 from ...helpers.logging import get_logger
 from ..explain.models import DecisionMade, SubjectKind
 from .models import (
-    DataCentreSilent,
-    InstanceHeldBack,
+    DataCentreReachabilityChanged,
+    InstanceBackoffStarted,
     InstanceLeaving,
     InstanceReturned,
     MembershipChanged,
     MemberStatus,
-    OwnContested,
+    OwnStatusContested,
 )
 
 _LOGGER = get_logger(__name__)
 
 Event = (
     MembershipChanged
-    | OwnContested
+    | OwnStatusContested
     | InstanceLeaving
     | InstanceReturned
-    | InstanceHeldBack
-    | DataCentreSilent
+    | InstanceBackoffStarted
+    | DataCentreReachabilityChanged
 )
 _DECISIONS: Final = {
     InstanceLeaving: "instance-leaving",
     InstanceReturned: "instance-returned",
-    InstanceHeldBack: "instance-held-back",
+    InstanceBackoffStarted: "instance-held-back",
 }
 _URGENT: Final = (MemberStatus.SUSPECT, MemberStatus.LEAVING, MemberStatus.GONE)
 
@@ -69,7 +69,7 @@
     def _explain(self, event: Event, pass_on: bool) -> None:
         # The entry that met the evidence tells of it; those that it told need not.
         inputs: tuple[str, ...] = ()
-        if isinstance(event, InstanceHeldBack):
+        if isinstance(event, InstanceBackoffStarted):
             inputs = (f"failures={event.failures}", f"seconds={event.seconds:g}")
         elif not (pass_on and isinstance(event, InstanceLeaving | InstanceReturned)):
             return
@@ -87,7 +87,7 @@
 
 def _is_urgent(event: Event, pass_on: bool) -> bool:
     # What this process answers to a suspicion of itself, nobody else can tell.
-    if isinstance(event, OwnContested):
+    if isinstance(event, OwnStatusContested):
         return True
     if isinstance(event, MembershipChanged):
         return pass_on and event.member.status in _URGENT
@@ -104,13 +104,15 @@
             status=event.member.status,
             previous=event.previous,
         )
-    elif isinstance(event, OwnContested):
+    elif isinstance(event, OwnStatusContested):
         _LOGGER.warning(
             "member_contested", verdict=event.verdict, incarnation=event.incarnation
         )
-    elif isinstance(event, DataCentreSilent):
+    elif isinstance(event, DataCentreReachabilityChanged):
         _LOGGER.warning(
-            "data_centre_silent", data_centre=event.data_centre, silent=event.silent
+            "data_centre_silent",
+            data_centre=event.data_centre,
+            silent=event.unreachable,
         )
     else:
         name = _DECISIONS[type(event)].replace("-", "_")
--- a/mustardward/components/membership/services.py
+++ b/mustardward/components/membership/services.py
@@ -79,16 +79,16 @@
 
     def live(self, data_centre: str | None = None) -> tuple[Member, ...]:
         """Return the members that are alive, this process included."""
-        silent = self._silence.silent
+        unreachable = self._silence.unreachable
         return tuple(
             member
             for member in self._table.members(data_centre)
-            if is_live(member) and member.data_centre not in silent
+            if is_live(member) and member.data_centre not in unreachable
         )
 
-    def is_silent(self, data_centre: str) -> bool:
+    def is_unreachable(self, data_centre: str) -> bool:
         """Tell whether a data centre has given no sign for a while."""
-        return data_centre in self._silence.silent
+        return data_centre in self._silence.unreachable
 
     def is_gone(self, name: str, start: int) -> bool:
         """Tell whether a start of an entry is proven to have ended."""
@@ -111,11 +111,11 @@
         )
         return own.name in names
 
-    def instances_held_back(self) -> frozenset[str]:
+    def suspended_instances(self) -> frozenset[str]:
         """Return the instances that own or peers' evidence speaks against."""
         return self._instances.held_back(self._timers.monotonic())
 
-    def instance_may_get_work(self, instance_id: str) -> bool:
+    def is_instance_eligible(self, instance_id: str) -> bool:
         """Tell whether a worker is neither leaving, suspect nor known as down."""
         now = self._timers.monotonic()
         if not self._instances.may_get_work(instance_id, now):
@@ -134,12 +134,12 @@
         instance_id: str,
         healthy: bool,
         cause: str,
-        began: float | None = None,
+        sent_at: float | None = None,
     ) -> None:
         """Take the evidence of an attempt or a probe into account."""
         now = self._timers.monotonic()
         if healthy:
-            events = self._instances.note_success(instance_id, began, now)
+            events = self._instances.note_success(instance_id, sent_at, now)
             self._reporter.report(events, pass_on=True)
         elif cause in DRAINING_CAUSES:
             events = self._instances.note_leaving(instance_id, "worker", now)
--- a/mustardward/components/membership/silence.py
+++ b/mustardward/components/membership/silence.py
@@ -12,7 +12,7 @@
 import xxhash
 
 from .const import SILENCE_SECONDS
-from .models import DataCentreSilent
+from .models import DataCentreReachabilityChanged
 
 _UNITS_PER_SECOND: Final = 4
 _OLDEST: Final = 255
@@ -30,7 +30,7 @@
         self._silent: set[str] = set()
 
     @property
-    def silent(self) -> frozenset[str]:
+    def unreachable(self) -> frozenset[str]:
         """Return the data centres that are silent."""
         return frozenset(self._silent)
 
@@ -74,15 +74,15 @@
         for name in self._heard:
             self._heard[name] += lost_seconds
 
-    def check(self, now: float) -> list[DataCentreSilent]:
+    def check(self, now: float) -> list[DataCentreReachabilityChanged]:
         """Return what changed."""
         events = []
         for name, heard in self._heard.items():
-            silent = name != self._own and now - heard > SILENCE_SECONDS
-            if silent != (name in self._silent):
-                events.append(DataCentreSilent(name, silent))
+            unreachable = name != self._own and now - heard > SILENCE_SECONDS
+            if unreachable != (name in self._silent):
+                events.append(DataCentreReachabilityChanged(name, unreachable))
         for event in events:
-            if event.silent:
+            if event.unreachable:
                 self._silent.add(event.data_centre)
             else:
                 self._silent.discard(event.data_centre)
--- a/mustardward/components/membership/table.py
+++ b/mustardward/components/membership/table.py
@@ -17,11 +17,11 @@
 from .counter import ChangeCounter
 from .models import (
     FINAL_STATUSES,
+    ContestReason,
     Member,
     MembershipChanged,
     MemberStatus,
-    OwnContested,
-    OwnVerdict,
+    OwnStatusContested,
 )
 
 _EVENTS: Final = {
@@ -35,7 +35,7 @@
 """Incarnation of a member known by its address only; it is never told on."""
 
 
-TableEvent = MembershipChanged | OwnContested
+TableEvent = MembershipChanged | OwnStatusContested
 
 
 @dataclass(slots=True, eq=False)
@@ -256,31 +256,31 @@
         if told.status in FINAL_STATUSES:
             # Others were given proof that this process ended, and may have acted on
             # it, while it was only paused. That incarnation stays ended; it joins anew.
-            return self._restart(told, OwnVerdict.DECLARED_GONE, now)
+            return self._restart(told, ContestReason.DECLARED_GONE, now)
         if told.refutations < own.refutations:
             return []
         self._put(replace(own, refutations=told.refutations + 1), now)
-        return [OwnContested(OwnVerdict.SUSPECTED, own.incarnation)]
+        return [OwnStatusContested(ContestReason.SUSPECTED, own.incarnation)]
 
     def _meet_namesake(self, told: Member, now: float) -> list[TableEvent]:
         # Before it joined, this process may meet its own predecessor, whose clock ran
         # ahead: it then has to start later than that one. Afterwards, a later start
         # under its name is a successor, and the two would outbid each other for ever.
         if not self._joined:
-            return self._restart(told, OwnVerdict.DECLARED_GONE, now)
+            return self._restart(told, ContestReason.DECLARED_GONE, now)
         events = self.leave(MemberStatus.LEAVING, now)
         if not events:
             return []
-        return [*events, OwnContested(OwnVerdict.SUPERSEDED, told.incarnation)]
+        return [*events, OwnStatusContested(ContestReason.SUPERSEDED, told.incarnation)]
 
     def _restart(
-        self, told: Member, verdict: OwnVerdict, now: float
+        self, told: Member, verdict: ContestReason, now: float
     ) -> list[TableEvent]:
         incarnation = told.incarnation + 1
         status = MemberStatus(self._chart.initial)
         anew = replace(self.own, incarnation=incarnation, status=status, refutations=0)
         self._put(anew, now)
-        return [OwnContested(verdict, incarnation)]
+        return [OwnStatusContested(verdict, incarnation)]
 
     def _put(self, member: Member, now: float, source: str = "") -> None:
         self._digests = None
--- a/mustardward/components/routing/services.py
+++ b/mustardward/components/routing/services.py
@@ -206,7 +206,7 @@
                 self._random,
                 now,
                 excluded,
-                self._membership.instance_may_get_work,
+                self._membership.is_instance_eligible,
             )
             if load is not None:
                 return load
@@ -246,7 +246,7 @@
         if load is None or now < load.avoid_until:
             return None
         instance_id = load.instance.instance_id
-        return load if self._membership.instance_may_get_work(instance_id) else None
+        return load if self._membership.is_instance_eligible(instance_id) else None
 
     def _record_unreachable(
         self, load: WorkerLoad, attempt: Attempt, now: float
--- a/tests/components/maintenance/test_executor.py
+++ b/tests/components/maintenance/test_executor.py
@@ -148,7 +148,7 @@
     site.power.finish_reboots()
     while name in site.driver.state.claims:
         await executor.async_step()
-    assert site.membership.instance_may_get_work(name)
+    assert site.membership.is_instance_eligible(name)
     await take_to(site, executor, "rebooting")
     assert site.causes("claim-given-back") == []
 
--- a/tests/components/membership/test_cluster.py
+++ b/tests/components/membership/test_cluster.py
@@ -129,23 +129,23 @@
     cluster.network.cut_between(inside, cluster.addresses("v-3"))
     await cluster.async_run(20.0)
     for node in cluster.nodes_in("v-1") + cluster.nodes_in("v-2"):
-        assert node.membership.is_silent("v-3")
+        assert node.membership.is_unreachable("v-3")
         assert node.live("v-3") == set()
         assert node.status("v-3-0") is MemberStatus.ALIVE
-        assert [event.data_centre for event in node.silences] == ["v-3"]
+        assert [event.data_centre for event in node.reachability_changes] == ["v-3"]
     assert cluster.nodes["v-3-0"].live() == {"v-3-0", "v-3-1"}
     cluster.network.cut.clear()
     await cluster.async_run(15.0)
     for node in cluster.nodes.values():
         assert node.live() == set(cluster.nodes)
-        assert node.silences[-1].silent is False
+        assert node.reachability_changes[-1].unreachable is False
 
 
 async def test_cut_between_two_data_centres_is_no_silence() -> None:
     cluster = await _async_started({"v-1": 2, "v-2": 2, "v-3": 2})
     cluster.network.cut_between(cluster.addresses("v-1"), cluster.addresses("v-2"))
     await cluster.async_run(40.0)
-    assert not any(node.silences for node in cluster.nodes.values())
+    assert not any(node.reachability_changes for node in cluster.nodes.values())
 
 
 async def test_paused_entry_does_not_declare_its_peers_dead() -> None:
@@ -169,7 +169,7 @@
     assert not sleeper.membership.owns_duty("anything", holders=9)
     await cluster.async_run(15.0)
     assert [c.member.status for c in sleeper.changes[changes:]] == []
-    assert sleeper.silences == []
+    assert sleeper.reachability_changes == []
     assert sleeper.membership.owns_duty("anything", holders=9)
     assert all(node.live() == set(cluster.nodes) for node in cluster.nodes.values())
 
--- a/tests/components/membership/test_instances.py
+++ b/tests/components/membership/test_instances.py
@@ -32,9 +32,7 @@
 
 
 def _may(cluster: Cluster, centre: str = "v-1") -> list[bool]:
-    return [
-        n.membership.instance_may_get_work(WORKER) for n in cluster.nodes_in(centre)
-    ]
+    return [n.membership.is_instance_eligible(WORKER) for n in cluster.nodes_in(centre)]
 
 
 def _list(state: ListedState, boot: int = 1) -> tuple[ListedInstance, ...]:
@@ -67,7 +65,7 @@
     await cluster.async_run(5.0)
     first = cluster.nodes["v-1-2"].membership
     first.report_instance(WORKER, False, "draining")
-    assert not first.instance_may_get_work(WORKER)
+    assert not first.is_instance_eligible(WORKER)
     passed = await cluster.async_run_until(_everywhere(cluster, False), 10.0)
     assert passed <= 3.0
     await cluster.async_run(60.0)
@@ -139,7 +137,7 @@
     node = cluster.nodes["v-1-0"].membership
     offers = 0
     for _ in range(600):
-        if node.instance_may_get_work(WORKER):
+        if node.is_instance_eligible(WORKER):
             offers += 1
             node.report_instance(WORKER, False, "draining")
         await cluster.async_run(0.1)
@@ -159,12 +157,12 @@
     await cluster.async_run(0.5)
     node.membership.report_instance(WORKER, False, "draining")
     node.membership.report_instance(WORKER, True, "answered")
-    node.membership.report_instance(WORKER, True, "answered", began=sent)
-    assert not node.membership.instance_may_get_work(WORKER)
+    node.membership.report_instance(WORKER, True, "answered", sent_at=sent)
+    assert not node.membership.is_instance_eligible(WORKER)
     await cluster.async_run(0.5)
     now = node.timers.monotonic()
-    node.membership.report_instance(WORKER, True, "answered", began=now)
-    assert node.membership.instance_may_get_work(WORKER)
+    node.membership.report_instance(WORKER, True, "answered", sent_at=now)
+    assert node.membership.is_instance_eligible(WORKER)
     assert await cluster.async_run_until(_everywhere(cluster, True), 20.0) <= 8.0
 
 
@@ -195,9 +193,9 @@
 async def test_folded_state_keeps_work_away(take: Callable[[Node], None]) -> None:
     cluster = await _async_started()
     node = cluster.nodes["v-1-0"]
-    assert node.membership.instance_may_get_work(WORKER)
+    assert node.membership.is_instance_eligible(WORKER)
     take(node)
-    assert not node.membership.instance_may_get_work(WORKER)
+    assert not node.membership.is_instance_eligible(WORKER)
 
 
 async def test_quarantined_worker_is_left_to_probation() -> None:
@@ -205,23 +203,23 @@
     node = cluster.nodes["v-1-0"]
     absence = Absence(WORKER, "quarantine", "v-1", 1)
     node.fleet.state.absences[WORKER] = absence
-    assert node.membership.instance_may_get_work(WORKER)
+    assert node.membership.is_instance_eligible(WORKER)
 
 
 async def test_failures_hold_a_worker_back_for_a_growing_while() -> None:
     cluster = await _async_started()
     node = cluster.nodes["v-1-0"]
     for cause in ("busy", "stale-generation", "connect", "connect"):
-        assert node.membership.instance_may_get_work(WORKER)
+        assert node.membership.is_instance_eligible(WORKER)
         node.membership.report_instance(WORKER, False, cause)
-    assert not node.membership.instance_may_get_work(WORKER)
+    assert not node.membership.is_instance_eligible(WORKER)
     await cluster.async_run(1.1)
-    assert node.membership.instance_may_get_work(WORKER)
+    assert node.membership.is_instance_eligible(WORKER)
     node.membership.report_instance(WORKER, False, "connect")
     await cluster.async_run(1.1)
-    assert not node.membership.instance_may_get_work(WORKER)
+    assert not node.membership.is_instance_eligible(WORKER)
     node.membership.report_instance(WORKER, True, "answered")
-    assert node.membership.instance_may_get_work(WORKER)
+    assert node.membership.is_instance_eligible(WORKER)
 
 
 async def test_leaving_and_return_are_announced_once() -> None:
--- a/tests/components/membership/test_table.py
+++ b/tests/components/membership/test_table.py
@@ -11,11 +11,11 @@
 from mustardward.components.membership.const import TOMBSTONE_SECONDS
 from mustardward.components.membership.counter import ChangeCounter
 from mustardward.components.membership.models import (
+    ContestReason,
     Member,
     MembershipChanged,
     MemberStatus,
-    OwnContested,
-    OwnVerdict,
+    OwnStatusContested,
 )
 from mustardward.components.membership.table import MemberTable
 
@@ -88,7 +88,9 @@
     table = _table()
     contested = table.apply([_member("a", SUSPECT)], 0.0)
     refuted = _member("a", refuted=1)
-    assert contested == [OwnContested(OwnVerdict.SUSPECTED, refuted.incarnation)]
+    assert contested == [
+        OwnStatusContested(ContestReason.SUSPECTED, refuted.incarnation)
+    ]
     assert table.own == refuted
 
 
--- a/tests/fakes/cluster.py
+++ b/tests/fakes/cluster.py
@@ -18,7 +18,7 @@
 )
 from mustardward.components.membership import async_setup
 from mustardward.components.membership.models import (
-    DataCentreSilent,
+    DataCentreReachabilityChanged,
     MembershipChanged,
     MemberStatus,
 )
@@ -98,7 +98,9 @@
     power: FakePower
     unload: Unload
     changes: list[MembershipChanged] = field(default_factory=list)
-    silences: list[DataCentreSilent] = field(default_factory=list)
+    reachability_changes: list[DataCentreReachabilityChanged] = field(
+        default_factory=list
+    )
     paused_seconds: float = 0.0
 
     @property
@@ -156,7 +158,9 @@
             name, core, timers, peers, fleet, load, listing, power, _async_do_nothing
         )
         core.events.listen(MembershipChanged, node.changes.append)
-        core.events.listen(DataCentreSilent, node.silences.append)
+        core.events.listen(
+            DataCentreReachabilityChanged, node.reachability_changes.append
+        )
         node.unload = await async_setup(core)
         self.nodes[name] = node
         host, _, port = address.rpartition(":")
--- a/tests/fakes/policy.py
+++ b/tests/fakes/policy.py
@@ -60,7 +60,7 @@
             if data_centre is None or member.data_centre == data_centre
         )
 
-    def instance_may_get_work(self, instance_id: str) -> bool:
+    def is_instance_eligible(self, instance_id: str) -> bool:
         return instance_id not in self.blocked
 
     def report_instance(
@@ -68,7 +68,7 @@
         instance_id: str,
         healthy: bool,
         cause: str,
-        began: float | None = None,
+        sent_at: float | None = None,
     ) -> None:
         self.reports.append((instance_id, healthy, cause))
 
--- a/tests/fakes/waves.py
+++ b/tests/fakes/waves.py
@@ -206,10 +206,10 @@
     def owns_duty(self, duty: str, holders: int = 1) -> bool:
         return self.duty
 
-    def instance_may_get_work(self, instance_id: str) -> bool:
+    def is_instance_eligible(self, instance_id: str) -> bool:
         return instance_id not in self.down
 
-    def instances_held_back(self) -> frozenset[str]:
+    def suspended_instances(self) -> frozenset[str]:
         return frozenset(self.down)
 
     def restart(self) -> None:
@@ -221,7 +221,7 @@
     def is_gone(self, name: str, start: int) -> bool:
         return (name, start) in self.gone
 
-    def is_silent(self, data_centre: str) -> bool:
+    def is_unreachable(self, data_centre: str) -> bool:
         return data_centre in self.silent
 
     def report_instance(
@@ -229,7 +229,7 @@
         instance_id: str,
         healthy: bool,
         cause: str,
-        began: float | None = None,
+        sent_at: float | None = None,
     ) -> None:
         if healthy:
             self.down.discard(instance_id)
