--- a/bench/capacity/roles.py
+++ b/bench/capacity/roles.py
@@ -6,8 +6,8 @@
 from typing import Final
 
 from mustardward.components.membership.const import (
-    LIST_SECONDS,
-    LIST_SECONDS_PER_INSTANCE,
+    LIST_INTERVAL_SECONDS,
+    LIST_INTERVAL_SECONDS_PER_INSTANCE,
 )
 
 from . import target
@@ -106,7 +106,7 @@
 def list_role(fits: dict[str, Fit]) -> Role:
     """Return what a reader of the platform's list spends besides."""
     workers = target.WORKERS / target.DATA_CENTRES
-    interval = max(LIST_SECONDS, LIST_SECONDS_PER_INSTANCE * workers)
+    interval = max(LIST_INTERVAL_SECONDS, LIST_INTERVAL_SECONDS_PER_INSTANCE * workers)
     role = Role(
         "list reader, besides",
         mechanism="two a data centre; its part of the list is read the more rarely "
--- a/bench/membership_memory.py
+++ b/bench/membership_memory.py
@@ -49,7 +49,7 @@
 def _fill_notes() -> InstanceTable:
     table = InstanceTable(ChangeCounter())
     for number in range(_ITEMS):
-        table.note_leaving(f"worker-{number:05d}", "list", 0.0, 1)
+        table.record_leaving(f"worker-{number:05d}", "list", 0.0, 1)
     return table
 
 
--- a/mustardward/components/membership/__init__.py
+++ b/mustardward/components/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Know which entries are live, suspect or leaving."""
+"""Track the entry nodes and the availability of worker instances by gossip."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 async def async_setup(core: Core) -> Unload:
-    """Set the component up and return what undoes it."""
+    """Set up the component and return the function that unloads it."""
     from ..keys import MEMBERSHIP
     from .assembly import assemble
 
-    parts = assemble(core)
-    core.put(MEMBERSHIP, parts.service)
-    undo = parts.subscribe(core.timers)
-    await parts.gossip.async_round()
+    runtime = assemble(core)
+    core.put(MEMBERSHIP, runtime.service)
+    unsubscribes = runtime.subscribe(core.timers)
+    await runtime.gossip.async_round()
 
     async def async_unload() -> None:
-        await parts.service.async_announce_end()
-        for undo_one in undo:
-            undo_one()
+        await runtime.service.async_announce_end()
+        for unsubscribe in unsubscribes:
+            unsubscribe()
         core.remove(MEMBERSHIP)
 
     return async_unload
--- a/mustardward/components/membership/const.py
+++ b/mustardward/components/membership/const.py
@@ -1,72 +1,72 @@
-"""Hold the timing and bounds of membership."""
+"""Define intervals, timeouts and limits of the membership component."""
 
 from __future__ import annotations
 
 from typing import Final
 
-ROUND_SECONDS: Final = 1.0
-"""Time between two exchanges that this process begins."""
+GOSSIP_INTERVAL_SECONDS: Final = 1.0
+"""Interval of the gossip rounds of this process."""
 
-FLUSH_SECONDS: Final = 0.2
-"""Time for which urgent news is gathered before it goes to all at once."""
+FLUSH_INTERVAL_SECONDS: Final = 0.2
+"""Time for which urgent changes are batched before they are sent to all local peers."""
 
 EXCHANGE_TIMEOUT_SECONDS: Final = 0.5
 PROBE_TIMEOUT_SECONDS: Final = 1.2
-PROBE_HELPERS: Final = 2
-"""Peers that are asked whether they reach a member that this process does not."""
+INDIRECT_PROBES: Final = 2
+"""Peers asked to probe a member that doesn't respond to this process."""
 
-HEARD_RECENTLY_SECONDS: Final = 2.0
-"""A member heard this recently is not suspected for one failed call."""
+RECENT_CONTACT_SECONDS: Final = 2.0
+"""After contact this recent, a failed call doesn't make a member suspect."""
 
 SUSPECT_RETRY_SECONDS: Final = 5.0
-"""Time between two calls to the same suspect, besides the ordinary round."""
+"""Minimum time between two calls to a suspect or failing member."""
 
-DELEGATES: Final = 2
-"""Members of each data centre that talk to other data centres."""
+DELEGATES_PER_DATA_CENTRE: Final = 2
+"""Members of each data centre that gossip with other data centres."""
 
-SILENCE_SECONDS: Final = 10.0
-"""Time without any sign of a data centre after which it counts as silent."""
+UNREACHABLE_AFTER_SECONDS: Final = 10.0
+"""Time without contact after which a data centre counts as unreachable."""
 
-FIRST_CONTACTS: Final = 3
-"""Members near and far that a process tries at once until one lets it join."""
+JOIN_CONTACTS: Final = 3
+"""Local and as many remote members that a joining process contacts in each round."""
 
-DIGEST_MEMBERS: Final = 8
-"""Most members in one digest, the last changed; others are fetched as a view."""
+MAX_DIGEST_MEMBERS: Final = 8
+"""Most members in one digest, last changed first; others are fetched as a view."""
 
-DIGEST_NOTES: Final = 64
-"""Most notes on instances in one digest; the rest waits for the next one."""
+MAX_DIGEST_NOTES: Final = 64
+"""Most instance notes in one digest; the rest is sent in the next ones."""
 
-VIEW_MISMATCHES: Final = 3
-"""Exchanges in a row with a differing view before the difference is fetched."""
+VIEW_MISMATCH_LIMIT: Final = 3
+"""Consecutive exchanges with a differing view before the view is fetched."""
 
-FORGET_SECONDS: Final = 60.0
+CLEANUP_INTERVAL_SECONDS: Final = 60.0
 VIEW_INTERVAL_SECONDS: Final = 5.0
 TOMBSTONE_SECONDS: Final = 86_400.0
-"""Time for which a gone member is remembered, so that no stale peer revives it."""
+"""Retention of a gone member, which prevents a stale peer from reviving it."""
 
-LIST_SECONDS: Final = 2.0
-LIST_SECONDS_PER_INSTANCE: Final = 0.2
-"""The longer the list, the more rarely it is read: 160 bytes for each instance make
-800 bytes a second then, whatever the length."""
+LIST_INTERVAL_SECONDS: Final = 2.0
+LIST_INTERVAL_SECONDS_PER_INSTANCE: Final = 0.2
+"""The read interval grows with the list: at 160 bytes for each instance, reading costs
+800 bytes a second whatever the length."""
 
-LIST_HOLDERS: Final = 2
-LIST_ABSENCES: Final = 2
-"""Reads in a row that must lack a suspect entry before it counts as gone."""
+LIST_DUTY_HOLDERS: Final = 2
+ABSENCES_BEFORE_GONE: Final = 2
+"""Consecutive reads without a suspect or leaving entry node before it is gone."""
 
-RETURN_CHECK_SECONDS: Final = 2.0
-RETURN_CHECKS: Final = 8
-"""Most leaving instances whose power state is asked for in one check."""
+RETURN_CHECK_INTERVAL_SECONDS: Final = 2.0
+MAX_RETURN_CHECKS: Final = 8
+"""Most leaving instances whose power state is requested in one check."""
 
-RETURN_QUIET_SECONDS: Final = 3.0
-MAXIMUM_QUIET_SECONDS: Final = 60.0
-"""Bounds of the time without a refusal before an instance counts as returned."""
+MIN_QUIET_SECONDS: Final = 3.0
+MAX_QUIET_SECONDS: Final = 60.0
+"""Bounds of the time without evidence of leaving before an instance can return."""
 
-FAILURES_TO_SUSPECT: Final = 2
-SUSPECT_HOLD_SECONDS: Final = 1.0
-MAXIMUM_HOLD_SECONDS: Final = 30.0
+BACKOFF_FAILURE_THRESHOLD: Final = 2
+MIN_BACKOFF_SECONDS: Final = 1.0
+MAX_BACKOFF_SECONDS: Final = 30.0
 
-NOTE_MEMORY_SECONDS: Final = 600.0
-"""Time for which the return of an instance is remembered."""
+NOTE_RETENTION_SECONDS: Final = 600.0
+"""Retention of resolved instance notes and of failure counts."""
 
 DUTY_LIST: Final = "membership.list"
 DUTY_RETURNS: Final = "membership.returns"
--- a/mustardward/components/membership/counter.py
+++ b/mustardward/components/membership/counter.py
@@ -1,4 +1,4 @@
-"""Number the changes of this process's knowledge."""
+"""Assign version numbers to the changes in the membership tables."""
 
 from __future__ import annotations
 
@@ -11,30 +11,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Changes(Generic[T]):
-    """Hold changed things, oldest first; ``until`` is the change they are whole to."""
+    """Hold changed items, oldest first, complete up to version ``until``."""
 
     items: tuple[T, ...]
     until: int
 
 
 class ChangeCounter:
-    """Count changes; tables that share one can be compared by one number."""
+    """Count changes; tables that share a counter share one sequence of versions."""
 
     def __init__(self) -> None:
         self._value = 0
 
     @property
     def value(self) -> int:
-        """Return the number of the last change."""
+        """Return the version of the last change."""
         return self._value
 
     def advance(self) -> int:
-        """Return the number for a new change."""
+        """Return the version for a new change."""
         self._value += 1
         return self._value
 
     def oldest(self, changed: Iterable[tuple[int, T]], limit: int) -> Changes[T]:
-        """Return the oldest of some numbered changes."""
+        """Return the oldest changes, at most ``limit``.
+
+        :param changed: pairs of a version and an item.
+        """
         ordered = sorted(changed, key=lambda pair: pair[0])
         items = tuple(item for _, item in ordered[:limit])
         if len(ordered) <= limit:
--- a/mustardward/components/membership/digests.py
+++ b/mustardward/components/membership/digests.py
@@ -1,7 +1,7 @@
-"""Build and take in the digests that entries exchange.
+"""Build and apply the digests that entry nodes exchange.
 
-Pure but for the tables it changes. A digest carries only what its receiver has not
-seen, by the receiver's own word, so a lost reply is made good by the next one.
+Has no side effects except on the tables. A digest carries only what the receiver hasn't
+acknowledged, so that the next digest makes up for a lost one.
 """
 
 from __future__ import annotations
@@ -9,67 +9,68 @@
 from dataclasses import dataclass
 from typing import Final, TypeVar
 
-from .const import DIGEST_MEMBERS, DIGEST_NOTES, VIEW_MISMATCHES
+from .const import MAX_DIGEST_MEMBERS, MAX_DIGEST_NOTES, VIEW_MISMATCH_LIMIT
 from .counter import ChangeCounter, Changes
+from .failure_detector import DataCentreFailureDetector
 from .instances import InstanceTable
 from .messages import InstanceNote, MemberState, News, Vitals
 from .models import Member, MemberStatus
 from .reporter import Event
-from .silence import SilenceDetector
-from .table import UNMET, MemberTable
+from .table import UNCONFIRMED, MemberTable
 
 NewsT = TypeVar("NewsT", bound=News)
 
-_CONTESTED: Final = (MemberStatus.SUSPECT, MemberStatus.GONE)
+_DISPUTED_STATUSES: Final = (MemberStatus.SUSPECT, MemberStatus.GONE)
 
 
 @dataclass(slots=True, eq=False)
-class _Dialogue:
-    """Hold how far this process and an incarnation of a peer know of each other."""
+class _PeerProgress:
+    """Hold which versions this process and one incarnation of a peer have exchanged."""
 
     incarnation: int
-    seen_by_peer: int = 0
+    acknowledged: int = 0
     received: int = 0
-    heard: float = float("-inf")
+    last_contact: float = float("-inf")
 
 
 class Digests:
-    """Exchange the news of three tables with peers."""
+    """Build digests of the membership tables and apply those of peers."""
 
     def __init__(
         self,
         counter: ChangeCounter,
         members: MemberTable,
         instances: InstanceTable,
-        silence: SilenceDetector,
+        failure_detector: DataCentreFailureDetector,
     ) -> None:
         self._counter = counter
         self._members = members
         self._instances = instances
-        self._silence = silence
-        self._dialogues: dict[str, _Dialogue] = {}
-        self._spoken: dict[str, int] = {}
+        self._failure_detector = failure_detector
+        self._progress: dict[str, _PeerProgress] = {}
+        self._received_incarnations: dict[str, int] = {}
         self._mismatches = {True: 0, False: 0}
 
-    def wants_view(self, peer: str) -> bool:
-        """Tell whether this process and peers near or far have differed for a while.
+    def needs_view(self, peer: str) -> bool:
+        """Return whether the member views have differed for several exchanges.
 
-        The two are counted apart: a data centre whose entries agree with each other
-        would else never notice that it differs from all others.
+        Local and remote peers are counted separately: otherwise a data centre whose
+        entry nodes agree with each other would never detect that it differs from all
+        others.
         """
-        return self._mismatches[self._is_near(peer)] >= VIEW_MISMATCHES
+        return self._mismatches[self._is_local(peer)] >= VIEW_MISMATCH_LIMIT
 
-    def heard(self, name: str) -> float:
-        """Return when a peer last spoke."""
-        dialogue = self._dialogues.get(name)
-        return dialogue.heard if dialogue else float("-inf")
+    def last_contact(self, name: str) -> float:
+        """Return when a peer last sent a digest, in monotonic seconds."""
+        progress = self._progress.get(name)
+        return progress.last_contact if progress else float("-inf")
 
     def build(self, news_type: type[NewsT], peer: str, now: float) -> NewsT:
-        """Return the news for a peer."""
+        """Return the digest for a peer."""
         own = self._members.own
-        dialogue = self._dialogues.get(peer)
-        seen = dialogue.seen_by_peer if dialogue else 0
-        centres, heard = self._silence.tell(now)
+        progress = self._progress.get(peer)
+        seen = progress.acknowledged if progress else 0
+        centres, heard = self._failure_detector.encode_ages(now)
         members = self._member_news(peer, seen)
         instances = self._instance_news(peer, seen)
         return news_type(
@@ -77,7 +78,7 @@
                 own.incarnation, own.fleet_offset, own.fleet_digest, own.in_flight
             ),
             version=instances.until,
-            seen=dialogue.received if dialogue else 0,
+            seen=progress.received if progress else 0,
             view=self._members.view(),
             members=tuple(MemberState.of(member) for member in members),
             instances=instances.items,
@@ -85,85 +86,92 @@
             heard=heard,
         )
 
-    def take(self, peer: str, news: News, now: float) -> list[Event]:
-        """Take in a peer's news and return what changed."""
-        told = [state.to_member() for state in news.members]
-        events: list[Event] = list(self._members.apply(told, now, peer))
-        self._spoken[peer] = news.vitals.incarnation
+    def apply(self, peer: str, news: News, now: float) -> list[Event]:
+        """Apply a peer's digest and return the resulting events."""
+        received = [state.to_member() for state in news.members]
+        events: list[Event] = list(self._members.apply(received, now, peer))
+        self._received_incarnations[peer] = news.vitals.incarnation
         member = self._members.get(peer)
-        if member is None or member.incarnation == UNMET:
+        if member is None or member.incarnation == UNCONFIRMED:
             return events
         if member.incarnation > news.vitals.incarnation:
             return events
-        self._note_dialogue(member, news, now)
+        self._record_progress(member, news, now)
         self._members.update_vitals(
             peer,
             news.vitals.fleet_offset,
             news.vitals.fleet_digest,
             news.vitals.in_flight,
         )
-        self._silence.hear(member.data_centre, now)
-        self._silence.hear_of(news.centres, news.heard, now)
-        near = self._is_near(peer)
-        if near:
-            events.extend(self._instances.merge(news.instances, peer, now))
+        self._failure_detector.record_contact(member.data_centre, now)
+        self._failure_detector.merge_ages(news.centres, news.heard, now)
+        is_local = self._is_local(peer)
+        if is_local:
+            events.extend(self._instances.apply_notes(news.instances, peer, now))
         differs = news.view != self._members.view()
-        self._mismatches[near] = self._mismatches[near] + 1 if differs else 0
+        self._mismatches[is_local] = self._mismatches[is_local] + 1 if differs else 0
         return events
 
-    def take_view(self, peer: str, told: list[Member], now: float) -> list[Event]:
-        """Take in the members of whole data centres."""
-        self._mismatches[self._is_near(peer)] = 0
-        return list(self._members.apply(told, now, peer))
+    def apply_view(self, peer: str, received: list[Member], now: float) -> list[Event]:
+        """Apply the members of whole data centres and return the resulting events."""
+        self._mismatches[self._is_local(peer)] = 0
+        return list(self._members.apply(received, now, peer))
 
-    def forget(self) -> None:
-        """Drop dialogues with peers that are no longer known."""
-        for name in list(self._spoken):
+    def remove_expired(self) -> None:
+        """Remove the progress of peers that are no longer known."""
+        for name in list(self._received_incarnations):
             if self._members.get(name) is None:
-                del self._spoken[name]
-                self._dialogues.pop(name, None)
-
-    def _note_dialogue(self, member: Member, news: News, now: float) -> None:
-        dialogue = self._dialogues.get(member.name)
-        if dialogue is None or dialogue.incarnation != member.incarnation:
-            dialogue = _Dialogue(member.incarnation)
-            self._dialogues[member.name] = dialogue
-        # A number above ours was counted by an earlier start of this process.
+                del self._received_incarnations[name]
+                self._progress.pop(name, None)
+
+    def _record_progress(self, member: Member, news: News, now: float) -> None:
+        progress = self._progress.get(member.name)
+        if progress is None or progress.incarnation != member.incarnation:
+            progress = _PeerProgress(member.incarnation)
+            self._progress[member.name] = progress
+        # A version above the counter belongs to an earlier run of this process.
         known = news.seen <= self._counter.value
-        dialogue.seen_by_peer = news.seen if known else 0
-        dialogue.received = news.version
-        dialogue.heard = now
+        progress.acknowledged = news.seen if known else 0
+        progress.received = news.version
+        progress.last_contact = now
 
     def _member_news(self, peer: str, seen: int) -> list[Member]:
-        # A peer met for the first time needs to know who speaks; the rest it fetches
-        # as a whole, once, if its view differs. So it does when more changed than a
-        # digest holds: where many change at once, most of the news would reach each
-        # entry many times over.
+        # A new peer only needs the sender; it fetches the rest once as a view if its
+        # own differs. The same holds if more changed than a digest holds: when many
+        # members change at once, each entry node would receive most changes many times.
         if seen:
-            news = self._members.changes_since(seen, DIGEST_MEMBERS, peer)
+            news = self._members.changes_since(seen, MAX_DIGEST_MEMBERS, peer)
         else:
             news = [self._members.own]
-        told = self._members.get(peer)
-        if told is not None and told not in news and self._is_contested(told):
-            news.append(told)
+        candidate = self._members.get(peer)
+        if (
+            candidate is not None
+            and candidate not in news
+            and self._is_disputed(candidate)
+        ):
+            news.append(candidate)
         return news
 
-    def _is_contested(self, told: Member) -> bool:
-        # A peer that is suspected, or whose name has a later start, hears it in every
-        # digest until it answers; else a suspicion could outlive its cause.
-        spoken = self._spoken.get(told.name)
-        if told.incarnation == UNMET or spoken is None:
+    def _is_disputed(self, candidate: Member) -> bool:
+        # Every digest to a peer that is suspect, or whose name has a later incarnation,
+        # says so until the peer reacts; otherwise a suspicion could outlive its cause.
+        received_incarnation = self._received_incarnations.get(candidate.name)
+        if candidate.incarnation == UNCONFIRMED or received_incarnation is None:
             return False
-        return told.status in _CONTESTED or told.incarnation != spoken
+        return (
+            candidate.status in _DISPUTED_STATUSES
+            or candidate.incarnation != received_incarnation
+        )
 
     def _instance_news(self, peer: str, seen: int) -> Changes[InstanceNote]:
-        if not self._is_near(peer):
+        if not self._is_local(peer):
             return Changes((), self._counter.value)
-        # A peer met for the first time may have told of some in an earlier life.
+        # A peer without acknowledged versions may have sent notes before its restart
+        # and lost them since, so it gets its own notes too.
         receiver = peer if seen else ""
-        return self._instances.notes_since(seen, DIGEST_NOTES, receiver)
+        return self._instances.notes_since(seen, MAX_DIGEST_NOTES, receiver)
 
-    def _is_near(self, peer: str) -> bool:
+    def _is_local(self, peer: str) -> bool:
         member = self._members.get(peer)
         centre = self._members.own.data_centre
         return member is not None and member.data_centre == centre
--- a/mustardward/components/membership/duties.py
+++ b/mustardward/components/membership/duties.py
@@ -1,4 +1,4 @@
-"""Share duties out among live members by rendezvous hashing."""
+"""Assign duties to live members by rendezvous hashing."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from typing import Final
 
 from ...helpers.rendezvous import rendezvous_order
-from .const import DELEGATES
+from .const import DELEGATES_PER_DATA_CENTRE
 from .models import Member
 
 _DELEGATE_DUTY: Final = "membership.delegate"
-MAXIMUM_REMEMBERED: Final = 4096
+MAX_CACHED_DUTIES: Final = 4096
 
 
 def duty_holders(duty: str, live: Iterable[Member], holders: int) -> list[str]:
@@ -19,14 +19,14 @@
 
 
 def delegates(live: Iterable[Member]) -> list[str]:
-    """Return the members of one data centre that talk to other data centres."""
-    return duty_holders(_DELEGATE_DUTY, live, DELEGATES)
+    """Return the members of one data centre that gossip with other data centres."""
+    return duty_holders(_DELEGATE_DUTY, live, DELEGATES_PER_DATA_CENTRE)
 
 
-class DutyBook:
-    """Remember who holds which duty until the members change.
+class DutyAssignments:
+    """Cache the holders of duties until the members change.
 
-    Some duties are asked for once for each job of a data centre.
+    Some duties are looked up once for each job of a data centre.
     """
 
     def __init__(self) -> None:
@@ -43,9 +43,9 @@
     ) -> frozenset[str]:
         """Return the names of a duty's holders.
 
-        :param revision: of the members; a new one makes this look again.
+        :param revision: revision of the member table; a new one clears the cache.
         """
-        if revision != self._revision or len(self._holders) > MAXIMUM_REMEMBERED:
+        if revision != self._revision or len(self._holders) > MAX_CACHED_DUTIES:
             self._revision = revision
             self._live = list(find_live())
             self._holders.clear()
--- a/mustardward/components/membership/messages.py
+++ b/mustardward/components/membership/messages.py
@@ -1,7 +1,7 @@
-"""Define the messages of membership.
+"""Define the messages of the membership component.
 
-They are sent every second by every entry, so they travel as arrays without field
-names; a field may only ever be added at the end, with a default.
+Every entry node sends them each second, so they are encoded as arrays without field
+names. New fields may only be added at the end, with a default.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class MemberState(msgspec.Struct, frozen=True, array_like=True):
-    """Tell of one member; ``status`` is its place in the order of ``MemberStatus``."""
+    """Describe one member; ``status`` is an index into ``MemberStatus``."""
 
     name: _Name
     incarnation: _Number
@@ -31,7 +31,7 @@
     refutations: _Number = 0
 
     def to_member(self) -> Member:
-        """Return the member told of."""
+        """Return the described member."""
         return Member(
             self.name,
             self.data_centre,
@@ -43,7 +43,7 @@
 
     @classmethod
     def of(cls, member: Member) -> MemberState:
-        """Return what to tell of a member."""
+        """Return the description of a member."""
         return cls(
             member.name,
             member.incarnation,
@@ -55,9 +55,9 @@
 
 
 class InstanceNote(msgspec.Struct, frozen=True, array_like=True):
-    """Tell whether a worker instance is leaving.
+    """Describe whether a worker instance is leaving.
 
-    The higher ``(boot, count)`` holds; of two equal ones the one that says leaving.
+    The note with the higher ``(boot, count)`` wins; of two equal ones, the leaving one.
     """
 
     instance_id: _Name
@@ -67,7 +67,7 @@
 
 
 class Vitals(msgspec.Struct, frozen=True, array_like=True):
-    """Tell how the sender is."""
+    """Describe the state of the sender."""
 
     incarnation: _Number
     fleet_offset: _Number = 0
@@ -76,12 +76,13 @@
 
 
 class News(msgspec.Struct, frozen=True, array_like=True):
-    """Carry news both ways: an exchange and its reply look the same.
+    """Carry changes in both directions: an exchange and its reply have the same fields.
 
-    ``version`` numbers the sender's news, ``seen`` is the receiver's version that the
-    sender has; only news after that travels. ``view`` is a digest of all members.
-    ``heard`` has a byte for each data centre, by name: quarter seconds since its last
-    sign of life, meaningful if ``centres``, the digest of the names, is the same.
+    ``version`` is the sender's version up to which the message is complete, and
+    ``seen`` the last version received from the peer; only later changes are sent.
+    ``view`` is a digest of all members. ``heard`` has a byte for each data centre in
+    order of name: quarter seconds since the last contact. It is valid only if
+    ``centres``, the digest of the names, is the same at the receiver.
     """
 
     vitals: Vitals
@@ -95,40 +96,40 @@
 
 
 class ExchangeReply(News, frozen=True, array_like=True):
-    """Answer an exchange with the receiver's news."""
+    """Reply to an exchange with the receiver's changes."""
 
 
 @peer_message("membership.exchange", ExchangeReply)
 class Exchange(News, frozen=True, array_like=True):
-    """Tell a peer the news and ask for its own."""
+    """Send changes to a peer and request its own."""
 
 
 class View(msgspec.Struct, frozen=True, array_like=True):
-    """Tell of all members of some data centres."""
+    """Carry all members of some data centres."""
 
     members: tuple[MemberState, ...]
 
 
 @peer_message("membership.view", View)
 class ViewRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Ask for the members of data centres whose digest differs from those known."""
+    """Request the members of data centres whose digest differs from ``known``."""
 
     known: dict[str, int] = {}
 
 
 class ProbeReply(msgspec.Struct, frozen=True, array_like=True):
-    """Tell whether the member answered."""
+    """Report whether the member responded."""
 
     reached: bool
 
 
 @peer_message("membership.probe", ProbeReply)
 class ProbeRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Ask a peer to try to reach a member."""
+    """Request that a peer pings a member."""
 
     name: _Name
 
 
 @peer_message("membership.ping", ProbeReply)
 class Ping(msgspec.Struct, frozen=True, array_like=True):
-    """Ask for any answer."""
+    """Check whether the peer responds."""
--- a/mustardward/components/membership/models.py
+++ b/mustardward/components/membership/models.py
@@ -67,7 +67,7 @@
 class OwnStatusContested:
     """Represent this process's reaction to a wrong belief of its peers."""
 
-    verdict: ContestReason
+    reason: ContestReason
     incarnation: int
 
 
--- a/mustardward/components/membership/reporter.py
+++ b/mustardward/components/membership/reporter.py
@@ -1,4 +1,4 @@
-"""Publish what changed, and note what is urgent to tell on."""
+"""Log and publish membership events, and track whether any is urgent for peers."""
 
 from __future__ import annotations
 
@@ -28,18 +28,22 @@
     | InstanceBackoffStarted
     | DataCentreReachabilityChanged
 )
-_DECISIONS: Final = {
+_DECISION_NAMES: Final = {
     InstanceLeaving: "instance-leaving",
     InstanceReturned: "instance-returned",
     InstanceBackoffStarted: "instance-held-back",
 }
-_URGENT: Final = (MemberStatus.SUSPECT, MemberStatus.LEAVING, MemberStatus.GONE)
+_URGENT_STATUSES: Final = (
+    MemberStatus.SUSPECT,
+    MemberStatus.LEAVING,
+    MemberStatus.GONE,
+)
 
 
 class Reporter:
-    """Log and publish events; keep whether peers have to be told at once.
+    """Log and publish events; track whether peers need them at once.
 
-    :param offset: returns the offset up to which the fleet's state was folded.
+    :param offset: returns the last applied offset of the fleet log.
     """
 
     def __init__(self, bus: EventBus, offset: Callable[[], int]) -> None:
@@ -47,37 +51,37 @@
         self._offset = offset
         self._urgent = False
 
-    def take_urgent(self) -> bool:
-        """Tell whether something urgent came up since the last call."""
+    def consume_urgent(self) -> bool:
+        """Return whether an urgent event occurred since the last call."""
         urgent, self._urgent = self._urgent, False
         return urgent
 
-    def report(self, events: Iterable[Event], pass_on: bool) -> None:
+    def report(self, events: Iterable[Event], propagate: bool) -> None:
         """Log and publish events.
 
-        :param pass_on: whether the peers of this data centre may not know them yet. If
-            every receiver passed news on at once, one leaving instance would cost a
-            data centre of twelve entries 132 calls.
+        :param propagate: whether local peers may not know the events yet. If every
+            receiver propagated them at once, one leaving instance would cost a data
+            centre of twelve entry nodes 132 calls.
         """
         for event in events:
             _log(event)
             self._bus.publish(event)
-            self._explain(event, pass_on)
-            if _is_urgent(event, pass_on):
+            self._explain(event, propagate)
+            if _is_urgent(event, propagate):
                 self._urgent = True
 
-    def _explain(self, event: Event, pass_on: bool) -> None:
-        # The entry that met the evidence tells of it; those that it told need not.
+    def _explain(self, event: Event, propagate: bool) -> None:
+        # Only the entry node with the evidence publishes the explanation.
         inputs: tuple[str, ...] = ()
         if isinstance(event, InstanceBackoffStarted):
             inputs = (f"failures={event.failures}", f"seconds={event.seconds:g}")
-        elif not (pass_on and isinstance(event, InstanceLeaving | InstanceReturned)):
+        elif not (propagate and isinstance(event, InstanceLeaving | InstanceReturned)):
             return
         self._bus.publish(
             DecisionMade(
                 SubjectKind.INSTANCE,
                 event.instance_id,
-                _DECISIONS[type(event)],
+                _DECISION_NAMES[type(event)],
                 event.source,
                 inputs,
                 self._offset(),
@@ -85,13 +89,13 @@
         )
 
 
-def _is_urgent(event: Event, pass_on: bool) -> bool:
-    # What this process answers to a suspicion of itself, nobody else can tell.
+def _is_urgent(event: Event, propagate: bool) -> bool:
+    # No other process can propagate the reaction to a suspicion of this process.
     if isinstance(event, OwnStatusContested):
         return True
     if isinstance(event, MembershipChanged):
-        return pass_on and event.member.status in _URGENT
-    return pass_on and isinstance(event, InstanceLeaving)
+        return propagate and event.member.status in _URGENT_STATUSES
+    return propagate and isinstance(event, InstanceLeaving)
 
 
 def _log(event: Event) -> None:
@@ -106,7 +110,7 @@
         )
     elif isinstance(event, OwnStatusContested):
         _LOGGER.warning(
-            "member_contested", verdict=event.verdict, incarnation=event.incarnation
+            "own_status_contested", reason=event.reason, incarnation=event.incarnation
         )
     elif isinstance(event, DataCentreReachabilityChanged):
         _LOGGER.warning(
@@ -115,5 +119,5 @@
             silent=event.unreachable,
         )
     else:
-        name = _DECISIONS[type(event)].replace("-", "_")
+        name = _DECISION_NAMES[type(event)].replace("-", "_")
         _LOGGER.info(name, instance=event.instance_id, source=event.source)
--- a/mustardward/components/membership/returns.py
+++ b/mustardward/components/membership/returns.py
@@ -1,4 +1,4 @@
-"""Look whether leaving instances take work again."""
+"""Check whether leaving instances accept work again."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from ...standin.protocol.models import PowerState
 from ...standin.protocol.protocols import PowerService
 from ...state.protocols import FleetLog
-from .const import DUTY_RETURNS, RETURN_CHECKS
+from .const import DUTY_RETURNS, MAX_RETURN_CHECKS
 from .instances import InstanceTable
 from .reporter import Reporter
 from .services import MembershipService
 
 
 class ReturnChecker:
-    """Ask for the power state of leaving instances that nobody holds.
+    """Check the power state of leaving instances that are neither claimed nor moving.
 
-    Without it an instance whose drain was cancelled would stay out for ever, since it
-    gets no attempt that could succeed.
+    Without it an instance whose drain was cancelled would never return, since it gets
+    no attempt that could succeed.
     """
 
     def __init__(
@@ -40,36 +40,45 @@
         self._queue: list[str] = []
 
     async def async_check(self) -> None:
-        """Look at a few leaving instances if it is this process's turn."""
+        """Check some of the leaving instances if this process holds the duty."""
         power = self._find_power()
         if power is None or not self._membership.owns_duty(DUTY_RETURNS):
             return
-        for instance_id in self._next():
-            await self._async_check_one(power, instance_id)
+        for instance_id in self._next_instances():
+            await self._async_check_instance(power, instance_id)
 
-    def _next(self) -> list[str]:
+    def _next_instances(self) -> list[str]:
         leaving = self._instances.leaving()
         if not self._queue:
             self._queue = sorted(leaving)
-        chosen, self._queue = self._queue[:RETURN_CHECKS], self._queue[RETURN_CHECKS:]
-        return [name for name in chosen if name in leaving and not self._is_held(name)]
+        chosen, self._queue = (
+            self._queue[:MAX_RETURN_CHECKS],
+            self._queue[MAX_RETURN_CHECKS:],
+        )
+        return [
+            name
+            for name in chosen
+            if name in leaving and not self._is_claimed_or_moving(name)
+        ]
 
-    def _is_held(self, instance_id: str) -> bool:
+    def _is_claimed_or_moving(self, instance_id: str) -> bool:
         fleet = self._find_fleet()
         if fleet is None:
             return False
         return instance_id in fleet.state.claims or instance_id in fleet.state.moves
 
-    async def _async_check_one(self, power: PowerService, instance_id: str) -> None:
-        began = self._timers.monotonic()
+    async def _async_check_instance(
+        self, power: PowerService, instance_id: str
+    ) -> None:
+        started_at = self._timers.monotonic()
         try:
-            found = await power.async_get(instance_id)
+            power_state = await power.async_get(instance_id)
         except PlatformError:
             return
-        if found.state is not PowerState.SERVING:
-            self._instances.learn_boot(instance_id, found.boot)
+        if power_state.state is not PowerState.SERVING:
+            self._instances.update_boot(instance_id, power_state.boot)
             return
-        events = self._instances.note_up(
-            instance_id, "power", began, self._timers.monotonic(), found.boot
+        events = self._instances.record_serving(
+            instance_id, "power", started_at, self._timers.monotonic(), power_state.boot
         )
-        self._reporter.report(events, pass_on=True)
+        self._reporter.report(events, propagate=True)
--- a/mustardward/components/membership/services.py
+++ b/mustardward/components/membership/services.py
@@ -1,4 +1,4 @@
-"""Tie table, digests and evidence together as the public object."""
+"""Provide the membership service for other components."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 from ...helpers.timer import TimerService
 from ...state.protocols import FleetLog
 from ..entry.protocols import Limiter
-from .duties import DutyBook
+from .duties import DutyAssignments
+from .failure_detector import DataCentreFailureDetector
 from .gossip import Gossip
 from .instances import InstanceTable
 from .models import Member, MemberStatus
 from .reporter import Reporter
-from .silence import SilenceDetector
-from .table import UNMET, MemberTable
+from .table import UNCONFIRMED, MemberTable
 from .targets import is_live
 
 _LOGGER = get_logger(__name__)
 
 DRAINING_CAUSES: Final = frozenset({"draining", "leaving"})
-INDIFFERENT_CAUSES: Final = frozenset({"busy", "stale-generation"})
-"""Refusals that say nothing on whether a worker stays."""
+NEUTRAL_CAUSES: Final = frozenset({"busy", "stale-generation"})
+"""Refusals that are no evidence for or against a worker."""
 
 QUARANTINE_CAUSE: Final = "quarantine"
-DIGEST_CHARACTERS: Final = 8
+FLEET_DIGEST_CHARACTERS: Final = 8
 
 
 class MembershipService:
-    """Know the live entries and the instances that are leaving.
+    """Track live entry nodes and the availability of worker instances.
 
     :param find_fleet: returns the fleet log, once it is set up.
     :param find_limiter: returns the limiter, once it is set up.
@@ -41,7 +41,7 @@
         timers: TimerService,
         table: MemberTable,
         instances: InstanceTable,
-        silence: SilenceDetector,
+        failure_detector: DataCentreFailureDetector,
         reporter: Reporter,
         find_fleet: Callable[[], FleetLog | None],
         find_limiter: Callable[[], Limiter | None],
@@ -49,12 +49,12 @@
         self._timers = timers
         self._table = table
         self._instances = instances
-        self._silence = silence
+        self._failure_detector = failure_detector
         self._reporter = reporter
         self._find_fleet = find_fleet
         self._find_limiter = find_limiter
         self._gossip: Gossip | None = None
-        self._duties = DutyBook()
+        self._duties = DutyAssignments()
 
     @property
     def own(self) -> Member:
@@ -62,24 +62,24 @@
         return self._table.own
 
     def attach(self, gossip: Gossip) -> None:
-        """Take the part that talks to peers."""
+        """Set the gossip object, which is built after this service."""
         self._gossip = gossip
 
     def members(self, data_centre: str | None = None) -> tuple[Member, ...]:
-        """Return all members met that are not gone, this process included.
+        """Return all confirmed members that are not gone, this process included.
 
-        A mere address of the settings may lead nowhere: who waits for all members to
-        answer would wait for ever for one that was replaced long ago.
+        An address from the settings alone is no member: it may belong to an entry node
+        that was replaced, and a caller that awaits all members would wait forever.
         """
         return tuple(
             member
             for member in self._table.members(data_centre)
-            if member.incarnation != UNMET
+            if member.incarnation != UNCONFIRMED
         )
 
     def live(self, data_centre: str | None = None) -> tuple[Member, ...]:
-        """Return the members that are alive, this process included."""
-        unreachable = self._silence.unreachable
+        """Return the live members of reachable data centres, this process included."""
+        unreachable = self._failure_detector.unreachable
         return tuple(
             member
             for member in self._table.members(data_centre)
@@ -87,21 +87,21 @@
         )
 
     def is_unreachable(self, data_centre: str) -> bool:
-        """Tell whether a data centre has given no sign for a while."""
-        return data_centre in self._silence.unreachable
+        """Return whether no member of a data centre has been reachable for a while."""
+        return data_centre in self._failure_detector.unreachable
 
     def is_gone(self, name: str, start: int) -> bool:
-        """Tell whether a start of an entry is proven to have ended."""
+        """Return whether an incarnation of an entry node is known to have ended."""
         member = self._table.get(name)
         if member is None or member.start < start:
             return False
         return member.start > start or member.status is MemberStatus.GONE
 
     def owns_duty(self, duty: str, holders: int = 1) -> bool:
-        """Tell whether this process is among the holders of a duty now.
+        """Return whether a duty is assigned to this process.
 
-        After a pause it holds none until a peer was heard: others may have taken over,
-        which does no harm but would be work done twice.
+        After a pause it holds none until contact with peers is settled: others may have
+        taken over, and the work would be done twice, though without harm.
         """
         if self._gossip is not None and not self._gossip.confirmed:
             return False
@@ -112,13 +112,13 @@
         return own.name in names
 
     def suspended_instances(self) -> frozenset[str]:
-        """Return the instances that own or peers' evidence speaks against."""
-        return self._instances.held_back(self._timers.monotonic())
+        """Return the instances that are leaving or in backoff."""
+        return self._instances.suspended(self._timers.monotonic())
 
     def is_instance_eligible(self, instance_id: str) -> bool:
-        """Tell whether a worker is neither leaving, suspect nor known as down."""
+        """Return whether a worker may get work."""
         now = self._timers.monotonic()
-        if not self._instances.may_get_work(instance_id, now):
+        if not self._instances.is_eligible(instance_id, now):
             return False
         fleet = self._find_fleet()
         if fleet is None:
@@ -136,42 +136,42 @@
         cause: str,
         sent_at: float | None = None,
     ) -> None:
-        """Take the evidence of an attempt or a probe into account."""
+        """Record the outcome of an attempt or a probe."""
         now = self._timers.monotonic()
         if healthy:
-            events = self._instances.note_success(instance_id, sent_at, now)
-            self._reporter.report(events, pass_on=True)
+            events = self._instances.record_success(instance_id, sent_at, now)
+            self._reporter.report(events, propagate=True)
         elif cause in DRAINING_CAUSES:
-            events = self._instances.note_leaving(instance_id, "worker", now)
-            self._reporter.report(events, pass_on=True)
-        elif cause not in INDIFFERENT_CAUSES:
-            events = self._instances.note_failure(instance_id, cause, now)
-            self._reporter.report(events, pass_on=False)
+            events = self._instances.record_leaving(instance_id, "worker", now)
+            self._reporter.report(events, propagate=True)
+        elif cause not in NEUTRAL_CAUSES:
+            events = self._instances.record_failure(instance_id, cause, now)
+            self._reporter.report(events, propagate=False)
 
     def refresh_own(self) -> None:
-        """Bring what this process tells of itself up to date."""
+        """Update the vitals of the own member."""
         fleet = self._find_fleet()
         limiter = self._find_limiter()
         self._table.update_vitals(
             self.own.name,
             fleet.next_offset if fleet else 0,
-            fleet.digest[:DIGEST_CHARACTERS] if fleet else "",
+            fleet.digest[:FLEET_DIGEST_CHARACTERS] if fleet else "",
             limiter.in_flight if limiter else 0,
         )
 
     async def async_announce_leaving(self) -> None:
-        """Tell all peers at once that this process is leaving."""
+        """Announce to all peers without delay that this process is leaving."""
         await self._async_leave(MemberStatus.LEAVING)
 
     async def async_announce_end(self) -> None:
-        """Tell all peers that this process answers and dispatches nothing any more."""
+        """Announce to all peers that this process no longer serves requests."""
         await self._async_leave(MemberStatus.GONE)
 
     async def _async_leave(self, status: MemberStatus) -> None:
-        events = self._table.leave(status, self._timers.monotonic())
-        self._reporter.report(events, pass_on=False)
+        events = self._table.set_final_status(status, self._timers.monotonic())
+        self._reporter.report(events, propagate=False)
         if events and self._gossip is not None:
-            await self._gossip.async_tell_everyone()
+            await self._gossip.async_broadcast()
             _LOGGER.info(
                 "leaving_announced", status=status, bound_seconds=LEAVING_BOUND_SECONDS
             )
--- a/mustardward/components/membership/table.py
+++ b/mustardward/components/membership/table.py
@@ -1,7 +1,7 @@
-"""Merge what is told of members into one table.
+"""Merge received member states into one table.
 
-Pure: news and the time go in, events come out. Two tables that heard the same news, in
-whatever order and however often, hold the same.
+Has no side effects and reads no clock. Merging is commutative and idempotent: tables
+that received the same states in any order and number of repetitions are equal.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
     OwnStatusContested,
 )
 
-_EVENTS: Final = {
+_CHART_EVENTS: Final = {
     MemberStatus.ALIVE: "refute",
     MemberStatus.SUSPECT: "suspect",
     MemberStatus.LEAVING: "leave",
     MemberStatus.GONE: "end",
 }
-_RANKS: Final = {status: rank for rank, status in enumerate(MemberStatus)}
-UNMET: Final = 0
-"""Incarnation of a member known by its address only; it is never told on."""
+_STATUS_RANKS: Final = {status: rank for rank, status in enumerate(MemberStatus)}
+UNCONFIRMED: Final = 0
+"""Incarnation of a member of which only the address is known; never sent to peers."""
 
 
 TableEvent = MembershipChanged | OwnStatusContested
@@ -40,11 +40,11 @@
 
 @dataclass(slots=True, eq=False)
 class _Record:
-    """Hold a member, when it last changed by count and by time, and who told of it."""
+    """Hold a member with the version, time and source of its last change."""
 
     member: Member
     version: int
-    changed: float
+    changed_at: float
     source: str = ""
 
 
@@ -65,7 +65,7 @@
 
     @property
     def revision(self) -> int:
-        """Return a number that grows with each change of a state or a member."""
+        """Return a number that grows with each change of a status or of the members."""
         return self._revision
 
     @property
@@ -90,42 +90,42 @@
     def changes_since(
         self, version: int, limit: int, receiver: str = ""
     ) -> list[Member]:
-        """Return the members that changed last after a version; unmet ones never.
+        """Return the last confirmed members that changed after a version.
 
-        :param receiver: who is told; what it told itself is left out.
+        :param receiver: the peer whose own reports are left out.
         """
         changed = [
             record
             for record in self._records.values()
             if record.version > version
-            and record.member.incarnation != UNMET
+            and record.member.incarnation != UNCONFIRMED
             and (not receiver or record.source != receiver)
         ]
         changed.sort(key=lambda record: record.version)
         return [record.member for record in changed[-limit:]]
 
-    def all_met(self, data_centres: Iterable[str]) -> list[Member]:
-        """Return all members of some data centres, gone ones included."""
-        wanted = frozenset(data_centres)
+    def confirmed_members(self, data_centres: Iterable[str]) -> list[Member]:
+        """Return the confirmed members of some data centres, gone ones included."""
+        requested = frozenset(data_centres)
         return [
             record.member
             for record in self._records.values()
-            if record.member.data_centre in wanted
-            and record.member.incarnation != UNMET
+            if record.member.data_centre in requested
+            and record.member.incarnation != UNCONFIRMED
         ]
 
     def digests(self) -> dict[str, int]:
-        """Return a digest of the members of each data centre; gone ones do not count.
+        """Return a digest of the members of each data centre, gone ones excluded.
 
-        Two tables with the same digests agree on who is in which state.
+        Two tables with the same digests agree on the status of all members.
         """
         if self._digests is None:
             self._digests = {}
             for member in self.members():
-                if member.incarnation != UNMET:
+                if member.incarnation != UNCONFIRMED:
                     centre = member.data_centre
-                    sofar = self._digests.get(centre, 0)
-                    self._digests[centre] = sofar ^ _member_digest(member)
+                    combined = self._digests.get(centre, 0)
+                    self._digests[centre] = combined ^ _member_digest(member)
         return self._digests
 
     def view(self) -> int:
@@ -136,23 +136,29 @@
         return view
 
     def mark_joined(self) -> None:
-        """Note that others know this process; from now on its name is taken."""
+        """Record that peers know this process.
+
+        From then on, a later incarnation under its name supersedes it.
+        """
         self._joined = True
 
-    def meet(self, name: str, data_centre: str, address: str, now: float) -> None:
-        """Note where a member may be found, if nothing is known of it.
+    def add_address(
+        self, name: str, data_centre: str, address: str, now: float
+    ) -> None:
+        """Add the address of a possible member, unless it is known.
 
-        It is suspect until it says otherwise, so that no work goes to a mere address.
+        The member is suspect until it responds, so that no work is sent to an
+        unconfirmed address.
         """
         if name not in self._records:
             status = MemberStatus.SUSPECT
-            member = Member(name, data_centre, address, UNMET, status)
-            self._put(member, now)
+            member = Member(name, data_centre, address, UNCONFIRMED, status)
+            self._store(member, now)
 
     def update_vitals(
         self, name: str, fleet_offset: int, fleet_digest: str, in_flight: int
     ) -> None:
-        """Take over what a member says of itself; this is no change to tell on."""
+        """Update a member's report on itself, which isn't sent on to other peers."""
         record = self._records.get(name)
         if record is not None:
             record.member = replace(
@@ -163,138 +169,150 @@
             )
 
     def set_own_address(self, address: str, now: float) -> None:
-        """Note where this process listens."""
-        self._put(replace(self.own, address=address), now)
+        """Set the address at which this process listens."""
+        self._store(replace(self.own, address=address), now)
 
     def apply(
-        self, told: Iterable[Member], now: float, source: str = ""
+        self, received: Iterable[Member], now: float, source: str = ""
     ) -> list[TableEvent]:
-        """Merge what was told and return what that changed.
+        """Merge received member states and return the resulting events.
 
-        :param source: the peer that told it.
+        :param source: the peer that sent them.
         """
         events: list[TableEvent] = []
-        for member in told:
+        for member in received:
             if member.name == self._own_name:
                 events.extend(self._merge_own(member, now))
             else:
                 events.extend(self._merge(member, now, source))
         return events
 
-    def signal(
+    def apply_evidence(
         self, member: Member, status: MemberStatus, now: float
     ) -> list[TableEvent]:
-        """Take own evidence of a member into account, unless it spoke up since."""
+        """Apply own evidence of a member's status, unless the member changed since.
+
+        The evidence is stale if the incarnation or the refutations have changed.
+        """
         known = self.get(member.name)
-        if known is None or _spoken_word(known) != _spoken_word(member):
+        if known is None or _liveness_version(known) != _liveness_version(member):
             return []
         return self.apply([replace(known, status=status)], now)
 
-    def leave(self, status: MemberStatus, now: float) -> list[TableEvent]:
-        """Put this process into a state from which nothing leads back."""
+    def set_final_status(self, status: MemberStatus, now: float) -> list[TableEvent]:
+        """Set the status of this process to a final one."""
         previous = self.own.status
-        event = _EVENTS[status]
+        event = _CHART_EVENTS[status]
         if not self._chart.accepts(previous, event):
             return []
-        after = MemberStatus(self._chart.next_state(previous, event))
-        self._put(replace(self.own, status=after), now)
+        new_status = MemberStatus(self._chart.next_state(previous, event))
+        self._store(replace(self.own, status=new_status), now)
         return [MembershipChanged(self.own, previous)]
 
-    def forget(self, now: float) -> None:
-        """Drop members that are gone for so long that no peer tells of them."""
+    def remove_expired(self, now: float) -> None:
+        """Remove members whose tombstone has expired."""
         for name, record in list(self._records.items()):
             gone = record.member.status is MemberStatus.GONE
-            if gone and now - record.changed > TOMBSTONE_SECONDS:
+            if gone and now - record.changed_at > TOMBSTONE_SECONDS:
                 self._revision += 1
                 del self._records[name]
 
-    def _merge(self, told: Member, now: float, source: str) -> list[TableEvent]:
-        known = self.get(told.name)
-        if known is None or told.incarnation > known.incarnation:
-            return self._replace(known, told, now, source)
-        stale = told.incarnation < known.incarnation
-        if stale or not self._advances(known, told):
+    def _merge(self, received: Member, now: float, source: str) -> list[TableEvent]:
+        known = self.get(received.name)
+        if known is None or received.incarnation > known.incarnation:
+            return self._replace(known, received, now, source)
+        stale = received.incarnation < known.incarnation
+        if stale or not self._advances(known, received):
             return []
-        after = self._chart.next_state(known.status, _EVENTS[told.status])
-        refutations = max(known.refutations, told.refutations)
-        merged = replace(known, refutations=refutations, status=MemberStatus(after))
-        self._put(merged, now, source)
+        new_status = self._chart.next_state(
+            known.status, _CHART_EVENTS[received.status]
+        )
+        refutations = max(known.refutations, received.refutations)
+        merged = replace(
+            known, refutations=refutations, status=MemberStatus(new_status)
+        )
+        self._store(merged, now, source)
         if merged.status is known.status:
             return []
         return [MembershipChanged(merged, known.status)]
 
-    def _advances(self, known: Member, told: Member) -> bool:
-        if not self._chart.accepts(known.status, _EVENTS[told.status]):
+    def _advances(self, known: Member, received: Member) -> bool:
+        if not self._chart.accepts(known.status, _CHART_EVENTS[received.status]):
             return False
-        # A suspicion and its refutation compare by their count. What is final for an
-        # incarnation holds against any refutation; otherwise two entries that hear of
-        # a leaving and of an older refutation in different order stay at odds.
-        same = told.refutations == known.refutations
-        if same or told.status in FINAL_STATUSES:
-            return _RANKS[told.status] > _RANKS[known.status]
-        return told.refutations > known.refutations
+        # A suspicion and its refutation compare by the refutation count. A final status
+        # overrides any refutation; otherwise two entry nodes that receive a final
+        # status and an older refutation in different order would never converge.
+        same = received.refutations == known.refutations
+        if same or received.status in FINAL_STATUSES:
+            return _STATUS_RANKS[received.status] > _STATUS_RANKS[known.status]
+        return received.refutations > known.refutations
 
     def _replace(
-        self, known: Member | None, told: Member, now: float, source: str
+        self, known: Member | None, received: Member, now: float, source: str
     ) -> list[TableEvent]:
-        if told.incarnation == UNMET:
+        if received.incarnation == UNCONFIRMED:
             return []
-        self._put(told, now, source)
-        if known is None and told.status is MemberStatus.GONE:
+        self._store(received, now, source)
+        if known is None and received.status is MemberStatus.GONE:
             return []
-        return [MembershipChanged(told, known.status if known else None)]
+        return [MembershipChanged(received, known.status if known else None)]
 
-    def _merge_own(self, told: Member, now: float) -> list[TableEvent]:
+    def _merge_own(self, received: Member, now: float) -> list[TableEvent]:
         own = self.own
-        if told.incarnation > own.incarnation:
-            return self._meet_namesake(told, now)
-        stale = told.incarnation < own.incarnation
-        if stale or told.status is MemberStatus.ALIVE:
+        if received.incarnation > own.incarnation:
+            return self._handle_name_conflict(received, now)
+        stale = received.incarnation < own.incarnation
+        if stale or received.status is MemberStatus.ALIVE:
             return []
         if own.status in FINAL_STATUSES:
             return []
-        if told.status in FINAL_STATUSES:
-            # Others were given proof that this process ended, and may have acted on
-            # it, while it was only paused. That incarnation stays ended; it joins anew.
-            return self._restart(told, ContestReason.DECLARED_GONE, now)
-        if told.refutations < own.refutations:
+        if received.status in FINAL_STATUSES:
+            # Peers may have acted on evidence that this process ended, though it was
+            # only paused. That incarnation stays ended and the process joins again.
+            return self._restart(received, ContestReason.DECLARED_GONE, now)
+        if received.refutations < own.refutations:
             return []
-        self._put(replace(own, refutations=told.refutations + 1), now)
+        self._store(replace(own, refutations=received.refutations + 1), now)
         return [OwnStatusContested(ContestReason.SUSPECTED, own.incarnation)]
 
-    def _meet_namesake(self, told: Member, now: float) -> list[TableEvent]:
-        # Before it joined, this process may meet its own predecessor, whose clock ran
-        # ahead: it then has to start later than that one. Afterwards, a later start
-        # under its name is a successor, and the two would outbid each other for ever.
+    def _handle_name_conflict(self, received: Member, now: float) -> list[TableEvent]:
+        # Before it has joined, a later incarnation belongs to a predecessor whose clock
+        # ran ahead, so this process takes a higher one. Afterwards it belongs to a
+        # successor, and the two would raise their incarnations forever.
         if not self._joined:
-            return self._restart(told, ContestReason.DECLARED_GONE, now)
-        events = self.leave(MemberStatus.LEAVING, now)
+            return self._restart(received, ContestReason.DECLARED_GONE, now)
+        events = self.set_final_status(MemberStatus.LEAVING, now)
         if not events:
             return []
-        return [*events, OwnStatusContested(ContestReason.SUPERSEDED, told.incarnation)]
+        return [
+            *events,
+            OwnStatusContested(ContestReason.SUPERSEDED, received.incarnation),
+        ]
 
     def _restart(
-        self, told: Member, verdict: ContestReason, now: float
+        self, received: Member, reason: ContestReason, now: float
     ) -> list[TableEvent]:
-        incarnation = told.incarnation + 1
+        incarnation = received.incarnation + 1
         status = MemberStatus(self._chart.initial)
-        anew = replace(self.own, incarnation=incarnation, status=status, refutations=0)
-        self._put(anew, now)
-        return [OwnStatusContested(verdict, incarnation)]
+        restarted = replace(
+            self.own, incarnation=incarnation, status=status, refutations=0
+        )
+        self._store(restarted, now)
+        return [OwnStatusContested(reason, incarnation)]
 
-    def _put(self, member: Member, now: float, source: str = "") -> None:
+    def _store(self, member: Member, now: float, source: str = "") -> None:
         self._digests = None
         self._revision += 1
         version = self._counter.advance()
         self._records[member.name] = _Record(member, version, now, source)
 
 
-def _spoken_word(member: Member) -> tuple[int, int]:
+def _liveness_version(member: Member) -> tuple[int, int]:
     return (member.incarnation, member.refutations)
 
 
 def _member_digest(member: Member) -> int:
     final = member.status in FINAL_STATUSES
-    word = member.incarnation if final else _spoken_word(member)
-    text = f"{member.name}\x00{word}\x00{member.status}"
+    version_key = member.incarnation if final else _liveness_version(member)
+    text = f"{member.name}\x00{version_key}\x00{member.status}"
     return xxhash.xxh3_64_intdigest(text.encode()) >> 32
--- a/tests/components/membership/test_cluster.py
+++ b/tests/components/membership/test_cluster.py
@@ -1,4 +1,4 @@
-"""Check the membership of several entries over a network that can be cut."""
+"""Test the membership of several entry nodes over a network with partitions."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     assert cluster.nodes["v-1-0"].live("v-2") == {"v-2-0", "v-2-1"}
 
 
-async def test_death_is_suspected_here_and_known_elsewhere() -> None:
+async def test_crash_is_suspected_locally_and_propagated() -> None:
     cluster = await _async_started({"v-1": 4, "v-2": 2})
     cluster.kill("v-1-2")
 
@@ -38,16 +38,15 @@
 
 
 async def test_leaving_is_known_at_once_and_final() -> None:
-    """Never take an entry for live again that said it is leaving.
+    """Guard against forwarding requests to a leaving entry node.
 
-    Symptom: a leaving entry is handed forwarded requests. Sequence: it announces that
-    it leaves; a stale peer goes on telling that it is alive. Cause: the later word
-    taken for the truer one.
+    It announces that it leaves, and a stale peer still reports it as alive. The later
+    report must not override the final status.
     """
     cluster = await _async_started({"v-1": 4, "v-2": 2})
-    leaver = cluster.nodes["v-1-1"]
-    await leaver.membership.async_announce_leaving()
-    others = [node for node in cluster.nodes.values() if node is not leaver]
+    leaving = cluster.nodes["v-1-1"]
+    await leaving.membership.async_announce_leaving()
+    others = [node for node in cluster.nodes.values() if node is not leaving]
     local = [node for node in others if node in cluster.nodes_in("v-1")]
     assert all(n.status("v-1-1") is MemberStatus.LEAVING for n in local)
 
@@ -58,7 +57,7 @@
     await cluster.async_run(30.0)
     assert is_known()
     assert not any("v-1-1" in node.live() for node in cluster.nodes.values())
-    assert not leaver.membership.owns_duty("anything", holders=9)
+    assert not leaving.membership.owns_duty("anything", holders=9)
 
 
 async def test_clean_end_is_known_as_gone() -> None:
@@ -73,31 +72,30 @@
 
 
 async def test_false_suspicion_is_refuted_within_the_incarnation() -> None:
-    """Clear a suspicion by the word of the suspected entry.
+    """Guard against a healthy entry node that stays without forwarded work.
 
-    Symptom: a healthy entry stays without forwarded work. Sequence: it does not answer
-    for some seconds and is suspected, then answers again. Cause: nothing that clears a
-    suspicion but a restart.
+    It is suspected after it was unresponsive for some seconds, then responds again. Its
+    refutation must clear the suspicion without a restart.
     """
     cluster = await _async_started({"v-1": 4})
     before = cluster.nodes["v-1-3"].membership.own.incarnation
-    victim = cluster.nodes["v-1-3"].peers.address
-    cluster.network.cut_between([victim], cluster.addresses("v-1"))
+    suspect = cluster.nodes["v-1-3"].peers.address
+    cluster.network.cut_between([suspect], cluster.addresses("v-1"))
     await cluster.async_run(6.0)
     assert cluster.nodes["v-1-0"].status("v-1-3") is MemberStatus.SUSPECT
     cluster.network.cut.clear()
     everyone = set(cluster.nodes)
 
-    def is_healed() -> bool:
+    def all_live() -> bool:
         return all(node.live() == everyone for node in cluster.nodes.values())
 
-    assert await cluster.async_run_until(is_healed, 30) <= 15.0
+    assert await cluster.async_run_until(all_live, 30) <= 15.0
     after = cluster.nodes["v-1-3"].membership.own
     assert after.refutations > 0
     assert after.incarnation == before
 
 
-async def test_cut_between_two_members_suspects_neither() -> None:
+async def test_partition_of_two_members_suspects_neither() -> None:
     cluster = await _async_started({"v-1": 4})
     a, b = cluster.nodes["v-1-0"], cluster.nodes["v-1-1"]
     cluster.network.cut_between([a.peers.address], [b.peers.address])
@@ -107,9 +105,9 @@
 
 async def test_flapping_entry_ends_in_its_true_state() -> None:
     cluster = await _async_started({"v-1": 4})
-    victim = cluster.nodes["v-1-2"].peers.address
+    suspect = cluster.nodes["v-1-2"].peers.address
     for _ in range(6):
-        cluster.network.cut_between([victim], cluster.addresses("v-1"))
+        cluster.network.cut_between([suspect], cluster.addresses("v-1"))
         await cluster.async_run(4.0)
         cluster.network.cut.clear()
         await cluster.async_run(3.0)
@@ -117,12 +115,11 @@
     assert all(len(node.live()) == 4 for node in cluster.nodes.values())
 
 
-async def test_partition_between_data_centres_and_its_healing() -> None:
-    """Suspect no single entry across a cut, but notice the silence.
+async def test_partition_between_data_centres_and_its_end() -> None:
+    """Guard against suspicions or doubled duties that outlast a network partition.
 
-    Symptom: after a cut has healed, entries stay suspected or duties stay double.
-    Sequence: two data centres are cut off from a third for a while. Cause: each side
-    judging the members of the other one by one.
+    Two data centres are disconnected from a third for a while. Each side must detect
+    the other as unreachable instead of suspecting its members one by one.
     """
     cluster = await _async_started({"v-1": 3, "v-2": 3, "v-3": 2})
     inside = cluster.addresses("v-1") + cluster.addresses("v-2")
@@ -141,7 +138,7 @@
         assert node.reachability_changes[-1].unreachable is False
 
 
-async def test_cut_between_two_data_centres_is_no_silence() -> None:
+async def test_partition_of_two_data_centres_makes_neither_unreachable() -> None:
     cluster = await _async_started({"v-1": 2, "v-2": 2, "v-3": 2})
     cluster.network.cut_between(cluster.addresses("v-1"), cluster.addresses("v-2"))
     await cluster.async_run(40.0)
@@ -149,28 +146,27 @@
 
 
 async def test_paused_entry_does_not_declare_its_peers_dead() -> None:
-    """Distrust own evidence after a pause.
+    """Guard against a resumed entry node that suspects all peers and takes all duties.
 
-    Symptom: one entry suspects the whole fleet and takes over every duty. Sequence: its
-    process is stopped for a minute and goes on; all its calls seem to have timed out.
-    Cause: lost time taken for silence of the others.
+    Its process is paused for a minute, after which all its calls appear to have timed
+    out. The pause must not count as time without a response.
     """
     cluster = await _async_started({"v-1": 4, "v-2": 2})
-    sleeper = cluster.nodes["v-1-0"]
+    paused = cluster.nodes["v-1-0"]
     cluster.pause("v-1-0")
     await cluster.async_run(60.0)
     assert all(
         node.status("v-1-0") is MemberStatus.SUSPECT
         for node in cluster.nodes_in("v-1")
-        if node is not sleeper
+        if node is not paused
     )
-    changes = len(sleeper.changes)
+    changes = len(paused.changes)
     cluster.resume("v-1-0")
-    assert not sleeper.membership.owns_duty("anything", holders=9)
+    assert not paused.membership.owns_duty("anything", holders=9)
     await cluster.async_run(15.0)
-    assert [c.member.status for c in sleeper.changes[changes:]] == []
-    assert sleeper.reachability_changes == []
-    assert sleeper.membership.owns_duty("anything", holders=9)
+    assert [c.member.status for c in paused.changes[changes:]] == []
+    assert paused.reachability_changes == []
+    assert paused.membership.owns_duty("anything", holders=9)
     assert all(node.live() == set(cluster.nodes) for node in cluster.nodes.values())
 
 
@@ -191,7 +187,7 @@
     assert holders() == [owner.name]
 
 
-async def test_restart_under_the_same_name_is_taken_up() -> None:
+async def test_restart_under_the_same_name_is_propagated() -> None:
     cluster = await _async_started({"v-1": 3})
     old = cluster.nodes["v-1-2"].membership.own.incarnation
     cluster.kill("v-1-2")
@@ -205,12 +201,11 @@
         assert found["v-1-2"] == new.membership.own.incarnation
 
 
-async def test_address_of_a_replaced_entry_holds_nobody_up() -> None:
-    """Count only members that were met.
+async def test_address_of_a_replaced_entry_is_no_member() -> None:
+    """Guard against moves and publications that wait forever for a replaced entry node.
 
-    Symptom: a move, or a publication that waits for all, never ends. Sequence: an entry
-    starts with settings that still name one that was replaced months ago. Cause: an
-    address taken for a member.
+    An entry node starts with settings that still contain the old address. An address
+    must not count as a member before it has responded.
     """
     cluster = Cluster()
     seed = PeerAddress(name="old", data_centre="v-1", host="10.9.9.9", port=1)
@@ -222,7 +217,7 @@
         assert names == set(cluster.nodes) == node.live()
 
 
-async def test_lost_replies_delay_news_but_lose_none() -> None:
+async def test_lost_replies_delay_changes_but_lose_none() -> None:
     cluster = await _async_started({"v-1": 4, "v-2": 3})
     cluster.network.lost_share = 0.3
     cluster.nodes["v-1-0"].fleet.next_offset = 77
@@ -231,5 +226,5 @@
     await cluster.async_run(20.0)
     for node in cluster.nodes.values():
         assert node.status("v-2-2") is MemberStatus.LEAVING
-    told = {m.name: m for m in cluster.nodes["v-1-1"].membership.live()}["v-1-0"]
-    assert (told.fleet_offset, told.in_flight) == (77, 5)
+    received = {m.name: m for m in cluster.nodes["v-1-1"].membership.live()}["v-1-0"]
+    assert (received.fleet_offset, received.in_flight) == (77, 5)
--- a/tests/components/membership/test_processes.py
+++ b/tests/components/membership/test_processes.py
@@ -1,4 +1,4 @@
-"""Check membership once over real connections: set-up, leaving and unload."""
+"""Test setup, leaving and unload of membership over real connections."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
         if condition():
             return
         await anyio.sleep(0.02)
-    raise AssertionError("the condition did not come to hold")
+    raise AssertionError("condition was not met within the time limit")
 
 
 async def test_two_entries_meet_and_one_leaves_over_loopback() -> None:
--- a/tests/components/membership/test_table.py
+++ b/tests/components/membership/test_table.py
@@ -1,4 +1,4 @@
-"""Check how news of members merge."""
+"""Test how received member states merge."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
     name: str = "b",
     status: MemberStatus = ALIVE,
     start: int = START,
-    refuted: int = 0,
+    refutations: int = 0,
 ) -> Member:
-    return Member(name, "v-1", "10.0.0.2:1", start, status, refutations=refuted)
+    return Member(name, "v-1", "10.0.0.2:1", start, status, refutations=refutations)
 
 
 def _table() -> MemberTable:
@@ -43,7 +43,7 @@
     return member.status
 
 
-def test_change_is_announced_once() -> None:
+def test_change_is_reported_once() -> None:
     table = _table()
     assert table.apply([_member()], 0.0) == [MembershipChanged(_member(), None)]
     assert table.apply([_member()], 0.0) == []
@@ -52,15 +52,14 @@
 
 
 def test_stale_incarnation_changes_nothing() -> None:
-    """Ignore what is told of an earlier incarnation or of a refuted suspicion.
+    """Guard against a restarted entry node that is suspected for its predecessor.
 
-    Symptom: a replaced entry is suspected for its predecessor's sake. Sequence: an
-    entry restarts; a peer that was cut off brings the old suspicion. Cause: news taken
-    by the time they arrive instead of by incarnation.
+    A peer that was disconnected during the restart sends the old suspicion. States must
+    be ordered by incarnation and refutations instead of arrival.
     """
     table = _table()
-    table.apply([_member(refuted=2)], 0.0)
-    assert table.apply([_member(refuted=1, status=SUSPECT)], 0.0) == []
+    table.apply([_member(refutations=2)], 0.0)
+    assert table.apply([_member(refutations=1, status=SUSPECT)], 0.0) == []
     assert table.apply([_member(start=START - 1, status=GONE)], 0.0) == []
     assert _status(table) is ALIVE
 
@@ -71,23 +70,23 @@
 ) -> None:
     table = _table()
     table.apply([_member(status=final)], 0.0)
-    assert table.apply([_member(refuted=7)], 0.0) == []
+    assert table.apply([_member(refutations=7)], 0.0) == []
     assert _status(table) is final
     table.apply([_member(start=START + 1)], 0.0)
     assert _status(table) is ALIVE
 
 
-def test_own_evidence_counts_unless_the_member_spoke_up_since() -> None:
+def test_own_evidence_counts_unless_the_member_refuted_it_since() -> None:
     table = _table()
-    table.apply([_member(refuted=1)], 0.0)
-    assert table.signal(_member(), SUSPECT, 0.0) == []
-    assert table.signal(_member(refuted=1), SUSPECT, 0.0)
+    table.apply([_member(refutations=1)], 0.0)
+    assert table.apply_evidence(_member(), SUSPECT, 0.0) == []
+    assert table.apply_evidence(_member(refutations=1), SUSPECT, 0.0)
 
 
 def test_suspicion_of_this_process_is_refuted() -> None:
     table = _table()
     contested = table.apply([_member("a", SUSPECT)], 0.0)
-    refuted = _member("a", refuted=1)
+    refuted = _member("a", refutations=1)
     assert contested == [
         OwnStatusContested(ContestReason.SUSPECTED, refuted.incarnation)
     ]
@@ -96,18 +95,17 @@
 
 def test_leaving_process_refutes_nothing() -> None:
     table = _table()
-    table.leave(LEAVING, 0.0)
+    table.set_final_status(LEAVING, 0.0)
     before = table.own
     assert table.apply([_member("a", SUSPECT)], 0.0) == []
     assert table.own == before
 
 
-def test_process_declared_gone_joins_anew() -> None:
-    """Begin a new start when others had proof that this one had ended.
+def test_process_declared_gone_joins_with_a_new_incarnation() -> None:
+    """Guard against an entry node that serves on while moves don't wait for it.
 
-    Symptom: an entry serves on that moves no longer wait for. Sequence: it is paused;
-    the platform's list drops it by mistake; it goes on. Cause: a refutation that takes
-    back what others have acted on.
+    It is paused, omitted from the platform's list by mistake, and resumes. Peers have
+    acted on its end, so it must take a new incarnation instead of refuting the end.
     """
     table = _table()
     table.mark_joined()
@@ -122,46 +120,46 @@
     assert table.own.status is LEAVING
 
 
-def test_new_process_outbids_a_predecessor_with_a_faster_clock() -> None:
+def test_new_process_exceeds_the_incarnation_of_its_predecessor() -> None:
     table = _table()
     table.apply([_member("a", start=START + 3)], 0.0)
     assert (table.own.start, table.own.status) == (START + 4, ALIVE)
 
 
-def test_address_from_settings_is_suspect_and_never_told_on() -> None:
+def test_address_from_settings_is_suspect_and_never_sent_on() -> None:
     table = _table()
-    table.meet("b", "v-1", "10.0.0.2:1", 0.0)
+    table.add_address("b", "v-1", "10.0.0.2:1", 0.0)
     assert _status(table) is SUSPECT
     assert [m.name for m in table.changes_since(0, 9)] == ["a"]
     table.apply([_member()], 0.0)
     assert _status(table) is ALIVE
-    table.meet("b", "v-9", "10.9.9.9:1", 0.0)
+    table.add_address("b", "v-9", "10.9.9.9:1", 0.0)
     assert _status(table) is ALIVE
 
 
-def test_gone_member_is_remembered_for_a_while() -> None:
+def test_gone_member_is_retained_for_a_while() -> None:
     table = _table()
     table.apply([_member(status=GONE)], 0.0)
-    table.forget(TOMBSTONE_SECONDS - 1)
+    table.remove_expired(TOMBSTONE_SECONDS - 1)
     table.apply([_member()], 0.0)
     assert _status(table) is GONE
-    table.forget(TOMBSTONE_SECONDS + 1)
+    table.remove_expired(TOMBSTONE_SECONDS + 1)
     assert table.get("b") is None
 
 
-_NEWS = st.builds(
+_UPDATES = st.builds(
     _member,
     status=st.sampled_from(MemberStatus),
     start=st.integers(START, START + 1),
-    refuted=st.integers(0, 2),
+    refutations=st.integers(0, 2),
 )
 
 
 @settings(derandomize=True, max_examples=150, deadline=None, database=None)
-@given(st.lists(_NEWS, min_size=1, max_size=4))
-def test_order_and_repetition_of_news_do_not_matter(news: list[Member]) -> None:
+@given(st.lists(_UPDATES, min_size=1, max_size=4))
+def test_order_and_repetition_of_updates_do_not_matter(updates: list[Member]) -> None:
     views = set()
-    for order in permutations([*news, news[0]]):
+    for order in permutations([*updates, updates[0]]):
         table = _table()
         table.apply(order, 0.0)
         views.add((table.view(), _status(table)))
