--- a/bench/history/removals.py
+++ b/bench/history/removals.py
@@ -34,12 +34,12 @@
 
 def remove_intent() -> None:
     """Let every keyed request be dispatched at once."""
-    from mustardward.components.retries.intents import LogIntentGate
+    from mustardward.components.retries.intents import LogIdempotencyGuard
 
     async def async_open(self: Any, facts: Any) -> Any:
         return Success(None)
 
-    setattr(LogIntentGate, "async_open", async_open)  # noqa: B010
+    setattr(LogIdempotencyGuard, "async_open", async_open)  # noqa: B010
 
 
 def remove_budget_recheck() -> None:
--- a/bench/jobs_intents.py
+++ b/bench/jobs_intents.py
@@ -13,8 +13,8 @@
 
 from mustardward.components.entry.models import RequestFacts
 from mustardward.components.entry.protocols import StoredResponse
-from mustardward.components.retries.intents import LogIntentGate
-from mustardward.components.retries.intents_home import KeyHomes, home_name
+from mustardward.components.retries.intents import LogIdempotencyGuard
+from mustardward.components.retries.intents_home import KeyLocator, incarnation_name
 from mustardward.components.retries.intents_recorder import IntentRecorder
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.state.fold import Fold
@@ -48,18 +48,18 @@
 @asynccontextmanager
 async def _gates(
     entries: int, window: float, timers: DrivenTimerService, service: FakeLog
-) -> AsyncIterator[list[LogIntentGate]]:
+) -> AsyncIterator[list[LogIdempotencyGuard]]:
     async with anyio.create_task_group() as group:
         gates = []
         for number in range(entries):
             options = LogOptions(append_interval_seconds=window)
             log = FoldedLog(work_spec("dc-1"), service, timers, options, Random(number))
             group.start_soon(log.async_run)
-            homes = KeyHomes("dc-1", None, None)
-            identity = home_name(f"entry-{number}", 1)
-            recorder = IntentRecorder(log, timers, group, identity, homes.is_live)
+            key_locator = KeyLocator("dc-1", None, None)
+            identity = incarnation_name(f"entry-{number}", 1)
+            recorder = IntentRecorder(log, timers, group, identity, key_locator.is_live)
             recorder.start()
-            gate = LogIntentGate(recorder, homes, timers, group, identity)
+            gate = LogIdempotencyGuard(recorder, key_locator, timers, group, identity)
             gates.append(gate)
         yield gates
         group.cancel_scope.cancel()
--- a/mustardward/components/jobs/holder_liveness.py
+++ b/mustardward/components/jobs/holder_liveness.py
@@ -7,7 +7,7 @@
 from ...helpers.timer import TimerService
 from ..membership.models import MemberStatus
 from ..membership.protocols import Membership
-from ..retries.intents_home import home_name
+from ..retries.intents_home import incarnation_name
 
 HOLDER_GRACE_SECONDS: Final = 15.0
 """How long a holder may be unconfirmed before its tasks are taken over."""
@@ -50,7 +50,7 @@
         if self._membership is None:
             return None
         for item in self._membership.members():
-            if home_name(item.name, item.incarnation) == holder:
+            if incarnation_name(item.name, item.incarnation) == holder:
                 return item.status
         return None
 
--- a/mustardward/components/jobs/setup.py
+++ b/mustardward/components/jobs/setup.py
@@ -20,7 +20,7 @@
 )
 from ..limits.models import SlotReclaimRequested
 from ..membership.models import InstanceLeaving
-from ..retries.intents_home import home_name
+from ..retries.intents_home import incarnation_name
 from ..routing.models import WorkerBusy
 from .attempt_manager import AttemptManager
 from .attempt_statistics import AttemptStatistics
@@ -64,7 +64,7 @@
     fleet = core.get(FLEET_LOG)
     membership = core.find(MEMBERSHIP)
     incarnation = membership.own.incarnation if membership else 0
-    identity = home_name(entry.name, incarnation)
+    identity = incarnation_name(entry.name, incarnation)
     is_eligible = membership.is_instance_eligible if membership else _always_true
     pools = PoolIndex(fleet, entry.data_centre, is_eligible)
     attempt_manager = AttemptManager(
--- a/mustardward/components/jobs/slot_reclaimer.py
+++ b/mustardward/components/jobs/slot_reclaimer.py
@@ -14,7 +14,7 @@
 from ..membership.models import Member
 from ..membership.protocols import Membership
 from ..peers.protocols import Peers, peer_message
-from ..retries.intents_home import home_name
+from ..retries.intents_home import incarnation_name
 from .scheduler import JobScheduler
 
 _LOGGER = get_logger(__name__)
@@ -111,7 +111,7 @@
         if self.membership is None:
             return None
         for item in self.membership.live():
-            if home_name(item.name, item.incarnation) == holder:
+            if incarnation_name(item.name, item.incarnation) == holder:
                 return item
         return None
 
--- a/mustardward/components/retries/intents.py
+++ b/mustardward/components/retries/intents.py
@@ -19,16 +19,16 @@
 from ...state.models.jobs import CloseIntent
 from ..entry.models import Ran, RequestFacts, RequestRefusal
 from ..entry.protocols import StoredResponse
-from .intents_home import KeyHomes
+from .intents_home import KeyLocator
 from .intents_judge import (
     HOME_ELSEWHERE,
     Standing,
     log_out_refusal,
     may_run_without_key,
 )
-from .intents_models import KeyQuestion, KeyReply
+from .intents_models import KeyReply, KeyRequest
 from .intents_recorder import IntentRecorder
-from .intents_remote import RemoteRecorders
+from .intents_remote import RemoteIntentClient
 
 NO_ANSWER: Final = StoredResponse(0, "", b"")
 
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class LogIntentGate:
+class LogIdempotencyGuard:
     """Open and close the intents of this entry's callers.
 
     :param identity: the name of this incarnation, see ``home_name``.
@@ -52,11 +52,11 @@
     """
 
     recorder: IntentRecorder
-    homes: KeyHomes
+    key_locator: KeyLocator
     timers: TimerService
     tasks: TaskGroup
     identity: str
-    remote: RemoteRecorders | None = None
+    remote: RemoteIntentClient | None = None
     _opened: dict[str, OpenIntentHere] = field(default_factory=dict)
     _count: int = 0
 
@@ -78,14 +78,14 @@
         """Return nothing if this process may dispatch, or the stored answer."""
         if not facts.idempotency_key:
             return Success(None)
-        data_centre = self.homes.data_centre_of(facts)
-        question = self._question(facts)
-        if data_centre == self.homes.data_centre:
-            reply = await self.recorder.async_open(question)
+        data_centre = self.key_locator.data_centre_of(facts)
+        request = self._build_request(facts)
+        if data_centre == self.key_locator.data_centre:
+            reply = await self.recorder.async_open(request)
         elif self.remote is None:
             return _refuse(facts, HOME_ELSEWHERE)
         else:
-            reply = await self._async_open_there(self.remote, question, data_centre)
+            reply = await self._async_open_there(self.remote, request, data_centre)
         if reply.opened:
             opened = OpenIntentHere(data_centre, reply.opened)
             self._opened[facts.request_id] = opened
@@ -113,26 +113,26 @@
             body=kept.body,
             opened=opened.sequence,
         )
-        if opened.data_centre == self.homes.data_centre:
+        if opened.data_centre == self.key_locator.data_centre:
             self.tasks.start_soon(self.recorder.closer.async_close, body)
         elif self.remote is not None:
             self.tasks.start_soon(self.remote.async_close, body, opened.data_centre)
 
     async def _async_open_there(
-        self, remote: RemoteRecorders, question: KeyQuestion, data_centre: str
+        self, remote: RemoteIntentClient, request: KeyRequest, data_centre: str
     ) -> KeyReply:
         try:
-            return await remote.async_open(question, data_centre)
+            return await remote.async_open(request, data_centre)
         except BaseException:
-            remote.unsure[question.record_id] = None
+            remote.unsure[request.record_id] = None
             raise
         finally:
-            if question.record_id in remote.unsure:
-                self.tasks.start_soon(remote.async_settle, question, data_centre)
+            if request.record_id in remote.unsure:
+                self.tasks.start_soon(remote.async_settle, request, data_centre)
 
-    def _question(self, facts: RequestFacts) -> KeyQuestion:
+    def _build_request(self, facts: RequestFacts) -> KeyRequest:
         self._count += 1
-        return KeyQuestion(
+        return KeyRequest(
             organisation=facts.organisation,
             key=facts.idempotency_key,
             request_digest=facts.request_digest,
@@ -145,9 +145,12 @@
         log = self.recorder.log
         since_arrival = self.timers.monotonic() - facts.arrived
         fresh = log.may_decide and log.tail_age_seconds() <= since_arrival
-        if not fresh or self.homes.data_centre_of(facts) != self.homes.data_centre:
+        if (
+            not fresh
+            or self.key_locator.data_centre_of(facts) != self.key_locator.data_centre
+        ):
             return False
-        verdict = self.recorder.judge(self._question(facts))
+        verdict = self.recorder.judge(self._build_request(facts))
         return verdict.standing is Standing.FREE
 
 
--- a/mustardward/components/retries/intents_home.py
+++ b/mustardward/components/retries/intents_home.py
@@ -13,7 +13,7 @@
 _STALE: Final = -1
 
 
-class KeyHomes:
+class KeyLocator:
     """Share keys out over an organisation's data centres.
 
     Each data centre has a stream of its own, and one of them has to decide on a key
@@ -47,7 +47,9 @@
         if self._membership is None:
             return True
         members = self._membership.live()
-        return home in {home_name(item.name, item.incarnation) for item in members}
+        return home in {
+            incarnation_name(item.name, item.incarnation) for item in members
+        }
 
     def _data_centres(self, facts: RequestFacts) -> frozenset[str]:
         self._refresh()
@@ -66,6 +68,6 @@
         self._sequence = self._fleet.sequence
 
 
-def home_name(name: str, incarnation: int) -> str:
+def incarnation_name(name: str, incarnation: int) -> str:
     """Return how an intent names its home: a restarted process is another home."""
     return f"{name}/{incarnation}"
--- a/mustardward/components/retries/intents_models.py
+++ b/mustardward/components/retries/intents_models.py
@@ -26,7 +26,7 @@
 
 @peer_message("intents.open", KeyReply)
 @dataclass(frozen=True, slots=True)
-class KeyQuestion:
+class KeyRequest:
     """Ask the data centre that keeps a key to open an intent for ``home``.
 
     ``record_id`` stays the same over repetitions, whoever is asked; ``repeated`` says
@@ -51,7 +51,7 @@
 
 @peer_message("intents.close", OutcomeReply)
 @dataclass(frozen=True, slots=True)
-class OutcomeNews:
+class OutcomeReport:
     """Tell the data centre that keeps a key what became of an intent."""
 
     organisation: str
--- a/mustardward/components/retries/intents_recorder.py
+++ b/mustardward/components/retries/intents_recorder.py
@@ -26,7 +26,7 @@
     Verdict,
     judge_intent,
 )
-from .intents_models import KeyQuestion, KeyReply
+from .intents_models import KeyReply, KeyRequest
 
 _LOGGER = get_logger(__name__)
 
@@ -64,116 +64,116 @@
         """Begin to follow the log; return what ends that."""
         return self.log.listen(self._on_record)
 
-    async def async_open(self, question: KeyQuestion) -> KeyReply:
+    async def async_open(self, request: KeyRequest) -> KeyReply:
         """Open an intent, or say what stands under the key."""
-        deadline = self.timers.monotonic() + question.remaining_seconds
-        if question.repeated:
+        deadline = self.timers.monotonic() + request.remaining_seconds
+        if request.repeated:
             # An intent of the first copy would look like another's in progress.
-            reply = await self._async_propose(question, deadline)
+            reply = await self._async_propose(request, deadline)
             if reply is not None:
                 return reply
         for _ in range(MAXIMUM_ROUNDS):
-            verdict = self.judge(question)
+            verdict = self.judge(request)
             if verdict.standing is Standing.FREE:
-                reply = await self._async_propose(question, deadline)
+                reply = await self._async_propose(request, deadline)
             elif verdict.standing is Standing.IN_PROGRESS:
-                reply = await self._async_wait(question, deadline)
+                reply = await self._async_wait(request, deadline)
             else:
                 reply = KeyReply(answer=verdict.answer, refusal=verdict.refusal)
             if reply is not None:
                 return reply
         return KeyReply(refusal=IN_PROGRESS)
 
-    def judge(self, question: KeyQuestion) -> Verdict:
+    def judge(self, request: KeyRequest) -> Verdict:
         """Return what the folded intent under a key allows."""
-        name = intent_name(question.organisation, question.key)
+        name = intent_name(request.organisation, request.key)
         intent = self.log.state.intents.get(name)
-        return judge_intent(intent, question.request_digest)
+        return judge_intent(intent, request.request_digest)
 
     async def _async_propose(
-        self, question: KeyQuestion, deadline: float
+        self, request: KeyRequest, deadline: float
     ) -> KeyReply | None:
         left = deadline - self.timers.monotonic()
         if left <= 0:
             return KeyReply(refusal=DEADLINE_PASSED)
-        record_id = question.record_id
+        record_id = request.record_id
         self._proposed.setdefault(record_id, 0)
         try:
-            result = await self._async_append(question, left)
+            result = await self._async_append(request, left)
         except BaseException:
             # Who asked gave up in mid-append: nobody will dispatch under the intent.
-            self._abandon(question)
+            self._abandon(request)
             raise
         folded = self._proposed.get(record_id, 0)
         if isinstance(result, Success) or folded:
             self._proposed.pop(record_id, None)
-            return self._opened(question, folded or result.unwrap().revision)
+            return self._opened(request, folded or result.unwrap().revision)
         error = result.failure()
         unsure = isinstance(error, PlatformOutcomeUnknownError)
         if unsure:
-            self._abandon(question)
+            self._abandon(request)
         self._proposed.pop(record_id, None)
         if isinstance(error, RecordRefusedError):
             return None
-        return await self._async_log_out(question, unsure)
+        return await self._async_log_out(request, unsure)
 
-    def _opened(self, question: KeyQuestion, sequence: int) -> KeyReply | None:
+    def _opened(self, request: KeyRequest, sequence: int) -> KeyReply | None:
         # A repeated question may come so late that its intent was closed, and even
         # opened anew for another try.
-        name = intent_name(question.organisation, question.key)
+        name = intent_name(request.organisation, request.key)
         intent = self.log.state.intents.get(name)
         if intent is None or intent.sequence != sequence or intent.closed:
             return None
         return KeyReply(opened=sequence)
 
     async def _async_append(
-        self, question: KeyQuestion, left: float
+        self, request: KeyRequest, left: float
     ) -> Result[Acceptance, MustardwardError]:
         body = OpenIntent(
-            question.organisation, question.key, question.request_digest, question.home
+            request.organisation, request.key, request.request_digest, request.home
         )
         return await self.log.async_propose(
             body,
-            actor=question.home,
-            record_id=question.record_id,
+            actor=request.home,
+            record_id=request.record_id,
             timeout_seconds=min(left, WAIT_SECONDS),
             priority=OPEN_PRIORITY,
         )
 
-    def _abandon(self, question: KeyQuestion) -> None:
+    def _abandon(self, request: KeyRequest) -> None:
         # The record may be folded at any later time, and nobody will dispatch under
         # it. It is closed then as not run: else the key would answer `unknown` for
         # ever.
-        _LOGGER.warning("intent_abandoned", record_id=question.record_id)
-        opened = self._proposed.pop(question.record_id, 0)
-        if question.home != self.identity:
+        _LOGGER.warning("intent_abandoned", record_id=request.record_id)
+        opened = self._proposed.pop(request.record_id, 0)
+        if request.home != self.identity:
             # Who asked may get the intent through another entry and dispatch under
             # it; to close it here as not run would let a second try run as well.
             return
         if opened:
-            body = (question.organisation, question.key, question.home)
+            body = (request.organisation, request.key, request.home)
             self._close_unused(CloseIntent(*body, "no", opened=opened))
             return
-        self._abandoned[question.record_id] = None
+        self._abandoned[request.record_id] = None
         while len(self._abandoned) > MAXIMUM_ABANDONED:
             del self._abandoned[next(iter(self._abandoned))]
 
     def _close_unused(self, close: CloseIntent) -> None:
         self.tasks.start_soon(self.closer.async_close, close)
 
-    async def _async_log_out(self, question: KeyQuestion, unsure: bool) -> KeyReply:
+    async def _async_log_out(self, request: KeyRequest, unsure: bool) -> KeyReply:
         # `not run` is true only if nobody else opened the key before; without the
         # tail an earlier attempt may stand there unseen.
         confirmed = await self.log.async_confirm_tail(CONFIRM_SECONDS)
-        verdict = self.judge(question)
+        verdict = self.judge(request)
         if verdict.standing is Standing.FREE:
             return KeyReply(unseen=confirmed, unsure=unsure)
         return KeyReply(answer=verdict.answer, refusal=verdict.refusal, unsure=unsure)
 
     async def _async_wait(
-        self, question: KeyQuestion, deadline: float
+        self, request: KeyRequest, deadline: float
     ) -> KeyReply | None:
-        name = intent_name(question.organisation, question.key)
+        name = intent_name(request.organisation, request.key)
         intent = self.log.state.intents[name]
         if not self.is_live(intent.home):
             return KeyReply(refusal=IN_PROGRESS)
--- a/mustardward/components/retries/intents_remote.py
+++ b/mustardward/components/retries/intents_remote.py
@@ -19,7 +19,7 @@
 from ..membership.models import Member
 from ..membership.protocols import Membership
 from ..peers.protocols import Peers
-from .intents_models import KeyQuestion, KeyReply, OutcomeNews, OutcomeReply
+from .intents_models import KeyReply, KeyRequest, OutcomeReply, OutcomeReport
 from .intents_recorder import IntentRecorder
 
 _LOGGER = get_logger(__name__)
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class RemoteRecorders:
+class RemoteIntentClient:
     """Ask entries of other data centres to record intents in their stream."""
 
     peers: Peers
@@ -42,59 +42,59 @@
     timers: TimerService
     unsure: dict[str, None] = field(default_factory=dict)
 
-    async def async_open(self, question: KeyQuestion, data_centre: str) -> KeyReply:
+    async def async_open(self, request: KeyRequest, data_centre: str) -> KeyReply:
         """Return what a recorder there says; none there is like a log that is out.
 
         A lost answer is met by the same question to the next one: its record id lets
         the log take the intent once.
         """
-        for member in self._members(question, data_centre)[:TRIES]:
+        for member in self._members(request, data_centre)[:TRIES]:
             try:
                 reply: KeyReply = await self.peers.async_call(
-                    member, question, min(question.remaining_seconds, CALL_SECONDS)
+                    member, request, min(request.remaining_seconds, CALL_SECONDS)
                 )
             except PeerOutcomeUnknownError:
-                self.unsure[question.record_id] = None
-                question = replace(question, repeated=True)
+                self.unsure[request.record_id] = None
+                request = replace(request, repeated=True)
             except PeerError as error:
                 _LOGGER.info("intent_peer_silent", peer=member.name, code=error.code)
             else:
-                self._note_reply(question, reply)
+                self._note_reply(request, reply)
                 return reply
         return KeyReply()
 
-    def _note_reply(self, question: KeyQuestion, reply: KeyReply) -> None:
+    def _note_reply(self, request: KeyRequest, reply: KeyReply) -> None:
         settled = reply.opened or reply.answer or reply.refusal
         if reply.unsure:
-            self.unsure[question.record_id] = None
+            self.unsure[request.record_id] = None
         elif settled:
-            self.unsure.pop(question.record_id, None)
+            self.unsure.pop(request.record_id, None)
 
-    async def async_settle(self, question: KeyQuestion, data_centre: str) -> None:
+    async def async_settle(self, request: KeyRequest, data_centre: str) -> None:
         """Close as not run what a lost answer may have opened for nobody."""
         if len(self.unsure) > MAXIMUM_UNSURE:
-            del self.unsure[question.record_id]
-            _LOGGER.error("intent_left_open", record_id=question.record_id)
-        question = replace(question, repeated=True)
+            del self.unsure[request.record_id]
+            _LOGGER.error("intent_left_open", record_id=request.record_id)
+        request = replace(request, repeated=True)
         delay = REPEAT_SECONDS
-        while question.record_id in self.unsure:
+        while request.record_id in self.unsure:
             await self.timers.async_sleep(delay)
             delay = min(2 * delay, REPEAT_SECONDS_MAXIMUM)
-            reply = await self.async_open(question, data_centre)
+            reply = await self.async_open(request, data_centre)
             if reply.opened:
-                body = (question.organisation, question.key, question.home)
+                body = (request.organisation, request.key, request.home)
                 close = CloseIntent(*body, "no", opened=reply.opened)
                 await self.async_close(close, data_centre)
 
     async def async_close(self, close: CloseIntent, data_centre: str) -> None:
         """Tell the outcome until a recorder there has made it durable."""
-        news = OutcomeNews(**asdict(close))
+        news = OutcomeReport(**asdict(close))
         delay = REPEAT_SECONDS
         while not await self._async_tell(news, data_centre):
             await self.timers.async_sleep(delay)
             delay = min(2 * delay, REPEAT_SECONDS_MAXIMUM)
 
-    async def _async_tell(self, news: OutcomeNews, data_centre: str) -> bool:
+    async def _async_tell(self, news: OutcomeReport, data_centre: str) -> bool:
         for member in self._members(news, data_centre)[:TRIES]:
             try:
                 reply: OutcomeReply = await self.peers.async_call(
@@ -108,7 +108,7 @@
         return False
 
     def _members(
-        self, message: KeyQuestion | OutcomeNews, data_centre: str
+        self, message: KeyRequest | OutcomeReport, data_centre: str
     ) -> list[Member]:
         live = {item.name: item for item in self.membership.live(data_centre)}
         name = intent_name(message.organisation, message.key)
@@ -118,16 +118,16 @@
 def serve_recorder(peers: Peers, recorder: IntentRecorder) -> Callable[[], None]:
     """Answer the questions of other data centres; return what ends that."""
 
-    async def async_open(caller: str, question: KeyQuestion) -> KeyReply:
-        return await recorder.async_open(question)
+    async def async_open(caller: str, request: KeyRequest) -> KeyReply:
+        return await recorder.async_open(request)
 
-    async def async_close(caller: str, news: OutcomeNews) -> OutcomeReply:
+    async def async_close(caller: str, news: OutcomeReport) -> OutcomeReply:
         body = CloseIntent(**asdict(news))
         return OutcomeReply(await recorder.closer.async_try(body))
 
     undo = (
-        peers.handle(KeyQuestion, async_open),
-        peers.handle(OutcomeNews, async_close),
+        peers.handle(KeyRequest, async_open),
+        peers.handle(OutcomeReport, async_close),
     )
 
     def stop() -> None:
--- a/mustardward/components/retries/intents_setup.py
+++ b/mustardward/components/retries/intents_setup.py
@@ -4,10 +4,10 @@
 
 from ...core import Core, Unload
 from ..keys import FLEET_LOG, IDEMPOTENCY_GUARD, MEMBERSHIP, PEERS, WORK_LOG
-from .intents import LogIntentGate
-from .intents_home import KeyHomes, home_name
+from .intents import LogIdempotencyGuard
+from .intents_home import KeyLocator, incarnation_name
 from .intents_recorder import IntentRecorder
-from .intents_remote import RemoteRecorders, serve_recorder
+from .intents_remote import RemoteIntentClient, serve_recorder
 
 
 async def async_setup_intents(core: Core) -> Unload:
@@ -15,18 +15,20 @@
     entry = core.settings.entry
     membership = core.find(MEMBERSHIP)
     incarnation = membership.own.incarnation if membership else 0
-    homes = KeyHomes(entry.data_centre, core.find(FLEET_LOG), membership)
-    identity = home_name(entry.name, incarnation)
+    key_locator = KeyLocator(entry.data_centre, core.find(FLEET_LOG), membership)
+    identity = incarnation_name(entry.name, incarnation)
     recorder = IntentRecorder(
-        core.get(WORK_LOG), core.timers, core.tasks, identity, homes.is_live
+        core.get(WORK_LOG), core.timers, core.tasks, identity, key_locator.is_live
     )
     undo = [recorder.start()]
     remote = None
     peers = core.find(PEERS)
     if peers is not None and membership is not None:
-        remote = RemoteRecorders(peers, membership, core.timers)
+        remote = RemoteIntentClient(peers, membership, core.timers)
         undo.append(serve_recorder(peers, recorder))
-    gate = LogIntentGate(recorder, homes, core.timers, core.tasks, identity, remote)
+    gate = LogIdempotencyGuard(
+        recorder, key_locator, core.timers, core.tasks, identity, remote
+    )
     core.put(IDEMPOTENCY_GUARD, gate)
 
     async def async_unload() -> None:
--- a/tests/components/jobs/test_intents.py
+++ b/tests/components/jobs/test_intents.py
@@ -16,8 +16,8 @@
 from mustardward.components.entry.models import Ran, RequestFacts
 from mustardward.components.entry.protocols import StoredResponse
 from mustardward.components.membership.models import Member, MemberStatus
-from mustardward.components.retries.intents import LogIntentGate
-from mustardward.components.retries.intents_home import KeyHomes, home_name
+from mustardward.components.retries.intents import LogIdempotencyGuard
+from mustardward.components.retries.intents_home import KeyLocator, incarnation_name
 from mustardward.components.retries.intents_recorder import IntentRecorder
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.state.models.templates import Parameters, ServiceBinding, Urgency
@@ -70,13 +70,13 @@
         for name in names:
             log = FakeWorkLog(world.shared, name)
             membership = FakeMembership(name, list(names))
-            homes = KeyHomes("dc-1", None, membership)  # type: ignore[arg-type]
+            key_locator = KeyLocator("dc-1", None, membership)  # type: ignore[arg-type]
             recorder = IntentRecorder(
-                log, world.timers, tasks, home_name(name, 1), homes.is_live
+                log, world.timers, tasks, incarnation_name(name, 1), key_locator.is_live
             )
             recorder.start()
-            guard = LogIntentGate(
-                recorder, homes, world.timers, tasks, home_name(name, 1)
+            guard = LogIdempotencyGuard(
+                recorder, key_locator, world.timers, tasks, incarnation_name(name, 1)
             )
             world.guards[name] = guard
             world.logs[name] = log
@@ -133,7 +133,7 @@
 async def test_a_restarted_home_does_not_take_the_old_intent_for_its_own() -> None:
     async with running_guards("a") as world:
         await world.guards["a"].async_open(build_facts(world.timers))
-        world.guards["a"].homes._membership.live = lambda dc=None: (
+        world.guards["a"].key_locator._membership.live = lambda dc=None: (
             replace(build_member("a"), incarnation=2),
         )
         again = await world.guards["a"].async_open(build_facts(world.timers))
--- a/tests/components/jobs/test_intents_remote.py
+++ b/tests/components/jobs/test_intents_remote.py
@@ -15,11 +15,11 @@
 from mustardward.components.entry.protocols import StoredResponse
 from mustardward.components.membership.models import Member, MemberStatus
 from mustardward.components.peers.exceptions import PeerUnreachableError
-from mustardward.components.retries.intents import LogIntentGate
-from mustardward.components.retries.intents_home import KeyHomes, home_name
+from mustardward.components.retries.intents import LogIdempotencyGuard
+from mustardward.components.retries.intents_home import KeyLocator, incarnation_name
 from mustardward.components.retries.intents_recorder import IntentRecorder
 from mustardward.components.retries.intents_remote import (
-    RemoteRecorders,
+    RemoteIntentClient,
     serve_recorder,
 )
 from mustardward.exceptions import PeerOutcomeUnknownError
@@ -87,19 +87,19 @@
         for name, own in members.items():
             log = FakeWorkLog(shared[own.data_centre], name)
             membership: Any = SimpleNamespace(own=own, live=live)
-            homes = KeyHomes(own.data_centre, fleet, membership)
+            key_locator = KeyLocator(own.data_centre, fleet, membership)
             recorder = IntentRecorder(
-                log, timers, tasks, home_name(name, 1), homes.is_live
+                log, timers, tasks, incarnation_name(name, 1), key_locator.is_live
             )
             recorder.start()
             serve_recorder(network.connect(name), recorder)
-            remote = RemoteRecorders(network.connect(name), membership, timers)
-            world.guards[name] = LogIntentGate(
-                recorder, homes, timers, tasks, home_name(name, 1), remote
+            remote = RemoteIntentClient(network.connect(name), membership, timers)
+            world.guards[name] = LogIdempotencyGuard(
+                recorder, key_locator, timers, tasks, incarnation_name(name, 1), remote
             )
             world.logs[name] = log
         facts = build_facts(timers)
-        world.home = next(iter(world.guards.values())).homes.data_centre_of(facts)
+        world.home = next(iter(world.guards.values())).key_locator.data_centre_of(facts)
         world.away = next(name for name in CENTRES if name != world.home)
         yield world
         tasks.cancel_scope.cancel()
@@ -172,13 +172,13 @@
     async with running_centres() as world:
         guard = world.guards[f"{world.away}-1"]
         facts = build_facts(world.timers)
-        question = guard._question(facts)
+        request = guard._build_request(facts)
         first, second = (world.guards[f"{world.home}-{n}"].recorder for n in (1, 2))
         world.logs[f"{world.home}-1"].lose_next = True
         world.logs[f"{world.home}-1"].cut_off = True
-        lost = await first.async_open(question)
+        lost = await first.async_open(request)
         assert lost.unsure and not lost.opened
-        given = await second.async_open(replace(question, repeated=True))
+        given = await second.async_open(replace(request, repeated=True))
         assert given.opened
         world.logs[f"{world.home}-1"].cut_off = False
         world.logs[f"{world.home}-1"].catch_up()
