--- a/bench/history/removals.py
+++ b/bench/history/removals.py
@@ -34,7 +34,7 @@
 
 def remove_intent() -> None:
     """Let every keyed request be dispatched at once."""
-    from mustardward.components.retries.intents import LogIdempotencyGuard
+    from mustardward.components.retries.idempotency_guard import LogIdempotencyGuard
 
     async def async_open(self: Any, facts: Any) -> Any:
         return Success(None)
--- a/bench/jobs_intents.py
+++ b/bench/jobs_intents.py
@@ -13,9 +13,9 @@
 
 from mustardward.components.entry.models import RequestFacts
 from mustardward.components.entry.protocols import StoredResponse
-from mustardward.components.retries.intents import LogIdempotencyGuard
-from mustardward.components.retries.intents_home import KeyLocator, incarnation_name
-from mustardward.components.retries.intents_recorder import IntentRecorder
+from mustardward.components.retries.idempotency_guard import LogIdempotencyGuard
+from mustardward.components.retries.intent_recorder import IntentRecorder
+from mustardward.components.retries.key_locator import KeyLocator, incarnation_name
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.state.fold import Fold
 from mustardward.state.handlers.all import WORK_HANDLERS
--- a/mustardward/components/jobs/__init__.py
+++ b/mustardward/components/jobs/__init__.py
@@ -8,7 +8,7 @@
 async def async_setup(core: Core) -> Unload:
     """Set up the component and return its unload function."""
     from ..keys import WORK_LOG, WORKER_SERVICE
-    from ..retries.intents_setup import async_setup_intents
+    from ..retries.idempotency_setup import async_setup_intents
     from . import api  # noqa: F401
     from .setup import async_setup_jobs
 
--- a/mustardward/components/jobs/holder_liveness.py
+++ b/mustardward/components/jobs/holder_liveness.py
@@ -7,7 +7,7 @@
 from ...helpers.timer import TimerService
 from ..membership.models import MemberStatus
 from ..membership.protocols import Membership
-from ..retries.intents_home import incarnation_name
+from ..retries.key_locator import incarnation_name
 
 HOLDER_GRACE_SECONDS: Final = 15.0
 """How long a holder may be unconfirmed before its tasks are taken over."""
--- a/mustardward/components/jobs/setup.py
+++ b/mustardward/components/jobs/setup.py
@@ -20,7 +20,7 @@
 )
 from ..limits.models import SlotReclaimRequested
 from ..membership.models import InstanceLeaving
-from ..retries.intents_home import incarnation_name
+from ..retries.key_locator import incarnation_name
 from ..routing.models import WorkerBusy
 from .attempt_manager import AttemptManager
 from .attempt_statistics import AttemptStatistics
--- a/mustardward/components/jobs/slot_reclaimer.py
+++ b/mustardward/components/jobs/slot_reclaimer.py
@@ -14,7 +14,7 @@
 from ..membership.models import Member
 from ..membership.protocols import Membership
 from ..peers.protocols import Peers, peer_message
-from ..retries.intents_home import incarnation_name
+from ..retries.key_locator import incarnation_name
 from .scheduler import JobScheduler
 
 _LOGGER = get_logger(__name__)
--- a/mustardward/components/membership/gossip.py
+++ b/mustardward/components/membership/gossip.py
@@ -146,7 +146,7 @@
     async def async_handle_exchange(self, sender: str, message: Any) -> ExchangeReply:
         """Apply a peer's digest and return the own one."""
         if not sender:
-            raise PeerRefusedError("sender has no name")
+            raise PeerRefusedError("sender name is empty")
         now = self._timers.monotonic()
         self._apply_news(sender, message, now)
         return self._digests.build(ExchangeReply, sender, now)
@@ -166,7 +166,7 @@
         """Ping a member that doesn't respond to the sender."""
         member = self._table.get(message.name)
         if member is None:
-            raise PeerRefusedError("member is not known here")
+            raise PeerRefusedError("member is unknown to this peer")
         return ProbeReply(await self._async_ping(member))
 
     async def async_handle_ping(self, sender: str, message: Any) -> ProbeReply:
--- a/mustardward/components/retries/__init__.py
+++ b/mustardward/components/retries/__init__.py
@@ -1,4 +1,4 @@
-"""Decide on further attempts, and keep intents of idempotency keys."""
+"""Decide on retries and hedges, and record the intents of idempotency keys."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 async def async_setup(core: Core) -> Unload:
-    """Set the component up and return what undoes it."""
+    """Set up the component and return the function that unloads it."""
     from ..entry.models import RequestFinished
     from ..keys import RETRY_POLICY
     from .services import RetryPolicyService
--- a/mustardward/components/retries/budget.py
+++ b/mustardward/components/retries/budget.py
@@ -1,28 +1,28 @@
-"""Bound retries by a share of successes; pure."""
+"""Limit retries to a share of the successful requests."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from .const import FIRST_TOKENS, MAXIMUM_TOKENS
+from .const import INITIAL_TOKENS, MAX_TOKENS
 
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Hold what one organisation may spend on further attempts.
+    """Hold the retry tokens of one organisation.
 
-    Each success earns a share of a retry. When nothing succeeds nothing is earned, so
-    an outage is not answered with a multiple of the load that may have caused it.
+    Each success earns a share of a retry. Without successes nothing is earned, so that
+    retries don't multiply the load during an outage.
     """
 
-    tokens: float = FIRST_TOKENS
+    tokens: float = INITIAL_TOKENS
 
     def earn(self, share: float) -> None:
-        """Add what one success is worth."""
-        self.tokens = min(MAXIMUM_TOKENS, self.tokens + max(0.0, share))
+        """Add the tokens of one success."""
+        self.tokens = min(MAX_TOKENS, self.tokens + max(0.0, share))
 
     def spend(self, cost: float) -> bool:
-        """Take the cost of an attempt; tell whether there was enough."""
+        """Deduct the cost of an attempt; return whether there were enough tokens."""
         if self.tokens < cost:
             return False
         self.tokens -= cost
--- a/mustardward/components/retries/const.py
+++ b/mustardward/components/retries/const.py
@@ -1,49 +1,49 @@
-"""Hold the constants of retries and hedging."""
+"""Define the constants of retries and hedging."""
 
 from __future__ import annotations
 
 from typing import Final
 
-MAXIMUM_ATTEMPTS: Final = 4
-"""Attempts of one request that may cost a worker something."""
+MAX_ATTEMPTS: Final = 4
+"""Most attempts of one request, busy refusals not counted."""
 
-MAXIMUM_BUSY: Final = 32
-"""Busy refusals of one request; each costs next to nothing."""
+MAX_BUSY_REFUSALS: Final = 32
+"""Most busy refusals of one request; each costs the worker next to nothing."""
 
-FIRST_TOKENS: Final = 3.0
-"""Retries that an organisation may make before it had a success."""
+INITIAL_TOKENS: Final = 3.0
+"""Retries that an organisation may make before its first success."""
 
-MAXIMUM_TOKENS: Final = 50.0
-"""Retries that an organisation may save up."""
+MAX_TOKENS: Final = 50.0
+"""Most retries that an organisation can accumulate."""
 
 RETRY_COST: Final = 1.0
 BUSY_COST: Final = 0.0
-"""Cost of trying again after a busy refusal.
+"""Cost of a retry after a busy refusal.
 
-It cost its worker next to nothing, and the limits bound how many requests are on their
-way at once; paid for out of the budget it would end in refusals while slots fall free.
+A refusal costs the worker next to nothing, and the limits bound the requests in flight.
+If the budget paid for it, requests would be refused while slots become free.
 """
 
 BACKOFF_BASE_SECONDS: Final = 0.025
-BACKOFF_MAXIMUM_SECONDS: Final = 1.0
-BUSY_MAXIMUM_SECONDS: Final = 0.1
-BUSY_BASE_SECONDS: Final = 0.005
+BACKOFF_MAX_SECONDS: Final = 1.0
+BUSY_BACKOFF_MAX_SECONDS: Final = 0.1
+BUSY_BACKOFF_BASE_SECONDS: Final = 0.005
 
-LEAST_ATTEMPT_SECONDS: Final = 0.005
-"""Time that must be left for another attempt to make sense."""
+MIN_ATTEMPT_SECONDS: Final = 0.005
+"""Time before the deadline that another attempt needs at least."""
 
 HEDGE_QUANTILE: Final = 0.95
-"""Share of answers that come before a request is hedged."""
+"""Share of responses that arrive before a request is hedged."""
 
 HEDGE_STEP: Final = 0.05
-"""Relative step by which the learnt quantile follows each answer."""
+"""Relative step by which the estimated quantile follows each response."""
 
-HEDGE_MINIMUM_SECONDS: Final = 0.01
-HEDGE_SAMPLES: Final = 20
-"""Answers needed before a service is hedged."""
+MIN_HEDGE_SECONDS: Final = 0.01
+MIN_HEDGE_SAMPLES: Final = 20
+"""Responses needed before requests to a service are hedged."""
 
-MAXIMUM_SERVICES: Final = 4096
-"""Services whose quantile is remembered."""
+MAX_TRACKED_SERVICES: Final = 4096
+"""Most services with a latency quantile, and most organisations with a budget."""
 
-RETRIED_STATUSES: Final = frozenset({500, 502, 503, 504})
-"""Answers after which an idempotent request may be tried elsewhere."""
+RETRIABLE_STATUSES: Final = frozenset({500, 502, 503, 504})
+"""Response statuses after which an idempotent request may be retried."""
--- a/mustardward/components/retries/intents.py
+++ b/mustardward/components/retries/idempotency_guard.py
@@ -1,9 +1,9 @@
-"""Keep a request under an idempotency key from running twice.
+"""Prevent a request with an idempotency key from running twice.
 
-The log decides: whoever's intent stands first in the work stream of the key's data
-centre may dispatch, and nobody else until that intent is closed as not run. An open
-intent has no lease, so a process that was paused after opening one does no harm when
-it wakes.
+The log decides: the process whose intent is first in the work stream of the data centre
+that owns the key may dispatch, and no other until that intent is closed as not run. An
+open intent has no lease, so a process that is paused after opening one does no harm
+when it resumes.
 """
 
 from __future__ import annotations
@@ -19,25 +19,25 @@
 from ...state.models.jobs import CloseIntent
 from ..entry.models import Ran, RequestFacts, RequestRefusal
 from ..entry.protocols import StoredResponse
-from .intents_home import KeyLocator
-from .intents_judge import (
-    HOME_ELSEWHERE,
-    Standing,
-    log_out_refusal,
+from .intent_evaluation import (
+    OWNER_UNREACHABLE,
+    KeyStatus,
+    log_unavailable_refusal,
     may_run_without_key,
 )
-from .intents_models import KeyReply, KeyRequest
-from .intents_recorder import IntentRecorder
-from .intents_remote import RemoteIntentClient
+from .intent_messages import KeyReply, KeyRequest
+from .intent_recorder import IntentRecorder
+from .key_locator import KeyLocator
+from .remote_intents import RemoteIntentClient
 
-NO_ANSWER: Final = StoredResponse(0, "", b"")
+NO_RESPONSE: Final = StoredResponse(0, "", b"")
 
-Opened = Result[StoredResponse | None, RequestRefusal]
+OpenResult = Result[StoredResponse | None, RequestRefusal]
 
 
 @dataclass(frozen=True, slots=True)
-class OpenIntentHere:
-    """Hold an intent under which this process may dispatch."""
+class OpenedIntent:
+    """Hold an open intent that allows this process to dispatch."""
 
     data_centre: str
     sequence: int
@@ -45,10 +45,10 @@
 
 @dataclass(slots=True, eq=False)
 class LogIdempotencyGuard:
-    """Open and close the intents of this entry's callers.
+    """Open and close the intents of this entry node's callers.
 
-    :param identity: the name of this incarnation, see ``home_name``.
-    :param remote: reaches other data centres; without it their keys are refused.
+    :param identity: the name of this incarnation, see ``incarnation_name``.
+    :param remote: client for keys of other data centres; without it they are refused.
     """
 
     recorder: IntentRecorder
@@ -57,14 +57,14 @@
     tasks: TaskGroup
     identity: str
     remote: RemoteIntentClient | None = None
-    _opened: dict[str, OpenIntentHere] = field(default_factory=dict)
+    _opened: dict[str, OpenedIntent] = field(default_factory=dict)
     _count: int = 0
 
     def reportable_ran(self, facts: RequestFacts, ran: Ran) -> Ran:
-        """Return what a refusal may say, with earlier attempts under the key in mind.
+        """Return what a refusal may report, given earlier requests with the same key.
 
         An idempotent request may have been served without its key while the log was
-        out, so nobody can vouch that it never ran.
+        unavailable, so it is never reported as not run.
         """
         if ran is not Ran.NO or not facts.idempotency_key:
             return ran
@@ -72,10 +72,10 @@
             return Ran.UNKNOWN
         if facts.request_id in self._opened:
             return Ran.NO
-        return Ran.NO if self._surely_unseen(facts) else Ran.UNKNOWN
+        return Ran.NO if self._is_confirmed_unused(facts) else Ran.UNKNOWN
 
-    async def async_open(self, facts: RequestFacts) -> Opened:
-        """Return nothing if this process may dispatch, or the stored answer."""
+    async def async_open(self, facts: RequestFacts) -> OpenResult:
+        """Return ``None`` if this process may dispatch, or the stored response."""
         if not facts.idempotency_key:
             return Success(None)
         data_centre = self.key_locator.data_centre_of(facts)
@@ -83,34 +83,34 @@
         if data_centre == self.key_locator.data_centre:
             reply = await self.recorder.async_open(request)
         elif self.remote is None:
-            return _refuse(facts, HOME_ELSEWHERE)
+            return _refuse(facts, OWNER_UNREACHABLE)
         else:
-            reply = await self._async_open_there(self.remote, request, data_centre)
+            reply = await self._async_open_remotely(self.remote, request, data_centre)
         if reply.opened:
-            opened = OpenIntentHere(data_centre, reply.opened)
+            opened = OpenedIntent(data_centre, reply.opened)
             self._opened[facts.request_id] = opened
             return Success(None)
-        return _answer(facts, reply)
+        return _to_result(facts, reply)
 
     async def async_close(
         self, facts: RequestFacts, ran: str, answer: StoredResponse | None
     ) -> None:
-        """Make the outcome durable; ``ran`` ``no`` lets a later try dispatch.
+        """Start to record the outcome in the log; ``ran`` ``no`` permits a retry.
 
-        The caller need not wait for that: until then the key answers as in progress.
+        The caller needn't wait for the record: until then the key is in progress.
         """
         opened = self._opened.pop(facts.request_id, None)
         if opened is None:
             return
-        kept = answer if answer and _is_small(answer) else NO_ANSWER
+        stored = answer if answer and _is_storable(answer) else NO_RESPONSE
         body = CloseIntent(
             organisation=facts.organisation,
             key=facts.idempotency_key,
             home=self.identity,
             ran=str(ran),
-            status=kept.status,
-            content_type=kept.content_type,
-            body=kept.body,
+            status=stored.status,
+            content_type=stored.content_type,
+            body=stored.body,
             opened=opened.sequence,
         )
         if opened.data_centre == self.key_locator.data_centre:
@@ -118,7 +118,7 @@
         elif self.remote is not None:
             self.tasks.start_soon(self.remote.async_close, body, opened.data_centre)
 
-    async def _async_open_there(
+    async def _async_open_remotely(
         self, remote: RemoteIntentClient, request: KeyRequest, data_centre: str
     ) -> KeyReply:
         try:
@@ -128,7 +128,7 @@
             raise
         finally:
             if request.record_id in remote.unsure:
-                self.tasks.start_soon(remote.async_settle, request, data_centre)
+                self.tasks.start_soon(remote.async_resolve, request, data_centre)
 
     def _build_request(self, facts: RequestFacts) -> KeyRequest:
         self._count += 1
@@ -141,33 +141,33 @@
             remaining_seconds=max(0.0, facts.deadline - self.timers.monotonic()),
         )
 
-    def _surely_unseen(self, facts: RequestFacts) -> bool:
+    def _is_confirmed_unused(self, facts: RequestFacts) -> bool:
         log = self.recorder.log
         since_arrival = self.timers.monotonic() - facts.arrived
-        fresh = log.may_decide and log.tail_age_seconds() <= since_arrival
+        is_fresh = log.may_decide and log.tail_age_seconds() <= since_arrival
         if (
-            not fresh
+            not is_fresh
             or self.key_locator.data_centre_of(facts) != self.key_locator.data_centre
         ):
             return False
-        verdict = self.recorder.judge(self._build_request(facts))
-        return verdict.standing is Standing.FREE
+        evaluation = self.recorder.evaluate(self._build_request(facts))
+        return evaluation.key_status is KeyStatus.FREE
 
 
-def _answer(facts: RequestFacts, reply: KeyReply) -> Opened:
+def _to_result(facts: RequestFacts, reply: KeyReply) -> OpenResult:
     if reply.answer is not None:
         return Success(reply.answer)
     if reply.refusal is not None:
         return _refuse(facts, reply.refusal)
     ran = Ran.NO if reply.unseen else Ran.UNKNOWN
-    return _refuse(facts, log_out_refusal(ran))
+    return _refuse(facts, log_unavailable_refusal(ran))
 
 
-def _refuse(facts: RequestFacts, refusal: RequestRefusal) -> Opened:
+def _refuse(facts: RequestFacts, refusal: RequestRefusal) -> OpenResult:
     if facts.idempotent and may_run_without_key(refusal):
         return Success(None)
     return Failure(refusal)
 
 
-def _is_small(answer: StoredResponse) -> bool:
-    return len(answer.body) <= STORED_ANSWER_BYTES
+def _is_storable(response: StoredResponse) -> bool:
+    return len(response.body) <= STORED_ANSWER_BYTES
--- a/mustardward/components/retries/intents_close.py
+++ b/mustardward/components/retries/intent_closer.py
@@ -1,4 +1,4 @@
-"""Carry the outcomes of intents into the log, however long that takes."""
+"""Record the outcomes of intents in the log, with unlimited retries."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 _LOGGER = get_logger(__name__)
 
-RETRY_SECONDS: Final = 1.0
-RETRY_SECONDS_MAXIMUM: Final = 30.0
-MAXIMUM_PENDING: Final = 10_000
+RETRY_INITIAL_SECONDS: Final = 1.0
+RETRY_MAX_SECONDS: Final = 30.0
+MAX_PENDING: Final = 10_000
 CLOSE_PRIORITY: Final = 1
 
 
 class IntentCloser:
-    """Propose closes again until the log took them.
+    """Propose closing records until the log has accepted or refused them.
 
-    A close that never arrives leaves the key at `unknown`, which is safe but of no use
-    to its caller; so giving one up is the last resort, when too many wait.
+    Without a closing record the outcome of the key stays `unknown`, which is safe but
+    useless to the caller. A record is therefore dropped only when too many are pending.
     """
 
     def __init__(self, log: WorkLog, timers: TimerService) -> None:
@@ -34,22 +34,22 @@
 
     @property
     def pending(self) -> int:
-        """Return the number of closes that wait for the log."""
+        """Return the number of pending closing records."""
         return self._pending
 
     async def async_close(self, body: CloseIntent) -> None:
-        """Propose a close until the fold answered it."""
-        if self._pending >= MAXIMUM_PENDING:
+        """Propose a closing record until it is accepted or refused."""
+        if self._pending >= MAX_PENDING:
             _LOGGER.error("intent_close_dropped", pending=self._pending)
             return
         self._pending += 1
         try:
-            await self._async_repeat(body)
+            await self._async_propose_until_settled(body)
         finally:
             self._pending -= 1
 
-    async def async_try(self, body: CloseIntent) -> bool:
-        """Propose a close once; tell whether the fold answered it."""
+    async def async_propose_once(self, body: CloseIntent) -> bool:
+        """Propose a closing record once; return whether it was accepted or refused."""
         result = await self._log.async_propose(
             body,
             actor=body.home,
@@ -64,8 +64,8 @@
         _LOGGER.info("intent_close_refused", code=error.code)
         return True
 
-    async def _async_repeat(self, body: CloseIntent) -> None:
-        delay = RETRY_SECONDS
-        while not await self.async_try(body):
+    async def _async_propose_until_settled(self, body: CloseIntent) -> None:
+        delay = RETRY_INITIAL_SECONDS
+        while not await self.async_propose_once(body):
             await self._timers.async_sleep(delay)
-            delay = min(2 * delay, RETRY_SECONDS_MAXIMUM)
+            delay = min(2 * delay, RETRY_MAX_SECONDS)
--- a/mustardward/components/retries/intents_models.py
+++ b/mustardward/components/retries/intent_messages.py
@@ -1,4 +1,4 @@
-"""Model what entries say to each other about idempotency keys."""
+"""Define the messages between entry nodes about idempotency keys."""
 
 from __future__ import annotations
 
@@ -11,10 +11,11 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyReply:
-    """Say what a key allows: ``opened`` is the intent's sequence, or 0.
+    """Return the result of opening an intent: ``opened`` is its sequence, or 0.
 
-    With neither an intent, an answer nor a refusal, the log could not take the intent;
-    ``unseen`` then says that its tail was read and holds no earlier one.
+    Without an intent, an answer or a refusal, the log couldn't accept the intent;
+    ``unseen`` then means that the log was read to its end and has no earlier one.
+    ``unsure`` means that the log may still accept the intent.
     """
 
     opened: int = 0
@@ -27,10 +28,11 @@
 @peer_message("intents.open", KeyReply)
 @dataclass(frozen=True, slots=True)
 class KeyRequest:
-    """Ask the data centre that keeps a key to open an intent for ``home``.
+    """Request the data centre that owns a key to open an intent for ``home``.
 
-    ``record_id`` stays the same over repetitions, whoever is asked; ``repeated`` says
-    that an earlier copy may stand in the log.
+    ``home`` is the incarnation that may dispatch. ``record_id`` is the same for all
+    repetitions to any peer; ``repeated`` means that the log may
+    contain an earlier copy.
     """
 
     organisation: str
@@ -44,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeReply:
-    """Say that an outcome is durable, or was settled before."""
+    """Report whether an outcome is durable or was settled before."""
 
     taken: bool
 
@@ -52,7 +54,7 @@
 @peer_message("intents.close", OutcomeReply)
 @dataclass(frozen=True, slots=True)
 class OutcomeReport:
-    """Tell the data centre that keeps a key what became of an intent."""
+    """Report the outcome of an intent to the data centre that owns its key."""
 
     organisation: str
     key: str
--- a/mustardward/components/retries/intents_recorder.py
+++ b/mustardward/components/retries/intent_recorder.py
@@ -1,4 +1,4 @@
-"""Open intents in this data centre's work stream: the first one in the log wins."""
+"""Open intents in the work stream of this data centre; the first in the log wins."""
 
 from __future__ import annotations
 
@@ -18,33 +18,33 @@
 from ...state.models.jobs import CloseIntent, OpenIntent
 from ...state.protocols import WorkLog
 from ...state.work import intent_name
-from .intents_close import IntentCloser
-from .intents_judge import (
+from .intent_closer import IntentCloser
+from .intent_evaluation import (
     DEADLINE_PASSED,
     IN_PROGRESS,
-    Standing,
-    Verdict,
-    judge_intent,
+    KeyEvaluation,
+    KeyStatus,
+    evaluate_intent,
 )
-from .intents_models import KeyReply, KeyRequest
+from .intent_messages import KeyReply, KeyRequest
 
 _LOGGER = get_logger(__name__)
 
-WAIT_SECONDS: Final = 5.0
-"""Longest wait for an earlier attempt under the same key to end."""
+MAX_WAIT_SECONDS: Final = 5.0
+"""Longest wait for an earlier request with the same key to finish."""
 
-CONFIRM_SECONDS: Final = 1.0
+CONFIRM_TIMEOUT_SECONDS: Final = 1.0
 OPEN_PRIORITY: Final = 0
-MAXIMUM_ROUNDS: Final = 8
-MAXIMUM_ABANDONED: Final = 10_000
+MAX_ROUNDS: Final = 8
+MAX_ABANDONED: Final = 10_000
 
 
 @dataclass(slots=True, eq=False)
 class IntentRecorder:
-    """Propose intents, for this entry or for one of another data centre.
+    """Propose intents for this entry node and for those of other data centres.
 
-    :param identity: the name of this incarnation, see ``home_name``.
-    :param is_live: tells whether the home that an intent names may still close it.
+    :param identity: the name of this incarnation, see ``incarnation_name``.
+    :param is_live: returns whether the incarnation that opened an intent is alive.
     """
 
     log: WorkLog
@@ -61,53 +61,56 @@
         self.closer = IntentCloser(self.log, self.timers)
 
     def start(self) -> Callable[[], None]:
-        """Begin to follow the log; return what ends that."""
+        """Subscribe to the log; return the function that unsubscribes."""
         return self.log.listen(self._on_record)
 
     async def async_open(self, request: KeyRequest) -> KeyReply:
-        """Open an intent, or say what stands under the key."""
+        """Open an intent, or return the response or refusal for the key."""
         deadline = self.timers.monotonic() + request.remaining_seconds
         if request.repeated:
-            # An intent of the first copy would look like another's in progress.
+            # Propose first: the intent of the first copy would otherwise appear to be
+            # another request in progress.
             reply = await self._async_propose(request, deadline)
             if reply is not None:
                 return reply
-        for _ in range(MAXIMUM_ROUNDS):
-            verdict = self.judge(request)
-            if verdict.standing is Standing.FREE:
+        for _ in range(MAX_ROUNDS):
+            evaluation = self.evaluate(request)
+            if evaluation.key_status is KeyStatus.FREE:
                 reply = await self._async_propose(request, deadline)
-            elif verdict.standing is Standing.IN_PROGRESS:
+            elif evaluation.key_status is KeyStatus.IN_PROGRESS:
                 reply = await self._async_wait(request, deadline)
             else:
-                reply = KeyReply(answer=verdict.answer, refusal=verdict.refusal)
+                reply = KeyReply(answer=evaluation.answer, refusal=evaluation.refusal)
             if reply is not None:
                 return reply
         return KeyReply(refusal=IN_PROGRESS)
 
-    def judge(self, request: KeyRequest) -> Verdict:
-        """Return what the folded intent under a key allows."""
+    def evaluate(self, request: KeyRequest) -> KeyEvaluation:
+        """Return the status of a key by its applied intent."""
         name = intent_name(request.organisation, request.key)
         intent = self.log.state.intents.get(name)
-        return judge_intent(intent, request.request_digest)
+        return evaluate_intent(intent, request.request_digest)
 
     async def _async_propose(
         self, request: KeyRequest, deadline: float
     ) -> KeyReply | None:
-        left = deadline - self.timers.monotonic()
-        if left <= 0:
+        seconds_left = deadline - self.timers.monotonic()
+        if seconds_left <= 0:
             return KeyReply(refusal=DEADLINE_PASSED)
         record_id = request.record_id
         self._proposed.setdefault(record_id, 0)
         try:
-            result = await self._async_append(request, left)
+            result = await self._async_append(request, seconds_left)
         except BaseException:
-            # Who asked gave up in mid-append: nobody will dispatch under the intent.
+            # The requester was cancelled during the append and will not dispatch.
             self._abandon(request)
             raise
-        folded = self._proposed.get(record_id, 0)
-        if isinstance(result, Success) or folded:
+        applied = self._proposed.get(record_id, 0)
+        if isinstance(result, Success) or applied:
             self._proposed.pop(record_id, None)
-            return self._opened(request, folded or result.unwrap().revision)
+            return self._build_opened_reply(
+                request, applied or result.unwrap().revision
+            )
         error = result.failure()
         unsure = isinstance(error, PlatformOutcomeUnknownError)
         if unsure:
@@ -115,11 +118,13 @@
         self._proposed.pop(record_id, None)
         if isinstance(error, RecordRefusedError):
             return None
-        return await self._async_log_out(request, unsure)
+        return await self._async_reply_unavailable(request, unsure)
 
-    def _opened(self, request: KeyRequest, sequence: int) -> KeyReply | None:
-        # A repeated question may come so late that its intent was closed, and even
-        # opened anew for another try.
+    def _build_opened_reply(
+        self, request: KeyRequest, sequence: int
+    ) -> KeyReply | None:
+        # When a repeated request arrives late, its intent may have been closed, and
+        # another one opened for a retry.
         name = intent_name(request.organisation, request.key)
         intent = self.log.state.intents.get(name)
         if intent is None or intent.sequence != sequence or intent.closed:
@@ -127,7 +132,7 @@
         return KeyReply(opened=sequence)
 
     async def _async_append(
-        self, request: KeyRequest, left: float
+        self, request: KeyRequest, seconds_left: float
     ) -> Result[Acceptance, MustardwardError]:
         body = OpenIntent(
             request.organisation, request.key, request.request_digest, request.home
@@ -136,39 +141,42 @@
             body,
             actor=request.home,
             record_id=request.record_id,
-            timeout_seconds=min(left, WAIT_SECONDS),
+            timeout_seconds=min(seconds_left, MAX_WAIT_SECONDS),
             priority=OPEN_PRIORITY,
         )
 
     def _abandon(self, request: KeyRequest) -> None:
-        # The record may be folded at any later time, and nobody will dispatch under
-        # it. It is closed then as not run: else the key would answer `unknown` for
-        # ever.
+        # The record may still be applied later, though nobody will dispatch under it.
+        # It is then closed as not run; otherwise the key would stay `unknown` forever.
         _LOGGER.warning("intent_abandoned", record_id=request.record_id)
         opened = self._proposed.pop(request.record_id, 0)
         if request.home != self.identity:
-            # Who asked may get the intent through another entry and dispatch under
-            # it; to close it here as not run would let a second try run as well.
+            # The requester may get the intent through another entry node and dispatch.
+            # Closing it here as not run would permit a retry to run as well.
             return
         if opened:
             body = (request.organisation, request.key, request.home)
             self._close_unused(CloseIntent(*body, "no", opened=opened))
             return
         self._abandoned[request.record_id] = None
-        while len(self._abandoned) > MAXIMUM_ABANDONED:
+        while len(self._abandoned) > MAX_ABANDONED:
             del self._abandoned[next(iter(self._abandoned))]
 
     def _close_unused(self, close: CloseIntent) -> None:
         self.tasks.start_soon(self.closer.async_close, close)
 
-    async def _async_log_out(self, request: KeyRequest, unsure: bool) -> KeyReply:
-        # `not run` is true only if nobody else opened the key before; without the
-        # tail an earlier attempt may stand there unseen.
-        confirmed = await self.log.async_confirm_tail(CONFIRM_SECONDS)
-        verdict = self.judge(request)
-        if verdict.standing is Standing.FREE:
+    async def _async_reply_unavailable(
+        self, request: KeyRequest, unsure: bool
+    ) -> KeyReply:
+        # The request may be reported as not run only if there is no earlier intent for
+        # the key, which is certain only after the log was read to its end.
+        confirmed = await self.log.async_confirm_tail(CONFIRM_TIMEOUT_SECONDS)
+        evaluation = self.evaluate(request)
+        if evaluation.key_status is KeyStatus.FREE:
             return KeyReply(unseen=confirmed, unsure=unsure)
-        return KeyReply(answer=verdict.answer, refusal=verdict.refusal, unsure=unsure)
+        return KeyReply(
+            answer=evaluation.answer, refusal=evaluation.refusal, unsure=unsure
+        )
 
     async def _async_wait(
         self, request: KeyRequest, deadline: float
@@ -179,13 +187,13 @@
             return KeyReply(refusal=IN_PROGRESS)
         event = anyio.Event()
         self._waiters.setdefault(name, []).append(event)
-        left = min(deadline - self.timers.monotonic(), WAIT_SECONDS)
-        if await async_wait_for(event, self.timers, left):
+        seconds_left = min(deadline - self.timers.monotonic(), MAX_WAIT_SECONDS)
+        if await async_wait_for(event, self.timers, seconds_left):
             return None
-        self._forget_waiter(name, event)
+        self._remove_waiter(name, event)
         return KeyReply(refusal=IN_PROGRESS)
 
-    def _forget_waiter(self, name: str, event: anyio.Event) -> None:
+    def _remove_waiter(self, name: str, event: anyio.Event) -> None:
         waiters = self._waiters.get(name, [])
         if event in waiters:
             waiters.remove(event)
--- a/mustardward/components/retries/intents_home.py
+++ b/mustardward/components/retries/key_locator.py
@@ -1,4 +1,4 @@
-"""Find the home of an idempotency key."""
+"""Find the data centre that owns an idempotency key."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from ..entry.models import RequestFacts
 from ..membership.protocols import Membership
 
-_STALE: Final = -1
+_NEVER_READ: Final = -1
 
 
 class KeyLocator:
-    """Share keys out over an organisation's data centres.
+    """Distribute keys over the data centres of a request's pools.
 
-    Each data centre has a stream of its own, and one of them has to decide on a key
-    alone. Within it every entry may propose, since the stream's order decides.
+    Each data centre has its own work stream, and a single stream has to decide on a
+    key. Every entry node there may propose, since the order of the stream decides.
 
     :param data_centre: the data centre of this process.
     """
@@ -28,7 +28,7 @@
         self._data_centre = data_centre
         self._fleet = fleet
         self._membership = membership
-        self._sequence = _STALE
+        self._sequence = _NEVER_READ
         self._by_pool: dict[str, frozenset[str]] = {}
 
     @property
@@ -37,17 +37,17 @@
         return self._data_centre
 
     def data_centre_of(self, facts: RequestFacts) -> str:
-        """Return the one data centre whose stream decides on a key."""
+        """Return the data centre whose stream decides on a key."""
         candidates = self._data_centres(facts)
         name = intent_name(facts.organisation, facts.idempotency_key)
         return rendezvous_owner(name, candidates) or self._data_centre
 
-    def is_live(self, home: str) -> bool:
-        """Tell whether the incarnation that opened an intent may still close it."""
+    def is_live(self, holder: str) -> bool:
+        """Return whether the incarnation that opened an intent is alive."""
         if self._membership is None:
             return True
         members = self._membership.live()
-        return home in {
+        return holder in {
             incarnation_name(item.name, item.incarnation) for item in members
         }
 
@@ -59,8 +59,8 @@
     def _refresh(self) -> None:
         if self._fleet is None or self._fleet.sequence == self._sequence:
             return
-        # Removed instances count too: a data centre whose last worker leaves would
-        # else hand its keys to a stream that knows none of their intents.
+        # Include removed instances: otherwise, when the last worker of a data centre
+        # leaves, its keys would move to a stream without their intents.
         by_pool: dict[str, set[str]] = {}
         for instance in self._fleet.state.instances.values():
             by_pool.setdefault(instance.pool, set()).add(instance.data_centre)
@@ -69,5 +69,5 @@
 
 
 def incarnation_name(name: str, incarnation: int) -> str:
-    """Return how an intent names its home: a restarted process is another home."""
+    """Return the identity of one incarnation, by which an intent names its opener."""
     return f"{name}/{incarnation}"
--- a/mustardward/components/retries/quantile.py
+++ b/mustardward/components/retries/quantile.py
@@ -1,4 +1,4 @@
-"""Learn a quantile of a stream of latencies in constant memory; pure."""
+"""Estimate a quantile of a stream of latencies in constant memory."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 @dataclass(slots=True)
 class LatencyQuantile:
-    """Follow one quantile by small steps up and down.
+    """Estimate one quantile by small steps up and down.
 
-    A value above moves it up by ``quantile`` steps, one below down by the rest; the
-    two balance where just that share of values lies below.
+    A latency above the estimate raises it by ``quantile`` steps, any other lowers it by
+    ``1 - quantile`` steps. Both balance where that share of latencies lies below.
     """
 
     value: float = 0.0
@@ -20,7 +20,7 @@
     quantile: float = HEDGE_QUANTILE
 
     def add(self, latency: float) -> None:
-        """Take one latency into account."""
+        """Update the estimate with one latency."""
         self.samples += 1
         if self.samples == 1:
             self.value = latency
--- a/mustardward/components/retries/services.py
+++ b/mustardward/components/retries/services.py
@@ -1,4 +1,4 @@
-"""Decide on further attempts with each organisation's budget."""
+"""Provide the retry policy with a budget for each organisation."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 from ..entry.protocols import RetryDecision
 from .budget import RetryBudget
 from .const import (
-    HEDGE_MINIMUM_SECONDS,
-    HEDGE_SAMPLES,
-    LEAST_ATTEMPT_SECONDS,
-    MAXIMUM_SERVICES,
+    MAX_TRACKED_SERVICES,
+    MIN_ATTEMPT_SECONDS,
+    MIN_HEDGE_SAMPLES,
+    MIN_HEDGE_SECONDS,
     RETRY_COST,
 )
-from .policy import backoff_ceiling, forbidden_cause, retry_cost
+from .policy import max_backoff_seconds, no_retry_cause, retry_cost
 from .quantile import LatencyQuantile
 
 _SERVER_ERROR = 500
 
 
 class RetryPolicyService:
-    """Serve as the process's retry policy.
+    """Decide on retries and hedges of requests.
 
-    :param random: the dice for pauses.
+    :param random: the random generator for the jitter of delays.
     """
 
     def __init__(self, random: Random | None = None) -> None:
@@ -41,41 +41,41 @@
     def decide(
         self, facts: RequestFacts, attempts: tuple[Attempt, ...], now: float
     ) -> RetryDecision:
-        """Decide after the last attempt in ``attempts``."""
-        cause = forbidden_cause(facts, attempts, now)
+        """Return whether and after which delay to retry after ``attempts``."""
+        cause = no_retry_cause(facts, attempts, now)
         if cause:
             return RetryDecision(False, cause=cause)
-        delay = self._random.random() * backoff_ceiling(attempts)
-        if now + delay + LEAST_ATTEMPT_SECONDS >= facts.deadline:
+        delay = self._random.random() * max_backoff_seconds(attempts)
+        if now + delay + MIN_ATTEMPT_SECONDS >= facts.deadline:
             return RetryDecision(False, cause="deadline")
         if not self._budget(facts.organisation).spend(retry_cost(attempts[-1])):
             return RetryDecision(False, cause="budget")
         return RetryDecision(True, delay)
 
     def record_first(self, facts: RequestFacts) -> None:
-        """Note that a request made its first attempt."""
+        """Record the first attempt of a request."""
         self._shares[facts.organisation] = facts.parameters.retry_share
         self._budget(facts.organisation)
 
     def hedge_after(self, facts: RequestFacts) -> float | None:
-        """Return the seconds after which a second attempt may run beside the first."""
+        """Return the seconds after which a hedged attempt may start, if any."""
         if not facts.idempotent or facts.urgency is not Urgency.URGENT:
             return None
         quantile = self._quantiles.get((facts.organisation, facts.service))
-        if quantile is None or quantile.samples < HEDGE_SAMPLES:
+        if quantile is None or quantile.samples < MIN_HEDGE_SAMPLES:
             return None
-        return max(HEDGE_MINIMUM_SECONDS, quantile.value)
+        return max(MIN_HEDGE_SECONDS, quantile.value)
 
     def take_hedge(self, facts: RequestFacts, now: float) -> bool:
-        """Take a hedged attempt out of the budget; tell whether it may be made."""
+        """Spend budget on a hedged attempt; return whether it may be made."""
         if self.hedge_after(facts) is None:
             return False
-        if now + LEAST_ATTEMPT_SECONDS >= facts.deadline:
+        if now + MIN_ATTEMPT_SECONDS >= facts.deadline:
             return False
         return self._budget(facts.organisation).spend(RETRY_COST)
 
     def on_finished(self, event: RequestFinished) -> None:
-        """Earn budget from a success, and learn its latency."""
+        """Add budget for a successful request and record its latency."""
         if event.status >= _SERVER_ERROR or event.status == 0 or not event.attempts:
             return
         share = self._shares.get(event.organisation, 0.0)
@@ -84,7 +84,7 @@
         quantile = self._quantiles.get(key)
         if quantile is None:
             quantile = self._quantiles[key] = LatencyQuantile()
-            if len(self._quantiles) > MAXIMUM_SERVICES:
+            if len(self._quantiles) > MAX_TRACKED_SERVICES:
                 self._quantiles.popitem(last=False)
         quantile.add(event.latency_seconds)
 
@@ -92,7 +92,7 @@
         budget = self._budgets.get(organisation)
         if budget is None:
             budget = self._budgets[organisation] = RetryBudget()
-            if len(self._budgets) > MAXIMUM_SERVICES:
-                forgotten, _ = self._budgets.popitem(last=False)
-                self._shares.pop(forgotten, None)
+            if len(self._budgets) > MAX_TRACKED_SERVICES:
+                evicted, _ = self._budgets.popitem(last=False)
+                self._shares.pop(evicted, None)
         return budget
--- a/tests/components/jobs/test_intents.py
+++ b/tests/components/jobs/test_intents.py
@@ -16,9 +16,9 @@
 from mustardward.components.entry.models import Ran, RequestFacts
 from mustardward.components.entry.protocols import StoredResponse
 from mustardward.components.membership.models import Member, MemberStatus
-from mustardward.components.retries.intents import LogIdempotencyGuard
-from mustardward.components.retries.intents_home import KeyLocator, incarnation_name
-from mustardward.components.retries.intents_recorder import IntentRecorder
+from mustardward.components.retries.idempotency_guard import LogIdempotencyGuard
+from mustardward.components.retries.intent_recorder import IntentRecorder
+from mustardward.components.retries.key_locator import KeyLocator, incarnation_name
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.state.models.templates import Parameters, ServiceBinding, Urgency
 from tests.fakes.worklog import FakeWorkLog, SharedLog
--- a/tests/components/jobs/test_intents_remote.py
+++ b/tests/components/jobs/test_intents_remote.py
@@ -15,10 +15,10 @@
 from mustardward.components.entry.protocols import StoredResponse
 from mustardward.components.membership.models import Member, MemberStatus
 from mustardward.components.peers.exceptions import PeerUnreachableError
-from mustardward.components.retries.intents import LogIdempotencyGuard
-from mustardward.components.retries.intents_home import KeyLocator, incarnation_name
-from mustardward.components.retries.intents_recorder import IntentRecorder
-from mustardward.components.retries.intents_remote import (
+from mustardward.components.retries.idempotency_guard import LogIdempotencyGuard
+from mustardward.components.retries.intent_recorder import IntentRecorder
+from mustardward.components.retries.key_locator import KeyLocator, incarnation_name
+from mustardward.components.retries.remote_intents import (
     RemoteIntentClient,
     serve_recorder,
 )
--- a/tests/components/retries/test_policy.py
+++ b/tests/components/retries/test_policy.py
@@ -1,4 +1,4 @@
-"""Test which attempts may follow which, and what they cost."""
+"""Test which attempts are retried or hedged, and what they cost."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 UNKNOWN = build_attempt(AttemptOutcome.UNKNOWN)
 
 
-def finished(latency: float = 0.05, status: int = 200) -> RequestFinished:
+def build_finished(latency: float = 0.05, status: int = 200) -> RequestFinished:
     return RequestFinished(
         "request-1", "small", "quotes", Urgency.NORMAL, status, Ran.YES, latency, 1
     )
 
 
 @pytest.mark.parametrize(
-    ("attempts", "again"),
+    ("attempts", "expected"),
     [
         ((REFUSED,), True),
         ((NOT_SENT,), True),
@@ -39,23 +39,22 @@
         ((NOT_SENT, REFUSED), True),
     ],
 )
-def test_non_idempotent_request_never_again_once_it_may_have_run(
-    attempts: tuple[Attempt, ...], again: bool
+def test_non_idempotent_request_is_not_retried_once_it_may_have_run(
+    attempts: tuple[Attempt, ...], expected: bool
 ) -> None:
-    """Symptom: an order is made twice.
+    """Guard against an order that is made twice.
 
-    Sequence: the first attempt's connection is lost after the request was written, a
-    second one is refused as not run, a third one is answered.
-    Cause: judging by the last attempt alone.
+    The first attempt's connection is lost after the request was written, and a second
+    attempt is refused as not run. The decision must consider all attempts.
     """
     policy = RetryPolicyService(Random(1))
     decision = policy.decide(build_facts(idempotent=False), attempts, NOW)
-    assert decision.should_retry is again
-    assert again or decision.cause == "may-have-run"
+    assert decision.should_retry is expected
+    assert expected or decision.cause == "may-have-run"
 
 
 @pytest.mark.parametrize(
-    ("attempt", "again"),
+    ("attempt", "expected"),
     [
         (UNKNOWN, True),
         (build_attempt(status=503), True),
@@ -64,63 +63,61 @@
         (build_attempt(status=501), False),
     ],
 )
-def test_idempotent_request_is_tried_again_after_what_may_pass(
-    attempt: Attempt, again: bool
+def test_idempotent_request_is_retried_after_transient_failures(
+    attempt: Attempt, expected: bool
 ) -> None:
     decision = RetryPolicyService(Random(1)).decide(build_facts(), (attempt,), NOW)
-    assert decision.should_retry is again
+    assert decision.should_retry is expected
 
 
-def test_nothing_is_retried_past_its_deadline() -> None:
+def test_no_request_is_retried_past_its_deadline() -> None:
     policy = RetryPolicyService(Random(1))
     facts = build_facts(deadline=NOW + 0.004)
     assert policy.decide(facts, (NOT_SENT,), NOW).cause == "deadline"
 
 
 def test_retry_storm_is_bounded_by_successes() -> None:
-    """Symptom: an outage is followed by several times the load that was there before.
+    """Guard against retries that overload workers after an outage.
 
-    Sequence: all workers go away; each request is tried four times; the workers come
-    back and are at once overloaded by retries.
-    Cause: a count of retries for each request, with no regard to how many succeed.
+    All workers are unavailable, and with a limit for each request alone every one would
+    be tried four times. Retries must be limited by the number of successes.
     """
     policy = RetryPolicyService(Random(1))
     attempts = 0
     for number in range(1000):
         facts = build_facts(f"request-{number}")
         policy.record_first(facts)
-        tried: tuple[Attempt, ...] = (NOT_SENT,)
-        while policy.decide(facts, tried, NOW).should_retry:
-            tried = (*tried, NOT_SENT)
-        attempts += len(tried)
+        attempts_made: tuple[Attempt, ...] = (NOT_SENT,)
+        while policy.decide(facts, attempts_made, NOW).should_retry:
+            attempts_made = (*attempts_made, NOT_SENT)
+        attempts += len(attempts_made)
     assert attempts / 1000 <= 1.1
 
 
-def test_successes_earn_the_templates_share_of_retries() -> None:
+def test_successes_earn_retries_by_the_share_of_the_template() -> None:
     policy = RetryPolicyService(Random(1))
     facts = build_facts()
     policy.record_first(facts)
     while policy.decide(facts, (NOT_SENT,), NOW).should_retry:
         pass
     for _ in range(200):
-        policy.on_finished(finished())
+        policy.on_finished(build_finished())
     retries = 0
     while policy.decide(facts, (NOT_SENT,), NOW).should_retry:
         retries += 1
     assert 19 <= retries <= 21
 
 
-def test_pauses_have_full_jitter() -> None:
-    """Symptom: callers that failed together come back together.
+def test_delays_have_full_jitter() -> None:
+    """Guard against requests that fail together and are retried together.
 
-    Sequence: a worker goes away under a hundred requests; each is tried again after
-    the same pause, on the same next worker.
-    Cause: a pause without jitter.
+    A worker fails with a hundred requests in flight. Without jitter, all would be
+    retried at the same time on the same next worker.
     """
     policy = RetryPolicyService(Random(1))
     for _ in range(400):
         policy.record_first(build_facts())
-        policy.on_finished(finished())
+        policy.on_finished(build_finished())
     delays = [
         policy.decide(build_facts(), (NOT_SENT,), NOW).delay_seconds for _ in range(30)
     ]
@@ -136,7 +133,7 @@
     assert policy.hedge_after(urgent) is None
     random = Random(2)
     for _ in range(3000):
-        policy.on_finished(finished(random.uniform(0.0, 0.1)))
+        policy.on_finished(build_finished(random.uniform(0.0, 0.1)))
     assert policy.hedge_after(urgent) == pytest.approx(0.095, rel=0.1)
     assert policy.hedge_after(build_facts()) is None
     not_idempotent = build_facts(urgency=Urgency.URGENT, idempotent=False)
