--- a/mustardward/components/maintenance/reachability_reporter.py
+++ b/mustardward/components/maintenance/reachability_reporter.py
@@ -47,6 +47,6 @@
             report_age = now - self._reachable_at.get(data_centre, float("-inf"))
             if report_age < REACHABLE_HOLD_SECONDS:
                 continue
-            if self._dependencies.membership.is_silent(data_centre):
+            if self._dependencies.membership.is_unreachable(data_centre):
                 changes.append(ReportSilence(data_centre, True))
         return changes
