--- a/mustardward/components/maintenance/absence_reporter.py
+++ b/mustardward/components/maintenance/absence_reporter.py
@@ -90,7 +90,7 @@
         dependencies = self._dependencies
         state = dependencies.log.state
         index = index_of(state)
-        suspected = dependencies.membership.instances_held_back() | self._unlisted
+        suspected = dependencies.membership.suspended_instances() | self._unlisted
         return {
             name
             for name in suspected
