--- a/mustardward/embedded/estate.py
+++ b/mustardward/embedded/estate.py
@@ -121,7 +121,7 @@
 
     def owner(self) -> RunningNode | None:
         """Return the entry that owns the shard."""
-        return next((node for node in self.alive() if node.node.owns), None)
+        return next((node for node in self.alive() if node.node.is_owner), None)
 
     async def async_submit(
         self, prefix: str, steps: list[SubmittedStep], spec: str = "work"
--- a/mustardward/helpers/http_connection.py
+++ b/mustardward/helpers/http_connection.py
@@ -159,12 +159,12 @@
             return
         self._complete = True
         status = self._parser.get_status_code()
-        answer = HttpResponse(status, b"".join(self._chunks), self._headers)
+        response = HttpResponse(status, b"".join(self._chunks), self._headers)
         self.idle_since = self._last_byte_at
         if not self._parser.should_keep_alive():
             self.close()
         if self._waiter is not None and not self._waiter.done():
-            self._waiter.set_result(answer)
+            self._waiter.set_result(response)
 
     def _set_timer(self) -> None:
         at = self._deadline
--- a/mustardward/helpers/timer.py
+++ b/mustardward/helpers/timer.py
@@ -135,8 +135,8 @@
 
     async def _async_watch_pauses(self) -> None:
         # A suspended process has stale leases and a stale view of the fleet when it
-        # resumes, and nothing else shows it. It is detected by a sleep that takes far
-        # longer than requested; subscribers then read the log's tail before they act.
+        # resumes. The suspension is detected by a sleep that takes far longer than
+        # requested; subscribers then read the log's tail before they act.
         last = time.monotonic()
         while True:
             await anyio.sleep(_PAUSE_CHECK_SECONDS)
--- a/mustardward/node/app.py
+++ b/mustardward/node/app.py
@@ -164,7 +164,7 @@
     def _build_relay(self, boot: BootSettings) -> StoreRelay:
         address = boot.platform.address
         # Separate from the forwarder of callers' requests: a peer that can't reach the
-        # store is left out here only, since it may still answer those.
+        # store is skipped here only, since it may still serve those.
         forwarder = Forwarder(
             self._ledger,
             self._timers,
@@ -182,7 +182,7 @@
         )
 
     @property
-    def owns(self) -> bool:
+    def is_owner(self) -> bool:
         """Return whether this node owns the shard."""
         return self._ownership.owner is not None
 
--- a/mustardward/platform/advice.py
+++ b/mustardward/platform/advice.py
@@ -40,22 +40,22 @@
     ) -> StepAdvice:
         """Return which of the workers may run a step.
 
-        At most ``MAX_WORKERS`` of them are sent.
+        Only the first ``MAX_WORKERS`` workers are considered.
 
         :raises CallRefusedError: if the service gave no usable advice.
         """
         body = AdviseBody(f"{job}.{occurrence}.{step}", workers[:MAX_WORKERS])
         try:
-            answer = await self._http.async_call(
+            response = await self._http.async_call(
                 "POST",
                 self._url,
                 body=msgspec.json.encode(body),
                 headers={"Content-Type": "application/json"},
                 timeout_seconds=timeout_seconds,
             )
-            if answer.status != 200:
-                raise CallRefusedError(f"status={answer.status}")
-            allowed = msgspec.json.decode(answer.body, type=AdviceBody)
+            if response.status != 200:
+                raise CallRefusedError(f"status={response.status}")
+            allowed = msgspec.json.decode(response.body, type=AdviceBody)
         except (CallUnknownError, msgspec.MsgspecError) as error:
             raise CallRefusedError(str(error)) from error
         return StepAdvice({row[0]: row[1] for row in allowed.allowed}, allowed.valid_ms)
--- a/mustardward/platform/fleet.py
+++ b/mustardward/platform/fleet.py
@@ -97,22 +97,22 @@
     async def _async_get_page(self, token: str) -> ListedBody:
         params = {names.PARAM_PAGE: token} if token else None
         try:
-            answer = await self._http.async_call(
+            response = await self._http.async_call(
                 "GET",
                 self._base + names.MACHINES,
                 params=params,
                 timeout_seconds=FLEET_TIMEOUT_SECONDS,
             )
-            if answer.status != 200:
-                raise CallRefusedError(f"status={answer.status}")
-            return msgspec.json.decode(answer.body, type=ListedBody)
+            if response.status != 200:
+                raise CallRefusedError(f"status={response.status}")
+            return msgspec.json.decode(response.body, type=ListedBody)
         except (CallUnknownError, msgspec.MsgspecError) as error:
             raise CallRefusedError(str(error)) from error
 
     async def _async_send_command(
         self, call: str, body: msgspec.Struct, token: int
     ) -> None:
-        answer = await self._http.async_call(
+        response = await self._http.async_call(
             "POST",
             self._base + call,
             body=msgspec.json.encode(body),
@@ -123,18 +123,18 @@
             },
             timeout_seconds=FLEET_TIMEOUT_SECONDS,
         )
-        if answer.status == 200:
+        if response.status == 200:
             return
-        reason = _decode_reason(answer)
-        if answer.status == 409 and reason == names.REASON_FENCE:
+        reason = _decode_reason(response)
+        if response.status == 409 and reason == names.REASON_FENCE:
             raise FencedError(call)
-        if answer.status in (400, 409, 429, 503):
-            raise CallRefusedError(f"status={answer.status} reason={reason}")
-        raise CallUnknownError(f"status={answer.status}")
+        if response.status in (400, 409, 429, 503):
+            raise CallRefusedError(f"status={response.status} reason={reason}")
+        raise CallUnknownError(f"status={response.status}")
 
 
-def _decode_reason(answer: HttpResponse) -> str:
+def _decode_reason(response: HttpResponse) -> str:
     try:
-        return msgspec.json.decode(answer.body, type=RefusedBody).reason
+        return msgspec.json.decode(response.body, type=RefusedBody).reason
     except msgspec.MsgspecError:
         return ""
--- a/mustardward/platform/http.py
+++ b/mustardward/platform/http.py
@@ -18,7 +18,7 @@
 from .exceptions import CallRefusedError, CallUnknownError
 
 CONNECT_TIMEOUT_SECONDS: Final = 0.6
-"""An unreachable peer answers no SYN packet, and its retransmission takes 1 s."""
+"""An unreachable peer does not answer the SYN packet; its retransmission takes 1 s."""
 
 KEEP_ALIVE_SECONDS: Final = 30.0
 UNACKNOWLEDGED_TIMEOUT_MS: Final = 1500
@@ -81,7 +81,7 @@
         host, _, port = address.rpartition(":")
         self._address = (host, int(port))
         self._max_connections = max_connections
-        self._open = 0
+        self._connection_count = 0
         self._idle: list[HttpConnection] = []
         self._waiters: deque[asyncio.Future[None]] = deque()
         self.host_header = f"Host: {address}\r\n"
@@ -97,7 +97,7 @@
             connection = self._pop_idle(loop.time())
             if connection is not None:
                 return connection
-            if self._open < self._max_connections:
+            if self._connection_count < self._max_connections:
                 return await self._async_open(max(0.0, deadline - loop.time()))
             await self._async_wait(deadline - loop.time())
 
@@ -106,22 +106,22 @@
         if connection.usable:
             self._idle.append(connection)
         else:
-            self._open -= 1
+            self._connection_count -= 1
         self._wake_next()
 
     @property
     def unused(self) -> bool:
         """Return whether there are neither connections nor waiting calls."""
-        return self._open == 0 and not self._waiters
+        return self._connection_count == 0 and not self._waiters
 
     def close_idle(self, now: float, idle_seconds: float) -> None:
         """Close connections that have been idle for at least ``idle_seconds``."""
-        kept = [c for c in self._idle if now - c.idle_since < idle_seconds]
+        recent = [c for c in self._idle if now - c.idle_since < idle_seconds]
         for connection in self._idle:
-            if connection not in kept:
+            if connection not in recent:
                 connection.close()
-                self._open -= 1
-        self._idle = kept
+                self._connection_count -= 1
+        self._idle = recent
 
     def _pop_idle(self, now: float) -> HttpConnection | None:
         while self._idle:
@@ -130,12 +130,12 @@
             if connection.usable and is_fresh:
                 return connection
             connection.close()
-            self._open -= 1
+            self._connection_count -= 1
         return None
 
     async def _async_open(self, timeout_seconds: float) -> HttpConnection:
         loop = asyncio.get_running_loop()
-        self._open += 1
+        self._connection_count += 1
         sock: socket.socket | None = None
         try:
             sock = open_socket()
@@ -153,7 +153,7 @@
     def _discard(self, sock: socket.socket | None) -> None:
         if sock is not None:
             sock.close()
-        self._open -= 1
+        self._connection_count -= 1
         self._wake_next()
 
     async def _async_wait(self, timeout_seconds: float) -> None:
--- a/mustardward/platform/store.py
+++ b/mustardward/platform/store.py
@@ -200,18 +200,18 @@
             params[names.PARAM_PRODUCER] = producer.name
             params[names.PARAM_EPOCH] = str(producer.epoch)
             params[names.PARAM_SEQUENCE] = str(producer.sequence)
-        answer = await self._http.async_call(
+        response = await self._http.async_call(
             "POST",
             self._base + names.LOG_APPEND,
             params=params,
             body=encode_keyed(records),
             timeout_seconds=timeout_seconds,
         )
-        if answer.status == 200:
-            return _decode(answer, AppendedBody).end
-        if answer.status == 409:
-            raise _decode_append_error(answer)
-        raise CallRefusedError(f"status={answer.status}")
+        if response.status == 200:
+            return _decode(response, AppendedBody).end
+        if response.status == 409:
+            raise _decode_append_error(response)
+        raise CallRefusedError(f"status={response.status}")
 
     async def async_read(
         self,
@@ -225,7 +225,7 @@
         :raises OffsetGoneError: if records at this offset were deleted.
         :raises CallRefusedError: if the store returned no records response.
         """
-        answer = await self._async_get(
+        response = await self._async_get(
             names.LOG_READ,
             {
                 names.PARAM_TOPIC: topic,
@@ -236,11 +236,11 @@
             },
             wait_ms / 1000 + LONG_POLL_SLACK_SECONDS,
         )
-        if answer.status == 410:
-            raise OffsetGoneError(_decode(answer, GoneBody).first)
-        if answer.status != 200 or len(answer.body) < _HEAD.size:
-            raise CallRefusedError(f"status={answer.status}")
-        return decode_keyed(answer.body, from_offset)
+        if response.status == 410:
+            raise OffsetGoneError(_decode(response, GoneBody).first)
+        if response.status != 200 or len(response.body) < _HEAD.size:
+            raise CallRefusedError(f"status={response.status}")
+        return decode_keyed(response.body, from_offset)
 
     async def async_is_reachable(self) -> bool:
         """Return whether the store responds to a read without waiting."""
@@ -261,10 +261,10 @@
         params = {names.PARAM_TOPIC: topic, names.PARAM_PART: "0"}
         if after:
             params[names.PARAM_AFTER] = after
-        answer = await self._async_get(names.LOG_NEWEST, params, CALL_TIMEOUT_SECONDS)
-        if answer.status != 200:
-            raise CallRefusedError(f"status={answer.status}")
-        newest = _decode(answer, NewestBody)
+        response = await self._async_get(names.LOG_NEWEST, params, CALL_TIMEOUT_SECONDS)
+        if response.status != 200:
+            raise CallRefusedError(f"status={response.status}")
+        newest = _decode(response, NewestBody)
         decoded = [_decode_item(raw) for raw in newest.items]
         records = [record for record in decoded if record is not None]
         last_key = next(filter(None, map(_decode_item_key, reversed(newest.items))), "")
@@ -287,15 +287,15 @@
             raise CallRefusedError(str(error)) from error
 
 
-def _decode_append_error(answer: HttpResponse) -> Exception:
-    refusal = _decode(answer, AppendRefusedBody)
+def _decode_append_error(response: HttpResponse) -> Exception:
+    refusal = _decode(response, AppendRefusedBody)
     if refusal.reason == names.REASON_FENCED:
         return FencedError("append")
     return SequenceError(refusal.seq)
 
 
-def _decode(answer: HttpResponse, kind: type[T]) -> T:
+def _decode(response: HttpResponse, kind: type[T]) -> T:
     try:
-        return msgspec.json.decode(answer.body, type=kind)
+        return msgspec.json.decode(response.body, type=kind)
     except msgspec.MsgspecError as error:
         raise CallUnknownError(str(error)) from error
--- a/mustardward/platform/workers.py
+++ b/mustardward/platform/workers.py
@@ -159,8 +159,8 @@
             request.checkpoint,
             request.ticket,
         )
-        answer = await self._async_post(names.RUN_START, body, START_TIMEOUT_SECONDS)
-        clock = _decode_clock(answer)
+        response = await self._async_post(names.RUN_START, body, START_TIMEOUT_SECONDS)
+        clock = _decode_clock(response)
         return StartResponse(clock.clock_ms, clock.reason)
 
     async def async_stop(self, task: TaskName, run: int) -> None:
@@ -184,42 +184,45 @@
         :raises CallUnknownError: if there was no valid response.
         """
         body = HoldBody(self._token, seen_upto, deadline_ms, wait_ms)
-        answer = await self._async_post(
+        response = await self._async_post(
             names.HOLD, body, wait_ms / 1000 + POLL_SLACK_SECONDS
         )
-        return _decode_report(answer)
+        return _decode_report(response)
 
     async def _async_post(
         self, call: str, body: msgspec.Struct, timeout_seconds: float
     ) -> HttpResponse:
-        answer = await self._http.async_call(
+        response = await self._http.async_call(
             "POST",
             self._base + call,
             body=msgspec.json.encode(body),
             headers=self._headers,
             timeout_seconds=timeout_seconds,
         )
-        if answer.status == 421:
-            raise WrongIncarnationError(answer.header(names.HEADER_EXPECTED))
-        if answer.status == 409 and _decode_clock(answer).reason == names.REASON_FENCE:
+        if response.status == 421:
+            raise WrongIncarnationError(response.header(names.HEADER_EXPECTED))
+        if (
+            response.status == 409
+            and _decode_clock(response).reason == names.REASON_FENCE
+        ):
             raise FencedError(call)
-        if answer.status in (200, 409):
-            return answer
-        if answer.status in (400, 404, 429, 503):
-            raise CallRefusedError(f"status={answer.status}")
-        raise CallUnknownError(f"status={answer.status}")
+        if response.status in (200, 409):
+            return response
+        if response.status in (400, 404, 429, 503):
+            raise CallRefusedError(f"status={response.status}")
+        raise CallUnknownError(f"status={response.status}")
 
 
-def _decode_clock(answer: HttpResponse) -> ClockBody:
+def _decode_clock(response: HttpResponse) -> ClockBody:
     try:
-        return msgspec.json.decode(answer.body, type=ClockBody)
+        return msgspec.json.decode(response.body, type=ClockBody)
     except msgspec.MsgspecError as error:
         raise CallUnknownError(str(error)) from error
 
 
-def _decode_report(answer: HttpResponse) -> WorkerReport:
+def _decode_report(response: HttpResponse) -> WorkerReport:
     try:
-        body = msgspec.json.decode(answer.body, type=HoldAnswerBody)
+        body = msgspec.json.decode(response.body, type=HoldAnswerBody)
         running = [decode_running(row) for row in body.running]
         ended = [decode_ended(row) for row in body.ended]
     except (
--- a/tests/platform/test_connection_pool.py
+++ b/tests/platform/test_connection_pool.py
@@ -65,10 +65,10 @@
                 tasks.start_soon(async_call, cancel_seconds, timeout)
                 await anyio.sleep(rng.choice([0.0, 0.0, 0.001]))
         (host,) = get_hosts(http)
-        assert host._open == len(host._idle) <= MAX_CONNECTIONS_PER_HOST
+        assert host._connection_count == len(host._idle) <= MAX_CONNECTIONS_PER_HOST
         assert not host._waiters
         await http.async_close()
-        assert host._open == 0
+        assert host._connection_count == 0
 
 
 async def test_call_without_a_file_descriptor_takes_no_connection(
@@ -84,4 +84,4 @@
     with pytest.raises(CallRefusedError):
         await http.async_call("POST", "http://127.0.0.1:9/a", timeout_seconds=0.1)
     (host,) = get_hosts(http)
-    assert host._open == 0
+    assert host._connection_count == 0
--- a/tests/platform/test_http.py
+++ b/tests/platform/test_http.py
@@ -87,14 +87,14 @@
 
 async def async_get(http: HttpCaller, server: Server, **options: float) -> bytes:
     url = f"http://{server.address}/a"
-    answer = await http.async_call("GET", url, timeout_seconds=1.0, **options)
-    return answer.body
+    response = await http.async_call("GET", url, timeout_seconds=1.0, **options)
+    return response.body
 
 
 async def async_post(http: HttpCaller, server: Server, timeout: float = 1.0) -> bytes:
     url = f"http://{server.address}/a"
-    answer = await http.async_call("POST", url, body=b"x", timeout_seconds=timeout)
-    return answer.body
+    response = await http.async_call("POST", url, body=b"x", timeout_seconds=timeout)
+    return response.body
 
 
 async def test_sequential_calls_share_a_connection() -> None:
@@ -117,7 +117,7 @@
         await writer.drain()
 
     async with run_server(async_serve) as server:
-        answer = await HttpCaller().async_call(
+        response = await HttpCaller().async_call(
             "POST",
             f"http://{server.address}/log",
             timeout_seconds=1.0,
@@ -129,7 +129,7 @@
     assert lines[0] == b"POST /log?name=owner/shard+0 HTTP/1.1"
     assert b"X-Token: 3" in lines and b"Content-Length: 3" in lines
     assert lines[-1] == b"abc"
-    assert (answer.status, answer.header("x-id")) == (409, "7")
+    assert (response.status, response.header("x-id")) == (409, "7")
 
 
 async def test_refused_connection_means_nothing_was_sent() -> None:
