--- a/mustardward/components/api/server.py
+++ b/mustardward/components/api/server.py
@@ -124,7 +124,7 @@
         if drain is None:
             return JSONResponse({"status": "not-ready", "cause": "starting"}, 503)
         path = request.url.path.encode()
-        status, document = drain.health.probe(path)
+        status, document = drain.health.build_probe_response(path)
         return JSONResponse(document, status)
 
 
--- a/mustardward/components/entry/__init__.py
+++ b/mustardward/components/entry/__init__.py
@@ -6,7 +6,7 @@
 
 
 async def async_setup(core: Core) -> Unload:
-    """Set the component up and return what undoes it."""
+    """Set up the component and return its unload function."""
     from .setup import async_setup_entry
 
     return await async_setup_entry(core)
--- a/mustardward/components/entry/abort.py
+++ b/mustardward/components/entry/abort.py
@@ -1,8 +1,8 @@
-"""Reach what ASGI has no word for: whether a caller is gone, and a reset.
+"""Reset streams and detect disconnects, which ASGI has no messages for.
 
-hypercorn hands the application a bound method ``send``; behind it stand the stream, the
-protocol and the connection's writer. With another server nothing is found, and nothing
-happens.
+hypercorn passes the application a bound method ``send``, through which the stream, the
+protocol and the connection's writer are reachable. With another server nothing is
+found, and these functions do nothing.
 """
 
 from __future__ import annotations
@@ -18,59 +18,59 @@
 async def async_abort_stream(send: Send) -> None:
     """Reset a stream of HTTP/2, or the connection of HTTP/1.1.
 
-    Left to itself, hypercorn forgets an HTTP/2 stream whose application returns early,
-    and the caller waits for the rest until its own timeout. Over HTTP/1.1 it closes
-    the connection, but first waits until the caller has taken what was written: one
-    that reads nothing would hold up the end of the process.
+    By default, hypercorn drops an HTTP/2 stream whose application returns early without
+    a reset, and the caller waits for the rest until its own timeout. Over HTTP/1.1 it
+    closes the connection, but first waits until the caller has read what was written: a
+    caller that reads nothing would block the shutdown of the process.
     """
     stream = getattr(send, "__self__", None)
-    protocol = _owner(stream, "send")
+    protocol = _bound_owner(stream, "send")
     connection = getattr(protocol, "connection", None)
     reset = getattr(connection, "reset_stream", None)
     if stream is not None and protocol is not None and reset is not None:
         reset(stream.stream_id, error_code=h2.errors.ErrorCodes.INTERNAL_ERROR)
         await protocol._flush()
         return
-    writer = getattr(_owner(protocol, "send"), "writer", None)
+    writer = getattr(_bound_owner(protocol, "send"), "writer", None)
     if writer is not None:
         writer.transport.abort()
 
 
-def is_gone(send: Send) -> bool:
-    """Tell whether the caller's connection or stream was closed.
+def is_disconnected(send: Send) -> bool:
+    """Return whether the caller's connection or stream is closed.
 
-    hypercorn drops what is sent to a caller that went away, without a sign. A large
-    answer would be read from its worker to the end, for nobody.
+    hypercorn silently drops data sent to a disconnected caller. Without this check a
+    large response would be read from its worker to the end for no one.
     """
     return getattr(getattr(send, "__self__", None), "closed", False) is True
 
 
-def _owner(target: Any, method: str) -> Any:
+def _bound_owner(target: Any, method: str) -> Any:
     return getattr(getattr(target, method, None), "__self__", None)
 
 
-class _LateStreams(dict[int, Any]):
-    """Know streams by number, and take data for those that are over in silence."""
+class _TolerantStreams(dict[int, Any]):
+    """Map stream ids to streams, with a no-op stream for unknown ids."""
 
-    def __missing__(self, stream_id: int) -> _OverStream:
-        return _OverStream()
+    def __missing__(self, stream_id: int) -> _ClosedStream:
+        return _ClosedStream()
 
 
-class _OverStream:
-    """Be a stream that is over."""
+class _ClosedStream:
+    """A no-op stand-in for a closed stream."""
 
     async def handle(self, event: Any) -> None:
-        """Drop what came."""
+        """Ignore the event."""
 
 
 def tolerate_late_data(send: Send) -> None:
-    """Let an HTTP/2 caller go on sending a body whose stream is answered.
+    """Ignore data that an HTTP/2 caller sends on a stream with a complete response.
 
-    hypercorn looks the stream up for each piece of data, and fails as a whole where it
-    is gone: every other request on the connection would be cut. It shows as requests
-    that are cut whenever another upload of the same caller is refused.
+    hypercorn looks up the stream of each data frame and closes the whole connection if
+    it is unknown, which would abort every other request of that caller whenever one of
+    its uploads is refused early.
     """
-    protocol = _owner(getattr(send, "__self__", None), "send")
+    protocol = _bound_owner(getattr(send, "__self__", None), "send")
     streams = getattr(protocol, "streams", None)
     if protocol is not None and type(streams) is dict:
-        protocol.streams = _LateStreams(streams)
+        protocol.streams = _TolerantStreams(streams)
--- a/mustardward/components/entry/application.py
+++ b/mustardward/components/entry/application.py
@@ -1,4 +1,4 @@
-"""Answer callers: the ASGI application on the callers' listener."""
+"""Provide the ASGI application of the callers' listener."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class CallerApplication:
-    """Turn ASGI calls into requests and their results into answers."""
+    """ASGI application that serves callers' requests and health probes."""
 
-    def __init__(self, parts: ApplicationDependencies) -> None:
-        self._parts = parts
+    def __init__(self, dependencies: ApplicationDependencies) -> None:
+        self._dependencies = dependencies
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one ASGI connection scope."""
@@ -30,15 +30,15 @@
             await send({"type": "websocket.close", "code": 1008})
 
     async def _async_http(self, scope: Scope, receive: Receive, send: Send) -> None:
-        health = self._parts.health
+        health = self._dependencies.health
         if scope["raw_path"].startswith(_HEALTH_PREFIX):
-            await health.async_answer(scope["raw_path"], send)
+            await health.async_respond(scope["raw_path"], send)
             return
-        health.request_began()
+        health.record_request_start()
         try:
-            await Exchange(self._parts, scope, receive, send).async_run()
+            await Exchange(self._dependencies, scope, receive, send).async_run()
         finally:
-            health.request_ended()
+            health.record_request_end()
 
 
 async def _async_lifespan(receive: Receive, send: Send) -> None:
--- a/mustardward/components/entry/attempts.py
+++ b/mustardward/components/entry/attempts.py
@@ -1,4 +1,4 @@
-"""Make the attempts of one request and remember how each ended."""
+"""Run the attempts of one request and record the outcome of each."""
 
 from __future__ import annotations
 
@@ -17,174 +17,189 @@
 from .protocols import Choice, FailedAttempt, OutgoingRequest, WorkerResponse
 from .response import RESPONSE_ERRORS, BufferedBody, async_close_response, should_buffer
 
-Finish = Callable[[Attempt], None]
+FinishCallback = Callable[[Attempt], None]
 
 
 @dataclass(slots=True, eq=False)
 class PendingResponse:
-    """Hold an answer whose head came, and its attempt, which has not ended yet."""
+    """A response whose head was received, and its attempt, still in progress."""
 
-    answer: WorkerResponse
+    response: WorkerResponse
     attempt: Attempt
-    finish: Finish
+    finish: FinishCallback
 
-    def end(self, whole: bool) -> None:
-        """End the attempt."""
-        cause = "" if whole else "answer-not-whole"
+    def end(self, complete: bool) -> None:
+        """Report the end of the attempt."""
+        cause = "" if complete else "answer-not-whole"
         self.finish(replace(self.attempt, cause=cause))
 
 
 class AttemptRunner:
-    """Make one request's attempts, on workers here or through other entries."""
+    """Run one request's attempts on local workers or through other entries."""
 
     def __init__(
         self,
-        parts: EntryDependencies,
+        dependencies: EntryDependencies,
         timers: TimerService,
         facts: RequestFacts,
         request: OutgoingRequest,
     ) -> None:
-        self._parts = parts
+        self._dependencies = dependencies
         self._timers = timers
         self._facts = facts
         self._request = request
-        self._made: list[Attempt] = []
-        self._begun = 0
+        self._unsuccessful: list[Attempt] = []
+        self._started_count = 0
 
     @property
-    def made(self) -> tuple[Attempt, ...]:
-        """Return the attempts that ended without an answer for the caller."""
-        return tuple(self._made)
+    def unsuccessful(self) -> tuple[Attempt, ...]:
+        """Return the attempts that ended without a response for the caller."""
+        return tuple(self._unsuccessful)
 
     @property
-    def begun(self) -> int:
-        """Return how many attempts were begun."""
-        return self._begun
+    def started_count(self) -> int:
+        """Return the number of attempts started."""
+        return self._started_count
 
     @property
     def ran(self) -> Ran:
-        """Tell whether any attempt may have run."""
-        if all(attempt.outcome.definitely_not_run for attempt in self._made):
+        """Return whether any attempt may have run."""
+        if all(attempt.outcome.definitely_not_run for attempt in self._unsuccessful):
             return Ran.NO
         return Ran.UNKNOWN
 
     @property
-    def may_send_again(self) -> bool:
-        """Tell whether the body can be sent from its beginning."""
+    def can_resend_body(self) -> bool:
+        """Return whether the body can be sent again from its start."""
         body = self._request.body
         if isinstance(body, bytes):
             return True
-        return isinstance(body, StreamedBody) and not body.begun
+        return isinstance(body, StreamedBody) and not body.started
 
     @property
-    def may_hedge(self) -> bool:
-        """Tell whether two attempts can send the body at the same time."""
+    def can_hedge(self) -> bool:
+        """Return whether two attempts can send the body concurrently."""
         return isinstance(self._request.body, bytes)
 
-    async def async_local(self, choice: Choice) -> PendingResponse | None:
-        """Try one worker of this data centre; nothing if there is no answer."""
+    async def async_send_local(self, choice: Choice) -> PendingResponse | None:
+        """Send to a worker of this data centre; return ``None`` without a response."""
 
         def finish(attempt: Attempt) -> None:
-            self._parts.router.finish(choice, self._facts, attempt)
+            self._dependencies.router.finish(choice, self._facts, attempt)
 
-        started = self._begin()
+        started_at = self._record_start()
         failed = FailedAttempt(AttemptOutcome.UNKNOWN, "abandoned")
-        name = choice.instance.instance_id
+        target = choice.instance.instance_id
         try:
-            sent = await self._parts.dispatcher.async_send(
+            sent = await self._dependencies.dispatcher.async_send(
                 choice, self._facts, self._request
             )
         except BaseException:
-            self.note(self._attempt(choice.attempt_id, name, failed, started), finish)
+            self.record(
+                self._build_attempt(choice.attempt_id, target, failed, started_at),
+                finish,
+            )
             raise
         if isinstance(sent, Failure):
-            attempt = self._attempt(choice.attempt_id, name, sent.failure(), started)
-            self.note(attempt, finish)
+            attempt = self._build_attempt(
+                choice.attempt_id, target, sent.failure(), started_at
+            )
+            self.record(attempt, finish)
             return None
-        return await self._async_hold(
-            sent.unwrap(), choice.attempt_id, name, started, finish
+        return await self._async_accept(
+            sent.unwrap(), choice.attempt_id, target, started_at, finish
         )
 
-    async def async_remote(self, choice: RemoteChoice) -> PendingResponse | None:
-        """Let an entry of another data centre try; nothing if there is no answer."""
-        peers = self._parts.peers
+    async def async_send_remote(self, choice: RemoteChoice) -> PendingResponse | None:
+        """Forward to an entry of another data centre; ``None`` without a response."""
+        peers = self._dependencies.peers
         assert peers is not None
-        started = self._begin()
+        started_at = self._record_start()
         failed = FailedAttempt(AttemptOutcome.UNKNOWN, "abandoned")
-        name = choice.member.name
+        target = choice.member.name
         try:
             sent = await peers.async_forward(choice.member, self._facts, self._request)
         except BaseException:
-            self.note(self._attempt(choice.attempt_id, name, failed, started))
+            self.record(
+                self._build_attempt(choice.attempt_id, target, failed, started_at)
+            )
             raise
         if isinstance(sent, Failure):
-            self.note(self._attempt(choice.attempt_id, name, sent.failure(), started))
+            self.record(
+                self._build_attempt(
+                    choice.attempt_id, target, sent.failure(), started_at
+                )
+            )
             return None
-        return await self._async_hold(
-            sent.unwrap(), choice.attempt_id, name, started, _ignore
+        return await self._async_accept(
+            sent.unwrap(), choice.attempt_id, target, started_at, _ignore_outcome
         )
 
-    async def async_give_up(self, held: PendingResponse, cause: str) -> None:
-        """Drop an answer that its caller does not get."""
-        await async_close_response(held.answer)
-        self.note(replace(held.attempt, cause=cause), held.finish)
+    async def async_abandon(self, pending: PendingResponse, cause: str) -> None:
+        """Close a response that is not passed on to the caller."""
+        await async_close_response(pending.response)
+        self.record(replace(pending.attempt, cause=cause), pending.finish)
 
-    def note(self, attempt: Attempt, finish: Finish | None = None) -> None:
-        """Remember an attempt that ended without an answer for the caller."""
-        self._made.append(attempt)
+    def record(self, attempt: Attempt, finish: FinishCallback | None = None) -> None:
+        """Record an attempt that ended without a response for the caller."""
+        self._unsuccessful.append(attempt)
         if finish is not None:
             finish(attempt)
 
-    def _begin(self) -> float:
-        self._begun += 1
+    def _record_start(self) -> float:
+        self._started_count += 1
         return self._timers.monotonic()
 
-    async def _async_hold(
+    async def _async_accept(
         self,
-        answer: WorkerResponse,
+        response: WorkerResponse,
         attempt_id: str,
-        name: str,
-        started: float,
-        finish: Finish,
+        target: str,
+        started_at: float,
+        finish: FinishCallback,
     ) -> PendingResponse | None:
         now = self._timers.monotonic()
         attempt = Attempt(
-            attempt_id, name, AttemptOutcome.ANSWERED, now - started, answer.status
+            attempt_id,
+            target,
+            AttemptOutcome.ANSWERED,
+            now - started_at,
+            response.status,
         )
-        held = PendingResponse(answer, attempt, finish)
+        pending = PendingResponse(response, attempt, finish)
         if now > self._facts.deadline:
-            await self.async_give_up(held, "answer-late")
+            await self.async_abandon(pending, "answer-late")
             return None
-        if not should_buffer(answer):
-            return held
-        return await self._async_whole(held)
+        if not should_buffer(response):
+            return pending
+        return await self._async_buffer(pending)
 
-    async def _async_whole(self, held: PendingResponse) -> PendingResponse | None:
-        """Read a small answer to its end, so that a broken one can be tried past."""
-        chunks = held.answer.chunks
+    async def _async_buffer(self, pending: PendingResponse) -> PendingResponse | None:
+        """Read a small response completely, so that a truncated one can be retried."""
+        chunks = pending.response.chunks
         try:
             body = b"".join([chunk async for chunk in chunks])
         except RESPONSE_ERRORS:
-            lost = replace(
-                held.attempt,
+            truncated = replace(
+                pending.attempt,
                 outcome=AttemptOutcome.UNKNOWN,
                 cause=TruncatedAnswerError.code,
             )
-            self.note(lost, held.finish)
+            self.record(truncated, pending.finish)
             return None
         except BaseException:
             with anyio.CancelScope(shield=True):
-                await self.async_give_up(held, "abandoned")
+                await self.async_abandon(pending, "abandoned")
             raise
-        held.answer.chunks = BufferedBody(body)
-        return held
+        pending.response.chunks = BufferedBody(body)
+        return pending
 
-    def _attempt(
-        self, attempt_id: str, name: str, failed: FailedAttempt, started: float
+    def _build_attempt(
+        self, attempt_id: str, target: str, failed: FailedAttempt, started_at: float
     ) -> Attempt:
-        latency = self._timers.monotonic() - started
-        return Attempt(attempt_id, name, failed.outcome, latency, cause=failed.cause)
+        latency = self._timers.monotonic() - started_at
+        return Attempt(attempt_id, target, failed.outcome, latency, cause=failed.cause)
 
 
-def _ignore(attempt: Attempt) -> None:
-    """Judge nobody: the other entry judges its own workers."""
+def _ignore_outcome(attempt: Attempt) -> None:
+    """Ignore the outcome: the other entry tracks the health of its own workers."""
--- a/mustardward/components/entry/attribution.py
+++ b/mustardward/components/entry/attribution.py
@@ -1,4 +1,4 @@
-"""Say what a request without success spent its organisation's error budget on."""
+"""Attribute unsuccessful requests to what spent the organisation's error budget."""
 
 from __future__ import annotations
 
@@ -16,33 +16,33 @@
 FAILURE: Final = "failure"
 NEIGHBOUR: Final = "neighbour"
 WORKER: Final = "worker"
-NOTHING: Final = ""
-"""The caller's own fault spends nothing."""
+NO_CAUSE: Final = ""
+"""Caller errors do not spend error budget."""
 
-MEMORY_SECONDS: Final = 1.0
-"""How long what is missing from a pool is remembered: refusals come in floods."""
+CACHE_SECONDS: Final = 1.0
+"""Time for which a pool's capacity loss is cached, as refusals come in bursts."""
 
 
 @dataclass(frozen=True, slots=True)
 class AttributionInputs:
-    """Hold what a rule decides from.
+    """The inputs of an attribution rule.
 
-    ``missing`` says what takes instances from the pool now: a wave, failures, or
-    nothing.
+    ``capacity_loss`` is why the pool currently lacks instances: ``WAVE``, ``FAILURE``,
+    or empty if it lacks none.
     """
 
     attempts: int
-    missing: str
+    capacity_loss: str
 
 
 AttributionRule = Callable[[AttributionInputs], str]
 
-ATTRIBUTION_RULES: Registry[str, AttributionRule] = Registry("cause rules")
-"""Rule by code of a refusal; a code without one is the caller's own fault."""
+ATTRIBUTION_RULES: Registry[str, AttributionRule] = Registry("attribution rules")
+"""Rules by refusal code; a code without a rule is a caller error."""
 
 
 def attribution_rule(*codes: str) -> Callable[[AttributionRule], AttributionRule]:
-    """Return a decorator that files a rule under codes."""
+    """Return a decorator that registers a rule for refusal codes."""
 
     def decorate(rule: AttributionRule) -> AttributionRule:
         for code in codes:
@@ -61,66 +61,68 @@
     "idempotency-outcome-unknown",
     "internal-error",
 )
-def refused(inputs: AttributionInputs) -> str:
-    """Blame the limits and rules that the organisation is under."""
+def attribute_to_limits(inputs: AttributionInputs) -> str:
+    """Attribute to the limits and rules that apply to the organisation."""
     return REFUSAL
 
 
 @attribution_rule("overloaded", "deadline-unreachable", "no-capacity", "workers-busy")
-def crowded(inputs: AttributionInputs) -> str:
-    """Blame what shrank the pool, else those who share it."""
-    return inputs.missing or NEIGHBOUR
+def attribute_overload(inputs: AttributionInputs) -> str:
+    """Attribute to the pool's capacity loss, else to the tenants that share it."""
+    return inputs.capacity_loss or NEIGHBOUR
 
 
 @attribution_rule(
     "no-worker", "worker-unreachable", "outcome-unknown", "answer-truncated"
 )
-def broken(inputs: AttributionInputs) -> str:
-    """Blame a wave that took the workers, else their failure."""
-    return inputs.missing if inputs.missing == WAVE else FAILURE
+def attribute_worker_failure(inputs: AttributionInputs) -> str:
+    """Attribute to a wave that removed workers, else to worker failures."""
+    return inputs.capacity_loss if inputs.capacity_loss == WAVE else FAILURE
 
 
 @attribution_rule("deadline-exceeded")
-def late(inputs: AttributionInputs) -> str:
-    """Blame the worker that had the request, else the queue before it."""
-    return WORKER if inputs.attempts else crowded(inputs)
+def attribute_timeout(inputs: AttributionInputs) -> str:
+    """Attribute to the worker if one was tried, else to the time spent queued."""
+    return WORKER if inputs.attempts else attribute_overload(inputs)
 
 
 class BudgetAttributor:
-    """Find causes, with what the folded state says of a pool."""
+    """Attribute refusals, using the replicated fleet state of the pool."""
 
     def __init__(self, core: Core) -> None:
         self._core = core
-        self._missing: dict[str, tuple[float, str]] = {}
+        self._cache: dict[str, tuple[float, str]] = {}
 
-    def find(self, code: str, pool: str, attempts: int) -> str:
-        """Return the cause for a refusal's code."""
+    def attribute(self, code: str, pool: str, attempts: int) -> str:
+        """Return the cause to which a refusal's code is attributed."""
         rule = ATTRIBUTION_RULES.get(code)
         if rule is None:
-            return NOTHING
-        return rule(AttributionInputs(attempts, self._missing_from(pool)))
+            return NO_CAUSE
+        return rule(AttributionInputs(attempts, self._find_capacity_loss(pool)))
 
-    def _missing_from(self, pool: str) -> str:
+    def _find_capacity_loss(self, pool: str) -> str:
         now = self._core.timers.monotonic()
-        known = self._missing.get(pool)
-        if known is not None and now - known[0] < MEMORY_SECONDS:
-            return known[1]
+        cached = self._cache.get(pool)
+        if cached is not None and now - cached[0] < CACHE_SECONDS:
+            return cached[1]
         log = self._core.find(FLEET_LOG)
-        found = "" if log is None or not log.ready else self._look(log.state, pool)
-        self._missing[pool] = (now, found)
-        return found
-
-    def _look(self, state: FleetState, pool: str) -> str:
-        if self._touches(state, state.claims, pool):
+        capacity_loss = (
+            "" if log is None or not log.ready else self._evaluate(log.state, pool)
+        )
+        self._cache[pool] = (now, capacity_loss)
+        return capacity_loss
+
+    def _evaluate(self, state: FleetState, pool: str) -> str:
+        if self._affects_pool(state, state.claims, pool):
             return WAVE
-        return FAILURE if self._touches(state, state.absences, pool) else ""
+        return FAILURE if self._affects_pool(state, state.absences, pool) else ""
 
-    def _touches(self, state: FleetState, names: Iterable[str], pool: str) -> bool:
-        own = self._core.settings.entry.data_centre
+    def _affects_pool(self, state: FleetState, names: Iterable[str], pool: str) -> bool:
+        data_centre = self._core.settings.entry.data_centre
         for name in names:
             instance = state.instances.get(name)
             if instance is None or instance.pool != pool:
                 continue
-            if instance.data_centre == own:
+            if instance.data_centre == data_centre:
                 return True
         return False
--- a/mustardward/components/entry/connections.py
+++ b/mustardward/components/entry/connections.py
@@ -1,4 +1,4 @@
-"""Keep the connections to one worker, each held by one attempt at a time."""
+"""Pool the connections to a worker, each used by one attempt at a time."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from .const import WORKER_KEEPALIVE_SECONDS
 
 _NO_TLS: Final = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
-"""Shared, since loading authorities for each connection would hold the loop up."""
+"""Shared, as loading CA certificates per connection would block the event loop."""
 
 _LIMITS: Final = httpx.Limits(
     max_connections=1,
@@ -21,7 +21,7 @@
 
 
 class WorkerConnection:
-    """Hold one connection to a worker, open or yet to be opened."""
+    """One connection to a worker, opened on first use."""
 
     __slots__ = ("idle_since", "transport")
 
@@ -33,23 +33,25 @@
 
 
 class WorkerConnectionPool:
-    """Lend the connections to one worker.
+    """A pool of connections to one worker.
 
-    One pool for all connections would look through all of them, and ask the system
-    about each idle one, for every request. And only a lane whose answer was read to
-    its end comes back: any other is closed, since a late answer on it would reach the
-    next caller.
+    A pool shared by all workers would scan every connection, and make a system call for
+    each idle one, on every request. Only a connection whose response was read to its
+    end is reused: any other is closed, since a late response on it would reach the next
+    caller.
 
     :param address: the worker's host and port.
-    :param most: how many connections the worker takes.
+    :param max_connections: the number of connections that the worker accepts.
     """
 
-    def __init__(self, address: str, most: int, timers: TimerService) -> None:
+    def __init__(
+        self, address: str, max_connections: int, timers: TimerService
+    ) -> None:
         self._url = httpx.URL(f"http://{address}/")
-        self._most = most
+        self._max_connections = max_connections
         self._timers = timers
-        self._free: list[WorkerConnection] = []
-        self._lent = 0
+        self._idle: list[WorkerConnection] = []
+        self._in_use_count = 0
 
     @property
     def url(self) -> httpx.URL:
@@ -57,48 +59,52 @@
         return self._url
 
     @property
-    def idle(self) -> int:
-        """Return how many connections wait for use."""
-        return len(self._free)
+    def idle_count(self) -> int:
+        """Return the number of idle connections."""
+        return len(self._idle)
 
     @property
-    def unused(self) -> bool:
-        """Tell whether nothing is lent and nothing waits."""
-        return not self._free and not self._lent
-
-    def take(self) -> WorkerConnection | None:
-        """Return the lane used last, or a new one, or nothing if all are lent."""
-        if self._free:
-            self._lent += 1
-            return self._free.pop()
-        if self._lent >= self._most:
+    def is_unused(self) -> bool:
+        """Return whether the pool has neither connections in use nor idle ones."""
+        return not self._idle and not self._in_use_count
+
+    def acquire(self) -> WorkerConnection | None:
+        """Return the last used idle connection or a new one; ``None`` at the limit."""
+        if self._idle:
+            self._in_use_count += 1
+            return self._idle.pop()
+        if self._in_use_count >= self._max_connections:
             return None
-        self._lent += 1
+        self._in_use_count += 1
         return WorkerConnection()
 
-    def give_back(self, lane: WorkerConnection) -> None:
-        """Take a lane back whose last answer was whole."""
-        self._lent -= 1
-        lane.idle_since = self._timers.monotonic()
-        self._free.append(lane)
+    def release(self, connection: WorkerConnection) -> None:
+        """Return a connection whose last response was complete to the pool."""
+        self._in_use_count -= 1
+        connection.idle_since = self._timers.monotonic()
+        self._idle.append(connection)
 
-    async def async_discard(self, lane: WorkerConnection) -> None:
-        """Close a lane after an abnormal end."""
-        # Counted before anything is waited for: a cancellation in between would leave
-        # the lane counted as lent for ever, and the worker with one connection less.
-        self._lent -= 1
-        await lane.transport.aclose()
+    async def async_discard(self, connection: WorkerConnection) -> None:
+        """Close a connection after an error or a cancellation."""
+        # Decremented before the first await: a cancellation in between would count the
+        # connection as in use forever and leave the worker with one fewer.
+        self._in_use_count -= 1
+        await connection.transport.aclose()
 
     async def async_prune(self) -> None:
-        """Close lanes that nothing used for a while."""
+        """Close connections that exceeded the idle timeout."""
         oldest = self._timers.monotonic() - WORKER_KEEPALIVE_SECONDS
-        old = [lane for lane in self._free if lane.idle_since < oldest]
-        self._free = [lane for lane in self._free if lane.idle_since >= oldest]
-        for lane in old:
-            await lane.transport.aclose()
+        expired = [
+            connection for connection in self._idle if connection.idle_since < oldest
+        ]
+        self._idle = [
+            connection for connection in self._idle if connection.idle_since >= oldest
+        ]
+        for connection in expired:
+            await connection.transport.aclose()
 
     async def async_close(self) -> None:
-        """Close all lanes that are not lent."""
-        free, self._free = self._free, []
-        for lane in free:
-            await lane.transport.aclose()
+        """Close all idle connections."""
+        idle_connections, self._idle = self._idle, []
+        for connection in idle_connections:
+            await connection.transport.aclose()
--- a/mustardward/components/entry/const.py
+++ b/mustardward/components/entry/const.py
@@ -1,4 +1,4 @@
-"""Hold the constants of the request path."""
+"""Constants of the request path."""
 
 from __future__ import annotations
 
@@ -17,54 +17,54 @@
         b"upgrade",
     }
 )
-"""Headers that end at each hop (RFC 9110, section 7.6.1)."""
+"""Hop-by-hop headers (RFC 9110, section 7.6.1)."""
 
-OWN_PREFIX: Final = b"mw-"
-"""Prefix of headers that only mustardward sets towards workers and callers."""
+RESERVED_PREFIX: Final = b"mw-"
+"""Prefix of headers that only mustardward sets, towards workers and callers."""
 
 IDEMPOTENT_METHODS: Final = frozenset({"GET", "HEAD", "PUT", "DELETE", "OPTIONS"})
 """Methods that are idempotent unless ``mw-idempotent`` says otherwise."""
 
 BODILESS_STATUSES: Final = frozenset({204, 304})
 
-RETRY_BUFFER_BYTES: Final = 65_536
-"""Longest body that is held so that a further attempt can send it again."""
+MAX_RETRY_BUFFER_BYTES: Final = 65_536
+"""Maximum size of a request body that is buffered for retries."""
 
-KEYED_BODY_BYTES: Final = 1_048_576
-"""Longest body under an idempotency key, which is held whole for its digest."""
+MAX_KEYED_BODY_BYTES: Final = 1_048_576
+"""Maximum size of a body with an idempotency key, buffered for its digest."""
 
-HELD_ANSWER_BYTES: Final = 65_536
-"""Longest answer that is held until it is whole, before any of it is passed on."""
+MAX_BUFFERED_RESPONSE_BYTES: Final = 65_536
+"""Maximum size of a response that is buffered completely before it is forwarded."""
 
-STORED_ANSWER_BYTES: Final = 16_384
-"""Longest answer that is kept under an idempotency key."""
+MAX_STORED_RESPONSE_BYTES: Final = 16_384
+"""Maximum size of a response that is stored under an idempotency key."""
 
-REFUSED_BODY_BYTES: Final = 65_536
-"""Longest body of a worker's refusal that is read to keep its connection."""
+MAX_REFUSAL_BODY_BYTES: Final = 65_536
+"""Maximum size of a worker's refusal that is read so its connection is reusable."""
 
-CONNECT_SECONDS: Final = 1.0
-"""Longest time a connection to a worker may take."""
+CONNECT_TIMEOUT_SECONDS: Final = 1.0
+"""Timeout for opening a connection to a worker."""
 
 TIMEOUT_GRACE_SECONDS: Final = 1.0
-"""How long after its deadline a call's own timeouts end it at the latest."""
+"""Time after its deadline at which a call's own timeouts expire."""
 
 WORKER_KEEPALIVE_SECONDS: Final = 4.0
-"""Idle time after which a worker's connection is closed from this side.
+"""Idle time after which this side closes a connection to a worker.
 
-Shorter than a worker's own idle timeout (5 s at least): a request written into a
-connection that the worker is closing would end as unknown though it never ran.
+Shorter than a worker's own idle timeout (at least 5 s): a request written to a
+connection that the worker is closing would end as unknown although it never ran.
 """
 
-PRUNE_SECONDS: Final = 5.0
-"""How often connections that nothing used are closed."""
+PRUNE_INTERVAL_SECONDS: Final = 5.0
+"""Interval at which idle connections are pruned."""
 
 CALLER_KEEPALIVE_SECONDS: Final = 75.0
-"""Idle time after which a caller's connection is closed; longer than usual pools'."""
+"""Idle timeout of callers' connections; longer than that of usual client pools."""
 
 LINGER_SECONDS: Final = 1.0
-"""Longest time a refused caller's unread body is read on, so it gets its answer."""
+"""Maximum time to read on a refused caller's body so that it gets the response."""
 
 RETRY_AFTER_SECONDS: Final = 1.0
-"""Shortest pause that a refusal asks for; it is spread up to three times as long."""
+"""Minimum ``Retry-After`` of a refusal; jitter makes it up to three times as long."""
 
 PROBLEM_TYPE_PREFIX: Final = "urn:mustardward:problem:"
--- a/mustardward/components/entry/dependencies.py
+++ b/mustardward/components/entry/dependencies.py
@@ -1,4 +1,4 @@
-"""Gather the parts that a request passes through."""
+"""Define the dependencies of the request path."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 
 
 class RequestForwarder(Protocol):
-    """Let another entry serve a request; ``Peers`` does."""
+    """Forward requests to other entries; implemented by ``Peers``."""
 
     async def async_forward(
         self, member: Member, facts: RequestFacts, request: OutgoingRequest
     ) -> Result[WorkerResponse, FailedAttempt]:
-        """Return when the answer's head is there."""
+        """Forward the request and return once the response head is received."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class EntryDependencies:
-    """Hold the parts that a request passes through, in order of use."""
+    """The components that a request passes through, in order of use."""
 
     limiter: Limiter
     router: Router
--- a/mustardward/components/entry/dispatcher.py
+++ b/mustardward/components/entry/dispatcher.py
@@ -23,11 +23,11 @@
 from .connections import WorkerConnectionPool
 from .const import (
     BODILESS_STATUSES,
-    CONNECT_SECONDS,
-    REFUSED_BODY_BYTES,
+    CONNECT_TIMEOUT_SECONDS,
+    MAX_REFUSAL_BODY_BYTES,
     TIMEOUT_GRACE_SECONDS,
 )
-from .headers import Headers, answer_headers, find_header, has_injection
+from .headers import Headers, find_header, forwardable_response_headers, has_injection
 from .models import AttemptOutcome, RequestFacts
 from .protocols import Choice, FailedAttempt, OutgoingRequest, WorkerResponse
 from .response import WorkerBody
@@ -37,68 +37,68 @@
 _ATTEMPT_ID: Final = HEADER_ATTEMPT_ID.encode()
 _RAN: Final = HEADER_RAN.encode()
 _BODY_METHODS: Final = frozenset({"POST", "PUT", "PATCH"})
-_UNANSWERED: Final = (httpx.TransportError, MustardwardError)
-"""Failures of the connection, or of the body that was being sent."""
+_RESPONSE_FAILURES: Final = (httpx.TransportError, MustardwardError)
+"""Failures of the connection, or of the request body being sent."""
 
-_NOT_CONNECTED: Final = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
+_CONNECT_FAILURES: Final = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
 
 
 class HttpDispatcher:
-    """Send one attempt to one worker, and accept only that attempt's own answer."""
+    """Send attempts to workers, accepting only the response to each attempt."""
 
     def __init__(self, timers: TimerService) -> None:
         self._timers = timers
-        self._lanes: dict[str, WorkerConnectionPool] = {}
+        self._pools: dict[str, WorkerConnectionPool] = {}
 
     async def async_send(
         self, choice: Choice, facts: RequestFacts, request: OutgoingRequest
     ) -> Result[WorkerResponse, FailedAttempt]:
-        """Send and return when the answer's head is there."""
+        """Send the attempt and return once the response head is received."""
         remaining = facts.deadline - self._timers.monotonic()
         if remaining <= 0:
-            return _failed(AttemptOutcome.NOT_SENT, "deadline-exceeded")
-        lanes = self._lanes_to(choice)
-        lane = lanes.take()
-        if lane is None:
-            return _failed(AttemptOutcome.NOT_SENT, "connections-used-up")
-        outgoing = _build_request(lanes.url, choice, facts, request, remaining)
+            return _build_failure(AttemptOutcome.NOT_SENT, "deadline-exceeded")
+        pool = self._get_pool(choice)
+        connection = pool.acquire()
+        if connection is None:
+            return _build_failure(AttemptOutcome.NOT_SENT, "connections-used-up")
+        outgoing = _build_request(pool.url, choice, facts, request, remaining)
         try:
-            response = await lane.transport.handle_async_request(outgoing)
-        except _NOT_CONNECTED as error:
-            await lanes.async_discard(lane)
-            return _failed(AttemptOutcome.NOT_SENT, type(error).__name__)
-        except _UNANSWERED as error:
-            await lanes.async_discard(lane)
-            return _failed(AttemptOutcome.UNKNOWN, _cause(error))
+            response = await connection.transport.handle_async_request(outgoing)
+        except _CONNECT_FAILURES as error:
+            await pool.async_discard(connection)
+            return _build_failure(AttemptOutcome.NOT_SENT, type(error).__name__)
+        except _RESPONSE_FAILURES as error:
+            await pool.async_discard(connection)
+            return _build_failure(AttemptOutcome.UNKNOWN, _error_code(error))
         except BaseException:
             with anyio.CancelScope(shield=True):
-                await lanes.async_discard(lane)
+                await pool.async_discard(connection)
             raise
-        body = WorkerBody(response, lanes, lane)
+        body = WorkerBody(response, pool, connection)
         return await _async_accept(response, body, choice, request.method)
 
     async def async_prune(self) -> None:
-        """Close connections that nothing used for a while."""
-        for address, lanes in list(self._lanes.items()):
-            await lanes.async_prune()
-            if lanes.unused:
-                self._lanes.pop(address, None)
+        """Close connections that exceeded the idle timeout."""
+        for address, pool in list(self._pools.items()):
+            await pool.async_prune()
+            if pool.is_unused:
+                self._pools.pop(address, None)
 
     async def async_close(self) -> None:
         """Close all connections."""
-        for lanes in self._lanes.values():
-            await lanes.async_close()
-        self._lanes.clear()
+        for pool in self._pools.values():
+            await pool.async_close()
+        self._pools.clear()
 
-    def _lanes_to(self, choice: Choice) -> WorkerConnectionPool:
+    def _get_pool(self, choice: Choice) -> WorkerConnectionPool:
         address = choice.instance.address
-        lanes = self._lanes.get(address)
-        if lanes is None:
-            lanes = WorkerConnectionPool(
+        pool = self._pools.get(address)
+        if pool is None:
+            pool = WorkerConnectionPool(
                 address, choice.instance.connections, self._timers
             )
-            self._lanes[address] = lanes
-        return lanes
+            self._pools[address] = pool
+        return pool
 
 
 def _build_request(
@@ -117,12 +117,15 @@
         (HEADER_GENERATION.encode(), b"%d" % choice.instance.generation),
         (HEADER_DEADLINE.encode(), b"%.3f" % remaining),
         *request.headers,
-        *_framing(request),
+        *_framing_headers(request),
     ]
-    # The deadline itself ends the request from outside; the one for reading only
-    # makes sure that nothing waits for ever should that be missing.
-    late = remaining + TIMEOUT_GRACE_SECONDS
-    timeout = {"connect": min(CONNECT_SECONDS, late), "read": late}
+    # The request is cancelled at its deadline by the caller of this module; the read
+    # timeout only guarantees an end should that cancellation be missing.
+    timeout_seconds = remaining + TIMEOUT_GRACE_SECONDS
+    timeout = {
+        "connect": min(CONNECT_TIMEOUT_SECONDS, timeout_seconds),
+        "read": timeout_seconds,
+    }
     return httpx.Request(
         request.method,
         url,
@@ -132,7 +135,7 @@
     )
 
 
-def _framing(request: OutgoingRequest) -> Headers:
+def _framing_headers(request: OutgoingRequest) -> Headers:
     if isinstance(request.body, bytes):
         if request.body or request.method in _BODY_METHODS:
             return ((b"content-length", b"%d" % len(request.body)),)
@@ -145,32 +148,41 @@
 async def _async_accept(
     response: httpx.Response, body: WorkerBody, choice: Choice, method: str
 ) -> Result[WorkerResponse, FailedAttempt]:
-    """Take an answer only if it is whole in form and belongs to this attempt."""
+    """Accept a response only if it is well formed and belongs to this attempt."""
     headers = [(name.lower(), value) for name, value in response.headers.raw]
-    answered = find_header(headers, _ATTEMPT_ID)
-    if answered != choice.attempt_id.encode():
-        # A connection that carried a stray answer gives every later caller the
-        # answer before. It shows as an answer with another attempt's id, or none.
+    response_attempt_id = find_header(headers, _ATTEMPT_ID)
+    if response_attempt_id != choice.attempt_id.encode():
+        # After an unexpected extra response, a connection would give each caller the
+        # response to the previous request. Such a response has another attempt's id,
+        # or none.
         await body.aclose()
         _LOGGER.warning(
-            "stray_answer_dropped",
+            "mismatched_response_dropped",
             instance=choice.instance.instance_id,
             attempt_id=choice.attempt_id,
-            answered=None if answered is None else answered.decode("latin-1"),
+            answered=(
+                None
+                if response_attempt_id is None
+                else response_attempt_id.decode("latin-1")
+            ),
         )
-        return _failed(AttemptOutcome.UNKNOWN, "stray-answer")
+        return _build_failure(AttemptOutcome.UNKNOWN, "stray-answer")
     if response.status_code == 503 and find_header(headers, _RAN) == b"no":
         cause = find_header(headers, b"mw-refusal") or b"busy"
-        await _async_drain(body)
-        return _failed(AttemptOutcome.REFUSED, cause.decode("latin-1"))
-    fault = _fault_in_form(response.status_code, headers, method)
-    if fault:
+        await _async_read_refusal(body)
+        return _build_failure(AttemptOutcome.REFUSED, cause.decode("latin-1"))
+    framing_error = _find_framing_error(response.status_code, headers, method)
+    if framing_error:
         await body.aclose()
-        return _failed(AttemptOutcome.UNKNOWN, fault)
-    return Success(WorkerResponse(response.status_code, answer_headers(headers), body))
+        return _build_failure(AttemptOutcome.UNKNOWN, framing_error)
+    return Success(
+        WorkerResponse(
+            response.status_code, forwardable_response_headers(headers), body
+        )
+    )
 
 
-def _fault_in_form(
+def _find_framing_error(
     status: int, headers: list[tuple[bytes, bytes]], method: str
 ) -> str | None:
     if status < 200:
@@ -182,18 +194,18 @@
     for name, _ in headers:
         if name in (b"content-length", b"transfer-encoding"):
             return None
-    # The end of the connection would be the end of the body, so an answer that was
-    # cut off would look like a whole, shorter one.
+    # The end of the connection would delimit the body, so a truncated response could
+    # not be told from a shorter complete one.
     return "answer-unframed"
 
 
-async def _async_drain(body: WorkerBody) -> None:
-    """Read a small refusal to its end, so that its connection can be used again."""
-    left = REFUSED_BODY_BYTES
+async def _async_read_refusal(body: WorkerBody) -> None:
+    """Read a small refusal to its end so that its connection can be reused."""
+    remaining_bytes = MAX_REFUSAL_BODY_BYTES
     try:
         async for chunk in body:
-            left -= len(chunk)
-            if left < 0:
+            remaining_bytes -= len(chunk)
+            if remaining_bytes < 0:
                 break
     except TruncatedAnswerError:
         return
@@ -201,10 +213,10 @@
         await body.aclose()
 
 
-def _cause(error: Exception) -> str:
+def _error_code(error: Exception) -> str:
     code = getattr(error, "code", None)
     return code if isinstance(code, str) else type(error).__name__
 
 
-def _failed(outcome: AttemptOutcome, cause: str) -> Failure[FailedAttempt]:
+def _build_failure(outcome: AttemptOutcome, cause: str) -> Failure[FailedAttempt]:
     return Failure(FailedAttempt(outcome, cause))
--- a/mustardward/components/entry/drain.py
+++ b/mustardward/components/entry/drain.py
@@ -1,4 +1,4 @@
-"""Leave without cutting off a request."""
+"""Drain an entry without aborting requests."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 _LOGGER = get_logger(__name__)
 
-_STEP_SECONDS: Final = 0.05
+_POLL_SECONDS: Final = 0.05
 
 
 class Drain:
-    """Take an entry out of service, once.
+    """Take an entry out of service; further calls do nothing.
 
     :param listener: the callers' listener.
     """
@@ -34,11 +34,11 @@
         self._health = health
         self._listener = listener
         self._service = service
-        self._begun = False
+        self._started = False
 
     @property
     def health(self) -> EntryHealth:
-        """Return what balancers are told."""
+        """Return the health that load balancers probe."""
         return self._health
 
     @property
@@ -47,30 +47,30 @@
         return self._listener
 
     async def async_run(self) -> None:
-        """Announce the leaving, let callers go elsewhere, then finish what is left."""
-        if self._begun:
+        """Announce the shutdown, let callers move, then finish open requests."""
+        if self._started:
             return
-        self._begun = True
+        self._started = True
         timers = self._core.timers
-        began = timers.monotonic()
-        self._health.leave()
+        started_at = timers.monotonic()
+        self._health.start_draining()
         await self._async_announce()
-        # The balancer sends requests until it has noticed. They are served as any
-        # other; each answer says "connection: close", so that few connections are
-        # left on which a request could cross with their end.
+        # The load balancer sends requests until its probe fails. They are served as
+        # usual; each response carries "connection: close", so that few connections are
+        # left on which a request could race with their closing.
         await timers.async_sleep(self._core.settings.entry.leaving_seconds)
         _LOGGER.info("listener_closing", in_progress=self._health.in_progress)
         await self._listener.async_stop()
         await self._async_finish(timers.monotonic())
-        _LOGGER.info("drained", seconds=timers.monotonic() - began)
+        _LOGGER.info("drained", seconds=timers.monotonic() - started_at)
 
-    async def _async_finish(self, began: float) -> None:
-        # Nothing lives longer than the longest deadline: what is left after it was
-        # lost count of, and must not keep the process from ending.
+    async def _async_finish(self, started_at: float) -> None:
+        # No request outlives the maximum deadline: what is left after it is an
+        # accounting error and must not block the shutdown.
         timers = self._core.timers
-        until = began + self._core.settings.limits.maximum_deadline_seconds
-        while self._service.unfinished and timers.monotonic() < until:
-            await timers.async_sleep(_STEP_SECONDS)
+        deadline = started_at + self._core.settings.limits.maximum_deadline_seconds
+        while self._service.unfinished and timers.monotonic() < deadline:
+            await timers.async_sleep(_POLL_SECONDS)
         if self._service.unfinished:
             _LOGGER.error("drain_incomplete", unfinished=self._service.unfinished)
 
@@ -81,4 +81,4 @@
         try:
             await membership.async_announce_leaving()
         except MustardwardError as error:
-            _LOGGER.warning("leaving_not_announced", error=error.code)
+            _LOGGER.warning("leave_announcement_failed", error=error.code)
--- a/mustardward/components/entry/exchange.py
+++ b/mustardward/components/entry/exchange.py
@@ -1,4 +1,4 @@
-"""Hold one caller's request from its head to the end of its answer."""
+"""Process one caller's request from its head to the end of its response."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 from ..templates.protocols import Directory, Resolved
 from .attribution import WORKER, BudgetAttributor
 from .body import BodyReader, StreamedBody
-from .const import KEYED_BODY_BYTES, RETRY_BUFFER_BYTES
+from .const import MAX_KEYED_BODY_BYTES, MAX_RETRY_BUFFER_BYTES
 from .digest import request_digest
-from .headers import find_header, request_headers
+from .headers import find_header, forwardable_request_headers
 from .health import EntryHealth
 from .models import Ran, RequestFacts, RequestFinished, RequestRefusal
 from .parse import CallerRequest, build_facts, parse_request, read_request_id
@@ -37,21 +37,21 @@
 Receive = Callable[[], Awaitable[dict[str, Any]]]
 Send = Callable[[dict[str, Any]], Awaitable[None]]
 
-_SERVER_ERROR: Final = 500
-_CALLER_GONE: Final = 499
-"""Status in the log and the metrics of a request whose caller went away."""
+_MIN_SERVER_ERROR_STATUS: Final = 500
+_CALLER_DISCONNECTED_STATUS: Final = 499
+"""Status logged and counted for a request whose caller disconnected."""
 
-_DEFECT: Final = RequestRefusal(
+_INTERNAL_ERROR: Final = RequestRefusal(
     "internal-error", 500, Ran.UNKNOWN, "see the entry's log"
 )
-_NO_URGENCY: Final = Urgency.NORMAL
+_DEFAULT_URGENCY: Final = Urgency.NORMAL
 
 
 @dataclass(frozen=True, slots=True)
 class ApplicationDependencies:
-    """Hold what answering callers takes.
+    """The dependencies of the callers' application.
 
-    ``directory`` finds organisations, and is asked anew for each request.
+    ``directory`` resolves organisations; it is queried for each request.
     """
 
     service: EntryService
@@ -60,22 +60,26 @@
     limits: RequestLimits
     timers: TimerService
     events: EventBus
-    causes: BudgetAttributor
+    attributor: BudgetAttributor
 
 
 class Exchange:
-    """Hold one request and its answer."""
+    """One HTTP request and its response."""
 
     def __init__(
-        self, parts: ApplicationDependencies, scope: Scope, receive: Receive, send: Send
+        self,
+        dependencies: ApplicationDependencies,
+        scope: Scope,
+        receive: Receive,
+        send: Send,
     ) -> None:
-        self._parts = parts
+        self._dependencies = dependencies
         self._scope = scope
-        self._arrived = self._parts.timers.monotonic()
+        self._received_at = self._dependencies.timers.monotonic()
         self._request_id = read_request_id(scope["headers"])
-        self._reader = BodyReader(receive, self._parts.limits.body_bytes)
+        self._reader = BodyReader(receive, self._dependencies.limits.body_bytes)
         self._writer = ResponseWriter(
-            scope, receive, send, self._request_id, self._parts.health
+            scope, receive, send, self._request_id, self._dependencies.health
         )
         self._facts: RequestFacts | None = None
         self._organisation = ""
@@ -84,48 +88,54 @@
         self._resolved = False
 
     async def async_run(self) -> None:
-        """Serve the request up to its final answer."""
+        """Serve the request up to its final response."""
         try:
             await self._async_exchange()
         except Exception as error:
-            # A defect of ours, somewhere on the path: the caller still gets an answer
-            # that says what is known, which is nothing.
+            # An internal error on the request path: the caller still gets a response,
+            # which reports that it is unknown whether the request ran.
             _LOGGER.error(
                 "request_failed",
                 request_id=self._request_id,
                 error=type(error).__name__,
                 detail=str(error),
             )
-            await self._async_break(_DEFECT)
+            await self._async_terminate(_INTERNAL_ERROR)
 
     async def _async_exchange(self) -> None:
         prepared: Result[OutgoingRequest, RequestRefusal]
         try:
             prepared = await self._async_prepare()
         except TimeoutError:
-            prepared = _refuse("body-too-slow", 408, "the body missed the deadline")
+            prepared = _refuse(
+                "body-too-slow", 408, "the body was not received before the deadline"
+            )
         except BodyTooLargeError as error:
             prepared = _refuse(error.code, 413, error.detail)
         except CallerGoneError:
-            self._finish(_CALLER_GONE, Ran.NO, CallerGoneError.code)
+            self._finish(_CALLER_DISCONNECTED_STATUS, Ran.NO, CallerGoneError.code)
             return
         if isinstance(prepared, Failure):
-            await self._async_refuse(self._cautious(prepared.failure()))
+            await self._async_write_refusal(
+                self._mark_unknown_if_keyed(prepared.failure())
+            )
             return
         assert self._facts is not None
         await self._async_serve(self._facts, prepared.unwrap())
 
     async def _async_prepare(self) -> Result[OutgoingRequest, RequestRefusal]:
-        """Read what decisions need: names, headers, and the body if it is small."""
+        """Parse the request, resolve its names and buffer its body if it is small."""
         if self._scope["http_version"] == "1.0":
             return _refuse("version-unsupported", 505, "HTTP/1.1 or HTTP/2")
-        parsed = parse_request(self._scope, self._request_id, self._parts.limits)
+        parsed = parse_request(self._scope, self._request_id, self._dependencies.limits)
         if isinstance(parsed, Failure):
             return Failure(parsed.failure())
         request = parsed.unwrap()
         self._organisation = request.organisation
         self._service = request.service
-        resolved = self._parts.directory.resolve(request.organisation, request.service)
+        resolved = self._dependencies.directory.resolve(
+            request.organisation, request.service
+        )
         if isinstance(resolved, Failure):
             return Failure(resolved.failure())
         self._resolved = True
@@ -134,105 +144,109 @@
     async def _async_read(
         self, request: CallerRequest, resolved: Resolved
     ) -> Result[OutgoingRequest, RequestRefusal]:
-        facts = build_facts(request, resolved, self._parts.limits, self._arrived)
-        keyed = bool(request.idempotency_key)
-        bound = KEYED_BODY_BYTES if keyed else RETRY_BUFFER_BYTES
-        held = await self._async_hold(request, bound, facts.deadline)
-        whole = self._reader.ended
-        if keyed and not whole:
-            return _refuse("key-body-too-large", 413, f"limit={KEYED_BODY_BYTES}")
-        if keyed:
-            facts = replace(facts, request_digest=request_digest(request, held))
+        facts = build_facts(
+            request, resolved, self._dependencies.limits, self._received_at
+        )
+        has_key = bool(request.idempotency_key)
+        max_bytes = MAX_KEYED_BODY_BYTES if has_key else MAX_RETRY_BUFFER_BYTES
+        buffered = await self._async_buffer_body(request, max_bytes, facts.deadline)
+        complete = self._reader.ended
+        if has_key and not complete:
+            return _refuse("key-body-too-large", 413, f"limit={MAX_KEYED_BODY_BYTES}")
+        if has_key:
+            facts = replace(facts, request_digest=request_digest(request, buffered))
         self._facts = facts
-        headers = request_headers(self._scope["headers"])
-        if whole:
+        headers = forwardable_request_headers(self._scope["headers"])
+        if complete:
             return Success(
-                OutgoingRequest(request.method, request.target, headers, held)
+                OutgoingRequest(request.method, request.target, headers, buffered)
             )
         if request.content_length is not None:
             headers += ((b"content-length", b"%d" % request.content_length),)
-        body = StreamedBody(self._reader, held)
+        body = StreamedBody(self._reader, buffered)
         return Success(OutgoingRequest(request.method, request.target, headers, body))
 
-    async def _async_hold(
-        self, request: CallerRequest, bound: int, deadline: float
+    async def _async_buffer_body(
+        self, request: CallerRequest, max_bytes: int, deadline: float
     ) -> bytes:
-        """Read the body as far as it is held; all of it if it is small."""
+        """Buffer the start of the body; all of it if it is small."""
         if _is_bodiless(self._scope):
-            self._reader.end()
+            self._reader.mark_empty()
             return b""
-        if request.content_length is not None and request.content_length > bound:
+        if request.content_length is not None and request.content_length > max_bytes:
             return b""
-        with anyio.fail_after(deadline - self._parts.timers.monotonic()):
-            return await self._reader.async_hold(bound)
+        with anyio.fail_after(deadline - self._dependencies.timers.monotonic()):
+            return await self._reader.async_buffer(max_bytes)
 
     async def _async_serve(self, facts: RequestFacts, request: OutgoingRequest) -> None:
-        serving = self._parts.service.start(facts, request)
-        result = await serving.async_run()
-        self._attempts = serving.attempts
+        handler = self._dependencies.service.start_request(facts, request)
+        result = await handler.async_run()
+        self._attempts = handler.attempts
         if isinstance(result, Failure):
-            await self._async_refuse(result.failure())
+            await self._async_write_refusal(result.failure())
             return
-        await self._async_answer(facts, result.unwrap())
+        await self._async_write_response(facts, result.unwrap())
 
-    async def _async_answer(self, facts: RequestFacts, answer: WorkerResponse) -> None:
-        remaining = facts.deadline - self._parts.timers.monotonic()
+    async def _async_write_response(
+        self, facts: RequestFacts, response: WorkerResponse
+    ) -> None:
+        remaining = facts.deadline - self._dependencies.timers.monotonic()
         code = "deadline-exceeded"
         try:
             with anyio.move_on_after(remaining):
-                await self._writer.async_answer(answer, self._reader.ended)
+                await self._writer.async_write_response(response, self._reader.ended)
                 code = ""
         except CallerGoneError as error:
             code = error.code
         except RESPONSE_ERRORS as error:
             code = TruncatedAnswerError.code
             _LOGGER.warning(
-                "answer_broken_off", request_id=self._request_id, error=error.code
+                "response_interrupted", request_id=self._request_id, error=error.code
             )
         finally:
             with anyio.CancelScope(shield=True):
-                await async_close_response(answer)
+                await async_close_response(response)
         if not code:
-            cause = WORKER if answer.status >= _SERVER_ERROR else ""
-            self._finish(answer.status, Ran.YES, "", cause)
+            cause = WORKER if response.status >= _MIN_SERVER_ERROR_STATUS else ""
+            self._finish(response.status, Ran.YES, "", cause)
         elif code == CallerGoneError.code:
-            self._finish(_CALLER_GONE, Ran.YES, code)
+            self._finish(_CALLER_DISCONNECTED_STATUS, Ran.YES, code)
         else:
-            await self._async_break(_lost_answer(code))
+            await self._async_terminate(_build_lost_response(code))
 
-    async def _async_break(self, refusal: RequestRefusal) -> None:
-        """Refuse, or break off what has begun."""
+    async def _async_terminate(self, refusal: RequestRefusal) -> None:
+        """Refuse the request, or abort a response that was started."""
         if not self._writer.started:
-            await self._async_refuse(refusal)
+            await self._async_write_refusal(refusal)
             return
         await self._writer.async_abort()
         self._finish(refusal.status, refusal.ran, refusal.code)
 
-    async def _async_refuse(self, refusal: RequestRefusal) -> None:
+    async def _async_write_refusal(self, refusal: RequestRefusal) -> None:
         body_read = self._reader.ended or _is_bodiless(self._scope)
-        await self._writer.async_refuse(refusal, body_read)
+        await self._writer.async_write_refusal(refusal, body_read)
         self._finish(refusal.status, refusal.ran, refusal.code)
 
-    def _cautious(self, refusal: RequestRefusal) -> RequestRefusal:
-        """Say ``unknown`` where an earlier try under the key may have run."""
+    def _mark_unknown_if_keyed(self, refusal: RequestRefusal) -> RequestRefusal:
+        """Report ``unknown`` if an earlier request with the key may have run."""
         key = find_header(self._scope["headers"], HEADER_IDEMPOTENCY_KEY.encode())
         if key is None:
             return refusal
         return replace(refusal, ran=Ran.UNKNOWN)
 
     def _finish(self, status: int, ran: Ran, code: str, cause: str = "") -> None:
-        latency = self._parts.timers.monotonic() - self._arrived
+        latency = self._dependencies.timers.monotonic() - self._received_at
         facts = self._facts
         pool = "" if facts is None else facts.pool
         if code:
-            cause = self._parts.causes.find(code, pool, self._attempts)
-        self._parts.events.publish(
+            cause = self._dependencies.attributor.attribute(code, pool, self._attempts)
+        self._dependencies.events.publish(
             RequestFinished(
                 request_id=self._request_id,
-                # A name that callers make up must not become a name in reports.
+                # Unresolved names come from callers and must not create report entries.
                 organisation=self._organisation if self._resolved else "",
                 service=self._service if self._resolved else "",
-                urgency=_NO_URGENCY if facts is None else facts.urgency,
+                urgency=_DEFAULT_URGENCY if facts is None else facts.urgency,
                 status=status,
                 ran=ran,
                 latency_seconds=latency,
@@ -256,9 +270,11 @@
         )
 
 
-def _lost_answer(code: str) -> RequestRefusal:
+def _build_lost_response(code: str) -> RequestRefusal:
     status = 504 if code == "deadline-exceeded" else 502
-    return retryable_refusal(code, status, Ran.UNKNOWN, "the worker's answer was lost")
+    return retryable_refusal(
+        code, status, Ran.UNKNOWN, "the worker's response was lost"
+    )
 
 
 def _is_bodiless(scope: Scope) -> bool:
--- a/mustardward/components/entry/headers.py
+++ b/mustardward/components/entry/headers.py
@@ -1,4 +1,4 @@
-"""Decide which headers go on to the next hop."""
+"""Filter the headers that are forwarded to the next hop."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 from collections.abc import Iterable
 from typing import Final
 
-from .const import HOP_BY_HOP, OWN_PREFIX
+from .const import HOP_BY_HOP, RESERVED_PREFIX
 
 Headers = tuple[tuple[bytes, bytes], ...]
 
 _FORBIDDEN: Final = re.compile(rb"[\r\n\x00]")
-_FRAMING: Final = frozenset({b"content-length", b"transfer-encoding"})
-_REQUEST_DROPPED: Final = HOP_BY_HOP | {b"host", b"expect", b"content-length"}
+_FRAMING_HEADERS: Final = frozenset({b"content-length", b"transfer-encoding"})
+_DROPPED_REQUEST_HEADERS: Final = HOP_BY_HOP | {b"host", b"expect", b"content-length"}
 
 
 def find_header(headers: Iterable[tuple[bytes, bytes]], name: bytes) -> bytes | None:
-    """Return the first value of a header, or nothing."""
+    """Return the first value of a header, or ``None``."""
     for key, value in headers:
         if key == name:
             return value
@@ -24,47 +24,51 @@
 
 
 def has_injection(headers: Iterable[tuple[bytes, bytes]]) -> bool:
-    """Tell whether a name or value would end its line early.
+    """Return whether a name or value holds a line break or a null byte.
 
     HTTP/2 frames carry any byte, and a line break copied into HTTP/1.1 towards a
-    worker would be a header, or a whole request, of the caller's making.
+    worker would let the caller inject a header or a whole request.
     """
     joined = b"\x01".join([part for pair in headers for part in pair])
     return _FORBIDDEN.search(joined) is not None
 
 
 def header_bytes(headers: Iterable[tuple[bytes, bytes]]) -> int:
-    """Return the size of all headers as HTTP/1.1 would write them."""
+    """Return the size of all headers in HTTP/1.1 notation."""
     return sum([len(name) + len(value) + 4 for name, value in headers])
 
 
-def request_headers(headers: Iterable[tuple[bytes, bytes]]) -> Headers:
-    """Return the caller's headers that go on to a worker, without framing."""
-    return _passing(headers, _REQUEST_DROPPED, _nominated(headers))
+def forwardable_request_headers(headers: Iterable[tuple[bytes, bytes]]) -> Headers:
+    """Return the caller's headers to forward to a worker, without framing."""
+    return _filter_headers(
+        headers, _DROPPED_REQUEST_HEADERS, _connection_options(headers)
+    )
 
 
-def answer_headers(headers: Iterable[tuple[bytes, bytes]]) -> Headers:
-    """Return a worker's headers that go on to the caller."""
-    return _passing(headers, HOP_BY_HOP, _nominated(headers) - _FRAMING)
+def forwardable_response_headers(headers: Iterable[tuple[bytes, bytes]]) -> Headers:
+    """Return a worker's headers to forward to the caller."""
+    return _filter_headers(
+        headers, HOP_BY_HOP, _connection_options(headers) - _FRAMING_HEADERS
+    )
 
 
-def _passing(
+def _filter_headers(
     headers: Iterable[tuple[bytes, bytes]],
     dropped: frozenset[bytes],
-    nominated: frozenset[bytes],
+    connection_options: frozenset[bytes],
 ) -> Headers:
     return tuple(
         [
             (name, value)
             for name, value in headers
             if name not in dropped
-            and name not in nominated
-            and not name.startswith(OWN_PREFIX)
+            and name not in connection_options
+            and not name.startswith(RESERVED_PREFIX)
         ]
     )
 
 
-def _nominated(headers: Iterable[tuple[bytes, bytes]]) -> frozenset[bytes]:
+def _connection_options(headers: Iterable[tuple[bytes, bytes]]) -> frozenset[bytes]:
     values = [value for name, value in headers if name == b"connection"]
     if not values:
         return frozenset()
--- a/mustardward/components/entry/metrics.py
+++ b/mustardward/components/entry/metrics.py
@@ -1,4 +1,4 @@
-"""Feed what the request path sees to statsd."""
+"""Report the metrics of the request path."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
 def subscribe_metrics(
     core: Core, metrics: Metrics, health: EntryHealth
 ) -> list[Callable[[], None]]:
-    """Begin to feed; return what ends it."""
+    """Subscribe the metrics; return the functions that unsubscribe them."""
 
     def on_finished(event: RequestFinished) -> None:
         status_class = f"{event.status // 100}xx"
@@ -81,7 +81,7 @@
 
     def set_gauges() -> None:
         metrics.gauge(IN_PROGRESS, health.in_progress)
-        metrics.gauge(READY, 0 if health.not_ready_cause else 1)
+        metrics.gauge(READY, 0 if health.not_ready_reason else 1)
         log = core.find(FLEET_LOG)
         if log is not None and log.ready:
             metrics.gauge(TAIL_AGE, log.tail_age_seconds())
@@ -89,5 +89,5 @@
     return [
         core.events.listen(RequestFinished, on_finished),
         metrics.add_source(set_gauges),
-        core.timers.subscribe_pause(lambda lost: metrics.count(PAUSES)),
+        core.timers.subscribe_pause(lambda pause_seconds: metrics.count(PAUSES)),
     ]
--- a/mustardward/components/entry/models.py
+++ b/mustardward/components/entry/models.py
@@ -1,4 +1,4 @@
-"""Model a caller's request and what became of its attempts."""
+"""Define the models of a caller's request and its attempts."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Ran(StrEnum):
-    """Say whether a request took effect on a worker."""
+    """Whether a request took effect on a worker."""
 
     NO = "no"
     YES = "yes"
@@ -17,7 +17,7 @@
 
 
 class AttemptOutcome(StrEnum):
-    """Say how one attempt ended; only the first two are sure not to have run."""
+    """How an attempt ended; only the first two are known not to have run."""
 
     NOT_SENT = "not-sent"
     REFUSED = "refused"
@@ -26,16 +26,16 @@
 
     @property
     def definitely_not_run(self) -> bool:
-        """Tell whether a non-idempotent request may be tried again after this."""
+        """Return whether a non-idempotent request may be retried after this."""
         return self in (AttemptOutcome.NOT_SENT, AttemptOutcome.REFUSED)
 
 
 @dataclass(frozen=True, slots=True)
 class RequestFacts:
-    """Hold what decisions need to know of a request; its body is not among it.
+    """The attributes of a request that routing and retries decide by, without its body.
 
     ``arrived`` and ``deadline`` are monotonic seconds of this process's timer service.
-    ``hops`` counts the entries that already forwarded it.
+    ``hops`` is the number of entries that forwarded the request.
     """
 
     request_id: str
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """Hold one attempt of a request; ``status`` is the HTTP status if answered."""
+    """One attempt of a request; ``status`` is the HTTP status if answered, else 0."""
 
     attempt_id: str
     instance_id: str
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestRefusal:
-    """Hold the final answer to a request that mustardward itself answers.
+    """A final response that mustardward itself gives instead of a worker.
 
     ``code`` is the last part of the problem's ``type`` URI.
     """
@@ -80,12 +80,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFinished:
-    """Announce on the event bus that a request got its final answer.
+    """Event that a request got its final response.
 
-    ``organisation`` is empty if none of that name is in force. ``code`` is the
-    refusal's, or that of what broke the answer off, and empty for a worker's whole
-    answer. ``cause`` names what spent error budget, or is empty: ``refusal``, ``wave``,
-    ``failure``, ``neighbour`` or ``worker``.
+    ``organisation`` is empty if no organisation of that name exists. ``code`` is that
+    of the refusal or of the error that interrupted the response; empty for a complete
+    response of a worker. ``cause`` is what spent error budget: ``refusal``, ``wave``,
+    ``failure``, ``neighbour``, ``worker``, or empty if nothing was spent.
     """
 
     request_id: str
--- a/mustardward/components/entry/pause.py
+++ b/mustardward/components/entry/pause.py
@@ -1,4 +1,4 @@
-"""Hold dispatch back after the process was paused."""
+"""Suspend dispatch after the process was paused."""
 
 from __future__ import annotations
 
@@ -14,45 +14,44 @@
 
 _LOGGER = get_logger(__name__)
 
-BEAT_SECONDS: Final = 0.25
-LONGEST_BEAT_SECONDS: Final = BEAT_SECONDS + PAUSE_THRESHOLD_SECONDS
-CONFIRM_SECONDS: Final = 5.0
-WAIT_SECONDS: Final = 2.0
-STEP_SECONDS: Final = 0.05
+TICK_SECONDS: Final = 0.25
+MAX_TICK_GAP_SECONDS: Final = TICK_SECONDS + PAUSE_THRESHOLD_SECONDS
+CONFIRM_TIMEOUT_SECONDS: Final = 5.0
+MAX_WAIT_SECONDS: Final = 2.0
+POLL_SECONDS: Final = 0.05
 
 
 class PauseGuard:
-    """Know whether the picture of the fleet was confirmed since the last pause.
+    """Suspend dispatch until the fleet state is confirmed after a pause.
 
-    A process that was stopped goes on with requests as if nothing had happened, while
-    its workers may belong to another pool by now. It shows as work in a pool that has
-    not owned the worker for a while. The service that watches for pauses runs as one
-    task among many, and others may run before it; so each dispatch looks at the beat
-    itself.
+    A process that was stopped resumes with stale state: its workers may belong to
+    another pool by now and would be sent work of the old one. The task that detects
+    pauses is one of many, and others may run before it; so each dispatch also checks
+    the time since the last tick.
 
-    :param log: the fleet's log, whose tail (or a peer that is ahead) confirms.
+    :param log: the fleet's log, whose tail (or a peer that is ahead) confirms state.
     """
 
     def __init__(self, log: FleetLog, timers: TimerService, tasks: TaskGroup) -> None:
         self._log = log
         self._timers = timers
         self._tasks = tasks
-        self._last_beat = timers.monotonic()
+        self._last_tick_at = timers.monotonic()
         self._paused_at: float | None = None
 
     def start(self) -> list[Callable[[], None]]:
-        """Begin to beat; return what ends it."""
+        """Start the tick; return the functions that stop it."""
         return [
-            self._timers.subscribe("entry.pause", BEAT_SECONDS, self._async_beat),
-            self._timers.subscribe_pause(self._note_pause),
+            self._timers.subscribe("entry.pause", TICK_SECONDS, self._async_tick),
+            self._timers.subscribe_pause(self._record_pause),
         ]
 
     @property
-    def open(self) -> bool:
-        """Tell whether requests may be dispatched now."""
+    def dispatch_allowed(self) -> bool:
+        """Return whether requests may be dispatched now."""
         now = self._timers.monotonic()
-        if now - self._last_beat > LONGEST_BEAT_SECONDS:
-            self._note_pause(now - self._last_beat)
+        if now - self._last_tick_at > MAX_TICK_GAP_SECONDS:
+            self._record_pause(now - self._last_tick_at)
         if self._paused_at is None:
             return True
         if now - self._log.tail_age_seconds() <= self._paused_at:
@@ -61,26 +60,26 @@
         self._paused_at = None
         return True
 
-    async def async_pass(self) -> bool:
-        """Wait a little until requests may be dispatched; tell whether they may."""
-        until = self._timers.monotonic() + WAIT_SECONDS
-        while not self.open:
-            if self._timers.monotonic() >= until:
+    async def async_wait_until_allowed(self) -> bool:
+        """Wait briefly until requests may be dispatched; return whether they may."""
+        deadline = self._timers.monotonic() + MAX_WAIT_SECONDS
+        while not self.dispatch_allowed:
+            if self._timers.monotonic() >= deadline:
                 return False
-            await self._timers.async_sleep(STEP_SECONDS)
+            await self._timers.async_sleep(POLL_SECONDS)
         return True
 
-    async def _async_beat(self) -> None:
-        # The look at the beat comes first: a beat after a pause would hide the pause.
-        _ = self.open
-        self._last_beat = self._timers.monotonic()
+    async def _async_tick(self) -> None:
+        # Checked before the tick is recorded, which would conceal a pause.
+        _ = self.dispatch_allowed
+        self._last_tick_at = self._timers.monotonic()
 
-    def _note_pause(self, lost_seconds: float) -> None:
+    def _record_pause(self, pause_seconds: float) -> None:
         now = self._timers.monotonic()
-        self._last_beat = now
+        self._last_tick_at = now
         self._paused_at = now
-        _LOGGER.warning("dispatch_held", lost_seconds=lost_seconds)
+        _LOGGER.warning("dispatch_suspended", pause_seconds=pause_seconds)
         self._tasks.start_soon(
-            partial(self._log.async_confirm_tail, CONFIRM_SECONDS),
+            partial(self._log.async_confirm_tail, CONFIRM_TIMEOUT_SECONDS),
             name="entry.confirm-tail",
         )
--- a/mustardward/components/entry/problem.py
+++ b/mustardward/components/entry/problem.py
@@ -13,22 +13,22 @@
 from .models import Ran, RequestRefusal
 
 CONTENT_TYPE: Final = b"application/problem+json"
-_SPREAD: Final = 2.0
-_FRACTION_STEPS: Final = 1024
+_JITTER_FACTOR: Final = 2.0
+_JITTER_STEPS: Final = 1024
 
 
-def spread_retry_after(seconds: float, request_id: str) -> float:
-    """Return a pause between once and three times ``seconds``, fixed by the request.
+def jitter_retry_after(seconds: float, request_id: str) -> float:
+    """Return a delay of one to three times ``seconds``, derived from the request id.
 
-    Callers that were refused together would otherwise come back together, and be
-    refused together again.
+    Callers that are refused together would otherwise retry together and be refused
+    again.
     """
-    step = xxhash.xxh3_64_intdigest(request_id.encode()) % _FRACTION_STEPS
-    return seconds * (1.0 + _SPREAD * step / _FRACTION_STEPS)
+    fraction = xxhash.xxh3_64_intdigest(request_id.encode()) % _JITTER_STEPS
+    return seconds * (1.0 + _JITTER_FACTOR * fraction / _JITTER_STEPS)
 
 
 def retryable_refusal(code: str, status: int, ran: Ran, detail: str) -> RequestRefusal:
-    """Return a refusal that a later try may not meet."""
+    """Return a refusal with a ``Retry-After``, for conditions that may pass."""
     return RequestRefusal(code, status, ran, detail, RETRY_AFTER_SECONDS)
 
 
@@ -46,7 +46,7 @@
 
 
 def problem_headers(refusal: RequestRefusal, request_id: str, length: int) -> Headers:
-    """Return the headers of a refusal, ``Retry-After`` spread over time."""
+    """Return the headers of a refusal, with jitter on ``Retry-After``."""
     headers = [
         (b"content-type", CONTENT_TYPE),
         (b"content-length", b"%d" % length),
@@ -54,6 +54,6 @@
         (b"mw-request-id", request_id.encode()),
     ]
     if refusal.retry_after_seconds is not None:
-        pause = spread_retry_after(refusal.retry_after_seconds, request_id)
-        headers.append((b"retry-after", b"%d" % math.ceil(pause)))
+        delay_seconds = jitter_retry_after(refusal.retry_after_seconds, request_id)
+        headers.append((b"retry-after", b"%d" % math.ceil(delay_seconds)))
     return tuple(headers)
--- a/mustardward/components/entry/protocols.py
+++ b/mustardward/components/entry/protocols.py
@@ -1,7 +1,7 @@
-"""Define what the entry asks of limits, routing, retries, intents and workers.
+"""Define the interfaces to limits, routing, retries, idempotency and workers.
 
-Each is set up by its own component and found under a key of ``keys.py``; tests put
-small fakes in their place.
+Each is implemented by its own component and published under a key of ``keys.py``; tests
+use fakes.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 
 class Permit(Protocol):
-    """Hold a place within the limits until released."""
+    """A permit within the limits, held until released."""
 
     def release(self, latency_seconds: float, succeeded: bool) -> None:
-        """Give the place back; a second call does nothing."""
+        """Release the permit; a second call does nothing."""
         ...
 
 
@@ -30,17 +30,17 @@
 
     @property
     def in_flight(self) -> int:
-        """Return the number of requests that hold a permit."""
+        """Return the number of requests holding a permit."""
         ...
 
     async def async_admit(self, facts: RequestFacts) -> Result[Permit, RequestRefusal]:
-        """Wait in the organisation's queue for a place, or say why there is none."""
+        """Wait in the organisation's queue for a permit, or return a refusal."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """Hold the worker chosen for one attempt."""
+    """The worker chosen for one attempt."""
 
     instance: Instance
     attempt_id: str
@@ -57,15 +57,15 @@
         ...
 
     def finish(self, choice: Choice, facts: RequestFacts, attempt: Attempt) -> None:
-        """End the in-flight count and judge the worker by the outcome."""
+        """End the in-flight count and record the outcome for the worker's health."""
         ...
 
     def choose_remote(
         self, facts: RequestFacts, exclude: frozenset[str] = frozenset()
     ) -> RemoteChoice | None:
-        """Choose an entry of another data centre, if that helps before the deadline.
+        """Choose an entry of another data centre that can respond by the deadline.
 
-        Asked after the limiter or :meth:`choose` refused with a code of
+        Called after the limiter or :meth:`choose` refused with a code of
         ``routing.models.FORWARDABLE_REFUSAL_CODES``; ``exclude`` names the entries
         already tried.
         """
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryDecision:
-    """Say whether to try again, after which pause (seconds)."""
+    """Whether to retry, and after which delay."""
 
     should_retry: bool
     delay_seconds: float = 0.0
@@ -95,28 +95,28 @@
     def decide(
         self, facts: RequestFacts, attempts: tuple[Attempt, ...], now: float
     ) -> RetryDecision:
-        """Decide after the last attempt in ``attempts``."""
+        """Decide whether to retry after the last attempt in ``attempts``."""
         ...
 
     def record_first(self, facts: RequestFacts) -> None:
-        """Note that a request made its first attempt."""
+        """Record the first attempt of a request for the retry budget."""
         ...
 
     def hedge_after(self, facts: RequestFacts) -> float | None:
-        """Return the seconds after which a second attempt may run beside the first.
+        """Return the delay in seconds after which to hedge.
 
-        Nothing unless the request is urgent and idempotent.
+        ``None`` unless the request is urgent and idempotent.
         """
         ...
 
     def take_hedge(self, facts: RequestFacts, now: float) -> bool:
-        """Take a hedged attempt out of the budget; tell whether it may be made."""
+        """Charge a hedged attempt to the budget; return whether it is allowed."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class StoredResponse:
-    """Hold the answer kept under an idempotency key."""
+    """A response stored under an idempotency key."""
 
     status: int
     content_type: str
@@ -124,31 +124,32 @@
 
 
 class IdempotencyGuard(Protocol):
-    """Make sure that a request under an idempotency key runs at most once."""
+    """Ensure that a request with an idempotency key runs at most once."""
 
     def reportable_ran(self, facts: RequestFacts, ran: Ran) -> Ran:
-        """Return what a refusal may say, with earlier attempts under the key in mind.
+        """Return the ``ran`` value that a refusal may report for a keyed request.
 
-        A keyed request that is refused before ``async_open`` may have run before.
+        Earlier requests with the key count: a request that is refused before
+        ``async_open`` may have run before.
         """
         ...
 
     async def async_open(
         self, facts: RequestFacts
     ) -> Result[StoredResponse | None, RequestRefusal]:
-        """Return nothing if this process may dispatch, or the stored answer."""
+        """Return ``None`` if this process may dispatch, else the stored response."""
         ...
 
     async def async_close(
         self, facts: RequestFacts, ran: str, answer: StoredResponse | None
     ) -> None:
-        """Make the outcome durable; ``ran`` ``no`` lets a later try dispatch."""
+        """Make the outcome durable; ``ran`` ``no`` lets a later request dispatch."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class OutgoingRequest:
-    """Hold a request as it goes to a worker; ``body`` is ``None`` once streamed."""
+    """A request as it is sent to a worker, its body buffered or streamed."""
 
     method: str
     target: str
@@ -158,9 +159,9 @@
 
 @dataclass(slots=True, eq=False)
 class WorkerResponse:
-    """Hold the beginning of a worker's answer and the stream of its body.
+    """The head of a worker's response and the stream of its body.
 
-    ``chunks`` raises :class:`TruncatedAnswerError` when the worker ends too early.
+    ``chunks`` raises :class:`TruncatedAnswerError` if the response is truncated.
     """
 
     status: int
@@ -170,17 +171,17 @@
 
 @dataclass(frozen=True, slots=True)
 class FailedAttempt:
-    """Say how an attempt without an answer ended."""
+    """The outcome of an attempt without a response."""
 
     outcome: AttemptOutcome
     cause: str
 
 
 class WorkerDispatcher(Protocol):
-    """Send one attempt to one worker."""
+    """Send attempts to workers."""
 
     async def async_send(
         self, choice: Choice, facts: RequestFacts, request: OutgoingRequest
     ) -> Result[WorkerResponse, FailedAttempt]:
-        """Send and return when the answer's head is there."""
+        """Send the attempt and return once the response head is received."""
         ...
--- a/mustardward/components/entry/request_handler.py
+++ b/mustardward/components/entry/request_handler.py
@@ -1,4 +1,4 @@
-"""Take one request from its admission to its answer."""
+"""Handle one request from its admission to its response."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from ...helpers.timer import TimerService
 from ..routing.models import FORWARDABLE_REFUSAL_CODES
 from .attempts import AttemptRunner, PendingResponse
-from .const import STORED_ANSWER_BYTES
+from .const import MAX_STORED_RESPONSE_BYTES
 from .dependencies import EntryDependencies
 from .headers import find_header
 from .hedge import HedgedAttempt
@@ -32,111 +32,114 @@
 
 HandlerResult = Result[WorkerResponse, RequestRefusal]
 
-_SERVER_ERROR: Final = 500
-_FINAL: Final = {
+_MIN_SERVER_ERROR_STATUS: Final = 500
+_REFUSALS_BY_OUTCOME: Final = {
     AttemptOutcome.NOT_SENT: ("worker-unreachable", 503),
     AttemptOutcome.REFUSED: ("workers-busy", 503),
     AttemptOutcome.UNKNOWN: ("outcome-unknown", 502),
     AttemptOutcome.ANSWERED: ("deadline-exceeded", 504),
 }
-_FINAL_BY_CAUSE: Final = {
+_REFUSALS_BY_CAUSE: Final = {
     BodyTooLargeError.code: ("body-too-large", 413),
     CallerGoneError.code: ("caller-gone", 400),
     TruncatedAnswerError.code: ("answer-truncated", 502),
 }
 _UNCONFIRMED: Final = retryable_refusal(
-    "not-ready", 503, Ran.NO, "the state was not confirmed since a pause"
+    "not-ready", 503, Ran.NO, "the fleet state is unconfirmed after a pause"
 )
 
 
 @dataclass(frozen=True, slots=True)
 class HandlerContext:
-    """Hold what a serving needs of its process.
+    """The process-wide context of request handlers.
 
-    ``background`` runs what the caller need not wait for; ``ended`` is called once
-    when nothing of the request is left in progress.
+    ``run_in_background`` runs work that the caller does not wait for; ``on_end`` is
+    called once when the request is no longer in progress.
     """
 
-    parts: EntryDependencies
+    dependencies: EntryDependencies
     timers: TimerService
-    background: Callable[[Callable[[], Awaitable[None]]], None]
-    ended: Callable[[], None]
+    run_in_background: Callable[[Callable[[], Awaitable[None]]], None]
+    on_end: Callable[[], None]
 
 
 class RequestHandler:
-    """Hold what one request has been through."""
+    """Handle one request: admission, idempotency, attempts and retries."""
 
     def __init__(
-        self, host: HandlerContext, facts: RequestFacts, request: OutgoingRequest
+        self, context: HandlerContext, facts: RequestFacts, request: OutgoingRequest
     ) -> None:
-        self._host = host
-        self._parts = host.parts
-        self._timers = host.timers
+        self._context = context
+        self._dependencies = context.dependencies
+        self._timers = context.timers
         self._facts = facts
-        self._attempts = AttemptRunner(host.parts, host.timers, facts, request)
+        self._attempts = AttemptRunner(
+            context.dependencies, context.timers, facts, request
+        )
         self._permit: Permit | None = None
         self._intent_open = False
-        self._over = False
+        self._ended = False
 
     @property
     def attempts(self) -> int:
-        """Return how many attempts were begun."""
-        return self._attempts.begun
+        """Return the number of attempts started."""
+        return self._attempts.started_count
 
     @property
     def ran(self) -> Ran:
-        """Tell whether the request may have run, by all that is known here.
+        """Return whether the request may have run.
 
-        Until the intent is open, nothing is known of earlier tries under the key.
+        Until the intent is open, it is unknown whether an earlier request with the key
+        ran.
         """
         if self._facts.idempotency_key and not self._intent_open:
             return Ran.UNKNOWN
         return self._attempts.ran
 
     async def async_run(self) -> HandlerResult:
-        """Return a worker's answer, or the refusal that ends the request."""
+        """Return a worker's response, or the refusal that ends the request."""
         remaining = self._facts.deadline - self._timers.monotonic()
         if remaining <= 0:
-            return self._refuse_late()
+            return self._refuse_deadline_exceeded()
         try:
             with anyio.move_on_after(remaining):
-                return await self._async_admitted()
+                return await self._async_admit_and_run()
         except BaseException:
-            self._give_up()
+            self._abort()
             raise
-        return self._refuse_late()
+        return self._refuse_deadline_exceeded()
 
-    async def _async_admitted(self) -> HandlerResult:
-        admitted = await self._parts.limiter.async_admit(self._facts)
+    async def _async_admit_and_run(self) -> HandlerResult:
+        admitted = await self._dependencies.limiter.async_admit(self._facts)
         if isinstance(admitted, Failure):
-            return await self._async_elsewhere(admitted.failure())
+            return await self._async_forward_or_refuse(admitted.failure())
         self._permit = admitted.unwrap()
         if self._facts.idempotency_key:
-            return await self._async_keyed()
-        return await self._async_attempts()
+            return await self._async_run_keyed()
+        return await self._async_run_attempts()
 
-    async def _async_keyed(self) -> HandlerResult:
-        gate = self._parts.intents
-        if gate is None:
+    async def _async_run_keyed(self) -> HandlerResult:
+        idempotency_guard = self._dependencies.intents
+        if idempotency_guard is None:
             return self._refuse(
                 retryable_refusal(
-                    "key-unavailable", 503, Ran.UNKNOWN, "no log to keep intents in"
+                    "key-unavailable", 503, Ran.UNKNOWN, "no log to store intents in"
                 )
             )
-        opened = await gate.async_open(self._facts)
+        opened = await idempotency_guard.async_open(self._facts)
         if isinstance(opened, Failure):
-            self._give_up()
+            self._abort()
             return Failure(opened.failure())
         stored = opened.unwrap()
         if stored is not None:
             self._release(True)
-            self._end_once()
-            return Success(_stored_answer(stored))
+            self._record_end()
+            return Success(_build_replayed_response(stored))
         self._intent_open = True
-        return await self._async_attempts()
+        return await self._async_run_attempts()
 
-    async def _async_attempts(self) -> HandlerResult:
-        retries = self._parts.retries
+    async def _async_run_attempts(self) -> HandlerResult:
+        retries = self._dependencies.retries
         retries.record_first(self._facts)
         exclude: frozenset[str] = frozenset()
         while True:
@@ -144,136 +147,158 @@
                 return self._refuse(_UNCONFIRMED)
             chosen = self._choose(exclude)
             if isinstance(chosen, Failure):
-                return await self._async_elsewhere(chosen.failure())
+                return await self._async_forward_or_refuse(chosen.failure())
             choice = chosen.unwrap()
-            held = await self._async_try(choice)
-            if held is not None and not await self._async_try_past(held):
-                return self._accept(held)
-            if held is None:
-                if not self._attempts.may_send_again:
+            pending = await self._async_attempt(choice)
+            if pending is not None and not await self._async_prepare_retry(pending):
+                return self._accept(pending)
+            if pending is None:
+                if not self._attempts.can_resend_body:
                     return self._refuse(self._final_refusal())
                 decision = retries.decide(
-                    self._facts, self._attempts.made, self._timers.monotonic()
+                    self._facts, self._attempts.unsuccessful, self._timers.monotonic()
                 )
                 if not decision.should_retry:
                     return self._refuse(self._final_refusal())
-                await self._async_pause(decision)
+                await self._async_back_off(decision)
             exclude |= {choice.instance.instance_id}
 
     async def _async_may_dispatch(self) -> bool:
-        guard = self._parts.guard
-        return guard is None or guard.open or await guard.async_pass()
+        guard = self._dependencies.guard
+        return (
+            guard is None
+            or guard.dispatch_allowed
+            or await guard.async_wait_until_allowed()
+        )
 
     def _choose(self, exclude: frozenset[str]) -> Result[Choice, RequestRefusal]:
-        """Choose a worker not tried yet; any, once all were."""
-        chosen = self._parts.router.choose(self._facts, exclude)
+        """Choose a worker not tried yet, or any once all were tried."""
+        chosen = self._dependencies.router.choose(self._facts, exclude)
         if isinstance(chosen, Failure) and exclude:
-            return self._parts.router.choose(self._facts, frozenset())
+            return self._dependencies.router.choose(self._facts, frozenset())
         return chosen
 
-    async def _async_try(self, choice: Choice) -> PendingResponse | None:
-        delay = self._parts.retries.hedge_after(self._facts)
-        if delay is None or not self._attempts.may_hedge:
-            return await self._attempts.async_local(choice)
+    async def _async_attempt(self, choice: Choice) -> PendingResponse | None:
+        delay = self._dependencies.retries.hedge_after(self._facts)
+        if delay is None or not self._attempts.can_hedge:
+            return await self._attempts.async_send_local(choice)
         race = HedgedAttempt(
-            self._parts, self._timers, self._facts, self._attempts, delay
+            self._dependencies, self._timers, self._facts, self._attempts, delay
         )
         return await race.async_run(choice)
 
-    async def _async_try_past(self, held: PendingResponse) -> bool:
-        """Drop an answer that is a worker's failure if another try is allowed."""
-        if held.answer.status < _SERVER_ERROR or not self._facts.idempotent:
+    async def _async_prepare_retry(self, pending: PendingResponse) -> bool:
+        """Discard a server error and back off if a retry is allowed; return whether."""
+        if (
+            pending.response.status < _MIN_SERVER_ERROR_STATUS
+            or not self._facts.idempotent
+        ):
             return False
-        if not self._attempts.may_send_again:
+        if not self._attempts.can_resend_body:
             return False
-        decision = self._parts.retries.decide(
+        decision = self._dependencies.retries.decide(
             self._facts,
-            (*self._attempts.made, held.attempt),
+            (*self._attempts.unsuccessful, pending.attempt),
             self._timers.monotonic(),
         )
         if not decision.should_retry:
             return False
-        await self._attempts.async_give_up(held, "worker-failed")
-        await self._async_pause(decision)
+        await self._attempts.async_abandon(pending, "worker-failed")
+        await self._async_back_off(decision)
         return True
 
-    async def _async_pause(self, decision: RetryDecision) -> None:
+    async def _async_back_off(self, decision: RetryDecision) -> None:
         if decision.delay_seconds > 0:
             await self._timers.async_sleep(decision.delay_seconds)
 
-    async def _async_elsewhere(self, refusal: RequestRefusal) -> HandlerResult:
-        """Try another data centre where that helps; else refuse.
+    async def _async_forward_or_refuse(self, refusal: RequestRefusal) -> HandlerResult:
+        """Forward to another data centre if that can help; else refuse.
 
-        A keyed request stays: its intent stands in this data centre's log, and no
-        other may dispatch it.
+        A keyed request is not forwarded: its intent is in this data centre's log, and
+        no other data centre may dispatch it.
         """
-        helps = (
+        can_forward = (
             refusal.code in FORWARDABLE_REFUSAL_CODES
             and not self._facts.idempotency_key
         )
-        if not helps or not self._attempts.may_send_again or not self._safe_to_send:
+        if (
+            not can_forward
+            or not self._attempts.can_resend_body
+            or not self._is_safe_to_resend
+        ):
             return self._refuse(refusal)
-        choice = self._parts.router.choose_remote(self._facts)
-        if choice is None or self._parts.peers is None:
+        choice = self._dependencies.router.choose_remote(self._facts)
+        if choice is None or self._dependencies.peers is None:
             return self._refuse(refusal)
-        held = await self._attempts.async_remote(choice)
-        if held is not None:
-            return self._accept(held)
+        pending = await self._attempts.async_send_remote(choice)
+        if pending is not None:
+            return self._accept(pending)
         return self._refuse(refusal)
 
     @property
-    def _safe_to_send(self) -> bool:
+    def _is_safe_to_resend(self) -> bool:
         return self._facts.idempotent or self._attempts.ran is Ran.NO
 
-    def _accept(self, held: PendingResponse) -> HandlerResult:
-        answer = held.answer
-        keep = STORED_ANSWER_BYTES if self._intent_open else -1
-        body = TrackedBody(answer.chunks, keep, partial(self._end, held))
-        return Success(WorkerResponse(answer.status, answer.headers, body))
+    def _accept(self, pending: PendingResponse) -> HandlerResult:
+        response = pending.response
+        max_copy_bytes = MAX_STORED_RESPONSE_BYTES if self._intent_open else -1
+        body = TrackedBody(response.chunks, max_copy_bytes, partial(self._end, pending))
+        return Success(WorkerResponse(response.status, response.headers, body))
 
-    def _end(self, held: PendingResponse, whole: bool, kept: bytes | None) -> None:
-        held.end(whole)
-        self._release(whole and held.answer.status < _SERVER_ERROR)
+    def _end(
+        self, pending: PendingResponse, complete: bool, body_copy: bytes | None
+    ) -> None:
+        pending.end(complete)
+        self._release(complete and pending.response.status < _MIN_SERVER_ERROR_STATUS)
         if self._intent_open:
-            stored = None if kept is None else _stored(held.answer, kept)
+            stored = (
+                None
+                if body_copy is None
+                else _build_stored_response(pending.response, body_copy)
+            )
             self._close_intent(Ran.YES, stored)
-        self._end_once()
+        self._record_end()
 
     def _final_refusal(self) -> RequestRefusal:
-        made = self._attempts.made
-        last = made[-1]
-        code, status = _FINAL_BY_CAUSE.get(last.cause, _FINAL[last.outcome])
-        detail = f"attempts={len(made)} last={last.cause}"
+        unsuccessful = self._attempts.unsuccessful
+        last = unsuccessful[-1]
+        code, status = _REFUSALS_BY_CAUSE.get(
+            last.cause, _REFUSALS_BY_OUTCOME[last.outcome]
+        )
+        detail = f"attempts={len(unsuccessful)} last={last.cause}"
         return retryable_refusal(code, status, self.ran, detail)
 
-    def _refuse_late(self) -> HandlerResult:
-        detail = f"attempts={self._attempts.begun}"
+    def _refuse_deadline_exceeded(self) -> HandlerResult:
+        detail = f"attempts={self._attempts.started_count}"
         return self._refuse(RequestRefusal("deadline-exceeded", 504, self.ran, detail))
 
     def _refuse(self, refusal: RequestRefusal) -> HandlerResult:
-        """End with a refusal whose ``ran`` holds for all attempts and the key."""
-        ran = self._truthful(self.ran if refusal.ran is Ran.NO else refusal.ran)
-        self._give_up()
+        """End with a refusal whose ``ran`` covers all attempts and the key."""
+        ran = self._get_reportable_ran(
+            self.ran if refusal.ran is Ran.NO else refusal.ran
+        )
+        self._abort()
         return Failure(replace(refusal, ran=ran))
 
-    def _truthful(self, ran: Ran) -> Ran:
+    def _get_reportable_ran(self, ran: Ran) -> Ran:
         # An idempotent request may have been served without its key while the log was
-        # out. A caller who is then told that its retry was not run would order again.
-        gate = self._parts.intents
-        if gate is None or not self._facts.idempotency_key:
+        # unavailable. If its retry were reported as not run, the caller would send it
+        # once more.
+        idempotency_guard = self._dependencies.intents
+        if idempotency_guard is None or not self._facts.idempotency_key:
             return ran
-        return gate.reportable_ran(self._facts, ran)
+        return idempotency_guard.reportable_ran(self._facts, ran)
 
-    def _give_up(self) -> None:
+    def _abort(self) -> None:
         self._release(False)
         if self._intent_open:
             self._close_intent(self.ran, None)
-        self._end_once()
+        self._record_end()
 
-    def _end_once(self) -> None:
-        if not self._over:
-            self._over = True
-            self._host.ended()
+    def _record_end(self) -> None:
+        if not self._ended:
+            self._ended = True
+            self._context.on_end()
 
     def _release(self, succeeded: bool) -> None:
         if self._permit is None:
@@ -282,22 +307,24 @@
         self._permit.release(latency, succeeded)
         self._permit = None
 
-    def _close_intent(self, ran: Ran, answer: StoredResponse | None) -> None:
-        # The caller is not held back for this: should the record get lost, a later
-        # try under the key finds an intent without an outcome and is told "unknown".
+    def _close_intent(self, ran: Ran, response: StoredResponse | None) -> None:
+        # The caller does not wait for this: if the record is lost, a later request with
+        # the key finds an intent without an outcome and is refused as "unknown".
         self._intent_open = False
-        gate = self._parts.intents
-        assert gate is not None
+        idempotency_guard = self._dependencies.intents
+        assert idempotency_guard is not None
         facts = self._facts
-        self._host.background(lambda: gate.async_close(facts, ran.value, answer))
+        self._context.run_in_background(
+            lambda: idempotency_guard.async_close(facts, ran.value, response)
+        )
 
 
-def _stored(answer: WorkerResponse, body: bytes) -> StoredResponse:
-    content_type = find_header(answer.headers, b"content-type") or b""
-    return StoredResponse(answer.status, content_type.decode("latin-1"), body)
+def _build_stored_response(response: WorkerResponse, body: bytes) -> StoredResponse:
+    content_type = find_header(response.headers, b"content-type") or b""
+    return StoredResponse(response.status, content_type.decode("latin-1"), body)
 
 
-def _stored_answer(stored: StoredResponse) -> WorkerResponse:
+def _build_replayed_response(stored: StoredResponse) -> WorkerResponse:
     headers = [(b"content-length", b"%d" % len(stored.body))]
     if stored.content_type:
         headers.append((b"content-type", stored.content_type.encode("latin-1")))
--- a/mustardward/components/entry/response.py
+++ b/mustardward/components/entry/response.py
@@ -1,4 +1,4 @@
-"""Hold a worker's answer while it streams, and end it exactly once."""
+"""Stream the body of a worker's response and report its end exactly once."""
 
 from __future__ import annotations
 
@@ -10,46 +10,46 @@
 
 from ...exceptions import PeerError, TruncatedAnswerError
 from .connections import WorkerConnection, WorkerConnectionPool
-from .const import HELD_ANSWER_BYTES
+from .const import MAX_BUFFERED_RESPONSE_BYTES
 from .headers import find_header
 from .protocols import WorkerResponse
 
 RESPONSE_ERRORS: Final = (TruncatedAnswerError, PeerError)
-"""What the pieces of an answer raise when it ended too early."""
+"""Errors raised by the chunks of a truncated response."""
 
 EndCallback = Callable[[bool, bytes | None], None]
 
 
 class WorkerBody:
-    """Read the body of a worker's answer from its lane.
+    """The body of a worker's response, read from its connection.
 
-    :param response: the answer whose head was read.
+    :param response: the response whose head was read.
     """
 
     def __init__(
         self,
         response: httpx.Response,
-        lanes: WorkerConnectionPool,
-        lane: WorkerConnection,
+        pool: WorkerConnectionPool,
+        connection: WorkerConnection,
     ) -> None:
         stream = response.stream
         assert isinstance(stream, httpx.AsyncByteStream)
         self._stream = stream
-        self._parts = stream.__aiter__()
-        self._lanes = lanes
-        self._lane: WorkerConnection | None = lane
+        self._chunks = stream.__aiter__()
+        self._pool = pool
+        self._connection: WorkerConnection | None = connection
 
     def __aiter__(self) -> WorkerBody:
         """Return itself."""
         return self
 
     async def __anext__(self) -> bytes:
-        """Return the next piece.
+        """Return the next chunk.
 
-        :raises TruncatedAnswerError: if the worker ended too early.
+        :raises TruncatedAnswerError: if the response is truncated.
         """
         try:
-            return await self._parts.__anext__()
+            return await self._chunks.__anext__()
         except StopAsyncIteration:
             await self._async_end()
             raise
@@ -60,90 +60,94 @@
     async def aclose(self) -> None:
         """Close the connection, unless the body was read to its end.
 
-        A connection that was left in the middle of an answer would give the rest of
-        it to the next caller.
+        A connection reused in the middle of a response would give the rest of it to
+        the next caller.
         """
-        lane, self._lane = self._lane, None
-        if lane is not None:
-            await self._async_discard(lane)
+        connection, self._connection = self._connection, None
+        if connection is not None:
+            await self._async_discard(connection)
 
     async def _async_end(self) -> None:
-        lane, self._lane = self._lane, None
-        if lane is None:
+        connection, self._connection = self._connection, None
+        if connection is None:
             return
         try:
             await self._stream.aclose()
         except BaseException:
-            await self._async_discard(lane)
+            await self._async_discard(connection)
             raise
-        self._lanes.give_back(lane)
+        self._pool.release(connection)
 
-    async def _async_discard(self, lane: WorkerConnection) -> None:
+    async def _async_discard(self, connection: WorkerConnection) -> None:
         with anyio.CancelScope(shield=True):
             try:
                 await self._stream.aclose()
             finally:
-                await self._lanes.async_discard(lane)
+                await self._pool.async_discard(connection)
 
 
 class TrackedBody:
-    """Pass a body on and tell once how it ended.
+    """Forward a body and report once whether it was complete.
 
-    :param keep_bytes: longest body to keep a copy of; negative to keep none.
+    :param max_copy_bytes: maximum size of a body to keep a copy of; negative for none.
     """
 
     def __init__(
-        self, parts: AsyncIterator[bytes], keep_bytes: int, on_end: EndCallback
+        self, chunks: AsyncIterator[bytes], max_copy_bytes: int, on_end: EndCallback
     ) -> None:
-        self._parts = parts
+        self._chunks = chunks
         self._on_end = on_end
-        self._room = keep_bytes
-        self._kept: list[bytes] = []
-        self._over = False
+        self._remaining_bytes = max_copy_bytes
+        self._copied_chunks: list[bytes] = []
+        self._ended = False
 
     def __aiter__(self) -> TrackedBody:
         """Return itself."""
         return self
 
     async def __anext__(self) -> bytes:
-        """Return the next piece.
+        """Return the next chunk.
 
-        :raises TruncatedAnswerError: if the worker ended too early.
+        :raises TruncatedAnswerError: if the response is truncated.
         """
         try:
-            chunk = await self._parts.__anext__()
+            chunk = await self._chunks.__anext__()
         except StopAsyncIteration:
             self._end(True)
             raise
         except RESPONSE_ERRORS:
             self._end(False)
             raise
-        if self._room >= 0:
-            self._keep(chunk)
+        if self._remaining_bytes >= 0:
+            self._copy_chunk(chunk)
         return chunk
 
     async def aclose(self) -> None:
-        """Close the source; an end that was not reached counts as a failure."""
+        """Close the source; a body not read to its end is reported as incomplete."""
         self._end(False)
-        await async_close_chunks(self._parts)
+        await async_close_chunks(self._chunks)
 
-    def _keep(self, chunk: bytes) -> None:
-        self._room -= len(chunk)
-        if self._room >= 0:
-            self._kept.append(chunk)
+    def _copy_chunk(self, chunk: bytes) -> None:
+        self._remaining_bytes -= len(chunk)
+        if self._remaining_bytes >= 0:
+            self._copied_chunks.append(chunk)
         else:
-            self._kept.clear()
+            self._copied_chunks.clear()
 
-    def _end(self, whole: bool) -> None:
-        if self._over:
+    def _end(self, complete: bool) -> None:
+        if self._ended:
             return
-        self._over = True
-        kept = b"".join(self._kept) if whole and self._room >= 0 else None
-        self._on_end(whole, kept)
+        self._ended = True
+        body_copy = (
+            b"".join(self._copied_chunks)
+            if complete and self._remaining_bytes >= 0
+            else None
+        )
+        self._on_end(complete, body_copy)
 
 
 class BufferedBody:
-    """Give a body that is already whole."""
+    """A body that was read completely."""
 
     def __init__(self, body: bytes) -> None:
         self._body = body
@@ -153,26 +157,30 @@
         return self
 
     async def __anext__(self) -> bytes:
-        """Return the body, then end."""
+        """Return the whole body once."""
         if not self._body:
             raise StopAsyncIteration
         body, self._body = self._body, b""
         return body
 
 
-def should_buffer(answer: WorkerResponse) -> bool:
-    """Tell whether an answer declares a length that is held until it is whole."""
-    length = find_header(answer.headers, b"content-length")
-    return length is not None and length.isdigit() and int(length) <= HELD_ANSWER_BYTES
+def should_buffer(response: WorkerResponse) -> bool:
+    """Return whether a response declares a length that is small enough to buffer."""
+    length = find_header(response.headers, b"content-length")
+    return (
+        length is not None
+        and length.isdigit()
+        and int(length) <= MAX_BUFFERED_RESPONSE_BYTES
+    )
 
 
-async def async_close_chunks(parts: AsyncIterator[bytes]) -> None:
-    """Close a source of pieces if it can be closed."""
-    close: Callable[[], Awaitable[None]] | None = getattr(parts, "aclose", None)
+async def async_close_chunks(chunks: AsyncIterator[bytes]) -> None:
+    """Close a source of chunks if it can be closed."""
+    close: Callable[[], Awaitable[None]] | None = getattr(chunks, "aclose", None)
     if close is not None:
         await close()
 
 
-async def async_close_response(answer: WorkerResponse) -> None:
-    """Give up an answer, whether its body was read or not."""
-    await async_close_chunks(answer.chunks)
+async def async_close_response(response: WorkerResponse) -> None:
+    """Close a response, whether its body was read or not."""
+    await async_close_chunks(response.chunks)
--- a/mustardward/components/entry/service.py
+++ b/mustardward/components/entry/service.py
@@ -19,51 +19,55 @@
 
 
 class EntryService:
-    """Serve requests, from callers and from other entries.
+    """Serve requests from callers and from other entries.
 
-    :param tasks: the group that makes outcomes durable after the answer.
+    :param tasks: the task group that makes outcomes durable after the response.
     """
 
     def __init__(
-        self, parts: EntryDependencies, timers: TimerService, tasks: TaskGroup
+        self, dependencies: EntryDependencies, timers: TimerService, tasks: TaskGroup
     ) -> None:
-        self._host = HandlerContext(parts, timers, self._in_background, self._ended)
+        self._context = HandlerContext(
+            dependencies, timers, self._run_in_background, self._record_end
+        )
         self._tasks = tasks
-        self._closing = 0
+        self._pending_close_count = 0
         self._in_progress = 0
 
     @property
     def unfinished(self) -> int:
-        """Return how many requests are in progress or not yet durable."""
-        return self._in_progress + self._closing
+        """Return the number of requests in progress or not yet durable."""
+        return self._in_progress + self._pending_close_count
 
-    def start(self, facts: RequestFacts, request: OutgoingRequest) -> RequestHandler:
-        """Return the serving of one request, which has to be run."""
+    def start_request(
+        self, facts: RequestFacts, request: OutgoingRequest
+    ) -> RequestHandler:
+        """Count a request as in progress and return its handler, which must be run."""
         self._in_progress += 1
-        return RequestHandler(self._host, facts, request)
+        return RequestHandler(self._context, facts, request)
 
     async def async_serve(
         self, facts: RequestFacts, request: OutgoingRequest
     ) -> Result[WorkerResponse, RequestRefusal]:
-        """Return a worker's answer, or the refusal that ends the request.
+        """Return a worker's response, or the refusal that ends the request.
 
-        Whoever takes the answer reads its body to the end or closes it with
-        ``response.async_close_response``; until then its places are held.
+        The receiver must read the response's body to its end or close it with
+        ``response.async_close_response``; until then its permit stays in use.
         """
-        return await self.start(facts, request).async_run()
+        return await self.start_request(facts, request).async_run()
 
-    def _ended(self) -> None:
+    def _record_end(self) -> None:
         self._in_progress -= 1
 
-    def _in_background(self, function: Callable[[], Awaitable[None]]) -> None:
-        self._closing += 1
+    def _run_in_background(self, function: Callable[[], Awaitable[None]]) -> None:
+        self._pending_close_count += 1
         self._tasks.start_soon(self._async_run, function)
 
     async def _async_run(self, function: Callable[[], Awaitable[None]]) -> None:
-        # An error here would end the group that carries the whole process.
+        # An uncaught error would cancel the process's task group.
         try:
             await function()
         except MustardwardError as error:
             _LOGGER.warning("outcome_not_durable", error=error.code)
         finally:
-            self._closing -= 1
+            self._pending_close_count -= 1
--- a/mustardward/components/entry/setup.py
+++ b/mustardward/components/entry/setup.py
@@ -1,4 +1,4 @@
-"""Put the entry together from the parts that other components published."""
+"""Set up the entry with the objects that other components published."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 )
 from .application import CallerApplication
 from .attribution import BudgetAttributor
-from .const import CALLER_KEEPALIVE_SECONDS, PRUNE_SECONDS
+from .const import CALLER_KEEPALIVE_SECONDS, PRUNE_INTERVAL_SECONDS
 from .dependencies import EntryDependencies
 from .dispatcher import HttpDispatcher
 from .drain import Drain
@@ -36,15 +36,15 @@
 
 
 async def async_setup_entry(core: Core) -> Unload:
-    """Begin to listen for callers; return what drains and stops all of it."""
+    """Start listening for callers; return the function that drains and stops it."""
     dispatcher = HttpDispatcher(core.timers)
     core.put(DISPATCHER, dispatcher)
     guard = PauseGuard(core.get(FLEET_LOG), core.timers, core.tasks)
-    parts = _parts(core, dispatcher, guard)
-    service = EntryService(parts, core.timers, core.tasks)
+    dependencies = _build_dependencies(core, dispatcher, guard)
+    service = EntryService(dependencies, core.timers, core.tasks)
     core.put(ENTRY, service)
     health = EntryHealth(core, guard)
-    front_parts = ApplicationDependencies(
+    application_dependencies = ApplicationDependencies(
         service,
         core.get(DIRECTORY),
         health,
@@ -54,7 +54,9 @@
         BudgetAttributor(core),
     )
     listener = HttpListener(
-        CallerApplication(front_parts), core.settings.callers, _options(core)
+        CallerApplication(application_dependencies),
+        core.settings.callers,
+        _build_listener_options(core),
     )
     listener.start(core.tasks)
     drain = Drain(core, health, listener, service)
@@ -63,10 +65,10 @@
 
     unsubscribes = [
         core.timers.subscribe(
-            "entry.connections", PRUNE_SECONDS, dispatcher.async_prune
+            "entry.connections", PRUNE_INTERVAL_SECONDS, dispatcher.async_prune
         ),
         *guard.start(),
-        *_feed_metrics(core, health),
+        *_subscribe_metrics(core, health),
     ]
 
     async def async_unload() -> None:
@@ -81,7 +83,7 @@
     return async_unload
 
 
-def _parts(
+def _build_dependencies(
     core: Core, dispatcher: HttpDispatcher, guard: PauseGuard
 ) -> EntryDependencies:
     return EntryDependencies(
@@ -95,19 +97,19 @@
     )
 
 
-def _feed_metrics(core: Core, health: EntryHealth) -> list[Callable[[], None]]:
+def _subscribe_metrics(core: Core, health: EntryHealth) -> list[Callable[[], None]]:
     metrics = core.find(METRICS)
     if metrics is None or not metrics.enabled:
         return []
     return subscribe_metrics(core, metrics, health)
 
 
-def _options(core: Core) -> ListenerOptions:
+def _build_listener_options(core: Core) -> ListenerOptions:
     limits = core.settings.limits
     return ListenerOptions(
         header_bytes=limits.header_bytes,
         keepalive_seconds=CALLER_KEEPALIVE_SECONDS,
         # Every request ends by its deadline, so a stop that waits this long for
-        # requests in progress never cuts one off.
+        # requests in progress never aborts one.
         graceful_seconds=limits.maximum_deadline_seconds + 5.0,
     )
--- a/tests/cli/test_serve.py
+++ b/tests/cli/test_serve.py
@@ -17,7 +17,12 @@
 import pytest
 from anyio.abc import Process, SocketStream, TaskGroup
 
-from tests.fakes.entry import RawWorker, SeenRequest, async_start_worker, build_response
+from tests.fakes.entry import (
+    RawWorker,
+    ReceivedRequest,
+    async_start_worker,
+    build_response,
+)
 
 pytestmark = [pytest.mark.anyio, pytest.mark.processes]
 
@@ -71,14 +76,14 @@
         await event.wait()
 
 
-async def echo(stream: SocketStream, seen: SeenRequest) -> bool:
+async def echo(stream: SocketStream, seen: ReceivedRequest) -> bool:
     if seen.target.endswith("/slow"):
         return await stream_slowly(stream, seen)
     await stream.send(build_response(seen, seen.body))
     return True
 
 
-async def stream_slowly(stream: SocketStream, seen: SeenRequest) -> bool:
+async def stream_slowly(stream: SocketStream, seen: ReceivedRequest) -> bool:
     head = f"HTTP/1.1 200 X\r\nmw-attempt-id: {seen.attempt_id}\r\n"
     await stream.send(head.encode() + b"transfer-encoding: chunked\r\n\r\n")
     for _ in range(STREAM_PIECES):
@@ -292,7 +297,7 @@
     assert code == 0
     assert (history.cut, history.refused) == ([], [])
     assert b"".join(pieces) == b"turn" * STREAM_PIECES
-    runs = Counter(item.body for item in worker.seen if item.body)
+    runs = Counter(item.body for item in worker.requests if item.body)
     assert set(runs.values()) == {1}
     assert len(runs) == len(history.answered)
     assert len(history.answered) >= 200
--- a/tests/components/api/test_server.py
+++ b/tests/components/api/test_server.py
@@ -155,7 +155,7 @@
                 answer = await http.put(path, headers=BEARER)
                 assert answer.json()["ran"] == "no"
                 assert answer.status_code == 404
-    assert worker.seen == []
+    assert worker.requests == []
 
 
 async def test_no_secret_is_logged(caplog: pytest.LogCaptureFixture) -> None:
--- a/tests/components/entry/test_attribution.py
+++ b/tests/components/entry/test_attribution.py
@@ -1,4 +1,4 @@
-"""Find what spent an organisation's error budget."""
+"""Test the attribution of error budget spend."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 ABSENCE = Absence("dc-a-racks-1", "failed", "entry-1", 1)
 
 
-def build_finder(claimed: bool, absent: bool) -> BudgetAttributor:
+def build_attributor(claimed: bool, absent: bool) -> BudgetAttributor:
     core = Core(build_settings(), DrivenTimerService(), None)  # type: ignore[arg-type]
     state = build_state(2, "racks", "dc-a")
     if claimed:
@@ -49,23 +49,24 @@
         ("caller-gone", True, True, 1, ""),
     ],
 )
-def test_the_cause_follows_code_and_state(
+def test_cause_depends_on_code_and_state(
     code: str, claimed: bool, absent: bool, attempts: int, expected: str
 ) -> None:
-    assert build_finder(claimed, absent).find(code, "racks", attempts) == expected
+    assert (
+        build_attributor(claimed, absent).attribute(code, "racks", attempts) == expected
+    )
 
 
-def test_other_pools_and_data_centres_are_not_blamed() -> None:
-    finder = build_finder(True, True)
-    assert finder.find("overloaded", "quotes", 0) == "neighbour"
+def test_capacity_loss_of_other_pools_and_data_centres_is_ignored() -> None:
+    attributor = build_attributor(True, True)
+    assert attributor.attribute("overloaded", "quotes", 0) == "neighbour"
 
 
-async def test_names_that_callers_make_up_reach_no_report() -> None:
-    """Keep made-up names out of what counts by name.
+async def test_unresolved_names_are_not_reported() -> None:
+    """Guard against unbounded memory from unknown names in reports and metrics.
 
-    Symptom: an entry's memory grows with every scan of its port. Sequence: a caller
-    asks for one unknown organisation after another. Cause: each became a name in the
-    reports and metrics.
+    A caller that requests one unknown organisation after another, such as a port
+    scanner, would otherwise add a report entry and metric label with each name.
     """
     async with running_entry(respond_ok) as (entry, _):
         async with httpx.AsyncClient() as client:
--- a/tests/components/entry/test_connections.py
+++ b/tests/components/entry/test_connections.py
@@ -1,4 +1,4 @@
-"""Lend and return the connections to one worker."""
+"""Test the connection pool of a worker."""
 
 from __future__ import annotations
 
@@ -15,45 +15,44 @@
 pytestmark = pytest.mark.anyio
 
 
-def take_all(lanes: WorkerConnectionPool) -> list[WorkerConnection]:
-    taken = []
-    while (lane := lanes.take()) is not None:
-        taken.append(lane)
-    return taken
+def acquire_all(pool: WorkerConnectionPool) -> list[WorkerConnection]:
+    acquired = []
+    while (connection := pool.acquire()) is not None:
+        acquired.append(connection)
+    return acquired
 
 
-async def test_no_more_are_lent_than_the_worker_takes() -> None:
-    lanes = WorkerConnectionPool("127.0.0.1:1", 3, DrivenTimerService())
-    taken = take_all(lanes)
-    lanes.give_back(taken[0])
-    assert len(taken) == 3
-    assert lanes.take() is taken[0]
-    assert lanes.take() is None
+async def test_pool_size_is_limited_by_the_worker() -> None:
+    pool = WorkerConnectionPool("127.0.0.1:1", 3, DrivenTimerService())
+    acquired = acquire_all(pool)
+    pool.release(acquired[0])
+    assert len(acquired) == 3
+    assert pool.acquire() is acquired[0]
+    assert pool.acquire() is None
 
 
-async def test_a_lane_is_free_again_though_its_closing_was_cancelled() -> None:
-    """Count a lane back before waiting for its end.
+async def test_discarded_connection_is_released_if_its_close_is_cancelled() -> None:
+    """Guard against leaked connections that block an idle worker.
 
-    Symptom: a worker is refused work although it is idle, more often by the day.
-    Sequence: a request ends by its deadline while its connection is being closed.
-    Cause: the lane was counted back only after that.
+    A request can end by its deadline while its connection is being closed, which
+    cancels the close. The connection must be released before that await.
     """
-    lanes = WorkerConnectionPool("127.0.0.1:1", 1, DrivenTimerService())
-    (lane,) = take_all(lanes)
+    pool = WorkerConnectionPool("127.0.0.1:1", 1, DrivenTimerService())
+    (connection,) = acquire_all(pool)
     with anyio.CancelScope() as scope:
         scope.cancel()
-        await lanes.async_discard(lane)
-    assert lanes.take() is not None
+        await pool.async_discard(connection)
+    assert pool.acquire() is not None
 
 
-async def test_lanes_that_nothing_used_are_closed() -> None:
+async def test_idle_connections_are_pruned() -> None:
     timers = DrivenTimerService()
-    lanes = WorkerConnectionPool("127.0.0.1:1", 2, timers)
-    old, new = take_all(lanes)
-    lanes.give_back(old)
+    pool = WorkerConnectionPool("127.0.0.1:1", 2, timers)
+    old, new = acquire_all(pool)
+    pool.release(old)
     await timers.async_advance(WORKER_KEEPALIVE_SECONDS)
-    lanes.give_back(new)
+    pool.release(new)
     await timers.async_advance(1.0)
-    await lanes.async_prune()
-    assert lanes.idle == 1
-    assert lanes.take() is new
+    await pool.async_prune()
+    assert pool.idle_count == 1
+    assert pool.acquire() is new
--- a/tests/components/entry/test_pause.py
+++ b/tests/components/entry/test_pause.py
@@ -1,4 +1,4 @@
-"""Pause the process and see what it dispatches afterwards."""
+"""Test dispatch after a pause of the process."""
 
 from __future__ import annotations
 
@@ -20,26 +20,25 @@
 
 @dataclass(slots=True)
 class FakeTail:
-    """Be a log whose tail is confirmed by hand."""
+    """A log whose tail is confirmed by the test."""
 
     timers: DrivenTimerService
     confirmed_at: float = 0.0
-    asked: list[float] = field(default_factory=list)
+    confirm_timeouts: list[float] = field(default_factory=list)
 
     def tail_age_seconds(self) -> float:
         return self.timers.monotonic() - self.confirmed_at
 
     async def async_confirm_tail(self, timeout_seconds: float) -> bool:
-        self.asked.append(timeout_seconds)
+        self.confirm_timeouts.append(timeout_seconds)
         return False
 
 
-async def test_nothing_is_dispatched_until_the_tail_is_confirmed_again() -> None:
-    """Look at the log before going on after a pause.
+async def test_dispatch_is_suspended_until_the_tail_is_confirmed() -> None:
+    """Guard against sending work to a worker that left the pool during a pause.
 
-    Symptom: a worker gets work from a pool that gave it away. Sequence: the process is
-    stopped, the worker moves, the process goes on. Cause: its picture of the fleet is
-    old, and every variable looks as before.
+    While the process is stopped, the worker moves to another pool. When the process
+    resumes, its fleet state is stale, and nothing in its memory shows it.
     """
     async with anyio.create_task_group() as tasks:
         timers = DrivenTimerService()
@@ -48,30 +47,30 @@
         for _ in guard.start():
             pass
         await timers.async_advance(5.0)
-        assert guard.open
+        assert guard.dispatch_allowed
         timers.pause(60.0)
         await anyio.lowlevel.checkpoint()
-        assert not guard.open
-        assert tail.asked
+        assert not guard.dispatch_allowed
+        assert tail.confirm_timeouts
         tail.confirmed_at = timers.monotonic() - 30.0
         await timers.async_advance(1.0)
-        assert not guard.open
+        assert not guard.dispatch_allowed
         tail.confirmed_at = timers.monotonic()
-        assert guard.open
+        assert guard.dispatch_allowed
 
 
-async def test_a_pause_counts_before_the_timer_notices() -> None:
-    """Notice a pause at the dispatch itself.
+async def test_pause_is_detected_before_the_timer_detects_it() -> None:
+    """Guard against a request dispatched right after a pause.
 
-    Symptom: one request slips through right after a pause. Sequence: the loop goes on
-    with a request before the task that watches for pauses. Cause: only that task knew.
+    The event loop can resume with a request before the task that detects pauses, so the
+    dispatch itself must detect them.
     """
     async with anyio.create_task_group() as tasks:
         timers = DrivenTimerService()
         tail = FakeTail(timers, confirmed_at=timers.monotonic())
         guard = PauseGuard(cast(FleetLog, tail), timers, tasks)
         timers.pause(60.0)
-        assert not guard.open
+        assert not guard.dispatch_allowed
 
 
 async def test_a_request_is_refused_while_the_state_is_unconfirmed() -> None:
@@ -88,17 +87,17 @@
     ):
         entry.timers.pause(60.0)
         async with anyio.create_task_group() as tasks, httpx.AsyncClient() as client:
-            answers: list[httpx.Response] = []
+            responses: list[httpx.Response] = []
 
             async def call() -> None:
-                answers.append(await client.post(f"{entry.url}/hvelv/turn/"))
+                responses.append(await client.post(f"{entry.url}/hvelv/turn/"))
 
             tasks.start_soon(call)
-            while not answers:
+            while not responses:
                 await entry.timers.async_advance(0.05)
                 await anyio.wait_all_tasks_blocked()
-        assert (answers[0].status_code, answers[0].headers["mw-ran"]) == (503, "no")
-        assert worker.seen == []
+        assert (responses[0].status_code, responses[0].headers["mw-ran"]) == (503, "no")
+        assert worker.requests == []
         tails[0].confirmed_at = entry.timers.monotonic()
         async with httpx.AsyncClient() as client:
             assert (await client.post(f"{entry.url}/hvelv/turn/")).content == b"done"
--- a/tests/components/entry/test_retries.py
+++ b/tests/components/entry/test_retries.py
@@ -1,4 +1,4 @@
-"""Try again on other workers, beside a slow one, and in other data centres."""
+"""Test retries, hedged attempts and forwarding to other data centres."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from tests.fakes.entry import (
     FakeIntents,
     FakePeers,
+    ReceivedRequest,
     RunningEntry,
-    SeenRequest,
     SocketStream,
     build_response,
     respond_ok,
@@ -36,48 +36,45 @@
         return await client.request(method, url, headers=headers)
 
 
-async def fail(stream: SocketStream, seen: SeenRequest) -> bool:
-    await stream.send(build_response(seen, b"broken", 503))
+async def respond_server_error(stream: SocketStream, request: ReceivedRequest) -> bool:
+    await stream.send(build_response(request, b"broken", 503))
     return True
 
 
-async def never_answer(stream: SocketStream, seen: SeenRequest) -> bool:
+async def hang(stream: SocketStream, request: ReceivedRequest) -> bool:
     await anyio.sleep_forever()
     return False
 
 
 @pytest.mark.parametrize(("method", "status"), [("GET", 200), ("POST", 503)])
-async def test_a_worker_failure_is_tried_past_if_that_is_safe(
-    method: str, status: int
-) -> None:
-    async with running_entry(fail, respond_ok) as (entry, (_, second)):
-        answer = await call(entry, method)
-    assert answer.status_code == status
-    assert len(second.seen) == (method == "GET")
+async def test_server_error_is_retried_if_idempotent(method: str, status: int) -> None:
+    async with running_entry(respond_server_error, respond_ok) as (entry, (_, second)):
+        response = await call(entry, method)
+    assert response.status_code == status
+    assert len(second.requests) == (method == "GET")
     assert len(entry.router.attempts) == entry.finished[0].attempts
 
 
-async def test_a_slow_attempt_is_overtaken_and_cancelled() -> None:
-    """Answer urgent reads although one worker hangs.
+async def test_slow_attempt_is_hedged_and_cancelled() -> None:
+    """Guard against urgent reads that wait for their deadline on one hung worker.
 
-    Symptom: the tablets wait at dawn. Sequence: the first worker chosen hangs. Cause:
-    nothing else is tried before the deadline.
+    Without a hedged attempt, nothing else is tried while the first worker hangs.
     """
-    async with running_entry(never_answer, respond_ok) as (entry, workers):
+    async with running_entry(hang, respond_ok) as (entry, workers):
         entry.retries.hedge_seconds = 0.01
-        answer = await call(entry, "GET")
-    assert answer.content == b"done"
-    assert [len(worker.seen) for worker in workers] == [1, 1]
+        response = await call(entry, "GET")
+    assert response.content == b"done"
+    assert [len(worker.requests) for worker in workers] == [1, 1]
     assert sorted(entry.router.outcomes) == ["answered:", "unknown:abandoned"]
     assert entry.service.unfinished == 0
 
 
-async def test_a_fast_attempt_needs_no_second() -> None:
+async def test_fast_attempt_is_not_hedged() -> None:
     async with running_entry(respond_ok, respond_ok) as (entry, workers):
         entry.retries.hedge_seconds = 30.0
-        answer = await call(entry, "GET")
-    assert answer.content == b"done"
-    assert (entry.retries.hedges, len(workers[1].seen)) == (0, 0)
+        response = await call(entry, "GET")
+    assert response.content == b"done"
+    assert (entry.retries.hedges, len(workers[1].requests)) == (0, 0)
 
 
 async def forwarded(
@@ -90,40 +87,39 @@
     ):
         entry.limiter.refusal = OVERLOADED
         entry.router.remote = RemoteChoice(build_member("entry-9", "dc-b"), "far-1")
-        answer = await call(entry, "POST", headers)
+        response = await call(entry, "POST", headers)
         assert entry.service.unfinished == 0
-    return answer, peers
+    return response, peers
 
 
-async def test_an_overloaded_data_centre_lets_another_serve() -> None:
+async def test_overloaded_data_centre_forwards() -> None:
     headers = ((b"content-length", b"3"),)
     result = Success(WorkerResponse(200, headers, BufferedBody(b"far")))
-    answer, peers = await forwarded(result)
-    assert (answer.content, peers.forwarded) == (b"far", ["entry-9"])
+    response, peers = await forwarded(result)
+    assert (response.content, peers.forwarded) == (b"far", ["entry-9"])
 
 
 @pytest.mark.parametrize(
     ("outcome", "ran"),
     [(AttemptOutcome.REFUSED, "no"), (AttemptOutcome.UNKNOWN, "unknown")],
 )
-async def test_a_lost_forward_is_not_called_not_run(
+async def test_forward_without_response_may_have_run(
     outcome: AttemptOutcome, ran: str
 ) -> None:
-    """Count what another entry may have run.
+    """Guard against a repeat of a request that ran in another data centre.
 
-    Symptom: an order is repeated that ran elsewhere. Sequence: the other entry took it,
-    its answer was lost, and the refusal here says "not run". Cause: only the attempts
-    on own workers were counted.
+    If the other entry accepted the request and its response was lost, the refusal must
+    not report "not run" just because no local attempt ran.
     """
-    answer, _ = await forwarded(Failure(FailedAttempt(outcome, "lost")))
-    assert (answer.status_code, answer.headers["mw-ran"]) == (503, ran)
+    response, _ = await forwarded(Failure(FailedAttempt(outcome, "lost")))
+    assert (response.status_code, response.headers["mw-ran"]) == (503, ran)
 
 
-async def test_a_keyed_request_stays_in_its_data_centre() -> None:
-    """Let only the data centre that holds the intent dispatch.
+async def test_keyed_request_is_not_forwarded() -> None:
+    """Guard against a keyed request that runs in two data centres.
 
-    Symptom: an order under a key runs in two data centres. Sequence: one is overloaded
-    and forwards. Cause: the intents of each stand in its own log.
+    Each data centre keeps intents in its own log, so an overloaded one must not forward
+    a keyed request.
     """
-    answer, peers = await forwarded(None, {"idempotency-key": "order-1"})
-    assert (answer.headers["mw-ran"], peers.forwarded) == ("unknown", [])
+    response, peers = await forwarded(None, {"idempotency-key": "order-1"})
+    assert (response.headers["mw-ran"], peers.forwarded) == ("unknown", [])
--- a/tests/fakes/entry.py
+++ b/tests/fakes/entry.py
@@ -1,4 +1,4 @@
-"""Stand in for the parts that an entry's request path uses."""
+"""Provide fakes of the components that an entry's request path uses."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True)
 class ReadyLog:
-    """Be a log whose state is there."""
+    """A log that is ready."""
 
     ready: bool = True
     state: FleetState = field(default_factory=FleetState)
@@ -83,7 +83,7 @@
 
 @dataclass(slots=True)
 class FakeDirectory:
-    """Know one organisation with one service."""
+    """A directory of one organisation with one service."""
 
     parameters: Parameters = field(
         default_factory=lambda: Parameters(services=(ServiceBinding("turn", "rack"),))
@@ -107,20 +107,20 @@
 
 @dataclass(slots=True)
 class FakePermit:
-    """Count releases."""
+    """A permit that records its release."""
 
     released: list[bool]
-    over: bool = False
+    is_released: bool = False
 
     def release(self, latency_seconds: float, succeeded: bool) -> None:
-        if not self.over:
+        if not self.is_released:
             self.released.append(succeeded)
-        self.over = True
+        self.is_released = True
 
 
 @dataclass(slots=True)
 class FakeLimiter:
-    """Admit all, or refuse all."""
+    """A limiter that admits or refuses all requests."""
 
     refusal: RequestRefusal | None = None
     admitted: int = 0
@@ -135,7 +135,7 @@
 
 @dataclass(slots=True)
 class FakeRouter:
-    """Offer workers in order and remember how their attempts ended."""
+    """A router that chooses workers in order and records their attempts."""
 
     addresses: list[str]
     attempts: list[Attempt] = field(default_factory=list)
@@ -171,7 +171,7 @@
 
 @dataclass(slots=True)
 class FakeRetries:
-    """Allow retries that are safe, up to a number of attempts."""
+    """A policy that allows safe retries up to a number of attempts."""
 
     maximum: int = 3
     hedge_seconds: float | None = None
@@ -196,16 +196,16 @@
 
 @dataclass(slots=True)
 class FakeIntents:
-    """Hold intents in memory."""
+    """An idempotency guard in memory."""
 
     stored: StoredResponse | None = None
     refusal: RequestRefusal | None = None
     opened: list[str] = field(default_factory=list)
     closed: list[tuple[str, StoredResponse | None]] = field(default_factory=list)
-    served_keyless: bool = False
+    served_without_key: bool = False
 
     def reportable_ran(self, facts: RequestFacts, ran: Ran) -> Ran:
-        return Ran.UNKNOWN if self.served_keyless else ran
+        return Ran.UNKNOWN if self.served_without_key else ran
 
     async def async_open(
         self, facts: RequestFacts
@@ -223,7 +223,7 @@
 
 @dataclass(slots=True)
 class FakePeers:
-    """Answer forwarded requests with what was set."""
+    """A forwarder that returns a preset result."""
 
     result: Result[WorkerResponse, FailedAttempt] | None = None
     forwarded: list[str] = field(default_factory=list)
@@ -237,8 +237,8 @@
 
 
 @dataclass(slots=True)
-class SeenRequest:
-    """Hold a request as a worker got it."""
+class ReceivedRequest:
+    """A request as a worker received it."""
 
     method: str
     target: str
@@ -247,37 +247,37 @@
 
     @property
     def attempt_id(self) -> str:
-        """Return the id that the answer has to repeat."""
+        """Return the attempt id that the response must repeat."""
         return self.headers["mw-attempt-id"]
 
 
-Script = Callable[["SocketStream", SeenRequest], Awaitable[bool]]
-"""Answer a request on its connection; false closes the connection."""
+Script = Callable[["SocketStream", ReceivedRequest], Awaitable[bool]]
+"""Respond to a request on its connection; ``False`` closes the connection."""
 
 
 def build_response(
-    seen: SeenRequest, body: bytes = b"done", status: int = 200, extra: str = ""
+    request: ReceivedRequest, body: bytes = b"done", status: int = 200, extra: str = ""
 ) -> bytes:
-    """Return a whole answer as bytes."""
+    """Return the bytes of a complete response."""
     return (
-        f"HTTP/1.1 {status} X\r\nmw-attempt-id: {seen.attempt_id}\r\n{extra}"
+        f"HTTP/1.1 {status} X\r\nmw-attempt-id: {request.attempt_id}\r\n{extra}"
         f"content-length: {len(body)}\r\n\r\n"
     ).encode() + body
 
 
-async def respond_ok(stream: SocketStream, seen: SeenRequest) -> bool:
-    """Answer 200 and keep the connection."""
-    await stream.send(build_response(seen))
+async def respond_ok(stream: SocketStream, request: ReceivedRequest) -> bool:
+    """Respond 200 and keep the connection open."""
+    await stream.send(build_response(request))
     return True
 
 
 @dataclass(slots=True)
 class RawWorker:
-    """Read requests and answer them by a script, down to the byte."""
+    """A worker that responds to requests with the raw bytes of a script."""
 
     script: Script = respond_ok
     address: str = ""
-    seen: list[SeenRequest] = field(default_factory=list)
+    requests: list[ReceivedRequest] = field(default_factory=list)
     connections: int = 0
 
     async def async_serve(self, stream: SocketStream) -> None:
@@ -292,15 +292,15 @@
                 return
 
     async def _async_one(self, stream: SocketStream) -> bool:
-        seen = await async_read_request(stream)
-        if seen is None:
+        request = await async_read_request(stream)
+        if request is None:
             return False
-        self.seen.append(seen)
-        return await self.script(stream, seen)
+        self.requests.append(request)
+        return await self.script(stream, request)
 
 
-async def async_read_request(stream: SocketStream) -> SeenRequest | None:
-    """Return the next request on a connection, or nothing at its end."""
+async def async_read_request(stream: SocketStream) -> ReceivedRequest | None:
+    """Return the next request on a connection, or ``None`` at its end."""
     connection = h11.Connection(h11.SERVER)
     head: h11.Request | None = None
     body = b""
@@ -318,7 +318,7 @@
         elif isinstance(event, h11.EndOfMessage):
             assert head is not None
             headers = {k.decode(): v.decode("latin-1") for k, v in head.headers}
-            return SeenRequest(
+            return ReceivedRequest(
                 head.method.decode(), head.target.decode(), headers, body
             )
         else:
@@ -342,7 +342,7 @@
 
 @dataclass(slots=True)
 class RunningEntry:
-    """Hold an entry that listens, with its fakes."""
+    """A listening entry with its fakes."""
 
     core: Core
     timers: DrivenTimerService
@@ -356,7 +356,7 @@
 
     @property
     def url(self) -> str:
-        """Return where callers reach it."""
+        """Return the base URL for callers."""
         return f"http://127.0.0.1:{self.listener.port}"
 
 
@@ -381,15 +381,15 @@
         limiter, retries = FakeLimiter(), FakeRetries()
         dispatcher = HttpDispatcher(timers)
         guard = None if make_guard is None else make_guard(core)
-        parts = EntryDependencies(
+        dependencies = EntryDependencies(
             limiter, router, retries, dispatcher, intents, peers, guard
         )
-        service = EntryService(parts, timers, tasks)
+        service = EntryService(dependencies, timers, tasks)
         directory = FakeDirectory()
         if parameters is not None:
             directory.parameters = parameters
         health = EntryHealth(core, guard)
-        front_parts = ApplicationDependencies(
+        application_dependencies = ApplicationDependencies(
             service,
             directory,
             health,
@@ -399,7 +399,7 @@
             BudgetAttributor(core),
         )
         listener = HttpListener(
-            CallerApplication(front_parts),
+            CallerApplication(application_dependencies),
             core.settings.callers,
             ListenerOptions(
                 header_bytes=core.settings.limits.header_bytes,
