--- a/bench/capacity/measures.py
+++ b/bench/capacity/measures.py
@@ -30,7 +30,7 @@
 from mustardward.components.routing.services import RouterService
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.standin.protocol.models import ListedInstance, ListedState
-from mustardward.state.budgets import check_budgets
+from mustardward.state.budgets import check_one_more_unavailable
 from mustardward.state.fold import Fold
 from mustardward.state.images import make_image, restore_image
 from mustardward.state.models.jobs import AcceptJob, OpenIntent
@@ -117,7 +117,7 @@
 
     def work() -> None:
         for instance in instances:
-            check_budgets(state, instance)
+            check_one_more_unavailable(state, instance)
 
     return best_seconds(work) / len(instances) * _MICRO
 
--- a/bench/control_entry.py
+++ b/bench/control_entry.py
@@ -34,7 +34,7 @@
     CHUNK_STREAM_SUFFIX,
     Chunk,
     Manifest,
-    seal,
+    encode_manifest,
 )
 from mustardward.state.streams import FLEET_SPEC, work_spec
 
@@ -266,7 +266,7 @@
         part = image.body[start : start + CHUNK_BYTES]
         offset = log.append(manifests + CHUNK_STREAM_SUFFIX, part)
         chunks.append(Chunk(offset, xxhash.xxh3_128_hexdigest(part)))
-    log.append(manifests, seal(Manifest(image.header, tuple(chunks), 0.0)))
+    log.append(manifests, encode_manifest(Manifest(image.header, tuple(chunks), 0.0)))
 
 
 def _settings(url: str) -> dict[str, object]:
--- a/bench/control_publish.py
+++ b/bench/control_publish.py
@@ -97,7 +97,7 @@
         entries = [_start(group, service, seed + n) for n in range(ENTRIES)]
         for entry in entries:
             others = [item.log for item in entries if item is not entry]
-            entry.log.use_relay(DirectRelay(others))
+            entry.log.set_relay(DirectRelay(others))
         for entry in entries:
             if not await entry.log.async_confirm_tail(_PATIENCE_SECONDS):
                 raise AssertionError("an entry did not start")
--- a/bench/history/provocations.py
+++ b/bench/history/provocations.py
@@ -37,10 +37,10 @@
     """
     from mustardward.state.replica import Replica
 
-    original = Replica.async_take_page
+    original = Replica.async_apply_page
     past: dict[int, tuple[float, Any]] = {}
 
-    async def async_take_page(self: Any, ticket: Any, page: Any) -> None:
+    async def async_apply_page(self: Any, ticket: Any, page: Any) -> None:
         await original(self, ticket, page)
         now = time.monotonic()
         taken, image = past.setdefault(id(self), (now, self.image()))
@@ -53,7 +53,7 @@
             return
         await anyio.sleep(_STALE_SECONDS)
 
-    setattr(Replica, "async_take_page", async_take_page)  # noqa: B010
+    setattr(Replica, "async_apply_page", async_apply_page)  # noqa: B010
 
 
 def slow_drains(world: World) -> None:
--- a/bench/history/removals.py
+++ b/bench/history/removals.py
@@ -48,9 +48,9 @@
     from mustardward.state.handlers import maintenance
 
     setattr(ClaimSteps, "refusal", lambda *arguments: None)  # noqa: B010
-    if not hasattr(maintenance, "check_held"):
+    if not hasattr(maintenance, "check_within_budgets"):
         raise AttributeError("the protection has another name now")
-    setattr(maintenance, "check_held", lambda *arguments: None)  # noqa: B010
+    setattr(maintenance, "check_within_budgets", lambda *arguments: None)  # noqa: B010
 
 
 def remove_attempt_id() -> None:
--- a/bench/planner.py
+++ b/bench/planner.py
@@ -35,7 +35,11 @@
 from mustardward.components.maintenance.plan_bounds import canary_bound, rollout_bound
 from mustardward.components.maintenance.plan_models import Measures, PlanInput
 from mustardward.components.maintenance.planner import plan_wave
-from mustardward.state.budgets import BudgetIndex, check_budgets, index_of
+from mustardward.state.budgets import (
+    BudgetIndex,
+    check_one_more_unavailable,
+    get_budget_index,
+)
 
 DEFAULT_CASES: Final = 200
 ROLLOUT_AIM: Final = 1.3
@@ -196,7 +200,7 @@
     """Return what it costs to count budgets at this size, and to admit a claim."""
     state = fleet_state(facts)
     tracemalloc.start()
-    index_of(state)
+    get_budget_index(state)
     held, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     again = time.perf_counter()
@@ -205,7 +209,7 @@
     instances = list(state.instances.values())[:CHECKED]
     began = time.perf_counter()
     for instance in instances:
-        check_budgets(state, instance)
+        check_one_more_unavailable(state, instance)
     spent = time.perf_counter() - began
     return {
         "index_seconds": built,
--- a/mustardward/components/log/__init__.py
+++ b/mustardward/components/log/__init__.py
@@ -69,7 +69,7 @@
     from ...state.snapshot_writer import SnapshotWriter
     from .relay import PeerRelay
 
-    log.use_relay(PeerRelay(core, Random()))
+    log.set_relay(PeerRelay(core, Random()))
     writer = SnapshotWriter(log, core.timers, lambda: _owns(core, log.spec.name))
     unsubscribe = writer.subscribe(core.tasks)
     core.tasks.start_soon(log.async_run)
--- a/mustardward/components/log/relay.py
+++ b/mustardward/components/log/relay.py
@@ -15,12 +15,12 @@
 from ...state.images import Image
 from ...state.log import FoldedLog
 from ...state.relay import (
-    RelayAnswer,
     RelayPart,
-    RelayPartQuestion,
-    RelayQuestion,
+    RelayPartRequest,
+    RelayRequest,
+    RelayRequestKind,
+    RelayResponse,
     RelayStatus,
-    RelayWanted,
 )
 from ..keys import MEMBERSHIP, PEERS
 from ..membership.models import Member
@@ -32,10 +32,10 @@
 """Largest part of an image in one answer."""
 _PROBE_SECONDS: Final = 1.0
 _IMAGE_SECONDS: Final = 10.0
-_UNAVAILABLE: Final = RelayAnswer(RelayStatus.UNAVAILABLE)
+_UNAVAILABLE: Final = RelayResponse(RelayStatus.UNAVAILABLE)
 
-peer_message("log.relay", RelayAnswer)(RelayQuestion)
-peer_message("log.relay.part", RelayPart)(RelayPartQuestion)
+peer_message("log.relay", RelayResponse)(RelayRequest)
+peer_message("log.relay.part", RelayPart)(RelayPartRequest)
 
 
 class PeerRelay:
@@ -49,7 +49,7 @@
         self._core = core
         self._random = random
 
-    async def async_entries(self, question: RelayQuestion) -> RelayAnswer:
+    async def async_entries(self, question: RelayRequest) -> RelayResponse:
         """Ask one peer, by preference one that is known to be ahead."""
         members = self._others(question.stream)
         ahead = [
@@ -64,7 +64,7 @@
             self._random.choice(candidates), question, _PROBE_SECONDS
         )
 
-    async def async_image(self, question: RelayQuestion) -> RelayAnswer:
+    async def async_image(self, question: RelayRequest) -> RelayResponse:
         """Ask several peers how far they are, and the furthest for its state."""
         # Taking the first answer could take a stale peer's state, and this entry would
         # serve a configuration that the others have already left behind.
@@ -84,14 +84,14 @@
         return await self._async_complete(member, question.stream, answer)
 
     async def _async_complete(
-        self, member: Member, stream: str, answer: RelayAnswer
-    ) -> RelayAnswer:
+        self, member: Member, stream: str, answer: RelayResponse
+    ) -> RelayResponse:
         image = answer.image
         if image is None or answer.image_parts == 1:
             return answer
         parts = [image.body]
         for number in range(1, answer.image_parts):
-            wanted = RelayPartQuestion(stream, image.header.body_digest, number)
+            wanted = RelayPartRequest(stream, image.header.body_digest, number)
             part = await self._async_call(member, wanted, _IMAGE_SECONDS)
             if not isinstance(part, RelayPart) or not part.body:
                 return _UNAVAILABLE
@@ -101,9 +101,9 @@
 
     async def _async_probe(
         self, members: list[Member], stream: str
-    ) -> list[tuple[Member, RelayAnswer]]:
-        answers: list[tuple[Member, RelayAnswer]] = []
-        probe = RelayQuestion(stream, 0, "", RelayWanted.POSITION)
+    ) -> list[tuple[Member, RelayResponse]]:
+        answers: list[tuple[Member, RelayResponse]] = []
+        probe = RelayRequest(stream, 0, "", RelayRequestKind.POSITION)
 
         async def ask(member: Member) -> None:
             answers.append(
@@ -116,10 +116,10 @@
         return answers
 
     async def _async_ask(
-        self, member: Member, question: RelayQuestion, timeout_seconds: float
-    ) -> RelayAnswer:
+        self, member: Member, question: RelayRequest, timeout_seconds: float
+    ) -> RelayResponse:
         answer = await self._async_call(member, question, timeout_seconds)
-        return answer if isinstance(answer, RelayAnswer) else _UNAVAILABLE
+        return answer if isinstance(answer, RelayResponse) else _UNAVAILABLE
 
     async def _async_call(
         self, member: Member, message: Any, timeout_seconds: float
@@ -161,8 +161,8 @@
     def subscribe(self, peers: Peers) -> Callable[[], None]:
         """Answer until unsubscribed."""
         undo = [
-            peers.handle(RelayQuestion, self._async_answer),
-            peers.handle(RelayPartQuestion, self._async_part),
+            peers.handle(RelayRequest, self._async_answer),
+            peers.handle(RelayPartRequest, self._async_part),
         ]
 
         def unsubscribe() -> None:
@@ -171,7 +171,7 @@
 
         return unsubscribe
 
-    async def _async_answer(self, caller: str, question: RelayQuestion) -> RelayAnswer:
+    async def _async_answer(self, caller: str, question: RelayRequest) -> RelayResponse:
         log = self._logs.get(question.stream)
         if log is None:
             return _UNAVAILABLE
@@ -183,7 +183,7 @@
         parts = -(-len(answer.image.body) // PART_BYTES)
         return replace(answer, image=first, image_parts=parts)
 
-    async def _async_part(self, caller: str, question: RelayPartQuestion) -> RelayPart:
+    async def _async_part(self, caller: str, question: RelayPartRequest) -> RelayPart:
         held = self._held.get(question.stream)
         if held is None or held.header.body_digest != question.body_digest:
             return RelayPart()
--- a/mustardward/components/maintenance/absence_reporter.py
+++ b/mustardward/components/maintenance/absence_reporter.py
@@ -10,7 +10,7 @@
 from ...helpers.logging import get_logger
 from ...standin.protocol.models import InstancePower, PowerState
 from ...standin.protocol.protocols import ListingService
-from ...state.budgets import index_of
+from ...state.budgets import get_budget_index
 from ...state.handlers.absences import CAUSE_FAILED
 from ...state.instance_status import is_quarantine
 from ...state.models.maintenance import AbsenceChange, ReportAbsences
@@ -85,7 +85,7 @@
     def _suspects(self) -> set[str]:
         parts = self._parts
         state = parts.log.state
-        index = index_of(state)
+        index = get_budget_index(state)
         suspected = parts.membership.instances_held_back() | self._missing
         return {
             name
--- a/mustardward/components/maintenance/api.py
+++ b/mustardward/components/maintenance/api.py
@@ -9,7 +9,7 @@
 from returns.result import Failure
 
 from ...exceptions import MustardwardError
-from ...state.budgets import index_of
+from ...state.budgets import get_budget_index
 from ...state.fleet import FleetState
 from ...state.handlers.waves import wave_limit
 from ...state.models.maintenance import ScheduleWave, SignalWave, Wave
@@ -204,7 +204,7 @@
         "status": wave.status,
         "revision": wave.revision,
         "pending": len(wave.pending),
-        "out": index_of(state).claims_of(wave.wave_id),
+        "out": get_budget_index(state).claims_of(wave.wave_id),
         "limit": wave_limit(wave),
         "done": len(wave.done),
         "failed": len(wave.failed),
@@ -214,7 +214,7 @@
 
 def _held_back(state: FleetState, wave: Wave) -> list[dict[str, Any]]:
     """Return the budgets that let no further pending instance go."""
-    index = index_of(state)
+    index = get_budget_index(state)
     units = {
         (item.pool, item.data_centre)
         for name in wave.pending
--- a/mustardward/components/maintenance/claim_steps.py
+++ b/mustardward/components/maintenance/claim_steps.py
@@ -19,7 +19,7 @@
 from ...helpers.logging import get_logger
 from ...helpers.registry import Registry
 from ...standin.protocol.models import InstancePower, PowerState
-from ...state.budgets import BudgetExceededError, check_held
+from ...state.budgets import BudgetExceededError, check_within_budgets
 from ...state.models.maintenance import (
     Claim,
     ClaimStage,
@@ -235,7 +235,9 @@
     ) -> BudgetExceededError | None:
         """Return why a claimed instance should go back, or nothing."""
         instance = self._parts.log.state.instances[claim.instance_id]
-        return check_held(self._parts.log.state, instance, evidence[instance.pool])
+        return check_within_budgets(
+            self._parts.log.state, instance, evidence[instance.pool]
+        )
 
     async def _async_met_trouble(self, claim: Claim, power: InstancePower) -> bool:
         """End the claim if the instance is not as the stage says.
--- a/mustardward/components/maintenance/evidence.py
+++ b/mustardward/components/maintenance/evidence.py
@@ -4,7 +4,7 @@
 
 from collections import Counter
 
-from ...state.budgets import index_of
+from ...state.budgets import get_budget_index
 from ...state.fleet import FleetState
 from ..membership.protocols import Membership
 
@@ -17,7 +17,7 @@
     Failures reach the log seconds after they are seen. A reboot that did not weigh
     them in would take the instance that the failed one's work went to.
     """
-    index = index_of(state)
+    index = get_budget_index(state)
     found: Counter[str] = Counter()
     for instance_id in membership.instances_held_back():
         instance = state.instances.get(instance_id)
--- a/mustardward/components/maintenance/plan_facts.py
+++ b/mustardward/components/maintenance/plan_facts.py
@@ -5,7 +5,7 @@
 from collections import defaultdict
 from collections.abc import Iterable
 
-from ...state.budgets import index_of
+from ...state.budgets import get_budget_index
 from ...state.fleet import FleetState
 from ...state.models.maintenance import Wave
 from ...state.work import WorkState
@@ -44,7 +44,7 @@
     :param held: instances that count as available although they are out now.
     """
     wanted = frozenset(pools)
-    index = index_of(state)
+    index = get_budget_index(state)
     instances = tuple(
         PlanInstance(
             instance_id=name,
--- a/mustardward/components/maintenance/plan_units.py
+++ b/mustardward/components/maintenance/plan_units.py
@@ -9,7 +9,7 @@
     Budget,
     PoolCounter,
     ScopeCount,
-    budget_of,
+    compute_budget,
 )
 from ...state.models.templates import Parameters, PlanWeights
 from .plan_models import PlanInput, PlanInstance, Unit
@@ -46,7 +46,7 @@
         }
         return min(
             (
-                budget_of(name, parameters, unit.pool, scope, count)
+                compute_budget(name, parameters, unit.pool, scope, count)
                 for scope, count in counts.items()
                 for name, parameters in users.items()
             ),
@@ -76,7 +76,7 @@
             largest = racks[-1]
             reduced = ScopeCount(count.total, count.unavailable + taken, largest)
             margins = (
-                budget_of(name, parameters, unit.pool, "", reduced).margin
+                compute_budget(name, parameters, unit.pool, "", reduced).margin
                 for name, parameters in users.items()
             )
             if min(margins, default=1) < 1:
--- a/mustardward/components/maintenance/pool_look.py
+++ b/mustardward/components/maintenance/pool_look.py
@@ -18,7 +18,7 @@
 from ...helpers.logging import get_logger
 from ...helpers.rendezvous import rendezvous_owner
 from ...standin.protocol.protocols import WorkerService
-from ...state.budgets import index_of
+from ...state.budgets import get_budget_index
 from ...state.handlers.absences import CAUSE_FAILED
 from ...state.models.maintenance import AbsenceChange, ReportAbsences
 from ...state.models.pools import Instance
@@ -92,7 +92,7 @@
 
     def _mates(self, pool: str) -> list[Instance]:
         state = self._parts.log.state
-        index = index_of(state)
+        index = get_budget_index(state)
         return [
             state.instances[name]
             for name in index.instances_of(self._parts.data_centre)
@@ -103,7 +103,7 @@
         """Return one live entry of each other data centre that has part of a pool."""
         state = self._parts.log.state
         found: list[Member] = []
-        for data_centre in index_of(state).data_centres(pool):
+        for data_centre in get_budget_index(state).data_centres(pool):
             if data_centre == self._parts.data_centre or data_centre in state.silent:
                 continue
             live = {
--- a/mustardward/components/maintenance/selection.py
+++ b/mustardward/components/maintenance/selection.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from ...state.budget_counters import Budget
-from ...state.budgets import index_of
+from ...state.budgets import get_budget_index
 from ...state.fleet import FleetState
 from ...state.handlers.waves import wave_limit
 from ...state.instance_status import instance_status
@@ -63,7 +63,9 @@
 
 def select_claims(state: FleetState, wave: Wave, facts: SelectionFacts) -> Selection:
     """Return the instances of one data centre that a wave should claim now."""
-    left = min(facts.most, wave_limit(wave) - index_of(state).claims_of(wave.wave_id))
+    left = min(
+        facts.most, wave_limit(wave) - get_budget_index(state).claims_of(wave.wave_id)
+    )
     if left <= 0:
         return Selection((), {}, frozenset(), growth_reached=True)
     chosen: list[str] = []
@@ -71,7 +73,7 @@
     closed: set[str] = set()
     candidates = _candidates(state, wave, facts)
     for pool in sorted(candidates, key=lambda name: (-len(candidates[name]), name)):
-        if not windows_allow(index_of(state).users(pool).values(), facts.wall):
+        if not windows_allow(get_budget_index(state).users(pool).values(), facts.wall):
             closed.add(pool)
             continue
         ordered = sorted(
@@ -93,7 +95,7 @@
 def _candidates(
     state: FleetState, wave: Wave, facts: SelectionFacts
 ) -> dict[str, list[Instance]]:
-    index = index_of(state)
+    index = get_budget_index(state)
     found: dict[str, list[Instance]] = defaultdict(list)
     for instance_id in index.instances_of(facts.data_centre):
         if instance_id not in wave.pending or instance_id in facts.excluded:
@@ -119,7 +121,7 @@
 def _allowed(
     state: FleetState, pool: str, facts: SelectionFacts
 ) -> tuple[int, Budget | None]:
-    index = index_of(state)
+    index = get_budget_index(state)
     out = sum(1 for _ in claimed_in(state, pool, facts.data_centre))
     planned = facts.concurrency(pool) - out
     tightest = index.tightest(state, pool, facts.data_centre)
--- a/mustardward/components/pools/api.py
+++ b/mustardward/components/pools/api.py
@@ -9,7 +9,7 @@
 from returns.result import Failure
 
 from ...exceptions import MustardwardError
-from ...state.budgets import index_of
+from ...state.budgets import get_budget_index
 from ...state.fleet import FleetState
 from ...state.instance_status import instance_status
 from ...state.models.pools import CancelMove, Instance, Move, RequestMove
@@ -67,7 +67,7 @@
     name = request.path["name"]
     if name not in state.pools:
         raise PoolUnknownError(f"pool={name}")
-    index = index_of(state)
+    index = get_budget_index(state)
     budgets = [
         {
             "organisation": item.organisation,
@@ -151,12 +151,12 @@
 
 
 def _line(state: FleetState, name: str) -> dict[str, Any]:
-    count = index_of(state).count(state, name, "fleet")
+    count = get_budget_index(state).count(state, name, "fleet")
     return {
         "pool": name,
         "total": count.total,
         "available": count.total - count.unavailable,
-        "organisations": len(index_of(state).users(name)),
+        "organisations": len(get_budget_index(state).users(name)),
     }
 
 
--- a/mustardward/state/budget_counters.py
+++ b/mustardward/state/budget_counters.py
@@ -14,7 +14,7 @@
 _ROUNDING_SLACK: Final = 1e-9
 
 
-def share_of(share: float, total: int) -> int:
+def ceil_share(share: float, total: int) -> int:
     """Return ``share`` of ``total``, rounded up.
 
     A tenth of 30 is 3, although the product of the floating-point numbers is more.
@@ -57,11 +57,11 @@
         return self.total - self.unavailable
 
 
-def budget_of(
+def compute_budget(
     organisation: str, parameters: Parameters, pool: str, scope: str, count: ScopeCount
 ) -> Budget:
     """Return an organisation's budget for counted instances."""
-    reserve = share_of(parameters.headroom, count.total)
+    reserve = ceil_share(parameters.headroom, count.total)
     if parameters.reserve_largest_rack:
         reserve = max(reserve, count.largest_rack)
     return Budget(
@@ -70,7 +70,7 @@
         scope=scope,
         total=count.total,
         unavailable=count.unavailable,
-        floor=share_of(parameters.minimum_available, count.total),
+        floor=ceil_share(parameters.minimum_available, count.total),
         reserve=reserve,
     )
 
--- a/mustardward/state/budgets.py
+++ b/mustardward/state/budgets.py
@@ -17,7 +17,7 @@
     Budget,
     PoolCounter,
     ScopeCount,
-    budget_of,
+    compute_budget,
 )
 from .fleet import FleetState
 from .fold import RecordRefusedError
@@ -61,8 +61,8 @@
 class BudgetIndex:
     """Keep the counters of one state up to date, a record at a time.
 
-    Whatever changes an instance or an organisation calls ``touch_instance`` or
-    ``touch_organisation`` afterwards; both may be called once too often.
+    Whatever changes an instance or an organisation calls ``recount_instance`` or
+    ``update_organisation`` afterwards; both may be called once too often.
     """
 
     def __init__(self, state: FleetState) -> None:
@@ -74,11 +74,11 @@
         self._wave_claims: dict[str, int] = {}
         self._claimed: dict[str, str] = {}
         for instance_id in state.instances:
-            self.touch_instance(state, instance_id)
+            self.recount_instance(state, instance_id)
         for name in state.organisations:
-            self.touch_organisation(state, name)
+            self.update_organisation(state, name)
 
-    def touch_instance(self, state: FleetState, instance_id: str) -> None:
+    def recount_instance(self, state: FleetState, instance_id: str) -> None:
         """Count an instance anew after its owner, claim, move or absence changed."""
         self._touch_claim(state, instance_id)
         placed = _place(state, instance_id)
@@ -94,7 +94,7 @@
             self._placed[instance_id] = placed
             self._local.setdefault(placed.data_centre, {})[instance_id] = None
 
-    def touch_organisation(self, state: FleetState, name: str) -> None:
+    def update_organisation(self, state: FleetState, name: str) -> None:
         """Take an organisation's present parameters, or its end, into account."""
         for pool in self._bound.pop(name, frozenset()):
             self._users[pool].pop(name, None)
@@ -142,7 +142,7 @@
         """Yield the budget of each organisation on a pool in one scope."""
         count = self.count(state, pool, scope)
         for name, parameters in self.users(pool).items():
-            yield budget_of(name, parameters, pool, scope, count)
+            yield compute_budget(name, parameters, pool, scope, count)
 
     def tightest(self, state: FleetState, pool: str, data_centre: str) -> Budget | None:
         """Return the budget with the least margin for one more unavailable instance.
@@ -217,7 +217,7 @@
 _INDEXES: Final[dict[int, BudgetIndex]] = {}
 
 
-def index_of(state: FleetState) -> BudgetIndex:
+def get_budget_index(state: FleetState) -> BudgetIndex:
     """Return the counters of a state, counting them first if it is new."""
     index = _INDEXES.get(id(state))
     if index is None:
@@ -227,25 +227,29 @@
     return index
 
 
-def touch_instance(state: FleetState, instance_id: str) -> None:
+def recount_instance(state: FleetState, instance_id: str) -> None:
     """Count an instance anew after a record changed it."""
-    index_of(state).touch_instance(state, instance_id)
+    get_budget_index(state).recount_instance(state, instance_id)
 
 
-def touch_organisation(state: FleetState, name: str) -> None:
+def update_organisation(state: FleetState, name: str) -> None:
     """Take an organisation's new parameters, or its end, into account."""
-    index_of(state).touch_organisation(state, name)
+    get_budget_index(state).update_organisation(state, name)
 
 
-def check_budgets(state: FleetState, instance: Instance) -> BudgetExceededError | None:
+def check_one_more_unavailable(
+    state: FleetState, instance: Instance
+) -> BudgetExceededError | None:
     """Return why an instance may not be taken out now, or nothing."""
-    tightest = index_of(state).tightest(state, instance.pool, instance.data_centre)
+    tightest = get_budget_index(state).tightest(
+        state, instance.pool, instance.data_centre
+    )
     if tightest is None or tightest.margin >= 1:
         return None
     return BudgetExceededError(tightest)
 
 
-def check_held(
+def check_within_budgets(
     state: FleetState, instance: Instance, more_unavailable: int = 0
 ) -> BudgetExceededError | None:
     """Return why an instance that is out should go back, or nothing.
@@ -257,7 +261,9 @@
     :param more_unavailable: instances of its pool and data centre that are seen to be
         down and are not folded as such yet.
     """
-    tightest = index_of(state).tightest(state, instance.pool, instance.data_centre)
+    tightest = get_budget_index(state).tightest(
+        state, instance.pool, instance.data_centre
+    )
     if tightest is None or tightest.margin - more_unavailable >= 0:
         return None
     return BudgetExceededError(tightest)
@@ -265,9 +271,9 @@
 
 def all_budgets(state: FleetState, organisation: Organisation) -> list[Budget]:
     """Return an organisation's budgets on all its pools and in all scopes."""
-    index = index_of(state)
+    index = get_budget_index(state)
     return [
-        budget_of(
+        compute_budget(
             organisation.name,
             organisation.parameters,
             pool,
--- a/mustardward/state/follower.py
+++ b/mustardward/state/follower.py
@@ -17,7 +17,13 @@
 from ..standin.protocol.protocols import LogService
 from .continuity import Continuity, LogRewrittenError
 from .options import LogOptions
-from .relay import RelayAnswer, RelayQuestion, RelaySource, RelayStatus, RelayWanted
+from .relay import (
+    RelayRequest,
+    RelayRequestKind,
+    RelayResponse,
+    RelaySource,
+    RelayStatus,
+)
 from .replica import Replica
 from .snapshots import SnapshotStore
 from .streams import StreamSpec
@@ -86,7 +92,7 @@
         """Tell whether the last read of the log failed."""
         return self._log_failed
 
-    def use_relay(self, relay: RelaySource | None) -> None:
+    def set_relay(self, relay: RelaySource | None) -> None:
         """Ask peers through ``relay`` from now on."""
         self._relay = relay
 
@@ -168,7 +174,7 @@
         )
         self._continuity.check_page(page, offset)
         self._oldest = page.oldest
-        await self._replica.async_take_page(ticket, page)
+        await self._replica.async_apply_page(ticket, page)
         self._lost = False
         if not self._ready and self._tail.confirmed_once:
             self._become_ready("log")
@@ -207,7 +213,7 @@
         fold = self._replica.fold
         asked_at = self._timers.monotonic()
         self._asked_offset = fold.next_offset
-        question = RelayQuestion(self._spec.name, fold.next_offset, fold.digest)
+        question = RelayRequest(self._spec.name, fold.next_offset, fold.digest)
         answer = await self._relay.async_entries(question)
         if answer.status is RelayStatus.IMAGE_NEEDED:
             await self._async_take_image()
@@ -218,21 +224,21 @@
         elif answer.status is RelayStatus.ENTRIES:
             await self._async_take_entries(answer, asked_at)
 
-    async def _async_take_entries(self, answer: RelayAnswer, asked_at: float) -> None:
+    async def _async_take_entries(self, answer: RelayResponse, asked_at: float) -> None:
         try:
-            await self._replica.async_take_relayed(answer)
+            await self._replica.async_apply_relayed(answer)
         except LogGapError as error:
             self._note_refusal("relay", error.detail)
             return
         if self._replica.fold.next_offset >= answer.next_offset:
-            self._tail.note_peer(asked_at, answer.tail_age_seconds)
+            self._tail.record_peer(asked_at, answer.tail_age_seconds)
 
     async def _async_take_image(self) -> None:
         if self._relay is None:
             return
         fold = self._replica.fold
-        question = RelayQuestion(
-            self._spec.name, fold.next_offset, fold.digest, RelayWanted.IMAGE
+        question = RelayRequest(
+            self._spec.name, fold.next_offset, fold.digest, RelayRequestKind.IMAGE
         )
         asked_at = self._timers.monotonic()
         answer = await self._relay.async_image(question)
@@ -246,11 +252,11 @@
             return
         self._started = True
         self._note_jump("relay", "peer")
-        self._tail.note_peer(asked_at, answer.tail_age_seconds)
+        self._tail.record_peer(asked_at, answer.tail_age_seconds)
         if not self._ready:
             self._become_ready("peer")
 
-    def _note_peers_behind(self, answer: RelayAnswer) -> None:
+    def _note_peers_behind(self, answer: RelayResponse) -> None:
         # A snapshot may reach further than any peer; serving from an older state than
         # one's own would be a step back.
         held = self._replica.fold.next_offset
--- a/mustardward/state/handlers/absences.py
+++ b/mustardward/state/handlers/absences.py
@@ -4,7 +4,7 @@
 
 from typing import Final
 
-from ..budgets import touch_instance
+from ..budgets import recount_instance
 from ..fleet import FleetState
 from ..fold import FoldContext
 from ..models.maintenance import (
@@ -35,7 +35,7 @@
         if _change_absence(state, context, body.data_centre, change)
     ]
     for instance_id in changed:
-        touch_instance(state, instance_id)
+        recount_instance(state, instance_id)
     return accept(context, *(f"instance:{name}" for name in changed))
 
 
--- a/mustardward/state/handlers/maintenance.py
+++ b/mustardward/state/handlers/maintenance.py
@@ -13,7 +13,12 @@
 
 from ...exceptions import MustardwardError, TransitionError
 from ...helpers.chart import load_chart
-from ..budgets import check_budgets, check_held, index_of, touch_instance
+from ..budgets import (
+    check_one_more_unavailable,
+    check_within_budgets,
+    get_budget_index,
+    recount_instance,
+)
 from ..fleet import FleetState
 from ..fold import FoldContext, RecordRefusedError
 from ..instance_status import instance_accepts, instance_status
@@ -68,7 +73,7 @@
         boot=body.boot,
         taken=context.sequence,
     )
-    touch_instance(state, body.instance_id)
+    recount_instance(state, body.instance_id)
     return accept(context, f"instance:{body.instance_id}", f"wave:{body.wave_id}")
 
 
@@ -79,7 +84,7 @@
         return WaveNotRunningError(f"wave={wave.wave_id} status={wave.status}")
     if instance_id not in wave.pending:
         return UnknownSubjectError(f"wave={wave.wave_id} not pending={instance_id}")
-    held = index_of(state).claims_of(wave.wave_id)
+    held = get_budget_index(state).claims_of(wave.wave_id)
     if held >= wave_limit(wave):
         return WaveGrowthError(f"wave={wave.wave_id} held={held} done={len(wave.done)}")
     return None
@@ -95,8 +100,8 @@
     if name in state.absences:
         # Quarantined, it counts as unavailable already: a reboot takes nothing from any
         # budget, and may be what it needs.
-        return check_held(state, instance)
-    return check_budgets(state, instance)
+        return check_within_budgets(state, instance)
+    return check_one_more_unavailable(state, instance)
 
 
 def _fenced(
@@ -147,7 +152,7 @@
         # Failures since the claim may have eaten the margin. Up to here the instance
         # can go back at once; after the reboot began it can only be waited for.
         instance = state.instances[body.instance_id]
-        refusal = check_held(state, instance)
+        refusal = check_within_budgets(state, instance)
         if refusal is not None:
             return Failure(refusal)
     held.stage = step.unwrap().stage
@@ -185,7 +190,7 @@
         _RELEASES[body.outcome](state, context, wave, held, body)
         if wave.status == WaveStatus.PAUSED and body.outcome == "failed":
             note = f"{note} wave={wave.wave_id} paused"
-    touch_instance(state, body.instance_id)
+    recount_instance(state, body.instance_id)
     return accept(
         context, f"instance:{body.instance_id}", f"wave:{held.wave_id}", note=note
     )
--- a/mustardward/state/handlers/pools.py
+++ b/mustardward/state/handlers/pools.py
@@ -13,10 +13,10 @@
 from ...exceptions import MustardwardError
 from ..budgets import (
     BudgetExceededError,
-    check_budgets,
-    check_held,
-    index_of,
-    touch_instance,
+    check_one_more_unavailable,
+    check_within_budgets,
+    get_budget_index,
+    recount_instance,
 )
 from ..fleet import FleetState
 from ..fold import Acceptance, FoldContext, RecordRefusedError
@@ -40,7 +40,7 @@
     SubjectInUseError,
     UnknownPoolError,
     UnknownSubjectError,
-    conflict_with,
+    check_base_revision,
 )
 
 Outcome = Result[Acceptance, MustardwardError]
@@ -90,7 +90,7 @@
         slots=body.slots,
         connections=body.connections,
     )
-    touch_instance(state, body.instance_id)
+    recount_instance(state, body.instance_id)
     return Success(Acceptance((f"instance:{body.instance_id}",), context.sequence))
 
 
@@ -103,7 +103,7 @@
     if instance is None:
         return Failure(UnknownSubjectError(f"instance={body.instance_id}"))
     if context.base_revision != NO_BASE:
-        conflict = conflict_with(context, instance.generation)
+        conflict = check_base_revision(context, instance.generation)
         if conflict is not None:
             return Failure(conflict)
     if not instance_accepts(state, body.instance_id, "remove"):
@@ -111,7 +111,7 @@
     del state.instances[body.instance_id]
     state.moves.pop(body.instance_id, None)
     state.absences.pop(body.instance_id, None)
-    touch_instance(state, body.instance_id)
+    recount_instance(state, body.instance_id)
     return Success(Acceptance((f"instance:{body.instance_id}",), context.sequence))
 
 
@@ -126,7 +126,7 @@
     refusal = _hindrance(state, instance)
     if refusal is not None:
         return Failure(refusal)
-    conflict = conflict_with(context, instance.generation)
+    conflict = check_base_revision(context, instance.generation)
     if conflict is not None:
         return Failure(conflict)
     if instance.pool == body.target:
@@ -141,7 +141,7 @@
         expected=frozenset(body.expected),
         requested=context.sequence,
     )
-    touch_instance(state, body.instance_id)
+    recount_instance(state, body.instance_id)
     return _accepted(context, body.move_id, body.instance_id)
 
 
@@ -189,16 +189,16 @@
     reserve. With an instance of the target out for maintenance, the rack that fails
     next would break a floor that was safe when the claim was admitted.
     """
-    before = index_of(state).tightest(state, move.target, instance.data_centre)
+    before = get_budget_index(state).tightest(state, move.target, instance.data_centre)
     instance.pool = move.target
     del state.moves[move.instance_id]
-    touch_instance(state, move.instance_id)
-    after = check_held(state, instance)
+    recount_instance(state, move.instance_id)
+    after = check_within_budgets(state, instance)
     if after is None or before is None or after.binding.margin >= before.margin:
         return None
     instance.pool = move.source
     state.moves[move.instance_id] = move
-    touch_instance(state, move.instance_id)
+    recount_instance(state, move.instance_id)
     return after
 
 
@@ -209,7 +209,7 @@
     if move is None:
         return Failure(UnknownSubjectError(f"move={body.move_id}"))
     del state.moves[move.instance_id]
-    touch_instance(state, move.instance_id)
+    recount_instance(state, move.instance_id)
     return _accepted(context, body.move_id, move.instance_id)
 
 
@@ -224,7 +224,7 @@
         return SubjectInUseError(f"instance={name} status={status}")
     if name in state.absences:
         return None
-    return check_budgets(state, instance)
+    return check_one_more_unavailable(state, instance)
 
 
 def find_move(state: FleetState, move_id: str) -> Move | None:
--- a/mustardward/state/handlers/refusals.py
+++ b/mustardward/state/handlers/refusals.py
@@ -30,7 +30,9 @@
     code = "subject-in-use"
 
 
-def conflict_with(context: FoldContext, current: int) -> RevisionConflictError | None:
+def check_base_revision(
+    context: FoldContext, current: int
+) -> RevisionConflictError | None:
     """Return the conflict if the author did not see the revision in force.
 
     ``current`` is 0 for a name that does not exist; only then may the base be missing.
--- a/mustardward/state/handlers/templates.py
+++ b/mustardward/state/handlers/templates.py
@@ -9,7 +9,7 @@
 from returns.result import Failure, Result, Success
 
 from ...exceptions import MustardwardError
-from ..budgets import touch_organisation
+from ..budgets import update_organisation
 from ..fleet import FleetState
 from ..fold import Acceptance, FoldContext
 from ..models.templates import (
@@ -22,7 +22,7 @@
     TemplateRevision,
 )
 from .fleet_registry import FLEET_HANDLERS
-from .refusals import UnknownPoolError, UnknownSubjectError, conflict_with
+from .refusals import UnknownPoolError, UnknownSubjectError, check_base_revision
 
 KEPT_REVISIONS: Final = 8
 """Revisions of a template that stay in memory; thousands are published a day."""
@@ -40,7 +40,7 @@
 ) -> Result[Acceptance, MustardwardError]:
     """Accept a revision that follows the one its author saw, and put it in force."""
     current = current_revision(state, body.name)
-    conflict = conflict_with(context, current.revision if current else 0)
+    conflict = check_base_revision(context, current.revision if current else 0)
     if conflict is not None:
         return Failure(conflict)
     missing = _missing_pools(state, body.parameters.pools)
@@ -63,7 +63,7 @@
 ) -> Result[Acceptance, MustardwardError]:
     """Accept an organisation, or its new overrides."""
     current = state.organisations.get(body.name)
-    conflict = conflict_with(context, current.revision if current else 0)
+    conflict = check_base_revision(context, current.revision if current else 0)
     if conflict is not None:
         return Failure(conflict)
     template = current_revision(state, body.template)
@@ -81,7 +81,7 @@
         overrides=body.overrides,
         parameters=parameters,
     )
-    touch_organisation(state, body.name)
+    update_organisation(state, body.name)
     return Success(Acceptance((f"organisation:{body.name}",), context.sequence))
 
 
@@ -93,11 +93,11 @@
     current = state.organisations.get(body.name)
     if current is None:
         return Failure(UnknownSubjectError(f"organisation={body.name}"))
-    conflict = conflict_with(context, current.revision)
+    conflict = check_base_revision(context, current.revision)
     if conflict is not None:
         return Failure(conflict)
     del state.organisations[body.name]
-    touch_organisation(state, body.name)
+    update_organisation(state, body.name)
     return Success(Acceptance((f"organisation:{body.name}",), context.sequence))
 
 
@@ -124,7 +124,7 @@
     for name, organisation in state.organisations.items():
         if organisation.template == accepted.name:
             state.organisations[name] = share_parameters(organisation, accepted)
-            touch_organisation(state, name)
+            update_organisation(state, name)
             affected.append(f"organisation:{name}")
     return affected
 
--- a/mustardward/state/handlers/waves.py
+++ b/mustardward/state/handlers/waves.py
@@ -8,7 +8,7 @@
 
 from ...exceptions import MustardwardError, TransitionError
 from ...helpers.chart import load_chart
-from ..budgets import index_of
+from ..budgets import get_budget_index
 from ..fleet import FleetState
 from ..fold import Acceptance, FoldContext
 from ..models.maintenance import ScheduleWave, SignalWave, Wave, WaveStatus
@@ -18,7 +18,7 @@
     WaveExistsError,
     WaveUnfinishedError,
 )
-from .refusals import UnknownSubjectError, conflict_with
+from .refusals import UnknownSubjectError, check_base_revision
 
 GROWTH: Final = 64
 """Instances a wave may hold for each one that came back.
@@ -94,7 +94,7 @@
 
 def _forget_ended(state: FleetState) -> None:
     """Drop the waves that ended longest ago; each names thousands of instances."""
-    index = index_of(state)
+    index = get_budget_index(state)
     ended = [
         wave
         for wave in state.waves.values()
@@ -115,7 +115,7 @@
     wave = state.waves.get(body.wave_id)
     if wave is None:
         return Failure(UnknownSubjectError(f"wave={body.wave_id}"))
-    conflict = conflict_with(context, wave.revision)
+    conflict = check_base_revision(context, wave.revision)
     if conflict is not None:
         return Failure(conflict)
     if body.signal == "finish" and not is_finished(state, wave):
@@ -145,7 +145,7 @@
         instance_id in state.instances and not state.instances[instance_id].removed
         for instance_id in wave.pending
     )
-    return not left and index_of(state).claims_of(wave.wave_id) == 0
+    return not left and get_budget_index(state).claims_of(wave.wave_id) == 0
 
 
 def stop_if_failing(context: FoldContext, wave: Wave) -> None:
--- a/mustardward/state/log.py
+++ b/mustardward/state/log.py
@@ -19,7 +19,7 @@
 from .images import Image
 from .options import LogOptions
 from .records import NO_BASE, make_record
-from .relay import RelayAnswer, RelayQuestion, RelaySource, RelayStatus
+from .relay import RelayRequest, RelayResponse, RelaySource, RelayStatus
 from .replica import Replica
 from .snapshots import SnapshotStore
 from .streams import StreamSpec
@@ -170,14 +170,14 @@
         """Call ``listener`` when the state jumped past records nobody heard of."""
         return self._replica.listen_restored(listener)
 
-    def use_relay(self, relay: RelaySource | None) -> None:
+    def set_relay(self, relay: RelaySource | None) -> None:
         """Ask peers through ``relay`` while the log is silent."""
-        self._follower.use_relay(relay)
+        self._follower.set_relay(relay)
 
-    def answer(self, question: RelayQuestion) -> RelayAnswer:
+    def answer(self, question: RelayRequest) -> RelayResponse:
         """Return what this node can tell a peer."""
         if not self.ready:
-            return RelayAnswer(RelayStatus.UNAVAILABLE)
+            return RelayResponse(RelayStatus.UNAVAILABLE)
         return self._replica.answer(question)
 
     def image(self) -> Image:
--- a/mustardward/state/relay.py
+++ b/mustardward/state/relay.py
@@ -18,7 +18,7 @@
 ANSWER_BYTES: Final = 262_144
 
 
-class RelayWanted(StrEnum):
+class RelayRequestKind(StrEnum):
     """Say what is asked of a peer."""
 
     POSITION = "position"
@@ -39,13 +39,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RelayQuestion:
+class RelayRequest:
     """Ask a peer how far it is, for what follows an offset, or for its state."""
 
     stream: str
     next_offset: int
     digest: str
-    wanted: RelayWanted = RelayWanted.ENTRIES
+    wanted: RelayRequestKind = RelayRequestKind.ENTRIES
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RelayAnswer:
+class RelayResponse:
     """Hold a peer's answer; ``tail_age_seconds`` is how old its own tail is.
 
     ``next_offset`` is what the peer's fold wants next, also when it sends no entry.
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RelayPartQuestion:
+class RelayPartRequest:
     """Ask a peer for a further part of the image that it began to send."""
 
     stream: str
@@ -92,11 +92,11 @@
 class RelaySource(Protocol):
     """Ask peers; every failure of a peer is an ``UNAVAILABLE`` answer."""
 
-    async def async_entries(self, question: RelayQuestion) -> RelayAnswer:
+    async def async_entries(self, question: RelayRequest) -> RelayResponse:
         """Ask one peer, by preference one that is ahead."""
         ...
 
-    async def async_image(self, question: RelayQuestion) -> RelayAnswer:
+    async def async_image(self, question: RelayRequest) -> RelayResponse:
         """Ask several peers how far they are, and the furthest for its state."""
         ...
 
--- a/mustardward/state/replica.py
+++ b/mustardward/state/replica.py
@@ -14,11 +14,11 @@
 from .images import Image, make_image, restore_image
 from .relay import (
     RecentEntries,
-    RelayAnswer,
     RelayedEntry,
-    RelayQuestion,
+    RelayRequest,
+    RelayRequestKind,
+    RelayResponse,
     RelayStatus,
-    RelayWanted,
 )
 from .streams import StreamSpec
 from .tail import ReadTicket, TailTracker
@@ -78,7 +78,7 @@
         """Call ``listener`` when the state jumped past records nobody heard of."""
         return _subscribe(self._restored_listeners, listener)
 
-    async def async_take_page(self, ticket: ReadTicket, page: LogPage) -> None:
+    async def async_apply_page(self, ticket: ReadTicket, page: LogPage) -> None:
         """Fold what a read brought, and note the tail it saw.
 
         :raises LogGapError: if an offset is missing.
@@ -89,9 +89,9 @@
                 continue
             self._apply(entry.offset, entry.payload)
             await anyio.lowlevel.checkpoint()
-        self._tail.note_read(ticket, page.tail, self._fold.next_offset)
+        self._tail.record_read(ticket, page.tail, self._fold.next_offset)
 
-    async def async_take_relayed(self, answer: RelayAnswer) -> None:
+    async def async_apply_relayed(self, answer: RelayResponse) -> None:
         """Fold what a peer relayed.
 
         :raises LogGapError: if an offset is missing.
@@ -114,7 +114,7 @@
         self._recent.start_after(self._fold.digest)
         for listener in list(self._restored_listeners):
             _call(listener)
-        self._tail.note_progress(self._fold.next_offset)
+        self._tail.record_progress(self._fold.next_offset)
 
     def image(self) -> Image:
         """Return the image of the present state.
@@ -125,20 +125,20 @@
             raise self._diverged
         return make_image(self._spec, self._fold)
 
-    def answer(self, question: RelayQuestion) -> RelayAnswer:
+    def answer(self, question: RelayRequest) -> RelayResponse:
         """Return what this node can tell a peer."""
         held = self._fold.next_offset
         age = self._tail.age_seconds
         if self.stopped is not None:
-            return RelayAnswer(RelayStatus.UNAVAILABLE)
+            return RelayResponse(RelayStatus.UNAVAILABLE)
         if held < question.next_offset:
-            return RelayAnswer(RelayStatus.BEHIND, held, age)
-        if question.wanted is RelayWanted.POSITION:
-            return RelayAnswer(RelayStatus.POSITION, held, age)
-        if question.wanted is RelayWanted.IMAGE:
-            return RelayAnswer(RelayStatus.IMAGE, held, age, image=self.image())
+            return RelayResponse(RelayStatus.BEHIND, held, age)
+        if question.wanted is RelayRequestKind.POSITION:
+            return RelayResponse(RelayStatus.POSITION, held, age)
+        if question.wanted is RelayRequestKind.IMAGE:
+            return RelayResponse(RelayStatus.IMAGE, held, age, image=self.image())
         status, entries = self._entries_since(question)
-        return RelayAnswer(status, held, age, tuple(entries))
+        return RelayResponse(status, held, age, tuple(entries))
 
     def note_divergence(self, offset: int) -> None:
         """Stop deciding, as a peer came to another state at the same offset."""
@@ -146,7 +146,7 @@
         _LOGGER.error("state_diverged", stream=self._spec.name, offset=offset)
 
     def _entries_since(
-        self, question: RelayQuestion
+        self, question: RelayRequest
     ) -> tuple[RelayStatus, list[RelayedEntry]]:
         if question.next_offset < self._fold.next_offset:
             return self._recent.since(question.next_offset, question.digest)
@@ -169,7 +169,7 @@
         for outcome in outcomes:
             for listener in list(self._listeners):
                 _call(listener, outcome)
-        self._tail.note_progress(self._fold.next_offset)
+        self._tail.record_progress(self._fold.next_offset)
 
 
 def _call(listener: Callable[..., None], *arguments: RecordOutcome) -> None:
--- a/mustardward/state/snapshot_writer.py
+++ b/mustardward/state/snapshot_writer.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SnapshotSituation:
+class SnapshotConditions:
     """Hold what decides whether a snapshot is due.
 
     ``written_offset`` and ``written_at`` are of the furthest snapshot, if any;
@@ -36,7 +36,7 @@
     written_at: float = 0.0
 
 
-def due_cause(situation: SnapshotSituation, options: LogOptions) -> str:
+def snapshot_due_cause(situation: SnapshotConditions, options: LogOptions) -> str:
     """Return why a snapshot is due, or nothing."""
     if situation.next_offset == 0:
         return ""
@@ -108,7 +108,7 @@
     async def _async_check(self) -> None:
         manifests = await self._log.store.async_manifests(_MANIFESTS_CHECKED)
         latest = furthest_readable(manifests, self._log.spec)
-        cause = due_cause(self._situation(latest), self._log.options)
+        cause = snapshot_due_cause(self._situation(latest), self._log.options)
         if not cause:
             return
         manifest = await self._log.store.async_write(self._log.image())
@@ -120,8 +120,8 @@
             chunks=len(manifest.chunks),
         )
 
-    def _situation(self, latest: Manifest | None) -> SnapshotSituation:
-        return SnapshotSituation(
+    def _situation(self, latest: Manifest | None) -> SnapshotConditions:
+        return SnapshotConditions(
             next_offset=self._log.next_offset,
             oldest=self._log.oldest_offset,
             now=self._timers.wall(),
--- a/mustardward/state/snapshots.py
+++ b/mustardward/state/snapshots.py
@@ -110,7 +110,7 @@
             await self._timers.async_sleep(_CHUNK_PAUSE_SECONDS)
             chunks.append(Chunk(offset, xxhash.xxh3_128_hexdigest(part)))
         manifest = Manifest(image.header, tuple(chunks), self._timers.wall())
-        await self._async_append(self._manifests, seal(manifest))
+        await self._async_append(self._manifests, encode_manifest(manifest))
         return manifest
 
     async def async_manifests(self, count: int = MANIFESTS_READ) -> list[Manifest]:
@@ -127,7 +127,7 @@
         found = []
         for entry in page.entries:
             try:
-                found.append(unseal(entry.payload))
+                found.append(decode_manifest(entry.payload))
             except SnapshotUnusableError as error:
                 self._refuse(f"manifest:{entry.offset}", error)
         return sorted(found, key=lambda item: -item.header.next_offset)
@@ -203,13 +203,13 @@
     return None
 
 
-def seal(manifest: Manifest) -> bytes:
+def encode_manifest(manifest: Manifest) -> bytes:
     """Return the entry that carries a manifest and its digest."""
     body = _ENCODER.encode(manifest)
     return _ENCODER.encode(_SealedManifest(body, xxhash.xxh3_128_hexdigest(body)))
 
 
-def unseal(payload: bytes) -> Manifest:
+def decode_manifest(payload: bytes) -> Manifest:
     """Return the manifest of an entry.
 
     :raises SnapshotUnusableError: if it is corrupt.
--- a/mustardward/state/tail.py
+++ b/mustardward/state/tail.py
@@ -81,16 +81,16 @@
         self._required_number = self._number + 1
         self._open_read = None
 
-    def note_read(self, ticket: ReadTicket, tail: int, next_offset: int) -> None:
+    def record_read(self, ticket: ReadTicket, tail: int, next_offset: int) -> None:
         """Take in what a read said the tail was."""
         for question in self._questions:
             if question.target is None and question.number <= ticket.number:
                 question.target = tail
         if self._open_read is None:
             self._open_read = (ticket, tail)
-        self.note_progress(next_offset)
+        self.record_progress(next_offset)
 
-    def note_progress(self, next_offset: int) -> None:
+    def record_progress(self, next_offset: int) -> None:
         """Take in that the fold reached ``next_offset``."""
         if self._open_read is not None and next_offset >= self._open_read[1]:
             ticket = self._open_read[0]
@@ -101,7 +101,7 @@
                 self._questions.remove(question)
                 question.answered.set()
 
-    def note_peer(self, asked_at: float, peer_age_seconds: float) -> None:
+    def record_peer(self, asked_at: float, peer_age_seconds: float) -> None:
         """Take in that a peer, asked at ``asked_at``, has no newer entry.
 
         Its own confirmation happened at least ``peer_age_seconds`` before its answer.
--- a/tests/components/log/test_relay.py
+++ b/tests/components/log/test_relay.py
@@ -30,7 +30,7 @@
 )
 from mustardward.state.images import restore_image
 from mustardward.state.models.pools import PutPool
-from mustardward.state.relay import RelayQuestion, RelayStatus, RelayWanted
+from mustardward.state.relay import RelayRequest, RelayRequestKind, RelayStatus
 from mustardward.state.streams import FLEET_SPEC
 from tests.fakes.explanations import FakeMembership
 from tests.fakes.log import LogClient
@@ -75,7 +75,7 @@
 
     async def async_image(self, stream: str = "fleet") -> Any:
         """Ask for a whole state."""
-        question = RelayQuestion(stream, 0, "", RelayWanted.IMAGE)
+        question = RelayRequest(stream, 0, "", RelayRequestKind.IMAGE)
         return await self.relay.async_image(question)
 
 
@@ -92,7 +92,7 @@
     async with running_pair() as pair:
         pair.know(_member("behind", 0), _member("leading", 3))
         for _ in range(10):
-            answer = await pair.relay.async_entries(RelayQuestion("fleet", 0, ""))
+            answer = await pair.relay.async_entries(RelayRequest("fleet", 0, ""))
             assert answer.status is RelayStatus.ENTRIES
             assert len(answer.entries) == 3
 
@@ -105,7 +105,7 @@
         server = FakePeers(pair.network, "near", "near")
         RelayServer([log]).subscribe(server)
         pair.know(_member("near"), _member("far", 99, "flam"))
-        question = RelayQuestion("work.bergen", 0, "")
+        question = RelayRequest("work.bergen", 0, "")
         for _ in range(5):
             answer = await pair.relay.async_entries(question)
             assert answer.status is RelayStatus.ENTRIES
@@ -137,7 +137,7 @@
         assert (await pair.async_image()).status is RelayStatus.UNAVAILABLE
         pair.know(_member("dead"))
         assert (await pair.async_image()).status is RelayStatus.UNAVAILABLE
-        entries = await pair.relay.async_entries(RelayQuestion("fleet", 0, ""))
+        entries = await pair.relay.async_entries(RelayRequest("fleet", 0, ""))
         assert entries.status is RelayStatus.UNAVAILABLE
         pair.know(_member("leading"))
         other = await pair.async_image("work.bergen")
--- a/tests/embedded/test_examples.py
+++ b/tests/embedded/test_examples.py
@@ -19,7 +19,7 @@
 from mustardward.settings.loader import load_model, load_settings
 from mustardward.standin.log import LogOptions
 from mustardward.standin.platform import PlatformOptions
-from mustardward.state.budget_counters import ScopeCount, budget_of
+from mustardward.state.budget_counters import ScopeCount, compute_budget
 
 from ..fakes.driving import DrivenLoopTimers, async_driven
 
@@ -100,7 +100,7 @@
         here = [item for item in instances if (item.data_centre, item.pool) == scope]
         largest = max(Counter(item.rack for item in here).values())
         count = ScopeCount(len(here), 0, largest)
-        budget = budget_of("any", parameters, scope[1], scope[0], count)
+        budget = compute_budget("any", parameters, scope[1], scope[0], count)
         assert budget.margin >= 1
 
 
--- a/tests/fakes/log_bench.py
+++ b/tests/fakes/log_bench.py
@@ -47,7 +47,7 @@
         )
         if peers is not None:
             self.relays[log] = DirectRelay(peers)
-            log.use_relay(self.relays[log])
+            log.set_relay(self.relays[log])
         self.logs.append(log)
         self.group.start_soon(log.async_run)
         return log
--- a/tests/fakes/relay.py
+++ b/tests/fakes/relay.py
@@ -6,10 +6,10 @@
 
 from mustardward.state.log import FoldedLog
 from mustardward.state.relay import (
-    RelayAnswer,
-    RelayQuestion,
+    RelayRequest,
+    RelayRequestKind,
+    RelayResponse,
     RelayStatus,
-    RelayWanted,
 )
 
 
@@ -23,16 +23,16 @@
         self.peers = peers or []
         self._request_count = 0
 
-    async def async_entries(self, question: RelayQuestion) -> RelayAnswer:
+    async def async_entries(self, question: RelayRequest) -> RelayResponse:
         """Request entries from the peers in round-robin order."""
         if not self.peers:
-            return RelayAnswer(RelayStatus.UNAVAILABLE)
+            return RelayResponse(RelayStatus.UNAVAILABLE)
         self._request_count += 1
         return self.peers[self._request_count % len(self.peers)].answer(question)
 
-    async def async_image(self, question: RelayQuestion) -> RelayAnswer:
+    async def async_image(self, question: RelayRequest) -> RelayResponse:
         """Request an image from the peer with the newest state."""
-        probe = RelayQuestion(question.stream, 0, "", RelayWanted.POSITION)
+        probe = RelayRequest(question.stream, 0, "", RelayRequestKind.POSITION)
         answers = [(peer.answer(probe), peer) for peer in self.peers]
         usable = [
             (answer.next_offset, index)
@@ -40,5 +40,5 @@
             if answer.status is not RelayStatus.UNAVAILABLE
         ]
         if not usable:
-            return RelayAnswer(RelayStatus.UNAVAILABLE)
+            return RelayResponse(RelayStatus.UNAVAILABLE)
         return answers[max(usable)[1]][1].answer(question)
--- a/tests/state/handlers/test_maintenance.py
+++ b/tests/state/handlers/test_maintenance.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from mustardward.state.budgets import BudgetIndex, index_of
+from mustardward.state.budgets import BudgetIndex, get_budget_index
 from mustardward.state.handlers import waves
 from mustardward.state.handlers.waves import KEEP_ENDED
 from mustardward.state.models.maintenance import (
@@ -160,13 +160,13 @@
     driver.accept(ReleaseClaim("dc1-etching-000", generation, "failed", 1))
     wave = driver.state.waves["w1"]
     assert (wave.status, wave.reason) == ("paused", "failures=1 maximum=1")
-    assert not index_of(driver.state).is_available("dc1-etching-000")
+    assert not get_budget_index(driver.state).is_available("dc1-etching-000")
     same_boot = AbsenceChange("dc1-etching-000", True, 1, "failed")
     driver.accept(ReportAbsences("dc1", (same_boot,)))
-    assert not index_of(driver.state).is_available("dc1-etching-000")
+    assert not get_budget_index(driver.state).is_available("dc1-etching-000")
     newer = AbsenceChange("dc1-etching-000", True, 2, "failed")
     driver.accept(ReportAbsences("dc1", (newer,)))
-    assert index_of(driver.state).is_available("dc1-etching-000")
+    assert get_budget_index(driver.state).is_available("dc1-etching-000")
 
 
 def test_failures_after_the_return_stop_the_wave_until_resumed() -> None:
@@ -187,7 +187,7 @@
     driver.take("dc1-etching-000")
     strict = build_organisation("club", ("etching",), minimum_available=1.0)
     driver.state.organisations["club"] = strict
-    index_of(driver.state).touch_organisation(driver.state, "club")
+    get_budget_index(driver.state).update_organisation(driver.state, "club")
     refusal = driver.refuse(TakeClaim("w1", "dc1-etching-001", "entry-1#1", 1))
     assert "organisation=club" in refusal.detail
 
@@ -232,7 +232,7 @@
     driver.take("dc1-etching-001")
     driver.fail("dc1-etching-002", "dc1-etching-001")
     rebuilt = BudgetIndex(driver.state)
-    assert index_of(driver.state).snapshot() == rebuilt.snapshot()
+    assert get_budget_index(driver.state).snapshot() == rebuilt.snapshot()
 
 
 def test_what_was_admitted_may_reboot_although_its_rack_was_the_largest() -> None:
--- a/tests/state/test_budgets.py
+++ b/tests/state/test_budgets.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from mustardward.state.budget_counters import FLEET_SCOPE, PoolCounter, share_of
+from mustardward.state.budget_counters import FLEET_SCOPE, PoolCounter, ceil_share
 from mustardward.state.budgets import (
     BudgetIndex,
     all_budgets,
-    check_budgets,
-    check_held,
-    index_of,
-    touch_instance,
+    check_one_more_unavailable,
+    check_within_budgets,
+    get_budget_index,
+    recount_instance,
 )
 from mustardward.state.models.maintenance import Absence
 from mustardward.state.models.pools import Move
@@ -24,7 +24,7 @@
 def test_shares_round_up_without_rounding_errors(
     share: float, total: int, wanted: int
 ) -> None:
-    assert share_of(share, total) == wanted
+    assert ceil_share(share, total) == wanted
 
 
 def test_the_largest_rack_shrinks_as_its_instances_go() -> None:
@@ -56,11 +56,11 @@
     state.absences[first] = Absence(first, "failed", "entry-1", 1)
     state.moves[first] = Move("m1", first, "etching", "casting", 1)
     state.moves[second] = Move("m2", second, "etching", "casting", 1)
-    assert index_of(state).count(state, "etching", "dc1").unavailable == 2
+    assert get_budget_index(state).count(state, "etching", "dc1").unavailable == 2
     del state.absences[first]
-    touch_instance(state, first)
-    touch_instance(state, first)
-    assert index_of(state).count(state, "etching", "dc1").unavailable == 2
+    recount_instance(state, first)
+    recount_instance(state, first)
+    assert get_budget_index(state).count(state, "etching", "dc1").unavailable == 2
 
 
 def test_a_silent_data_centre_counts_over_the_fleet_alone() -> None:
@@ -74,19 +74,19 @@
     user = build_organisation("dairy", ("etching",), reserve_largest_rack=False)
     state = build_fleet(user, data_centres=("dc1", "dc2"), size=4)
     instance = state.instances["dc1-etching-000"]
-    assert check_budgets(state, instance) is None
+    assert check_one_more_unavailable(state, instance) is None
     state.silent.add("dc2")
-    refusal = check_budgets(state, instance)
+    refusal = check_one_more_unavailable(state, instance)
     assert refusal is not None
     assert refusal.binding.scope == FLEET_SCOPE
-    assert index_of(state).count(state, "etching", "dc2").unavailable == 0
+    assert get_budget_index(state).count(state, "etching", "dc2").unavailable == 0
 
 
 def test_a_refusal_names_organisation_scope_and_numbers() -> None:
     loose = build_organisation("club", ("etching",), minimum_available=0.1)
     strict = build_organisation("dairy", ("etching",), minimum_available=1.0)
     state = build_fleet(loose, strict, size=4)
-    refusal = check_budgets(state, state.instances["dc1-etching-000"])
+    refusal = check_one_more_unavailable(state, state.instances["dc1-etching-000"])
     assert refusal is not None
     assert refusal.code == "budget-exceeded"
     binding = refusal.binding
@@ -99,9 +99,9 @@
     state = build_fleet(user, size=4)
     taken = state.instances["dc1-etching-000"]
     state.absences[taken.instance_id] = Absence(taken.instance_id, "failed", "e", 1)
-    assert check_held(state, taken) is None
-    assert check_held(state, taken, more_unavailable=1) is None
-    assert check_held(state, taken, more_unavailable=2) is not None
+    assert check_within_budgets(state, taken) is None
+    assert check_within_budgets(state, taken, more_unavailable=1) is None
+    assert check_within_budgets(state, taken, more_unavailable=2) is not None
 
 
 def test_a_state_restored_anew_is_counted_anew() -> None:
@@ -112,8 +112,8 @@
     Cause: its counters began at zero.
     """
     state = build_fleet(build_organisation("dairy", ("etching",)), size=8)
-    index = index_of(state)
+    index = get_budget_index(state)
     failed = "dc1-etching-003"
     state.absences[failed] = Absence(failed, "failed", "entry-1", 1)
-    touch_instance(state, failed)
+    recount_instance(state, failed)
     assert BudgetIndex(state).snapshot() == index.snapshot()
--- a/tests/state/test_budgets_stateful.py
+++ b/tests/state/test_budgets_stateful.py
@@ -12,7 +12,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 from returns.result import Success
 
-from mustardward.state.budgets import BudgetIndex, index_of
+from mustardward.state.budgets import BudgetIndex, get_budget_index
 from mustardward.state.fleet import FleetState
 from mustardward.state.models.maintenance import (
     AbsenceChange,
@@ -219,14 +219,16 @@
     @invariant()
     def counters_equal_a_new_count(self) -> None:
         state = self.driver.state
-        assert index_of(state).snapshot() == BudgetIndex(state).snapshot()
+        assert get_budget_index(state).snapshot() == BudgetIndex(state).snapshot()
 
     @invariant()
     def a_restored_state_counts_the_same(self) -> None:
         state = self.driver.state
         encoded = msgspec.msgpack.encode(state)
         restored = msgspec.msgpack.decode(encoded, type=FleetState)
-        assert index_of(restored).snapshot() == index_of(state).snapshot()
+        assert (
+            get_budget_index(restored).snapshot() == get_budget_index(state).snapshot()
+        )
 
     @invariant()
     def an_instance_is_claimed_or_moves_and_has_one_pool(self) -> None:
--- a/tests/state/test_pools.py
+++ b/tests/state/test_pools.py
@@ -5,7 +5,7 @@
 import pytest
 
 from mustardward.helpers.chart import load_chart
-from mustardward.state.budgets import BudgetExceededError, BudgetIndex, index_of
+from mustardward.state.budgets import BudgetExceededError, BudgetIndex, get_budget_index
 from mustardward.state.fold import RevisionConflictError
 from mustardward.state.handlers.pools import (
     MoveInProgressError,
@@ -181,7 +181,7 @@
     refused = builder.apply(TransferInstance("move-1")).result.failure()
     assert isinstance(refused, BudgetExceededError)
     assert (state.instances["one"].pool, "one" in state.moves) == ("etching", True)
-    assert index_of(state).snapshot() == BudgetIndex(state).snapshot()
+    assert get_budget_index(state).snapshot() == BudgetIndex(state).snapshot()
     builder.accept(
         ReportAbsences("bergen", (AbsenceChange("cast-2", up=True, boot=1),))
     )
@@ -198,8 +198,8 @@
     builder.accept(build_instance("three", "casting"))
     builder.accept(RemoveInstance("two"))
     state = builder.fold.state
-    assert index_of(state).snapshot() == BudgetIndex(state).snapshot()
-    assert index_of(state).count(state, "casting", "bergen").total == 2
+    assert get_budget_index(state).snapshot() == BudgetIndex(state).snapshot()
+    assert get_budget_index(state).count(state, "casting", "bergen").total == 2
 
 
 @pytest.mark.parametrize(
--- a/tests/state/test_relay.py
+++ b/tests/state/test_relay.py
@@ -10,7 +10,7 @@
     KEPT_ENTRIES,
     RecentEntries,
     RelayedEntry,
-    RelayQuestion,
+    RelayRequest,
     RelayStatus,
 )
 from tests.builders import build_record
@@ -149,7 +149,7 @@
         object.__setattr__(record, "version", 99)
         bench.service.put("fleet", encode_batch([record]))
         await bench.async_settle(1.0)
-        answer = log.answer(RelayQuestion("fleet", 0, ""))
+        answer = log.answer(RelayRequest("fleet", 0, ""))
         assert answer.status is RelayStatus.UNAVAILABLE
 
 
--- a/tests/state/test_restored_folds.py
+++ b/tests/state/test_restored_folds.py
@@ -15,7 +15,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mustardward.state.budgets import BudgetIndex, index_of
+from mustardward.state.budgets import BudgetIndex, get_budget_index
 from mustardward.state.images import make_image, restore_image
 from mustardward.state.models.jobs import (
     AcceptJob,
@@ -245,5 +245,5 @@
     assert _canonical(other.state) == _canonical(original.state)
     if spec is FLEET_SPEC:
         counters = BudgetIndex(other.state).snapshot()
-        assert index_of(original.state).snapshot() == counters
-        assert index_of(other.state).snapshot() == counters
+        assert get_budget_index(original.state).snapshot() == counters
+        assert get_budget_index(other.state).snapshot() == counters
--- a/tests/state/test_snapshots.py
+++ b/tests/state/test_snapshots.py
@@ -19,9 +19,9 @@
 )
 from mustardward.state.options import LogOptions
 from mustardward.state.snapshot_writer import (
-    SnapshotSituation,
+    SnapshotConditions,
     SnapshotWriter,
-    due_cause,
+    snapshot_due_cause,
 )
 from mustardward.state.streams import FLEET_SPEC
 from tests.builders import build_fleet_fold, build_instance, build_parameters
@@ -284,18 +284,18 @@
 @pytest.mark.parametrize(
     ("situation", "cause"),
     [
-        (SnapshotSituation(0, 0, 0.0), ""),
-        (SnapshotSituation(5, 0, 0.0), "missing"),
-        (SnapshotSituation(30_000, 0, 0.0, 20_000, 0.0), "entries"),
-        (SnapshotSituation(1_000, 900, 0.0, 940, 0.0), "retention"),
-        (SnapshotSituation(1_000, 900, 0.0, 960, 0.0), ""),
-        (SnapshotSituation(1_000, 900, 1e6, 1_000, 0.0), "age"),
+        (SnapshotConditions(0, 0, 0.0), ""),
+        (SnapshotConditions(5, 0, 0.0), "missing"),
+        (SnapshotConditions(30_000, 0, 0.0, 20_000, 0.0), "entries"),
+        (SnapshotConditions(1_000, 900, 0.0, 940, 0.0), "retention"),
+        (SnapshotConditions(1_000, 900, 0.0, 960, 0.0), ""),
+        (SnapshotConditions(1_000, 900, 1e6, 1_000, 0.0), "age"),
     ],
 )
 def test_a_snapshot_is_due_well_before_retention(
-    situation: SnapshotSituation, cause: str
+    situation: SnapshotConditions, cause: str
 ) -> None:
-    assert due_cause(situation, LogOptions()) == cause
+    assert snapshot_due_cause(situation, LogOptions()) == cause
 
 
 async def test_only_the_holder_of_the_duty_writes_and_only_when_due() -> None:
--- a/tests/state/test_tail.py
+++ b/tests/state/test_tail.py
@@ -10,7 +10,7 @@
 from mustardward.standin.protocol.models import LogEntry, LogPage
 from mustardward.state.models.pools import PutPool
 from mustardward.state.records import encode_batch
-from mustardward.state.relay import RelayAnswer, RelayedEntry, RelayStatus
+from mustardward.state.relay import RelayedEntry, RelayResponse, RelayStatus
 from mustardward.state.replica import Replica
 from mustardward.state.streams import FLEET_SPEC
 from mustardward.state.tail import TailTracker
@@ -36,13 +36,13 @@
         early = tail.begin_read()
         group.start_soon(ask)
         await anyio.lowlevel.checkpoint()
-        tail.note_read(early, 0, 0)
+        tail.record_read(early, 0, 0)
         await anyio.lowlevel.checkpoint()
         assert results == []
-        tail.note_read(tail.begin_read(), 3, 2)
+        tail.record_read(tail.begin_read(), 3, 2)
         await anyio.lowlevel.checkpoint()
         assert results == []
-        tail.note_progress(3)
+        tail.record_progress(3)
     assert results == [True]
 
 
@@ -52,12 +52,12 @@
     early = tail.begin_read()
     timers.pause(30.0)
     tail.require_confirmation()
-    tail.note_read(early, 0, 0)
+    tail.record_read(early, 0, 0)
     assert not tail.sufficient
     assert tail.age_seconds == 30.0
-    tail.note_peer(timers.monotonic(), 1.0)
+    tail.record_peer(timers.monotonic(), 1.0)
     assert not tail.sufficient
-    tail.note_read(tail.begin_read(), 0, 0)
+    tail.record_read(tail.begin_read(), 0, 0)
     assert tail.sufficient
     assert tail.age_seconds == 0.0
 
@@ -68,7 +68,7 @@
     timers.pause(30.0)
     tail.require_confirmation()
     await timers.async_advance(5.0)
-    tail.note_peer(timers.monotonic(), 4.0)
+    tail.record_peer(timers.monotonic(), 4.0)
     assert tail.sufficient
     assert tail.age_seconds == 4.0
 
@@ -87,13 +87,13 @@
     reference = FLEET_SPEC.new_fold()
     reference.apply(0, payloads[0])
     relayed = RelayedEntry(0, payloads[0], reference.digest)
-    answer = RelayAnswer(RelayStatus.ENTRIES, 1, 0.0, (relayed,))
+    answer = RelayResponse(RelayStatus.ENTRIES, 1, 0.0, (relayed,))
     tail = TailTracker(DrivenTimerService())
-    await replica.async_take_relayed(answer)
-    await replica.async_take_relayed(answer)
+    await replica.async_apply_relayed(answer)
+    await replica.async_apply_relayed(answer)
     entries = tuple(
         LogEntry(number, payload) for number, payload in enumerate(payloads)
     )
-    await replica.async_take_page(tail.begin_read(), LogPage(entries, 0, 2))
+    await replica.async_apply_page(tail.begin_read(), LogPage(entries, 0, 2))
     assert replica.fold.next_offset == 2
     assert set(replica.fold.state.pools) == {"etching", "b"}
