--- a/bench/control_fleet.py
+++ b/bench/control_fleet.py
@@ -9,7 +9,7 @@
 
 from mustardward.state.fleet import FleetState
 from mustardward.state.fold import Fold
-from mustardward.state.handlers.waves import KEEP_ENDED, KEEP_ENDED_INSTANCES
+from mustardward.state.handlers.waves import MAX_ENDED_WAVE_INSTANCES, MAX_ENDED_WAVES
 from mustardward.state.models.maintenance import (
     AbsenceChange,
     AdvanceClaim,
@@ -176,7 +176,7 @@
         state = self.fold.state
         pools = tuple(state.pools)
         for number in range(
-            min(KEEP_ENDED, KEEP_ENDED_INSTANCES // len(state.instances))
+            min(MAX_ENDED_WAVES, MAX_ENDED_WAVE_INSTANCES // len(state.instances))
         ):
             name = f"ended-{number}"
             done = set(state.instances)
--- a/bench/control_work.py
+++ b/bench/control_work.py
@@ -6,7 +6,7 @@
 from typing import Any, Final
 
 from mustardward.state.fold import Fold
-from mustardward.state.handlers.intents import KEEP_ANSWERS, KEEP_INTENTS
+from mustardward.state.handlers.intents import MAX_INTENTS, MAX_STORED_RESPONSES
 from mustardward.state.models.jobs import AcceptJob, CloseIntent, OpenIntent
 from mustardward.state.records import encode_batch, make_record
 from mustardward.state.streams import StreamSpec
@@ -35,7 +35,7 @@
 
     def build(self) -> Fold[WorkState]:
         """Fold all of it."""
-        for number in range(KEEP_INTENTS + 1):
+        for number in range(MAX_INTENTS + 1):
             self._keyed_request(number)
         for body in self._jobs():
             self._apply(body)
@@ -45,7 +45,7 @@
         organisation = self._organisation(number)
         key = f"order-{number:08d}-batch"
         opened = self._apply(OpenIntent(organisation, key, f"{number:032x}", _HOME))
-        answer = _ANSWER if number > KEEP_INTENTS - KEEP_ANSWERS else b""
+        answer = _ANSWER if number > MAX_INTENTS - MAX_STORED_RESPONSES else b""
         self._apply(
             CloseIntent(
                 organisation,
--- a/mustardward/components/log/relay.py
+++ b/mustardward/components/log/relay.py
@@ -175,7 +175,7 @@
         log = self._logs.get(question.stream)
         if log is None:
             return _UNAVAILABLE
-        answer = log.answer(question)
+        answer = log.respond(question)
         if answer.image is None or len(answer.image.body) <= PART_BYTES:
             return answer
         self._held[question.stream] = answer.image
--- a/mustardward/components/maintenance/api.py
+++ b/mustardward/components/maintenance/api.py
@@ -206,7 +206,7 @@
         "status": wave.status,
         "revision": wave.revision,
         "pending": len(wave.pending),
-        "out": get_budget_index(state).claims_of(wave.wave_id),
+        "out": get_budget_index(state).claim_count(wave.wave_id),
         "limit": wave_limit(wave),
         "done": len(wave.done),
         "failed": len(wave.failed),
--- a/mustardward/components/maintenance/selection.py
+++ b/mustardward/components/maintenance/selection.py
@@ -67,7 +67,7 @@
     """Return the instances of one data centre that a wave should claim now."""
     remaining = min(
         context.limit,
-        wave_limit(wave) - get_budget_index(state).claims_of(wave.wave_id),
+        wave_limit(wave) - get_budget_index(state).claim_count(wave.wave_id),
     )
     if remaining <= 0:
         return Selection((), {}, frozenset(), wave_limit_reached=True)
--- a/mustardward/components/retries/intents.py
+++ b/mustardward/components/retries/intents.py
@@ -15,7 +15,7 @@
 from returns.result import Failure, Result, Success
 
 from ...helpers.timer import TimerService
-from ...state.handlers.intents import STORED_ANSWER_BYTES
+from ...state.handlers.intents import MAX_STORED_RESPONSE_BYTES
 from ...state.models.jobs import CloseIntent
 from ..entry.models import Ran, RequestFacts, RequestRefusal
 from ..entry.protocols import StoredResponse
@@ -167,4 +167,4 @@
 
 
 def _is_small(answer: StoredResponse) -> bool:
-    return len(answer.body) <= STORED_ANSWER_BYTES
+    return len(answer.body) <= MAX_STORED_RESPONSE_BYTES
--- a/mustardward/state/__init__.py
+++ b/mustardward/state/__init__.py
@@ -1,1 +1,1 @@
-"""Fold the platform's log into the one truth that every entry shares."""
+"""Replay the platform's log into state that all entry nodes share."""
--- a/mustardward/state/appender.py
+++ b/mustardward/state/appender.py
@@ -1,4 +1,4 @@
-"""Append proposals in group commits and wait for what the fold says of them."""
+"""Append proposed records in group commits and wait for their outcome."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
     PlatformUnavailableError,
 )
 from ..helpers.logging import get_logger
-from ..helpers.timer import TimerService
 from ..helpers.waiting import async_wait_for
+from ..helpers.timer import TimerService
 from ..standin.protocol.protocols import LogService
 from .fold import Acceptance, RecordOutcome, RecordRefusedError
 from .options import LogOptions
@@ -30,7 +30,7 @@
 
 _LOGGER = get_logger(__name__)
 
-PRIORITIES: Final = 3
+PRIORITY_COUNT: Final = 3
 _ENVELOPE_OVERHEAD_BYTES: Final = 160
 
 Outcome = Result[Acceptance, MustardwardError]
@@ -38,39 +38,41 @@
 
 @dataclass(slots=True, eq=False)
 class Proposal:
-    """Hold a record on its way; ``sent`` says that it may stand in the log."""
+    """Hold a record until its outcome is known.
+
+    ``sent`` is true if the record may already be in the log."""
 
     envelope: Envelope
     priority: int
     done: anyio.Event = field(default_factory=anyio.Event)
     result: Any = None
     sent: bool = False
-    authors: int = 0
+    waiters: int = 0
 
     @property
-    def abandoned(self) -> bool:
-        """Tell whether nobody waits for the outcome any more."""
-        return self.authors == 0
+    def is_abandoned(self) -> bool:
+        """Return whether no caller waits for the outcome."""
+        return self.waiters == 0
 
     @property
     def size(self) -> int:
-        """Return about how many bytes the record takes in a batch."""
+        """Return the approximate size of the record in a batch."""
         return len(self.envelope.body) + _ENVELOPE_OVERHEAD_BYTES
 
     def resolve(self, result: Outcome) -> None:
-        """Give the author the outcome; only the first one counts."""
+        """Set the outcome and wake the waiters; later outcomes are ignored."""
         if self.result is None:
             self.result = result
             self.done.set()
 
 
 class Appender:
-    """Carry proposals into one stream.
+    """Append proposals to one stream.
 
     :param service: the platform's log.
     :param stream: the stream to append to.
     :param timers: the clock.
-    :param options: window and size of a group commit, and the back-off.
+    :param options: window and size of a group commit, and the backoff.
     :param random: source of jitter.
     """
 
@@ -91,49 +93,49 @@
             options.append_interval_seconds, options.append_interval_maximum_seconds
         )
         self._queues: tuple[deque[Proposal], ...] = tuple(
-            deque() for _ in range(PRIORITIES)
+            deque() for _ in range(PRIORITY_COUNT)
         )
         self._proposals: dict[str, Proposal] = {}
-        self._wanted = anyio.Event()
+        self._submitted = anyio.Event()
 
     async def async_propose(
         self, envelope: Envelope, priority: int, timeout_seconds: float
     ) -> Outcome:
-        """Append a record and return what the fold says of it."""
+        """Append a record and return its outcome."""
         proposal = self._submit(envelope, priority)
-        proposal.authors += 1
+        proposal.waiters += 1
         try:
             await async_wait_for(proposal.done, self._timers, timeout_seconds)
         finally:
-            proposal.authors -= 1
-            if proposal.abandoned:
+            proposal.waiters -= 1
+            if proposal.is_abandoned:
                 self._proposals.pop(envelope.record_id, None)
         if proposal.result is not None:
             result: Outcome = proposal.result
             return result
-        return Failure(_timeout_failure(proposal, timeout_seconds))
+        return Failure(_timeout_error(proposal, timeout_seconds))
 
-    def note_outcome(self, outcome: RecordOutcome) -> None:
-        """Give the fold's answer to the author who waits for it."""
+    def resolve_outcome(self, outcome: RecordOutcome) -> None:
+        """Resolve the proposal of an applied record, if one is pending."""
         proposal = self._proposals.get(outcome.envelope.record_id)
         if proposal is not None and not outcome.duplicate:
             proposal.resolve(outcome.result)
 
-    def note_remembered(self, record_id: str, verdict: Verdict) -> None:
-        """Answer from the dedupe window what was folded out of this process's sight."""
+    def resolve_from_window(self, record_id: str, verdict: Verdict) -> None:
+        """Resolve a proposal from the dedupe window after a restore skipped it."""
         proposal = self._proposals.get(record_id)
         if proposal is not None:
-            proposal.resolve(remembered_outcome(verdict))
+            proposal.resolve(outcome_from_verdict(verdict))
 
-    def waiting(self) -> tuple[str, ...]:
-        """Return the record ids whose authors wait."""
+    def pending_record_ids(self) -> tuple[str, ...]:
+        """Return the ids of the records whose outcome is awaited."""
         return tuple(self._proposals)
 
     async def async_run(self) -> None:
         """Append batches until cancelled."""
         while True:
-            await self._wanted.wait()
-            self._wanted = anyio.Event()
+            await self._submitted.wait()
+            self._submitted = anyio.Event()
             await self._timers.async_sleep(self._pace.window_seconds)
             while batch := self._take_batch():
                 await self._async_append(batch)
@@ -142,10 +144,10 @@
         pending = self._proposals.get(envelope.record_id)
         if pending is not None:
             return pending
-        proposal = Proposal(envelope, min(max(priority, 0), PRIORITIES - 1))
+        proposal = Proposal(envelope, min(max(priority, 0), PRIORITY_COUNT - 1))
         self._proposals[envelope.record_id] = proposal
         self._queues[proposal.priority].append(proposal)
-        self._wanted.set()
+        self._submitted.set()
         return proposal
 
     def _take_batch(self) -> list[Proposal]:
@@ -156,30 +158,30 @@
                 if batch and size + queue[0].size > self._options.batch_bytes:
                     return batch
                 proposal = queue.popleft()
-                if not proposal.abandoned and proposal.result is None:
+                if not proposal.is_abandoned and proposal.result is None:
                     batch.append(proposal)
                     size += proposal.size
         return batch
 
     async def _async_append(self, batch: list[Proposal]) -> None:
         payload = encode_batch([proposal.envelope for proposal in batch])
-        before = [proposal.sent for proposal in batch]
-        # Marked before the call: an author who gives up while it is under way must
-        # not be told that nothing was appended.
-        _mark_sent(batch, [True] * len(batch))
+        previously_sent = [proposal.sent for proposal in batch]
+        # Set before the call: a waiter that times out during the call must not get an
+        # error saying that nothing was appended.
+        _set_sent(batch, [True] * len(batch))
         try:
             await self._service.async_append(self._stream, payload)
         except PlatformRefusedError as error:
-            _mark_sent(batch, before)
+            _set_sent(batch, previously_sent)
             for proposal in batch:
-                proposal.resolve(Failure(_refused(proposal, error)))
+                proposal.resolve(Failure(_refusal_error(proposal, error)))
         except PlatformUnavailableError as error:
-            _mark_sent(batch, before)
+            _set_sent(batch, previously_sent)
             await self._async_retry(batch, error)
         except PlatformError as error:
             await self._async_retry(batch, error)
         else:
-            self._pace.note_appended()
+            self._pace.record_append()
             self._backoff.reset()
 
     async def _async_retry(self, batch: list[Proposal], error: PlatformError) -> None:
@@ -187,7 +189,7 @@
         event = "append_failed"
         if isinstance(error, AppendRateError):
             event = "append_rate_exceeded"
-            self._pace.note_refused()
+            self._pace.record_refusal()
         _LOGGER.warning(
             event,
             stream=self._stream,
@@ -200,24 +202,24 @@
         await self._timers.async_sleep(delay)
 
 
-def remembered_outcome(verdict: Verdict) -> Outcome:
-    """Return the outcome of a record that the dedupe window remembers."""
+def outcome_from_verdict(verdict: Verdict) -> Outcome:
+    """Return the outcome of a record that is in the dedupe window."""
     if isinstance(verdict, int):
         return Success(Acceptance((), verdict, "accepted before"))
     return Failure(RecordRefusedError(f"refused before: {verdict}"))
 
 
-def _mark_sent(batch: list[Proposal], marks: list[bool]) -> None:
-    for proposal, mark in zip(batch, marks, strict=True):
-        proposal.sent = mark
+def _set_sent(batch: list[Proposal], sent_flags: list[bool]) -> None:
+    for proposal, is_sent in zip(batch, sent_flags, strict=True):
+        proposal.sent = is_sent
 
 
-def _refused(proposal: Proposal, error: PlatformRefusedError) -> MustardwardError:
-    # An earlier copy, whose answer was lost, may still be accepted.
+def _refusal_error(proposal: Proposal, error: PlatformRefusedError) -> MustardwardError:
+    # An earlier copy whose response was lost may still be accepted.
     return PlatformOutcomeUnknownError(error.detail) if proposal.sent else error
 
 
-def _timeout_failure(proposal: Proposal, timeout_seconds: float) -> MustardwardError:
+def _timeout_error(proposal: Proposal, timeout_seconds: float) -> MustardwardError:
     detail = f"record_id={proposal.envelope.record_id} after={timeout_seconds:g}"
     if proposal.sent:
         return PlatformOutcomeUnknownError(detail)
--- a/mustardward/state/budget_counters.py
+++ b/mustardward/state/budget_counters.py
@@ -1,4 +1,4 @@
-"""Model availability budgets and count one pool's instances for them."""
+"""Define availability budgets and the instance counters of a pool."""
 
 from __future__ import annotations
 
@@ -9,24 +9,25 @@
 from .models.templates import Parameters
 
 FLEET_SCOPE: Final = "fleet"
-"""Scope of a budget that is counted over all data centres."""
+"""Scope of a budget over all data centres."""
 
-_ROUNDING_SLACK: Final = 1e-9
+_ROUNDING_TOLERANCE: Final = 1e-9
 
 
 def ceil_share(share: float, total: int) -> int:
     """Return ``share`` of ``total``, rounded up.
 
-    A tenth of 30 is 3, although the product of the floating-point numbers is more.
+    A tolerance compensates for floating-point error: a tenth of 30 is 3, although the
+    product of the two numbers is slightly more.
     """
-    return math.ceil(share * total - _ROUNDING_SLACK)
+    return math.ceil(share * total - _ROUNDING_TOLERANCE)
 
 
 @dataclass(frozen=True, slots=True)
 class ScopeCount:
-    """Count a pool's instances in one scope.
+    """Hold the number of a pool's instances in one scope.
 
-    ``largest_rack`` is the most instances that are still available in one rack.
+    ``largest_rack`` is the largest number of available instances in one rack.
     """
 
     total: int
@@ -36,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """Hold one organisation's budget on one pool in one scope."""
+    """Hold one organisation's availability budget for one pool in one scope."""
 
     organisation: str
     pool: str
@@ -60,7 +61,7 @@
 def compute_budget(
     organisation: str, parameters: Parameters, pool: str, scope: str, count: ScopeCount
 ) -> Budget:
-    """Return an organisation's budget for counted instances."""
+    """Return an organisation's budget for the given instance counts."""
     reserve = ceil_share(parameters.headroom, count.total)
     if parameters.reserve_largest_rack:
         reserve = max(reserve, count.largest_rack)
@@ -79,8 +80,8 @@
 class PoolCounter:
     """Count one pool's instances in one data centre, rack by rack.
 
-    ``sizes`` counts racks by their available instances, so that the largest rack is
-    known without looking at all of them.
+    ``sizes`` maps a number of available instances to the number of racks that have it,
+    so that the largest rack is found without iterating over all racks.
     """
 
     total: int = 0
@@ -90,14 +91,14 @@
     largest: int = 0
 
     def add(self, rack: str, available: bool, step: int) -> None:
-        """Count an instance in (``step`` 1) or out (``step`` -1)."""
+        """Add (``step`` 1) or remove (``step`` -1) an instance."""
         self.total += step
         if available:
-            self._resize(rack, step)
+            self._change_rack(rack, step)
         else:
             self.unavailable += step
 
-    def _resize(self, rack: str, step: int) -> None:
+    def _change_rack(self, rack: str, step: int) -> None:
         before = self.racks.get(rack, 0)
         after = before + step
         self.racks[rack] = after
--- a/mustardward/state/budgets.py
+++ b/mustardward/state/budgets.py
@@ -1,8 +1,8 @@
-"""Count every organisation's availability budget from the folded state.
+"""Maintain every organisation's availability budget from the fleet state.
 
-A budget is kept for each organisation and each pool that its services use, in each
-data centre and over the fleet. The counters are derived: they never stand in a
-snapshot, and are counted anew for a state that was restored from one.
+There is a budget for each organisation and each pool that its services use, in each
+data centre and over the fleet. The counters are derived data: they are not part of
+snapshots and are rebuilt for a state that was restored from one.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 class BudgetExceededError(RecordRefusedError):
     """Report that a claim would break an organisation's budget.
 
-    :param binding: the budget that does not allow it.
+    :param binding: the budget that would be exceeded.
     """
 
     code = "budget-exceeded"
@@ -44,13 +44,13 @@
 
     @property
     def binding(self) -> Budget:
-        """Return the budget that refused."""
+        """Return the budget that would be exceeded."""
         return self._binding
 
 
 @dataclass(frozen=True, slots=True)
-class _Placed:
-    """Remember how an instance was counted, to count it out the same way."""
+class _CountedInstance:
+    """Hold how an instance was counted, so that it can be subtracted the same way."""
 
     pool: str
     data_centre: str
@@ -59,67 +59,70 @@
 
 
 class BudgetIndex:
-    """Keep the counters of one state up to date, a record at a time.
+    """Update the counters of one state incrementally.
 
-    Whatever changes an instance or an organisation calls ``recount_instance`` or
-    ``update_organisation`` afterwards; both may be called once too often.
+    Code that changes an instance or an organisation calls ``recount_instance`` or
+    ``update_organisation`` afterwards; both are idempotent.
     """
 
     def __init__(self, state: FleetState) -> None:
         self._counters: dict[str, dict[str, PoolCounter]] = {}
-        self._placed: dict[str, _Placed] = {}
-        self._local: dict[str, dict[str, None]] = {}
-        self._users: dict[str, dict[str, Parameters]] = {}
-        self._bound: dict[str, frozenset[str]] = {}
+        self._counted: dict[str, _CountedInstance] = {}
+        self._by_data_centre: dict[str, dict[str, None]] = {}
+        self._pool_users: dict[str, dict[str, Parameters]] = {}
+        self._organisation_pools: dict[str, frozenset[str]] = {}
         self._wave_claims: dict[str, int] = {}
-        self._claimed: dict[str, str] = {}
+        self._claim_waves: dict[str, str] = {}
         for instance_id in state.instances:
             self.recount_instance(state, instance_id)
         for name in state.organisations:
             self.update_organisation(state, name)
 
     def recount_instance(self, state: FleetState, instance_id: str) -> None:
-        """Count an instance anew after its owner, claim, move or absence changed."""
-        self._touch_claim(state, instance_id)
-        placed = _place(state, instance_id)
-        before = self._placed.get(instance_id)
-        if placed == before:
+        """Update the counters after a change of an instance.
+
+        Owner, claim, move and absence of an instance determine how it is counted.
+        """
+        self._recount_claim(state, instance_id)
+        current = _count_state(state, instance_id)
+        before = self._counted.get(instance_id)
+        if current == before:
             return
         if before is not None:
             self._count(before, -1)
-            del self._placed[instance_id]
-            del self._local[before.data_centre][instance_id]
-        if placed is not None:
-            self._count(placed, 1)
-            self._placed[instance_id] = placed
-            self._local.setdefault(placed.data_centre, {})[instance_id] = None
+            del self._counted[instance_id]
+            del self._by_data_centre[before.data_centre][instance_id]
+        if current is not None:
+            self._count(current, 1)
+            self._counted[instance_id] = current
+            self._by_data_centre.setdefault(current.data_centre, {})[instance_id] = None
 
     def update_organisation(self, state: FleetState, name: str) -> None:
-        """Take an organisation's present parameters, or its end, into account."""
-        for pool in self._bound.pop(name, frozenset()):
-            self._users[pool].pop(name, None)
+        """Update the pool users after an organisation was changed or removed."""
+        for pool in self._organisation_pools.pop(name, frozenset()):
+            self._pool_users[pool].pop(name, None)
         organisation = state.organisations.get(name)
         if organisation is None:
             return
-        self._bound[name] = organisation.parameters.pools
+        self._organisation_pools[name] = organisation.parameters.pools
         for pool in organisation.parameters.pools:
-            self._users.setdefault(pool, {})[name] = organisation.parameters
+            self._pool_users.setdefault(pool, {})[name] = organisation.parameters
 
     def users(self, pool: str) -> dict[str, Parameters]:
         """Return the parameters of the organisations that use a pool, by name."""
-        return self._users.get(pool, {})
+        return self._pool_users.get(pool, {})
 
     def instances_of(self, data_centre: str) -> Collection[str]:
-        """Return the instances of a data centre, without a look at all the others."""
-        return self._local.get(data_centre, {}).keys()
+        """Return the instances of a data centre."""
+        return self._by_data_centre.get(data_centre, {}).keys()
 
     def is_available(self, instance_id: str) -> bool:
-        """Tell whether an instance counts as available in its data centre."""
-        placed = self._placed.get(instance_id)
-        return placed is not None and placed.available
+        """Return whether an instance counts as available in its data centre."""
+        current = self._counted.get(instance_id)
+        return current is not None and current.available
 
-    def claims_of(self, wave_id: str) -> int:
-        """Return how many instances a wave holds claims on."""
+    def claim_count(self, wave_id: str) -> int:
+        """Return the number of instances that a wave has claimed."""
         return self._wave_claims.get(wave_id, 0)
 
     def scopes(self, pool: str) -> list[str]:
@@ -145,10 +148,10 @@
             yield compute_budget(name, parameters, pool, scope, count)
 
     def tightest(self, state: FleetState, pool: str, data_centre: str) -> Budget | None:
-        """Return the budget with the least margin for one more unavailable instance.
+        """Return the budget with the smallest margin for one more unavailable instance.
 
-        Only the instance's own data centre and the fleet count: nowhere else does it
-        change a number. Nothing is returned if no organisation uses the pool.
+        Only the instance's own data centre and the fleet are compared, since no other
+        budget changes with it. Returns ``None`` if no organisation uses the pool.
         """
         candidates = [
             *self.budgets(state, pool, data_centre),
@@ -161,34 +164,34 @@
         )
 
     def snapshot(self) -> tuple[object, ...]:
-        """Return all counters in a form that compares, for checks."""
+        """Return all counters in a comparable form, for consistency checks."""
         counters = {
             (pool, data_centre): (item.total, item.unavailable, dict(item.racks))
             for pool, by_centre in self._counters.items()
             for data_centre, item in by_centre.items()
             if item.total
         }
-        users = {pool: dict(names) for pool, names in self._users.items() if names}
+        users = {pool: dict(names) for pool, names in self._pool_users.items() if names}
         claims = {wave: number for wave, number in self._wave_claims.items() if number}
         return counters, users, claims
 
-    def _count(self, placed: _Placed, step: int) -> None:
-        by_centre = self._counters.setdefault(placed.pool, {})
-        counter = by_centre.setdefault(placed.data_centre, PoolCounter())
-        counter.add(placed.rack, placed.available, step)
+    def _count(self, current: _CountedInstance, step: int) -> None:
+        by_centre = self._counters.setdefault(current.pool, {})
+        counter = by_centre.setdefault(current.data_centre, PoolCounter())
+        counter.add(current.rack, current.available, step)
 
-    def _touch_claim(self, state: FleetState, instance_id: str) -> None:
+    def _recount_claim(self, state: FleetState, instance_id: str) -> None:
         claim = state.claims.get(instance_id)
         wave = claim.wave_id if claim else ""
-        before = self._claimed.pop(instance_id, "")
+        before = self._claim_waves.pop(instance_id, "")
         if before:
             self._wave_claims[before] -= 1
         if wave:
             self._wave_claims[wave] = self._wave_claims.get(wave, 0) + 1
-            self._claimed[instance_id] = wave
+            self._claim_waves[instance_id] = wave
 
 
-def _place(state: FleetState, instance_id: str) -> _Placed | None:
+def _count_state(state: FleetState, instance_id: str) -> _CountedInstance | None:
     instance = state.instances.get(instance_id)
     if instance is None or instance.removed:
         return None
@@ -197,15 +200,17 @@
         or instance_id in state.absences
         or instance_id in state.moves
     )
-    return _Placed(instance.pool, instance.data_centre, instance.rack, available)
+    return _CountedInstance(
+        instance.pool, instance.data_centre, instance.rack, available
+    )
 
 
 def _fleet_count(counters: dict[str, PoolCounter], silent: set[str]) -> ScopeCount:
     total = unavailable = largest = 0
     for data_centre, counter in counters.items():
         total += counter.total
-        # A data centre that is cut off reports no failures; were it counted as whole,
-        # a wave elsewhere could take the last instances that really serve.
+        # A disconnected data centre reports no failures. If its instances counted as
+        # available, a wave elsewhere could claim the last ones that actually serve.
         if data_centre in silent:
             unavailable += counter.total
             continue
@@ -218,7 +223,7 @@
 
 
 def get_budget_index(state: FleetState) -> BudgetIndex:
-    """Return the counters of a state, counting them first if it is new."""
+    """Return the budget index of a state, building it on first use."""
     index = _INDEXES.get(id(state))
     if index is None:
         index = BudgetIndex(state)
@@ -228,19 +233,19 @@
 
 
 def recount_instance(state: FleetState, instance_id: str) -> None:
-    """Count an instance anew after a record changed it."""
+    """Update the budget counters after a record changed an instance."""
     get_budget_index(state).recount_instance(state, instance_id)
 
 
 def update_organisation(state: FleetState, name: str) -> None:
-    """Take an organisation's new parameters, or its end, into account."""
+    """Update the budget index after a record changed or removed an organisation."""
     get_budget_index(state).update_organisation(state, name)
 
 
 def check_one_more_unavailable(
     state: FleetState, instance: Instance
 ) -> BudgetExceededError | None:
-    """Return why an instance may not be taken out now, or nothing."""
+    """Return the error if one more instance may not become unavailable now."""
     tightest = get_budget_index(state).tightest(
         state, instance.pool, instance.data_centre
     )
@@ -252,14 +257,14 @@
 def check_within_budgets(
     state: FleetState, instance: Instance, more_unavailable: int = 0
 ) -> BudgetExceededError | None:
-    """Return why an instance that is out should go back, or nothing.
+    """Return the error if a budget is violated while an instance is unavailable.
 
-    Floors and reserves have to be whole with the instance out. To ask instead whether
-    it could be taken anew would refuse what was rightly admitted: back in its rack, it
-    may make that the largest, and the reserve larger.
+    Floors and reserves have to be met with the instance unavailable. Checking instead
+    whether it could be claimed again would reject valid claims: counted as available,
+    the instance may make its rack the largest one, which enlarges the reserve.
 
-    :param more_unavailable: instances of its pool and data centre that are seen to be
-        down and are not folded as such yet.
+    :param more_unavailable: instances of its pool and data centre that are known to be
+        down but whose absence is not in the state yet.
     """
     tightest = get_budget_index(state).tightest(
         state, instance.pool, instance.data_centre
--- a/mustardward/state/continuity.py
+++ b/mustardward/state/continuity.py
@@ -1,4 +1,4 @@
-"""Notice a log that lost entries which were folded here already."""
+"""Detect a log that lost entries which this node has already applied."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 
 class LogRewrittenError(LogGapError):
-    """Report that the log holds, or may hold, other entries at folded offsets."""
+    """Report that the log has, or may have, different entries at applied offsets."""
 
     code = "log-rewritten"
 
 
 class Continuity:
-    """Make sure that the log goes on from what was folded.
+    """Verify that the log continues from the applied entries.
 
-    A log that is restored from an old copy stands behind its readers, and gives the
-    same offsets to other records once it grows. A reader that simply waits for it to
-    catch up would keep what the log lost and miss what took its place.
+    A log that was restored from an old copy is behind its readers and assigns the same
+    offsets to other records as it grows. A reader that only waits for it to catch up
+    would keep the lost entries and miss those that replaced them.
 
-    :param replica: what was folded.
+    :param replica: the local state and its latest entries.
     :param service: the platform's log.
     :param stream: the stream that is read.
     """
@@ -35,14 +35,14 @@
         self._replica = replica
         self._service = service
         self._stream = stream
-        self._suspect = False
+        self._needs_comparison = False
 
     async def async_check(self, offset: int) -> None:
-        """Compare the last folded entry with the log's, if the log was ever behind.
+        """Compare the last applied entry with the log's, if the log was behind.
 
-        :raises LogRewrittenError: if it is another one, or can't be compared.
+        :raises LogRewrittenError: if they differ or can't be compared.
         """
-        if not self._suspect:
+        if not self._needs_comparison:
             return
         page = await self._service.async_read(self._stream, offset - 1, 1, 0.0)
         if page.tail < offset:
@@ -50,17 +50,17 @@
         payloads = [item.payload for item in page.entries if item.offset == offset - 1]
         if payloads != [self._replica.recent.payload(offset - 1)]:
             raise LogRewrittenError(f"offset={offset - 1} differs")
-        self._suspect = False
+        self._needs_comparison = False
         _LOGGER.info("log_continuous", stream=self._stream, offset=offset)
 
     def check_page(self, page: LogPage, offset: int) -> None:
-        """Check that a log that was asked for ``offset`` still stands where it stood.
+        """Check that a page read at ``offset`` continues the applied entries.
 
-        :raises LogRewrittenError: if its tail is behind.
-        :raises LogGapError: if the wanted entry was skipped.
+        :raises LogRewrittenError: if the log's tail is behind ``offset``.
+        :raises LogGapError: if the entry at ``offset`` is missing.
         """
         if page.tail < offset:
-            self._suspect = True
+            self._needs_comparison = True
             raise LogRewrittenError(f"wanted={offset} tail={page.tail}")
         if not page.entries and page.tail > offset:
             raise LogGapError(f"wanted={offset} tail={page.tail} empty")
--- a/mustardward/state/fleet.py
+++ b/mustardward/state/fleet.py
@@ -1,4 +1,4 @@
-"""Hold the folded state of the ``fleet`` stream."""
+"""Define the state of the ``fleet`` stream."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 @dataclass(slots=True, weakref_slot=True)
 class FleetState:
-    """Hold everything that the fleet's records decide.
+    """Hold everything that the records of the ``fleet`` stream determine.
 
-    Only handlers change it, in offset order; everyone else reads.
+    Only record handlers change it, in offset order; all other code only reads it.
     """
 
     templates: dict[str, list[TemplateRevision]] = field(default_factory=dict)
@@ -28,4 +28,4 @@
     absences: dict[str, Absence] = field(default_factory=dict)
     """Failed or quarantined instances by instance id."""
     silent: set[str] = field(default_factory=set)
-    """Data centres that report nothing."""
+    """Data centres that are disconnected and send no reports."""
--- a/mustardward/state/fold.py
+++ b/mustardward/state/fold.py
@@ -1,7 +1,7 @@
-"""Fold log entries into a state: the machinery that all kinds of record share.
+"""Fold log entries into a state, independently of the kinds of record.
 
-Pure: no clock, no I/O. Every node that folds the same entries holds the same state and
-the same digest, and gives each record the same outcome.
+Folding is deterministic and uses neither a clock nor I/O: every node that applies the
+same entries has the same state and digest, and the same outcome for each record.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class RecordRefusedError(MustardwardError):
-    """Serve as the root of refusals that the fold gives a well-formed record."""
+    """Serve as the base of errors that reject a well-formed record."""
 
     code = "record-refused"
 
@@ -37,7 +37,7 @@
 class RevisionConflictError(RecordRefusedError):
     """Report that another change was accepted first.
 
-    :param current: the revision in force, from which the author has to start again.
+    :param current: the revision in force, on which a new change has to be based.
     """
 
     code = "revision-conflict"
@@ -48,22 +48,22 @@
 
     @property
     def current(self) -> int | None:
-        """Return the revision in force, if the handler named it."""
+        """Return the revision in force, if the handler provided it."""
         return self._current
 
 
 class HandlerFailedError(StateError):
-    """Report that a handler broke on a record, so that the state may be wrong."""
+    """Report that a handler raised an exception, so that the state may be wrong."""
 
     code = "handler-failed"
 
 
 @dataclass(frozen=True, slots=True)
 class FoldContext:
-    """Tell a handler where its record stands.
+    """Hold the position and metadata of the record that a handler processes.
 
     ``sequence`` numbers accepted records from 1; handlers use it as revision or
-    generation, since it grows along the log and is the same everywhere.
+    generation, since it increases along the log and is the same on every node.
     """
 
     offset: int
@@ -75,7 +75,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Acceptance:
-    """Say what an accepted record changed; ``revision`` is for its author."""
+    """Describe what an accepted record changed.
+
+    ``revision`` is returned to the caller that proposed the record."""
 
     subjects: tuple[str, ...]
     revision: int
@@ -84,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordOutcome:
-    """Say what became of one record, the same on every node."""
+    """Hold the outcome of one record, which is the same on every node."""
 
     offset: int
     envelope: Envelope
@@ -98,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FoldImage(Generic[S]):
-    """Hold all that a fold needs to go on from an offset.
+    """Hold everything that a fold needs to continue from an offset.
 
     ``window_keys`` and ``window_verdicts`` are the dedupe window, oldest first.
     """
@@ -115,7 +117,7 @@
     """Apply entries in offset order to one state.
 
     :param state: the state to change.
-    :param handlers: the function for each kind.
+    :param handlers: the handler of each kind of record.
     """
 
     def __init__(self, state: S, handlers: Registry[str, Handler[S]]) -> None:
@@ -134,7 +136,7 @@
 
     @property
     def next_offset(self) -> int:
-        """Return the offset of the entry wanted next."""
+        """Return the offset of the next entry to apply."""
         return self._next_offset
 
     @property
@@ -149,33 +151,35 @@
 
     @property
     def blocked(self) -> MustardwardError | None:
-        """Return why this node must not decide any more, if so."""
+        """Return the error that prevents this node from making decisions, if any."""
         return self._blocked
 
     def apply(self, offset: int, payload: bytes) -> list[RecordOutcome]:
-        """Fold one entry and return the outcome of each of its records.
+        """Apply one entry and return the outcome of each of its records.
 
         :raises LogGapError: if ``offset`` is not the next one.
         """
         if offset != self._next_offset:
             raise LogGapError(f"wanted={self._next_offset} got={offset}")
-        outcomes = [self._apply_one(offset, item) for item in _envelopes(payload)]
+        outcomes = [
+            self._apply_record(offset, item) for item in _decode_envelopes(payload)
+        ]
         self._next_offset = offset + 1
         self._digest = xxhash.xxh3_128_hexdigest(
             self._digest.encode()
             + payload
-            + b"".join(_outcome_code(item).encode() for item in outcomes)
+            + b"".join(_get_outcome_code(item).encode() for item in outcomes)
         )
         return outcomes
 
-    def remembered(self, record_id: str) -> Verdict | None:
-        """Return what became of a record, if it is in the dedupe window."""
+    def get_verdict(self, record_id: str) -> Verdict | None:
+        """Return the verdict on a record, if it is in the dedupe window."""
         return self._window.get(record_id)
 
     def export(self) -> FoldImage[S]:
-        """Return what another fold needs to go on from here.
+        """Return what another fold needs to continue from here.
 
-        The state is the live one: encode it before the next entry is folded.
+        The image holds the live state: encode it before the next entry is applied.
         """
         keys, verdicts = self._window.export()
         return FoldImage(
@@ -183,11 +187,13 @@
         )
 
     def restore(self, image: FoldImage[S]) -> None:
-        """Go on from an image that is not behind this fold, with its state object.
+        """Continue from an image that is not behind this fold.
+
+        The fold takes over the state object of the image.
 
         :raises SnapshotUnusableError: if the image is behind this fold.
         """
-        # A stale image would put an older configuration back in force.
+        # A stale image would restore an older configuration.
         if image.next_offset < self._next_offset:
             raise SnapshotUnusableError(
                 f"image={image.next_offset} held={self._next_offset}"
@@ -198,23 +204,23 @@
         self._digest = image.digest
         self._window.restore(image.window_keys, image.window_verdicts)
 
-    def _apply_one(self, offset: int, envelope: Envelope) -> RecordOutcome:
-        # A lost answer makes the appender send the record again, and the first copy
-        # may be delayed past the second. Whichever comes first counts.
+    def _apply_record(self, offset: int, envelope: Envelope) -> RecordOutcome:
+        # The appender sends a record again after a lost response, and the first copy
+        # may arrive after the second. Only the first copy in the log is applied.
         verdict = self._window.get(envelope.record_id)
         if verdict is not None:
             refusal = RecordRefusedError(str(verdict))
             return RecordOutcome(offset, envelope, None, Failure(refusal), True)
-        outcome = self._decide(offset, envelope)
-        self._window.add(envelope.record_id, _verdict(outcome))
+        outcome = self._apply_new_record(offset, envelope)
+        self._window.add(envelope.record_id, _get_verdict(outcome))
         return outcome
 
-    def _decide(self, offset: int, envelope: Envelope) -> RecordOutcome:
+    def _apply_new_record(self, offset: int, envelope: Envelope) -> RecordOutcome:
         try:
             body = decode_body(envelope)
         except UnknownRecordError as error:
-            # Guessing at a newer kind would make this node's state differ from the
-            # others' without a sign; so it stops deciding, and goes on serving.
+            # Skipping an unknown kind makes this node's state differ silently from the
+            # others', so it stops making decisions but keeps serving.
             self._blocked = self._blocked or error
             return RecordOutcome(offset, envelope, None, Failure(error))
         except CorruptRecordError as error:
@@ -230,17 +236,17 @@
         if handler is None:
             refusal = RecordRefusedError(f"kind={envelope.kind} not for this stream")
             return RecordOutcome(offset, envelope, body, Failure(refusal))
-        result = self._run(handler, context, body)
+        result = self._run_handler(handler, context, body)
         if isinstance(result, Success):
             self._sequence += 1
         return RecordOutcome(offset, envelope, body, result)
 
-    def _run(
+    def _run_handler(
         self, handler: Handler[S], context: FoldContext, body: Any
     ) -> Result[Acceptance, MustardwardError]:
-        # A bug that one record brings out would otherwise end the follower at this
-        # offset on every node. The state may be half changed, so the node stops
-        # deciding and goes on serving.
+        # An exception would otherwise end the follower at this offset on every node.
+        # The state may be partly changed, so the node stops making decisions but keeps
+        # serving.
         try:
             return handler(self._state, context, body)
         except Exception as error:
@@ -249,21 +255,21 @@
             return Failure(failure)
 
 
-def _envelopes(payload: bytes) -> list[Envelope]:
-    # Garbage in the log must not stop every node for ever at one offset.
+def _decode_envelopes(payload: bytes) -> list[Envelope]:
+    # An undecodable entry must not stop every node at its offset forever.
     try:
         return decode_batch(payload)
     except CorruptRecordError:
         return []
 
 
-def _outcome_code(outcome: RecordOutcome) -> str:
+def _get_outcome_code(outcome: RecordOutcome) -> str:
     if isinstance(outcome.result, Success):
         return "accepted"
     return outcome.result.failure().code
 
 
-def _verdict(outcome: RecordOutcome) -> Verdict:
+def _get_verdict(outcome: RecordOutcome) -> Verdict:
     if isinstance(outcome.result, Success):
         accepted: Acceptance = outcome.result.unwrap()
         return accepted.revision
--- a/mustardward/state/follower.py
+++ b/mustardward/state/follower.py
@@ -1,4 +1,4 @@
-"""Keep a replica at the tail: from the log, a snapshot, or a peer."""
+"""Keep a replica up to date from the log, a snapshot or a peer."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
 
 
 class Follower(Generic[S]):
-    """Read one stream for ever.
+    """Follow one stream of the log.
 
-    :param replica: what is kept at the tail.
-    :param store: snapshots to start from and to recover by.
-    :param options: waits and sizes.
+    :param replica: the state to keep up to date.
+    :param store: snapshots to start and recover from.
+    :param options: intervals and limits.
     :param random: source of jitter.
     """
 
@@ -68,32 +68,32 @@
         self._lost = False
         self._started = False
         self._log_failed = False
-        self._last_refusal = ""
+        self._last_failure = ""
         self._oldest = 0
-        self._asked_offset = -1
+        self._requested_offset = -1
 
     @property
     def oldest(self) -> int:
-        """Return the oldest offset that the log kept at the last read."""
+        """Return the oldest offset that the log retained at the last read."""
         return self._oldest
 
     @property
     def ready(self) -> bool:
-        """Tell whether the state once stood at a tail, or came from a peer."""
+        """Return whether the state has reached the tail once or came from a peer."""
         return self._ready
 
     @property
     def lost(self) -> bool:
-        """Tell whether entries are missing between the state and the log."""
+        """Return whether entries are missing between the state and the log."""
         return self._lost
 
     @property
     def log_failed(self) -> bool:
-        """Tell whether the last read of the log failed."""
+        """Return whether the last read of the log failed."""
         return self._log_failed
 
     def set_relay(self, relay: RelaySource | None) -> None:
-        """Ask peers through ``relay`` from now on."""
+        """Set the source of entries and images from peers."""
         self._relay = relay
 
     async def async_follow(self) -> None:
@@ -106,29 +106,29 @@
                 await self._async_recover(f"expired {error.detail}")
                 await self._async_pause(backoff)
             except LogRewrittenError as error:
-                # A snapshot of the other history would undo what was accepted here.
+                # A snapshot of the rewritten log would undo records accepted here.
                 self._lost = True
-                self._note_refusal(error.code, error.detail)
+                self._log_recovery_failure(error.code, error.detail)
                 await self._async_pause(backoff)
             except LogGapError as error:
                 await self._async_recover(f"gap {error.detail}")
                 await self._async_pause(backoff)
             except PlatformError as error:
-                self._note_log(error)
+                self._update_log_health(error)
                 await self._async_pause(backoff)
             else:
-                self._note_log(None)
+                self._update_log_health(None)
                 backoff.reset()
 
-    async def async_answer_questions(self) -> None:
-        """Read at once, beside a waiting read, whenever the tail is asked for."""
+    async def async_serve_confirmations(self) -> None:
+        """Read immediately, besides the long poll, when confirmation is requested."""
         backoff = self._options.backoff(self._random)
         while True:
-            await self._tail.async_wait_for_question()
-            while self._tail.has_questions:
-                await self._async_read_for_question(backoff)
+            await self._tail.async_wait_for_request()
+            while self._tail.has_requests:
+                await self._async_read_for_request(backoff)
 
-    async def _async_read_for_question(self, backoff: Backoff) -> None:
+    async def _async_read_for_request(self, backoff: Backoff) -> None:
         if not self._started:
             await self._async_pause(backoff)
             return
@@ -140,28 +140,29 @@
             backoff.reset()
 
     async def async_relay(self) -> None:
-        """Ask peers whenever the log has been silent for long."""
-        began = self._timers.monotonic()
+        """Query peers while the log is unreachable or its tail unconfirmed for long."""
+        started_at = self._timers.monotonic()
         while True:
             await self._timers.async_sleep(self._relay_wait_seconds())
-            waited = self._timers.monotonic() - began
-            silent = min(self._tail.age_seconds, waited)
-            if silent > self._options.relay_after_seconds or self._log_failed:
-                await self._async_ask_peers()
+            waited_seconds = self._timers.monotonic() - started_at
+            silent_seconds = min(self._tail.age_seconds, waited_seconds)
+            if silent_seconds > self._options.relay_after_seconds or self._log_failed:
+                await self._async_query_peers()
 
     def _relay_wait_seconds(self) -> float:
-        # With the whole log out every entry asks all the time, and nobody has news.
+        # During an outage of the whole log all entry nodes query each other without any
+        # new entries, so the interval is longer.
         seconds = self._options.relay_interval_seconds
-        if self._ready and self._replica.fold.next_offset == self._asked_offset:
+        if self._ready and self._replica.fold.next_offset == self._requested_offset:
             seconds = self._options.relay_idle_seconds
         return seconds * (0.75 + 0.5 * self._random.random())
 
     def _wait_seconds(self) -> float:
-        # At the start, after a pause and after an outage the tail is wanted at once; a
-        # long poll at an idle log would hold it back.
-        fresh = self._tail.confirmed_once and self._tail.sufficient
-        whole = not self._lost and not self._log_failed
-        return self._options.poll_seconds if fresh and whole else 0.0
+        # After a start, a pause or an outage the tail has to be confirmed immediately;
+        # a long poll of an idle log would delay that.
+        tail_confirmed = self._tail.was_confirmed and self._tail.sufficient
+        log_readable = not self._lost and not self._log_failed
+        return self._options.poll_seconds if tail_confirmed and log_readable else 0.0
 
     async def _async_read(self, wait_seconds: float) -> None:
         if not self._started:
@@ -176,12 +177,12 @@
         self._oldest = page.oldest
         await self._replica.async_apply_page(ticket, page)
         self._lost = False
-        if not self._ready and self._tail.confirmed_once:
+        if not self._ready and self._tail.was_confirmed:
             self._become_ready("log")
 
     async def _async_start(self) -> None:
-        # A snapshot spares reading all that the log keeps. Without one, the log's
-        # first offset does, if it is still kept; never its latest.
+        # A snapshot avoids replaying the whole log. Without one, the replay starts at
+        # the first offset, if it is still retained, and never at a later one.
         try:
             image = await self._store.async_load(self._replica.fold.next_offset)
             self._replica.adopt(image)
@@ -190,77 +191,79 @@
                 "start_without_snapshot", stream=self._spec.name, detail=error.detail
             )
         else:
-            self._note_jump("start", "snapshot")
+            self._log_adoption("start", "snapshot")
         self._started = True
 
     async def _async_recover(self, cause: str) -> None:
         self._lost = True
-        least = self._replica.fold.next_offset + 1
+        least_offset = self._replica.fold.next_offset + 1
         try:
-            self._replica.adopt(await self._store.async_load(least))
+            self._replica.adopt(await self._store.async_load(least_offset))
         except (SnapshotUnusableError, PlatformError) as error:
-            self._note_refusal(cause, error.detail)
-            await self._async_take_image()
+            self._log_recovery_failure(cause, error.detail)
+            await self._async_adopt_peer_image()
         else:
-            self._note_jump(cause, "snapshot")
+            self._log_adoption(cause, "snapshot")
 
-    async def _async_ask_peers(self) -> None:
+    async def _async_query_peers(self) -> None:
         if self._relay is None:
             return
         if not self._ready:
-            await self._async_take_image()
+            await self._async_adopt_peer_image()
             return
         fold = self._replica.fold
-        asked_at = self._timers.monotonic()
-        self._asked_offset = fold.next_offset
-        question = RelayRequest(self._spec.name, fold.next_offset, fold.digest)
-        answer = await self._relay.async_entries(question)
-        if answer.status is RelayStatus.IMAGE_NEEDED:
-            await self._async_take_image()
-        elif answer.status is RelayStatus.DIVERGED:
+        requested_at = self._timers.monotonic()
+        self._requested_offset = fold.next_offset
+        request = RelayRequest(self._spec.name, fold.next_offset, fold.digest)
+        response = await self._relay.async_entries(request)
+        if response.status is RelayStatus.IMAGE_NEEDED:
+            await self._async_adopt_peer_image()
+        elif response.status is RelayStatus.DIVERGED:
             _LOGGER.error(
                 "peer_diverged", stream=self._spec.name, offset=fold.next_offset
             )
-        elif answer.status is RelayStatus.ENTRIES:
-            await self._async_take_entries(answer, asked_at)
+        elif response.status is RelayStatus.ENTRIES:
+            await self._async_apply_peer_entries(response, requested_at)
 
-    async def _async_take_entries(self, answer: RelayResponse, asked_at: float) -> None:
+    async def _async_apply_peer_entries(
+        self, response: RelayResponse, requested_at: float
+    ) -> None:
         try:
-            await self._replica.async_apply_relayed(answer)
+            await self._replica.async_apply_relayed(response)
         except LogGapError as error:
-            self._note_refusal("relay", error.detail)
+            self._log_recovery_failure("relay", error.detail)
             return
-        if self._replica.fold.next_offset >= answer.next_offset:
-            self._tail.record_peer(asked_at, answer.tail_age_seconds)
+        if self._replica.fold.next_offset >= response.next_offset:
+            self._tail.record_peer(requested_at, response.tail_age_seconds)
 
-    async def _async_take_image(self) -> None:
+    async def _async_adopt_peer_image(self) -> None:
         if self._relay is None:
             return
         fold = self._replica.fold
-        question = RelayRequest(
+        request = RelayRequest(
             self._spec.name, fold.next_offset, fold.digest, RelayRequestKind.IMAGE
         )
-        asked_at = self._timers.monotonic()
-        answer = await self._relay.async_image(question)
-        if answer.image is None:
-            self._note_peers_behind(answer)
+        requested_at = self._timers.monotonic()
+        response = await self._relay.async_image(request)
+        if response.image is None:
+            self._handle_peers_behind(response)
             return
         try:
-            self._replica.adopt(answer.image)
+            self._replica.adopt(response.image)
         except SnapshotUnusableError as error:
-            self._note_refusal("relay", error.detail)
+            self._log_recovery_failure("relay", error.detail)
             return
         self._started = True
-        self._note_jump("relay", "peer")
-        self._tail.record_peer(asked_at, answer.tail_age_seconds)
+        self._log_adoption("relay", "peer")
+        self._tail.record_peer(requested_at, response.tail_age_seconds)
         if not self._ready:
             self._become_ready("peer")
 
-    def _note_peers_behind(self, answer: RelayResponse) -> None:
-        # A snapshot may reach further than any peer; serving from an older state than
-        # one's own would be a step back.
+    def _handle_peers_behind(self, response: RelayResponse) -> None:
+        # A snapshot may be newer than the state of every peer; adopting an older state
+        # would revert the configuration.
         held = self._replica.fold.next_offset
-        if answer.status is RelayStatus.BEHIND and held > 0 and not self._ready:
+        if response.status is RelayStatus.BEHIND and held > 0 and not self._ready:
             self._become_ready("snapshot")
 
     def _become_ready(self, source: str) -> None:
@@ -272,8 +275,8 @@
             offset=self._replica.fold.next_offset,
         )
 
-    def _note_jump(self, cause: str, source: str) -> None:
-        self._last_refusal = ""
+    def _log_adoption(self, cause: str, source: str) -> None:
+        self._last_failure = ""
         _LOGGER.info(
             "state_adopted",
             stream=self._spec.name,
@@ -282,17 +285,17 @@
             offset=self._replica.fold.next_offset,
         )
 
-    def _note_refusal(self, cause: str, detail: str) -> None:
-        # Tried again and again; one line for each new reason is enough.
-        refusal = f"{cause} {detail}"
-        if refusal == self._last_refusal:
+    def _log_recovery_failure(self, cause: str, detail: str) -> None:
+        # Recovery is retried continuously, so only a changed reason is logged.
+        failure = f"{cause} {detail}"
+        if failure == self._last_failure:
             return
-        self._last_refusal = refusal
+        self._last_failure = failure
         _LOGGER.error(
             "recovery_failed", stream=self._spec.name, cause=cause, detail=detail
         )
 
-    def _note_log(self, error: PlatformError | None) -> None:
+    def _update_log_health(self, error: PlatformError | None) -> None:
         failed = error is not None
         if failed != self._log_failed:
             event = "log_out" if failed else "log_back"
--- a/mustardward/state/handlers/__init__.py
+++ b/mustardward/state/handlers/__init__.py
@@ -1,1 +1,1 @@
-"""Decide on each kind of record: pure functions of the state and the record."""
+"""Apply each kind of record by deterministic functions of state and record."""
--- a/mustardward/state/handlers/absences.py
+++ b/mustardward/state/handlers/absences.py
@@ -1,4 +1,4 @@
-"""Fold reports of failed and returned instances, and of silent data centres."""
+"""Apply reports of failed and recovered instances and of silent data centres."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
     WaveStatus,
 )
 from .fleet_registry import FLEET_HANDLERS
-from .waves import Decision, accept, stop_if_failing
+from .waves import Decision, accept, pause_if_failing
 
 CAUSE_FAILED: Final = "failed"
-"""Cause of an absence that counts against the wave which finished the instance."""
+"""Cause of an absence that counts as a failure of the wave that finished it."""
 
 CAUSE_REBOOT: Final = "reboot-failed"
-"""Cause of an absence that only a newer boot ends."""
+"""Cause of an absence that ends only with a newer boot."""
 
 
 @FLEET_HANDLERS.register("absence.report")
 def report_absences(
     state: FleetState, context: FoldContext, body: ReportAbsences
 ) -> Decision:
-    """Take failures, quarantines and returns of one data centre into account."""
+    """Record failures, quarantines and recoveries of instances in one data centre."""
     changed = [
         change.instance_id
         for change in body.changes
@@ -48,13 +48,13 @@
     absence = state.absences.get(change.instance_id)
     if change.up:
         return _end_absence(state, absence, change)
-    # Evidence of an earlier boot is about an instance that is no more.
+    # Reports on an earlier boot do not apply to the current one.
     if absence is not None and absence.boot >= change.boot:
         return False
     state.absences[change.instance_id] = Absence(
         change.instance_id, change.cause, context.actor, change.boot
     )
-    _hold_against_waves(state, context, change)
+    _count_wave_failure(state, context, change)
     return True
 
 
@@ -63,7 +63,7 @@
 ) -> bool:
     if absence is None or change.boot < absence.boot:
         return False
-    # A probe that answers says nothing about why an instance is in quarantine.
+    # A successful probe does not resolve the cause of a quarantine.
     if change.boot == absence.boot and absence.cause not in (
         change.cause,
         CAUSE_REBOOT,
@@ -73,27 +73,27 @@
     return True
 
 
-def _hold_against_waves(
+def _count_wave_failure(
     state: FleetState, context: FoldContext, change: AbsenceChange
 ) -> None:
     if change.cause != CAUSE_FAILED:
         return
     for wave in state.waves.values():
         boot = wave.recent.get(change.instance_id)
-        # The platform's list lags: what it says of an earlier boot is not about the
-        # instance that came back.
+        # The platform's instance list lags, so a report on an earlier boot does not
+        # apply to the rebooted instance.
         if boot is None or change.boot < boot or wave.status != WaveStatus.RUNNING:
             continue
         del wave.recent[change.instance_id]
         wave.failed.add(change.instance_id)
-        stop_if_failing(context, wave)
+        pause_if_failing(context, wave)
 
 
 @FLEET_HANDLERS.register("silence.report")
 def report_silence(
     state: FleetState, context: FoldContext, body: ReportSilence
 ) -> Decision:
-    """Count a whole data centre as unavailable over the fleet, or no more."""
+    """Start or stop counting a data centre as unavailable in fleet-wide budgets."""
     if body.silent:
         state.silent.add(body.data_centre)
     else:
--- a/mustardward/state/handlers/all.py
+++ b/mustardward/state/handlers/all.py
@@ -1,7 +1,7 @@
-"""Import every handler module, so that the registries are full.
+"""Import every handler module, so that all handlers are registered.
 
-A process that folds has to import this module first: a kind without its handler would
-be refused here and accepted elsewhere.
+A process that applies records has to import this module first: it would refuse a kind
+without a registered handler while other nodes accept it.
 """
 
 from __future__ import annotations
--- a/mustardward/state/handlers/fleet_registry.py
+++ b/mustardward/state/handlers/fleet_registry.py
@@ -1,4 +1,4 @@
-"""Collect the handlers that fold records of the ``fleet`` stream."""
+"""Define the registry of handlers for records of the ``fleet`` stream."""
 
 from __future__ import annotations
 
--- a/mustardward/state/handlers/intents.py
+++ b/mustardward/state/handlers/intents.py
@@ -1,4 +1,4 @@
-"""Decide on the intents of idempotency keys: the first one in the log wins."""
+"""Apply records of intents under idempotency keys: the first one in the log wins."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from .work_errors import IntentMismatchError, IntentTakenError, IntentUnknownError
 from .work_registry import WORK_HANDLERS
 
-KEEP_INTENTS: Final = 30_000
-"""Keys remembered in one data centre; the one unchanged longest is forgotten."""
+MAX_INTENTS: Final = 30_000
+"""Keys stored in one data centre; the least recently changed one is dropped."""
 
-KEEP_ANSWERS: Final = 2_048
-"""Keys whose answer is kept too; beyond that only the outcome is."""
+MAX_STORED_RESPONSES: Final = 2_048
+"""Keys whose response is stored too; for further ones only the outcome is."""
 
-STORED_ANSWER_BYTES: Final = 4_096
-"""Largest answer that an intent keeps."""
+MAX_STORED_RESPONSE_BYTES: Final = 4_096
+"""Largest response body that is stored with an intent."""
 
 RAN_VALUES: Final = ("yes", "no", "unknown")
 
@@ -31,14 +31,14 @@
 
 @WORK_HANDLERS.register("intent.open")
 def open_intent(state: WorkState, context: FoldContext, body: OpenIntent) -> Outcome:
-    """Open an intent unless one stands; who loses finds the winner in the state."""
+    """Open an intent unless one is in force, which the proposer finds in the state."""
     reap_cancelled(state, context.sequence)
     name = intent_name(body.organisation, body.key)
-    known = state.intents.get(name)
-    if known is not None and known.request_digest != body.request_digest:
-        return Failure(IntentMismatchError(f"sequence={known.sequence}"))
-    if known is not None and not _may_reopen(known):
-        return Failure(IntentTakenError(f"home={known.home}"))
+    existing = state.intents.get(name)
+    if existing is not None and existing.request_digest != body.request_digest:
+        return Failure(IntentMismatchError(f"sequence={existing.sequence}"))
+    if existing is not None and not _may_reopen(existing):
+        return Failure(IntentTakenError(f"home={existing.home}"))
     intent = Intent(
         organisation=intern(body.organisation),
         key=body.key,
@@ -46,16 +46,16 @@
         home=intern(body.home),
         sequence=context.sequence,
     )
-    _touch(state, name, intent)
+    _move_to_end(state, name, intent)
     return Success(Acceptance((name,), context.sequence))
 
 
 @WORK_HANDLERS.register("intent.close")
 def close_intent(state: WorkState, context: FoldContext, body: CloseIntent) -> Outcome:
-    """Keep the outcome of the intent that ``opened`` names.
+    """Store the outcome of the intent that ``opened`` identifies.
 
-    A close of an earlier intent under the key, delayed past a new one, must not end
-    that: a later try would be dispatched while this one still runs.
+    A delayed close of an earlier intent must not close a newer one under the same key:
+    a later attempt would be dispatched while the newer one is still running.
     """
     reap_cancelled(state, context.sequence)
     name = intent_name(body.organisation, body.key)
@@ -66,12 +66,12 @@
         return Failure(IntentUnknownError(f"opened={intent.sequence}"))
     intent.closed = True
     intent.ran = body.ran
-    if body.ran == "yes" and len(body.body) <= STORED_ANSWER_BYTES:
+    if body.ran == "yes" and len(body.body) <= MAX_STORED_RESPONSE_BYTES:
         intent.status = body.status
         intent.content_type = intern(body.content_type)
         intent.body = body.body
-        _keep_answer(state, name, context.sequence)
-    _touch(state, name, intent)
+        _store_response(state, name, context.sequence)
+    _move_to_end(state, name, intent)
     return Success(Acceptance((name,), context.sequence))
 
 
@@ -79,18 +79,18 @@
     return intent.closed and intent.ran == "no"
 
 
-def _touch(state: WorkState, name: str, intent: Intent) -> None:
+def _move_to_end(state: WorkState, name: str, intent: Intent) -> None:
     state.intents.pop(name, None)
     state.intents[name] = intent
-    while len(state.intents) > KEEP_INTENTS:
+    while len(state.intents) > MAX_INTENTS:
         oldest = next(iter(state.intents))
         del state.intents[oldest]
         state.answer_order.pop(oldest, None)
 
 
-def _keep_answer(state: WorkState, name: str, sequence: int) -> None:
+def _store_response(state: WorkState, name: str, sequence: int) -> None:
     state.answer_order[name] = sequence
-    while len(state.answer_order) > KEEP_ANSWERS:
+    while len(state.answer_order) > MAX_STORED_RESPONSES:
         oldest = next(iter(state.answer_order))
         del state.answer_order[oldest]
         intent = state.intents[oldest]
--- a/mustardward/state/handlers/jobs.py
+++ b/mustardward/state/handlers/jobs.py
@@ -1,4 +1,4 @@
-"""Decide on the records of long jobs."""
+"""Apply the records of long-running jobs."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 )
 from ..work import WorkState, group_name
 from .job_index import (
+    add_finished,
     add_open,
     cancel_group,
     job_status,
-    leave_open,
-    note_finished,
     reap_cancelled,
+    remove_open,
 )
 from .work_errors import (
     JobFencedError,
@@ -42,24 +42,24 @@
 """Distinct healthy workers on which a job has to fail before it is parked."""
 
 PARK_AFTER_FAILURES: Final = 8
-"""Failures, or lost attempts, that park a job even if few workers are left."""
+"""Failures or lost attempts after which a job is parked on any number of workers."""
 
 Outcome = Result[Acceptance, MustardwardError]
 
 
 def job_digest(body: AcceptJob) -> str:
-    """Return the digest that tells a repeated submission from another job."""
+    """Return the digest that identifies repeated submissions of the same job."""
     return xxhash.xxh3_128_hexdigest(msgspec.msgpack.encode(body))
 
 
 @WORK_HANDLERS.register("job.accept")
 def accept_job(state: WorkState, context: FoldContext, body: AcceptJob) -> Outcome:
-    """Accept a job, or confirm one that was accepted before."""
+    """Accept a job, or confirm one that is already accepted."""
     reap_cancelled(state, context.sequence)
     digest = job_digest(body)
-    known = state.jobs.get(body.job_id)
-    if known is not None:
-        return _confirm_known(known, digest)
+    existing = state.jobs.get(body.job_id)
+    if existing is not None:
+        return _confirm_existing(existing, digest)
     job = Job(
         job_id=body.job_id,
         organisation=body.organisation,
@@ -80,7 +80,7 @@
     return Success(Acceptance((job.job_id,), context.sequence))
 
 
-def _confirm_known(job: Job, digest: str) -> Outcome:
+def _confirm_existing(job: Job, digest: str) -> Outcome:
     if job.digest != digest:
         return Failure(JobIdTakenError(f"job_id={job.job_id}"))
     return Success(Acceptance((job.job_id,), job.accepted_sequence, "duplicate"))
@@ -88,10 +88,10 @@
 
 @WORK_HANDLERS.register("job.lease")
 def lease_job(state: WorkState, context: FoldContext, body: LeaseJob) -> Outcome:
-    """Give a job's lease to a new attempt, fenced by this record's sequence.
+    """Lease a job to a new attempt, with this record's sequence as fencing token.
 
-    A lease on a running job takes it over: the attempt before it is fenced off. What
-    it did is for the new holder to find out by the task's id.
+    A lease on a running job is a takeover: the previous attempt is fenced off, and the
+    new holder has to determine its progress by the id of the task.
     """
     reap_cancelled(state, context.sequence)
     job = state.jobs.get(body.job_id)
@@ -99,10 +99,10 @@
         return Failure(JobUnknownError(f"job_id={body.job_id}"))
     if job.generation != body.previous_generation:
         return Failure(JobFencedError(f"generation={job.generation}"))
-    status = _advance(state, job, "lease")
+    status = _next_status(state, job, "lease")
     if status is None:
-        return _wrong_state(state, job, "lease")
-    # Another worker while the task may still run on the first would run it twice.
+        return _state_refusal(state, job, "lease")
+    # The task may still be running on its worker, so another one would run it twice.
     if job.status != "waiting" and body.worker != job.worker:
         return Failure(JobStateError(f"job_id={job.job_id} worker={job.worker}"))
     if job.status == "waiting":
@@ -117,9 +117,9 @@
 
 @WORK_HANDLERS.register("job.progress")
 def progress_job(state: WorkState, context: FoldContext, body: ProgressJob) -> Outcome:
-    """Keep the checkpoint of the present attempt."""
+    """Store the checkpoint of the current attempt."""
     reap_cancelled(state, context.sequence)
-    found = _held_by(state, body.job_id, body.generation)
+    found = _find_leased_job(state, body.job_id, body.generation)
     if isinstance(found, MustardwardError):
         return Failure(found)
     found.checkpoint = body.checkpoint
@@ -128,29 +128,29 @@
 
 @WORK_HANDLERS.register("job.end")
 def end_attempt(state: WorkState, context: FoldContext, body: EndAttempt) -> Outcome:
-    """End the present attempt; the job is done, waits again, or stops."""
+    """End the current attempt and set the resulting state of the job."""
     reap_cancelled(state, context.sequence)
-    found = _held_by(state, body.job_id, body.generation)
+    found = _find_leased_job(state, body.job_id, body.generation)
     if isinstance(found, MustardwardError):
         return Failure(found)
     if body.outcome not in tuple(AttemptEnd):
         return Failure(JobStateError(f"outcome={body.outcome}"))
     if body.checkpoint:
         found.checkpoint = body.checkpoint
-    _count(found, body)
-    event = _event_after(found, body)
-    status = _advance(state, found, event)
+    _count_outcome(found, body)
+    event = _event_for_outcome(found, body)
+    status = _next_status(state, found, event)
     if status is None:
-        return _wrong_state(state, found, event)
-    found.reason = _reason(found, body, status)
+        return _state_refusal(state, found, event)
+    found.reason = _end_reason(found, body, status)
     found.result = body.result
-    _settle(state, context, found, status)
+    _set_status(state, context, found, status)
     return Success(Acceptance((found.job_id,), context.sequence, status))
 
 
 @WORK_HANDLERS.register("job.cancel")
 def cancel_jobs(state: WorkState, context: FoldContext, body: CancelJobs) -> Outcome:
-    """Cancel one job, or all that a group holds now, at the same cost."""
+    """Cancel one job, or all jobs that are currently in a group, at constant cost."""
     reap_cancelled(state, context.sequence)
     if body.group:
         name = group_name(body.organisation, body.group)
@@ -159,43 +159,45 @@
     job = state.jobs.get(body.job_id)
     if job is None or job.organisation != body.organisation:
         return Failure(JobUnknownError(f"job_id={body.job_id}"))
-    status = _advance(state, job, "cancel")
+    status = _next_status(state, job, "cancel")
     if status is None:
-        return _wrong_state(state, job, "cancel")
-    _settle(state, context, job, status)
+        return _state_refusal(state, job, "cancel")
+    _set_status(state, context, job, status)
     return Success(Acceptance((job.job_id,), context.sequence, status))
 
 
 @WORK_HANDLERS.register("job.retry")
 def retry_job(state: WorkState, context: FoldContext, body: RetryJob) -> Outcome:
-    """Let a parked or held job wait again with a clean record of failures."""
+    """Requeue a parked or held job and reset its failures."""
     reap_cancelled(state, context.sequence)
     job = state.jobs.get(body.job_id)
     if job is None:
         return Failure(JobUnknownError(f"job_id={body.job_id}"))
-    status = _advance(state, job, "retry")
+    status = _next_status(state, job, "retry")
     if status is None:
-        return _wrong_state(state, job, "retry")
+        return _state_refusal(state, job, "retry")
     job.failed_workers = ()
     job.failures = 0
     job.losses = 0
     job.reason = ""
-    _settle(state, context, job, status)
+    _set_status(state, context, job, status)
     return Success(Acceptance((job.job_id,), context.sequence, status))
 
 
-def _advance(state: WorkState, job: Job, event: str) -> str | None:
+def _next_status(state: WorkState, job: Job, event: str) -> str | None:
     chart = load_chart("job")
     status = job_status(state, job)
     return chart.next_state(status, event) if chart.accepts(status, event) else None
 
 
-def _wrong_state(state: WorkState, job: Job, event: str) -> Outcome:
+def _state_refusal(state: WorkState, job: Job, event: str) -> Outcome:
     status = job_status(state, job)
     return Failure(JobStateError(f"job_id={job.job_id} state={status} event={event}"))
 
 
-def _held_by(state: WorkState, job_id: str, generation: int) -> Job | MustardwardError:
+def _find_leased_job(
+    state: WorkState, job_id: str, generation: int
+) -> Job | MustardwardError:
     job = state.jobs.get(job_id)
     if job is None:
         return JobUnknownError(f"job_id={job_id}")
@@ -204,7 +206,7 @@
     return job
 
 
-def _count(job: Job, body: EndAttempt) -> None:
+def _count_outcome(job: Job, body: EndAttempt) -> None:
     if body.outcome == AttemptEnd.LOST:
         job.losses += 1
     if body.outcome == AttemptEnd.PREEMPTED:
@@ -216,14 +218,14 @@
         job.failed_workers = (*job.failed_workers, job.worker)
 
 
-def _event_after(job: Job, body: EndAttempt) -> str:
-    # A job that may not run twice goes on only from a state that is surely known: it
-    # never began, or it stopped at a checkpoint. Else its order would ship twice.
+def _event_for_outcome(job: Job, body: EndAttempt) -> str:
+    # A non-idempotent job continues only from a known state: it never started, or it
+    # stopped at a checkpoint. Otherwise its side effects could happen twice.
     outcome = AttemptEnd(body.outcome)
     if outcome in (AttemptEnd.DONE, AttemptEnd.REFUSED):
         return outcome.value
     if not job.idempotent:
-        return _event_when_not_idempotent(outcome, body)
+        return _event_for_non_idempotent(outcome, body)
     if outcome is AttemptEnd.UNKNOWN:
         outcome = AttemptEnd.LOST
     if len(job.failed_workers) >= PARK_AFTER_WORKERS:
@@ -233,7 +235,7 @@
     return outcome.value
 
 
-def _event_when_not_idempotent(outcome: AttemptEnd, body: EndAttempt) -> str:
+def _event_for_non_idempotent(outcome: AttemptEnd, body: EndAttempt) -> str:
     if outcome is AttemptEnd.FAILED:
         return "park"
     if outcome is AttemptEnd.PREEMPTED and body.checkpoint:
@@ -241,14 +243,14 @@
     return "hold"
 
 
-def _reason(job: Job, body: EndAttempt, status: str) -> str:
+def _end_reason(job: Job, body: EndAttempt, status: str) -> str:
     if status == "parked":
         workers = ",".join(job.failed_workers)
         return f"failures={job.failures} workers={workers} last={body.reason}"
     return body.reason
 
 
-def _settle(state: WorkState, context: FoldContext, job: Job, status: str) -> None:
+def _set_status(state: WorkState, context: FoldContext, job: Job, status: str) -> None:
     job.status = status
     state.stuck.pop(job.job_id, None)
     if status in ("waiting", "parked", "held"):
@@ -257,5 +259,5 @@
     if status in ("parked", "held"):
         state.stuck[job.job_id] = context.sequence
     if load_chart("job").is_final(status):
-        leave_open(state, job)
-        note_finished(state, job, context.sequence)
+        remove_open(state, job)
+        add_finished(state, job, context.sequence)
--- a/mustardward/state/handlers/maintenance.py
+++ b/mustardward/state/handlers/maintenance.py
@@ -1,7 +1,7 @@
-"""Fold claims on instances; importing this module files all maintenance handlers.
+"""Apply records of claims; importing this module registers all maintenance handlers.
 
-The order of the log is the only judge between executors: each claim is admitted
-against the budgets as they stand at its own offset.
+Conflicts between executors are resolved by log order alone: each claim is checked
+against the budgets at its own offset.
 """
 
 from __future__ import annotations
@@ -44,15 +44,15 @@
     WaveNotRunningError,
 )
 from .refusals import UnknownSubjectError
-from .waves import Decision, accept, stop_if_failing, wave_limit
+from .waves import Decision, accept, pause_if_failing, wave_limit
 
-RECENT_FINISHED: Final = 16
-"""Finished instances of a wave whose later failure is held against the wave."""
+MAX_RECENT_INSTANCES: Final = 16
+"""Finished instances of a wave whose later failure counts as the wave's."""
 
 
 @FLEET_HANDLERS.register("claim.take")
 def take_claim(state: FleetState, context: FoldContext, body: TakeClaim) -> Decision:
-    """Admit a claim if the wave, the instance and every budget allow it."""
+    """Accept a claim if the wave, the instance and every budget allow it."""
     wave = state.waves.get(body.wave_id)
     instance = state.instances.get(body.instance_id)
     if wave is None or instance is None or instance.removed:
@@ -84,7 +84,7 @@
         return WaveNotRunningError(f"wave={wave.wave_id} status={wave.status}")
     if instance_id not in wave.pending:
         return UnknownSubjectError(f"wave={wave.wave_id} not pending={instance_id}")
-    held = get_budget_index(state).claims_of(wave.wave_id)
+    held = get_budget_index(state).claim_count(wave.wave_id)
     if held >= wave_limit(wave):
         return WaveGrowthError(f"wave={wave.wave_id} held={held} done={len(wave.done)}")
     return None
@@ -98,43 +98,46 @@
     if not instance_accepts(state, name, "claim"):
         return InstanceBusyError(f"instance={name} status={status}")
     if name in state.absences:
-        # Quarantined, it counts as unavailable already: a reboot takes nothing from any
-        # budget, and may be what it needs.
+        # A quarantined instance already counts as unavailable, so its reboot does not
+        # reduce any budget and may even fix it.
         return check_within_budgets(state, instance)
     return check_one_more_unavailable(state, instance)
 
 
-def _fenced(
+def _find_claim(
     state: FleetState, instance_id: str, generation: int
 ) -> Result[Claim, MustardwardError]:
     claim = state.claims.get(instance_id)
     if claim is None:
         return Failure(UnknownSubjectError(f"claim={instance_id}"))
     if claim.generation != generation:
-        # The old executor was paused while another adopted its claim. Were its record
-        # taken, two would steer one instance, and a reboot could follow a give-back.
+        # The old executor was paused while another adopted its claim. Accepting its
+        # record would let two executors control one instance, and a reboot could follow
+        # its release.
         detail = f"claim={instance_id} generation={generation} is={claim.generation}"
         return Failure(ClaimFencedError(detail))
     return Success(claim)
 
 
 @dataclass(frozen=True, slots=True)
-class _Step:
-    """Hold a claim and the stage that an event takes it to."""
+class _Transition:
+    """Hold a claim and its stage after an event."""
 
     claim: Claim
     stage: str
 
 
-def _step(
+def _next_transition(
     state: FleetState, instance_id: str, generation: int, event: str
-) -> Result[_Step, MustardwardError]:
-    claim = _fenced(state, instance_id, generation)
+) -> Result[_Transition, MustardwardError]:
+    claim = _find_claim(state, instance_id, generation)
     if isinstance(claim, Failure):
         return claim
     held = claim.unwrap()
     try:
-        return Success(_Step(held, load_chart("claim").next_state(held.stage, event)))
+        return Success(
+            _Transition(held, load_chart("claim").next_state(held.stage, event))
+        )
     except TransitionError as error:
         return Failure(StageRefusedError(error.detail))
 
@@ -143,14 +146,14 @@
 def advance_claim(
     state: FleetState, context: FoldContext, body: AdvanceClaim
 ) -> Decision:
-    """Note a claim's next stage; the step to the reboot is admitted anew."""
-    step = _step(state, body.instance_id, body.generation, body.stage)
+    """Set a claim's next stage; rebooting is checked against the budgets again."""
+    step = _next_transition(state, body.instance_id, body.generation, body.stage)
     if isinstance(step, Failure):
         return step
     held = step.unwrap().claim
     if step.unwrap().stage == ClaimStage.REBOOTING:
-        # Failures since the claim may have eaten the margin. Up to here the instance
-        # can go back at once; after the reboot began it can only be waited for.
+        # Failures since the claim may have used up the margin. Before the reboot the
+        # instance can return to service immediately; afterwards only by its completion.
         instance = state.instances[body.instance_id]
         refusal = check_within_budgets(state, instance)
         if refusal is not None:
@@ -161,8 +164,8 @@
 
 @FLEET_HANDLERS.register("claim.adopt")
 def adopt_claim(state: FleetState, context: FoldContext, body: AdoptClaim) -> Decision:
-    """Give a claim another executor and a new generation, which fences the old one."""
-    claim = _fenced(state, body.instance_id, body.generation)
+    """Assign a claim to another executor; the new generation fences the old one."""
+    claim = _find_claim(state, body.instance_id, body.generation)
     if isinstance(claim, Failure):
         return claim
     held = claim.unwrap()
@@ -175,8 +178,8 @@
 def release_claim(
     state: FleetState, context: FoldContext, body: ReleaseClaim
 ) -> Decision:
-    """End a claim; ``done`` needs a newer boot that was positively seen up."""
-    step = _step(state, body.instance_id, body.generation, body.outcome)
+    """End a claim; ``done`` requires a newer boot that was confirmed to be up."""
+    step = _next_transition(state, body.instance_id, body.generation, body.outcome)
     if isinstance(step, Failure):
         return step
     held = step.unwrap().claim
@@ -187,7 +190,7 @@
     note = f"outcome={body.outcome} {body.reason}".rstrip()
     wave = state.waves.get(held.wave_id)
     if wave is not None:
-        _RELEASES[body.outcome](state, context, wave, held, body)
+        _RELEASE_HANDLERS[body.outcome](state, context, wave, held, body)
         if wave.status == WaveStatus.PAUSED and body.outcome == "failed":
             note = f"{note} wave={wave.wave_id} paused"
     recount_instance(state, body.instance_id)
@@ -196,7 +199,7 @@
     )
 
 
-def _release_done(
+def _handle_done(
     state: FleetState,
     context: FoldContext,
     wave: Wave,
@@ -206,14 +209,14 @@
     wave.done.add(claim.instance_id)
     wave.recent.pop(claim.instance_id, None)
     wave.recent[claim.instance_id] = body.boot
-    while len(wave.recent) > RECENT_FINISHED:
+    while len(wave.recent) > MAX_RECENT_INSTANCES:
         del wave.recent[next(iter(wave.recent))]
     absence = state.absences.get(claim.instance_id)
     if absence is not None and absence.boot < body.boot:
         del state.absences[claim.instance_id]
 
 
-def _release_given_back(
+def _handle_given_back(
     state: FleetState,
     context: FoldContext,
     wave: Wave,
@@ -223,7 +226,7 @@
     wave.pending.add(claim.instance_id)
 
 
-def _release_failed(
+def _handle_failed(
     state: FleetState,
     context: FoldContext,
     wave: Wave,
@@ -234,11 +237,11 @@
         claim.instance_id, CAUSE_REBOOT, context.actor, claim.boot + 1
     )
     wave.failed.add(claim.instance_id)
-    stop_if_failing(context, wave)
+    pause_if_failing(context, wave)
 
 
-_RELEASES: Final = {
-    "done": _release_done,
-    "given-back": _release_given_back,
-    "failed": _release_failed,
+_RELEASE_HANDLERS: Final = {
+    "done": _handle_done,
+    "given-back": _handle_given_back,
+    "failed": _handle_failed,
 }
--- a/mustardward/state/handlers/maintenance_refusals.py
+++ b/mustardward/state/handlers/maintenance_refusals.py
@@ -1,4 +1,4 @@
-"""Name why the fold refuses records of waves, claims and reports."""
+"""Define the errors that reject records of waves and claims."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 
 
 class WaveExistsError(RecordRefusedError):
-    """Report that a wave of this name was scheduled before."""
+    """Report that a wave with this id already exists."""
 
     code = "wave-exists"
 
 
 class WaveNotRunningError(RecordRefusedError):
-    """Report that the wave may not take instances now."""
+    """Report that the wave is not running and may not claim instances."""
 
     code = "wave-not-running"
 
 
 class WaveUnfinishedError(RecordRefusedError):
-    """Report that a wave cannot finish with instances still to do."""
+    """Report that a wave with pending or claimed instances cannot finish."""
 
     code = "wave-unfinished"
 
 
 class SignalRefusedError(RecordRefusedError):
-    """Report that a wave's present state does not accept a signal."""
+    """Report that a wave's current state does not accept a signal."""
 
     code = "signal-refused"
 
@@ -36,18 +36,18 @@
 
 
 class WaveGrowthError(RecordRefusedError):
-    """Report that a wave has to finish more instances before it takes another."""
+    """Report that a wave has to finish more instances before it claims another."""
 
     code = "wave-growth"
 
 
 class ClaimFencedError(RecordRefusedError):
-    """Report that a record carries a generation that the claim has no more."""
+    """Report that a record has an outdated generation of the claim."""
 
     code = "claim-fenced"
 
 
 class StageRefusedError(RecordRefusedError):
-    """Report that a claim's stage does not allow the step, or its evidence is old."""
+    """Report that the claim's stage does not allow the step or the boot is too old."""
 
     code = "stage-refused"
--- a/mustardward/state/handlers/pools.py
+++ b/mustardward/state/handlers/pools.py
@@ -1,7 +1,7 @@
-"""Fold pools, the instances they own, and moves between pools.
+"""Apply records of pools, the instances they own, and moves between pools.
 
-An instance stands in one map under one pool, and one record changes it, so at every
-offset it belongs to exactly one pool.
+The state has one map of instances, each with its pool, and a single record changes the
+pool, so an instance belongs to exactly one pool at every offset.
 """
 
 from __future__ import annotations
@@ -47,20 +47,20 @@
 
 
 class MoveInProgressError(RecordRefusedError):
-    """Report a move of an instance that another move already holds."""
+    """Report a move of an instance that is already being moved."""
 
     code = "move-in-progress"
 
 
 class MoveUnacknowledgedError(RecordRefusedError):
-    """Report a transfer before every expected entry gave the instance up."""
+    """Report a transfer before every expected entry node acknowledged the move."""
 
     code = "move-unacknowledged"
 
 
 @FLEET_HANDLERS.register("pool.put")
 def put_pool(state: FleetState, context: FoldContext, body: PutPool) -> Outcome:
-    """Accept a pool; one that exists stays as it is."""
+    """Accept a pool; an existing one is not changed."""
     pool = state.pools.get(body.name)
     if pool is None:
         pool = Pool(intern(body.name), context.sequence)
@@ -73,9 +73,9 @@
     """Accept an instance that no pool owns yet."""
     if body.pool not in state.pools:
         return Failure(UnknownPoolError(f"pools={body.pool}"))
-    owned = state.instances.get(body.instance_id)
-    if owned is not None:
-        detail = f"instance={body.instance_id} pool={owned.pool}"
+    existing = state.instances.get(body.instance_id)
+    if existing is not None:
+        detail = f"instance={body.instance_id} pool={existing.pool}"
         return Failure(SubjectExistsError(detail))
     state.instances[body.instance_id] = Instance(
         instance_id=body.instance_id,
@@ -98,7 +98,7 @@
 def remove_instance(
     state: FleetState, context: FoldContext, body: RemoveInstance
 ) -> Outcome:
-    """Accept that an instance leaves the fleet, unless a wave holds it."""
+    """Remove an instance from the fleet, unless a wave has claimed it."""
     instance = state.instances.get(body.instance_id)
     if instance is None:
         return Failure(UnknownSubjectError(f"instance={body.instance_id}"))
@@ -117,13 +117,13 @@
 
 @FLEET_HANDLERS.register("move.request")
 def request_move(state: FleetState, context: FoldContext, body: RequestMove) -> Outcome:
-    """Accept a move of an instance that no other move holds."""
+    """Accept a move of an instance that is not being moved."""
     instance = state.instances.get(body.instance_id)
     if instance is None:
         return Failure(UnknownSubjectError(f"instance={body.instance_id}"))
     if body.target not in state.pools:
         return Failure(UnknownPoolError(f"pools={body.target}"))
-    refusal = _hindrance(state, instance)
+    refusal = _move_refusal(state, instance)
     if refusal is not None:
         return Failure(refusal)
     conflict = check_base_revision(context, instance.generation)
@@ -149,7 +149,7 @@
 def acknowledge_move(
     state: FleetState, context: FoldContext, body: AcknowledgeMove
 ) -> Outcome:
-    """Note the entries that gave the instance up or are proven gone."""
+    """Record the entry nodes that released the instance or have verifiably ended."""
     move = find_move(state, body.move_id)
     if move is None:
         return Failure(UnknownSubjectError(f"move={body.move_id}"))
@@ -162,7 +162,7 @@
 def transfer_instance(
     state: FleetState, context: FoldContext, body: TransferInstance
 ) -> Outcome:
-    """Change the owner once every expected entry gave the instance up."""
+    """Change the owner once every expected entry node acknowledged the move."""
     move = find_move(state, body.move_id)
     if move is None:
         return Failure(UnknownSubjectError(f"move={body.move_id}"))
@@ -170,41 +170,47 @@
     if waiting:
         return Failure(MoveUnacknowledgedError(f"waiting={','.join(sorted(waiting))}"))
     if move.instance_id in state.absences:
-        # In its target it would count as one more instance that is not available.
+        # In the target pool it would count as one more unavailable instance.
         return Failure(SubjectInUseError(f"instance={move.instance_id} absent"))
     instance = state.instances[move.instance_id]
-    crowded = _put_into_target(state, instance, move)
-    if crowded is not None:
-        return Failure(crowded)
+    budget_refusal = _transfer_within_budget(state, instance, move)
+    if budget_refusal is not None:
+        return Failure(budget_refusal)
     instance.generation = context.sequence
     return _accepted(context, body.move_id, move.instance_id)
 
 
-def _put_into_target(
+def _transfer_within_budget(
     state: FleetState, instance: Instance, move: Move
 ) -> BudgetExceededError | None:
     """Change the owner, unless that breaks a budget of the target.
 
-    A larger pool has a larger floor, and one more instance in a rack makes for a larger
-    reserve. With an instance of the target out for maintenance, the rack that fails
-    next would break a floor that was safe when the claim was admitted.
+    A larger pool has a larger floor, and one more instance in a rack can enlarge the
+    reserve. While an instance of the target is in maintenance, the failure of a rack
+    could then violate a floor that was safe when the claim was accepted.
     """
-    before = get_budget_index(state).tightest(state, move.target, instance.data_centre)
+    tightest_before = get_budget_index(state).tightest(
+        state, move.target, instance.data_centre
+    )
     instance.pool = move.target
     del state.moves[move.instance_id]
     recount_instance(state, move.instance_id)
-    after = check_within_budgets(state, instance)
-    if after is None or before is None or after.binding.margin >= before.margin:
+    budget_error = check_within_budgets(state, instance)
+    if (
+        budget_error is None
+        or tightest_before is None
+        or budget_error.binding.margin >= tightest_before.margin
+    ):
         return None
     instance.pool = move.source
     state.moves[move.instance_id] = move
     recount_instance(state, move.instance_id)
-    return after
+    return budget_error
 
 
 @FLEET_HANDLERS.register("move.cancel")
 def cancel_move(state: FleetState, context: FoldContext, body: CancelMove) -> Outcome:
-    """Leave the instance in its source pool."""
+    """Cancel a move; the instance stays in its source pool."""
     move = find_move(state, body.move_id)
     if move is None:
         return Failure(UnknownSubjectError(f"move={body.move_id}"))
@@ -213,8 +219,8 @@
     return _accepted(context, body.move_id, move.instance_id)
 
 
-def _hindrance(state: FleetState, instance: Instance) -> RecordRefusedError | None:
-    """Return why an instance may not leave its pool now, or nothing."""
+def _move_refusal(state: FleetState, instance: Instance) -> RecordRefusedError | None:
+    """Return the error if an instance may not leave its pool now."""
     name = instance.instance_id
     held = state.moves.get(name)
     if held is not None:
@@ -228,7 +234,7 @@
 
 
 def find_move(state: FleetState, move_id: str) -> Move | None:
-    """Return a move in progress by its own id."""
+    """Return a move in progress by its move id."""
     return next(
         (move for move in state.moves.values() if move.move_id == move_id), None
     )
--- a/mustardward/state/handlers/refusals.py
+++ b/mustardward/state/handlers/refusals.py
@@ -1,4 +1,4 @@
-"""Define the refusals that several handlers give, and the check of a base revision."""
+"""Define errors shared by several handlers, and the check of a base revision."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 
 
 class UnknownSubjectError(RecordRefusedError):
-    """Report a record about something that does not exist."""
+    """Report a record whose subject does not exist."""
 
     code = "subject-unknown"
 
 
 class UnknownPoolError(UnknownSubjectError):
-    """Report a record that names a pool nobody proposed."""
+    """Report a record that refers to an unknown pool."""
 
     code = "pool-unknown"
 
 
 class SubjectExistsError(RecordRefusedError):
-    """Report a record that would make something a second time."""
+    """Report a record that would create an existing subject."""
 
     code = "subject-exists"
 
 
 class SubjectInUseError(RecordRefusedError):
-    """Report a record against something that others still rest on."""
+    """Report a record whose subject is still in use."""
 
     code = "subject-in-use"
 
@@ -33,11 +33,11 @@
 def check_base_revision(
     context: FoldContext, current: int
 ) -> RevisionConflictError | None:
-    """Return the conflict if the author did not see the revision in force.
+    """Return an error if a record is not based on the revision in force.
 
     ``current`` is 0 for a name that does not exist; only then may the base be missing.
-    A change without a base could be a copy delayed past the dedupe window, and would
-    put an old configuration back in force.
+    A change without a base could be a duplicate delayed past the dedupe window, which
+    would restore an old configuration.
     """
     if context.base_revision == current:
         return None
--- a/mustardward/state/handlers/templates.py
+++ b/mustardward/state/handlers/templates.py
@@ -1,4 +1,4 @@
-"""Fold templates, and the organisations made from them."""
+"""Apply records of templates and of the organisations based on them."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 from .fleet_registry import FLEET_HANDLERS
 from .refusals import UnknownPoolError, UnknownSubjectError, check_base_revision
 
-KEPT_REVISIONS: Final = 8
-"""Revisions of a template that stay in memory; thousands are published a day."""
+MAX_TEMPLATE_REVISIONS: Final = 8
+"""Revisions of a template kept in memory; thousands may be published a day."""
 
 
 def current_revision(state: FleetState, template: str) -> TemplateRevision | None:
@@ -38,7 +38,7 @@
 def publish_template(
     state: FleetState, context: FoldContext, body: PublishTemplate
 ) -> Result[Acceptance, MustardwardError]:
-    """Accept a revision that follows the one its author saw, and put it in force."""
+    """Accept a template revision based on the one in force, and apply it."""
     current = current_revision(state, body.name)
     conflict = check_base_revision(context, current.revision if current else 0)
     if conflict is not None:
@@ -51,8 +51,8 @@
     )
     revisions = state.templates.setdefault(body.name, [])
     revisions.append(accepted)
-    del revisions[:-KEPT_REVISIONS]
-    affected = _put_in_force(state, accepted)
+    del revisions[:-MAX_TEMPLATE_REVISIONS]
+    affected = _apply_revision(state, accepted)
     subjects = (f"template:{body.name}", *affected)
     return Success(Acceptance(subjects, context.sequence))
 
@@ -61,7 +61,7 @@
 def put_organisation(
     state: FleetState, context: FoldContext, body: PutOrganisation
 ) -> Result[Acceptance, MustardwardError]:
-    """Accept an organisation, or its new overrides."""
+    """Accept an organisation or new overrides of one."""
     current = state.organisations.get(body.name)
     conflict = check_base_revision(context, current.revision if current else 0)
     if conflict is not None:
@@ -89,7 +89,7 @@
 def remove_organisation(
     state: FleetState, context: FoldContext, body: RemoveOrganisation
 ) -> Result[Acceptance, MustardwardError]:
-    """Accept the end of an organisation whose present revision the author saw."""
+    """Remove an organisation if the record is based on its current revision."""
     current = state.organisations.get(body.name)
     if current is None:
         return Failure(UnknownSubjectError(f"organisation={body.name}"))
@@ -102,7 +102,7 @@
 
 
 def resolve_parameters(parameters: Parameters, overrides: Overrides) -> Parameters:
-    """Return the effective parameters, sharing the template's if nothing differs."""
+    """Return the effective parameters; the same object if there are no overrides."""
     if overrides == Overrides():
         return parameters
     return overrides.apply_to(parameters)
@@ -111,7 +111,7 @@
 def share_parameters(
     organisation: Organisation, template: TemplateRevision
 ) -> Organisation:
-    """Return the organisation with a template revision in force for it."""
+    """Return the organisation with a template revision applied."""
     return replace(
         organisation,
         template_revision=template.revision,
@@ -119,7 +119,7 @@
     )
 
 
-def _put_in_force(state: FleetState, accepted: TemplateRevision) -> list[str]:
+def _apply_revision(state: FleetState, accepted: TemplateRevision) -> list[str]:
     affected = []
     for name, organisation in state.organisations.items():
         if organisation.template == accepted.name:
--- a/mustardward/state/handlers/work_errors.py
+++ b/mustardward/state/handlers/work_errors.py
@@ -1,4 +1,4 @@
-"""Define the refusals that the fold of a ``work`` stream gives."""
+"""Define the errors that reject records of a ``work`` stream."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class JobUnknownError(RecordRefusedError):
-    """Report a job that was never accepted here, or ended long ago."""
+    """Report a job that was never accepted here or is no longer stored."""
 
     code = "job-unknown"
 
@@ -36,12 +36,12 @@
 
 
 class IntentTakenError(RecordRefusedError):
-    """Report that an earlier intent under the key stands."""
+    """Report that an earlier intent under the key is in force."""
 
     code = "idempotency-key-taken"
 
 
 class IntentUnknownError(RecordRefusedError):
-    """Report that there is no such open intent to close."""
+    """Report that no matching open intent exists."""
 
     code = "idempotency-intent-unknown"
--- a/mustardward/state/handlers/work_registry.py
+++ b/mustardward/state/handlers/work_registry.py
@@ -1,4 +1,4 @@
-"""Collect the handlers that fold records of a ``work`` stream."""
+"""Define the registry of handlers for records of a ``work`` stream."""
 
 from __future__ import annotations
 
--- a/mustardward/state/images.py
+++ b/mustardward/state/images.py
@@ -1,4 +1,4 @@
-"""Turn a fold into bytes and back, for snapshots and for peers."""
+"""Encode and decode folds for snapshots and for peers."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ImageHeader:
-    """Describe an image: of what, up to where, and who can read it.
+    """Describe the stream, position and format of an image.
 
-    ``kinds`` holds the version of each record kind that the writer knew: a reader who
-    knows less could misread the state without a sign.
+    ``kinds`` holds the version of each record kind that the writer knew: a reader that
+    knows an older version could silently misread the state.
     """
 
     stream: str
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Image:
-    """Hold a fold's header and its compressed body."""
+    """Hold the header and the compressed body of an encoded fold."""
 
     header: ImageHeader
     body: bytes
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Body:
-    """Lay the body out; the state is decoded by its own type."""
+    """Define the layout of the body; the state is decoded separately by its type."""
 
     state: msgspec.Raw
     window_keys: bytes
@@ -60,14 +60,14 @@
 
 
 def known_kinds(spec: StreamSpec[Any]) -> dict[str, int]:
-    """Return the version of each kind that this build folds on a stream."""
+    """Return the version of each record kind that this build handles on a stream."""
     return {kind: RECORD_KINDS[kind].version for kind in spec.handlers}
 
 
 def make_image(spec: StreamSpec[S], fold: Fold[S]) -> Image:
-    """Return the image of a fold as it stands.
+    """Return an image of the current state of a fold.
 
-    :raises UnknownRecordError: if the fold met a record that it could not judge.
+    :raises UnknownRecordError: if the fold is blocked by a record it can't apply.
     """
     if fold.blocked is not None:
         raise UnknownRecordError(fold.blocked.detail)
@@ -88,10 +88,10 @@
 
 
 def restore_image(spec: StreamSpec[S], fold: Fold[S], image: Image) -> None:
-    """Let a fold go on from an image.
+    """Restore a fold from an image.
 
-    :raises SnapshotUnusableError: if it is corrupt, of a newer build, of another
-        stream, or behind the fold.
+    :raises SnapshotUnusableError: if the image is corrupt, from a newer build, of
+        another stream, or behind the fold.
     """
     check_header(spec, image.header, fold.next_offset)
     if xxhash.xxh3_128_hexdigest(image.body) != image.header.body_digest:
@@ -116,9 +116,9 @@
 
 
 def check_header(spec: StreamSpec[Any], header: ImageHeader, least_offset: int) -> None:
-    """Check that an image is for this stream, readable here, and not behind.
+    """Check that an image is of this stream, readable by this build, and not behind.
 
-    :raises SnapshotUnusableError: if it is not.
+    :raises SnapshotUnusableError: if one of these does not hold.
     """
     if header.stream != spec.name:
         raise SnapshotUnusableError(f"stream={header.stream} wanted={spec.name}")
--- a/mustardward/state/instance_status.py
+++ b/mustardward/state/instance_status.py
@@ -1,4 +1,4 @@
-"""Tell an instance's state of ``charts/instance.yaml``, and what may happen to it."""
+"""Compute an instance's state in ``charts/instance.yaml``."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 def is_quarantine(absence: Absence) -> bool:
-    """Tell whether an instance is up and only trusted with no work."""
+    """Return whether an absence is a quarantine, in which the instance is still up."""
     return absence.cause.startswith(_QUARANTINE_PREFIX)
 
 
 def instance_status(state: FleetState, instance_id: str) -> str:
-    """Return an instance's state; what holds it comes before what ails it."""
+    """Return an instance's state; claims and moves take precedence over absences."""
     instance = state.instances.get(instance_id)
     if instance is None or instance.removed:
         return "removed"
@@ -30,5 +30,5 @@
 
 
 def instance_accepts(state: FleetState, instance_id: str, event: str) -> bool:
-    """Tell whether the chart lets an event happen to an instance now."""
+    """Return whether the chart allows an event in the instance's current state."""
     return load_chart("instance").accepts(instance_status(state, instance_id), event)
--- a/mustardward/state/log.py
+++ b/mustardward/state/log.py
@@ -1,4 +1,4 @@
-"""Offer one stream of the log as folded state and a way to propose records."""
+"""Provide the state of one stream of the log and append records to it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from ..exceptions import MustardwardError, NotReadyError
 from ..helpers.timer import TimerService
 from ..standin.protocol.protocols import LogService
-from .appender import Appender, remembered_outcome
+from .appender import Appender, outcome_from_verdict
 from .fold import Acceptance, RecordOutcome
 from .follower import Follower
 from .images import Image
@@ -34,7 +34,7 @@
     :param spec: the stream.
     :param service: the platform's log.
     :param timers: the clock.
-    :param options: waits and sizes.
+    :param options: intervals and limits.
     :param random: source of jitter; seeded in tests.
     """
 
@@ -65,8 +65,8 @@
             random,
         )
         self._scope = anyio.CancelScope()
-        self._replica.listen(self._appender.note_outcome)
-        self._replica.listen_restored(self._answer_remembered)
+        self._replica.listen(self._appender.resolve_outcome)
+        self._replica.listen_restored(self._resolve_restored)
 
     @property
     def spec(self) -> StreamSpec[S]:
@@ -75,22 +75,22 @@
 
     @property
     def options(self) -> LogOptions:
-        """Return the waits and sizes."""
+        """Return the intervals and limits."""
         return self._options
 
     @property
     def store(self) -> SnapshotStore[S]:
-        """Return the stream's snapshots."""
+        """Return the store of the stream's snapshots."""
         return self._store
 
     @property
     def state(self) -> S:
-        """Return the state as folded so far; read only."""
+        """Return the current state; callers must not change it."""
         return self._replica.fold.state
 
     @property
     def next_offset(self) -> int:
-        """Return the offset of the entry wanted next."""
+        """Return the offset of the next entry to apply."""
         return self._replica.fold.next_offset
 
     @property
@@ -105,22 +105,22 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether there is state to serve from."""
+        """Return whether the state may be served from."""
         return self._follower.ready
 
     @property
     def log_reachable(self) -> bool:
-        """Tell whether the last read of the log succeeded."""
+        """Return whether the last read of the log succeeded."""
         return not self._follower.log_failed
 
     @property
     def oldest_offset(self) -> int:
-        """Return the oldest offset that the log kept at the last read."""
+        """Return the oldest offset that the log retained at the last read."""
         return self._follower.oldest
 
     @property
     def may_decide(self) -> bool:
-        """Tell whether this process may propose and act."""
+        """Return whether this process may propose records and act on the state."""
         return (
             self._follower.ready
             and not self._follower.lost
@@ -129,11 +129,11 @@
         )
 
     def tail_age_seconds(self) -> float:
-        """Return how long ago the read began that last confirmed the tail."""
+        """Return the time since the start of the read that last confirmed the tail."""
         return self._tail.age_seconds
 
     async def async_confirm_tail(self, timeout_seconds: float) -> bool:
-        """Read up to a tail asked for after this call; tell whether that worked."""
+        """Catch up with the tail as of this call; return whether that succeeded."""
         return await self._tail.async_confirm(timeout_seconds)
 
     async def async_propose(
@@ -146,13 +146,13 @@
         timeout_seconds: float = 5.0,
         priority: int = 1,
     ) -> Result[Acceptance, MustardwardError]:
-        """Append a record in a group commit and wait for what the fold says."""
+        """Append a record in a group commit and wait for its outcome."""
         if not self.may_decide:
-            return Failure(NotReadyError(self._why_not()))
+            return Failure(NotReadyError(self._not_ready_cause()))
         record_id = record_id or uuid.uuid4().hex
-        verdict = self._replica.fold.remembered(record_id)
+        verdict = self._replica.fold.get_verdict(record_id)
         if verdict is not None:
-            return remembered_outcome(verdict)
+            return outcome_from_verdict(verdict)
         envelope = make_record(
             body,
             record_id=record_id,
@@ -163,40 +163,40 @@
         return await self._appender.async_propose(envelope, priority, timeout_seconds)
 
     def listen(self, listener: Callable[[RecordOutcome], None]) -> Callable[[], None]:
-        """Call ``listener`` for each folded record until unsubscribed."""
+        """Call ``listener`` for each applied record until unsubscribed."""
         return self._replica.listen(listener)
 
     def listen_restored(self, listener: Callable[[], None]) -> Callable[[], None]:
-        """Call ``listener`` when the state jumped past records nobody heard of."""
+        """Call ``listener`` when a restore skipped records, until unsubscribed."""
         return self._replica.listen_restored(listener)
 
     def set_relay(self, relay: RelaySource | None) -> None:
-        """Ask peers through ``relay`` while the log is silent."""
+        """Set the source of entries and images from peers."""
         self._follower.set_relay(relay)
 
-    def answer(self, question: RelayRequest) -> RelayResponse:
-        """Return what this node can tell a peer."""
+    def respond(self, request: RelayRequest) -> RelayResponse:
+        """Return the response to a peer's request."""
         if not self.ready:
             return RelayResponse(RelayStatus.UNAVAILABLE)
-        return self._replica.answer(question)
+        return self._replica.respond(request)
 
     def image(self) -> Image:
-        """Return the image of the present state.
+        """Return an image of the current state.
 
-        :raises MustardwardError: if this node must not decide from it.
+        :raises MustardwardError: if this node must not act on the state.
         """
         if not self.may_decide:
-            raise NotReadyError(self._why_not())
+            raise NotReadyError(self._not_ready_cause())
         return self._replica.image()
 
     async def async_run(self) -> None:
-        """Follow and append until stopped."""
+        """Follow the stream and append to it until stopped."""
         unsubscribe = self._timers.subscribe_pause(self._handle_pause)
         try:
             with self._scope:
                 async with anyio.create_task_group() as group:
                     group.start_soon(self._follower.async_follow)
-                    group.start_soon(self._follower.async_answer_questions)
+                    group.start_soon(self._follower.async_serve_confirmations)
                     group.start_soon(self._follower.async_relay)
                     group.start_soon(self._appender.async_run)
         finally:
@@ -207,17 +207,17 @@
         self._scope.cancel()
 
     def _handle_pause(self, lost_seconds: float) -> None:
-        # What was read before the pause may be long out of date, and nothing in the
-        # process shows it: no decision until a read sent after the pause was reached.
+        # The state may be out of date after a pause without any sign in the process, so
+        # no decision is made until a read sent after the pause confirms the tail.
         self._tail.require_confirmation()
 
-    def _answer_remembered(self) -> None:
-        for record_id in self._appender.waiting():
-            verdict = self._replica.fold.remembered(record_id)
+    def _resolve_restored(self) -> None:
+        for record_id in self._appender.pending_record_ids():
+            verdict = self._replica.fold.get_verdict(record_id)
             if verdict is not None:
-                self._appender.note_remembered(record_id, verdict)
+                self._appender.resolve_from_window(record_id, verdict)
 
-    def _why_not(self) -> str:
+    def _not_ready_cause(self) -> str:
         stopped = self._replica.stopped
         if stopped is not None:
             return stopped.detail
--- a/mustardward/state/models/__init__.py
+++ b/mustardward/state/models/__init__.py
@@ -1,1 +1,1 @@
-"""Model the folded state and the records that change it."""
+"""Define the models of the state and the records that change it."""
--- a/mustardward/state/models/jobs.py
+++ b/mustardward/state/models/jobs.py
@@ -1,4 +1,4 @@
-"""Model long jobs of one data centre and the intents of idempotency keys."""
+"""Define long-running jobs of one data centre and intents of idempotency keys."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 class Job:
     """Hold one accepted job.
 
-    ``status`` is a state of ``charts/job.yaml``; ``generation`` fences the attempt
-    that holds the lease now, 0 if none does. ``task_generation`` is the one that the
-    worker knows the task by; it stays when another holder takes the attempt over.
+    ``status`` is a state of ``charts/job.yaml``. ``generation`` is the fencing token of
+    the attempt that holds the lease, 0 if there is none. ``task_generation`` is the one
+    that identifies the task at the worker; a takeover by another holder keeps it.
     """
 
     job_id: str
@@ -49,7 +49,7 @@
 class Intent:
     """Hold the durable intent to run a request once under an idempotency key.
 
-    ``closed`` tells whether an outcome is known; ``ran`` is ``yes``, ``no`` or
+    ``closed`` is true once an outcome is known; ``ran`` is ``yes``, ``no`` or
     ``unknown``.
     """
 
@@ -77,8 +77,8 @@
 class AttemptEnd(StrEnum):
     """Name how an attempt on a job ended.
 
-    ``refused`` is sure not to have run; ``preempted`` was stopped on purpose, ``lost``
-    is gone without an outcome though it may have run; ``unknown`` may still run.
+    ``refused`` has definitely not run, ``preempted`` was stopped deliberately, ``lost``
+    ended without a known outcome and may have run, ``unknown`` may still be running.
     """
 
     DONE = "done"
@@ -92,7 +92,7 @@
 @record_kind("job.accept")
 @dataclass(frozen=True, slots=True)
 class AcceptJob:
-    """Propose a job; ``group`` lets many be cancelled by one record."""
+    """Propose a job; jobs of one ``group`` can be cancelled by one record."""
 
     job_id: str
     organisation: str
@@ -110,9 +110,9 @@
 @record_kind("job.lease")
 @dataclass(frozen=True, slots=True)
 class LeaseJob:
-    """Propose an attempt; the acceptance's sequence is its fencing generation.
+    """Propose an attempt; the sequence of the accepted record is its fencing token.
 
-    ``previous_generation`` has to be the job's present one.
+    ``previous_generation`` has to be the job's current generation.
     """
 
     job_id: str
@@ -124,7 +124,7 @@
 @record_kind("job.progress")
 @dataclass(frozen=True, slots=True)
 class ProgressJob:
-    """State a checkpoint of the attempt that ``generation`` names."""
+    """Record a checkpoint of the attempt identified by ``generation``."""
 
     job_id: str
     generation: int
@@ -136,7 +136,7 @@
 class EndAttempt:
     """End an attempt; ``outcome`` is one of :class:`AttemptEnd`.
 
-    A failure on a suspect worker says nothing about the job.
+    A failure on a suspect worker does not count against the job.
     """
 
     job_id: str
@@ -151,7 +151,7 @@
 @record_kind("job.cancel")
 @dataclass(frozen=True, slots=True)
 class CancelJobs:
-    """Cancel one job, or every job accepted so far in a group of an organisation."""
+    """Cancel one job, or all jobs accepted so far in a group of an organisation."""
 
     organisation: str
     job_id: str = ""
@@ -161,7 +161,7 @@
 @record_kind("job.retry")
 @dataclass(frozen=True, slots=True)
 class RetryJob:
-    """Let a parked or held job wait for an attempt again, on an operator's word."""
+    """Requeue a parked or held job on an operator's request."""
 
     job_id: str
 
@@ -180,9 +180,9 @@
 @record_kind("intent.close")
 @dataclass(frozen=True, slots=True)
 class CloseIntent:
-    """State the outcome under a key, with the answer if it is small enough.
+    """Record the outcome under a key, with the response if it is small enough.
 
-    ``opened`` is the sequence of the intent that this closes.
+    ``opened`` is the sequence of the intent to close.
     """
 
     organisation: str
--- a/mustardward/state/models/maintenance.py
+++ b/mustardward/state/models/maintenance.py
@@ -1,4 +1,4 @@
-"""Model maintenance waves, claims on instances, and reports of failures."""
+"""Define maintenance waves, claims on instances, and reports of failures."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 class ClaimStage(StrEnum):
     """Name the states of ``charts/claim.yaml``.
 
-    While draining, running work may end by itself; from vacating on, long work is
-    checkpointed and moved away.
+    While draining, running work may complete; from vacating on, long-running jobs are
+    checkpointed and moved to other instances.
     """
 
     CLAIMED = "claimed"
@@ -34,11 +34,11 @@
 
 @dataclass(slots=True)
 class Wave:
-    """Hold one wave: the instances still to do, and those done or failed.
+    """Hold one wave with its pending, done and failed instances.
 
-    ``recent`` holds the last few finished with their new boots, since a failure of one
-    of these counts as the wave's; ``forgiven`` is the number of failures that operators
-    resumed after.
+    ``recent`` holds the boots of the last few finished instances, since a failure of
+    one of these counts as the wave's; ``forgiven`` is the number of failures that
+    operators acknowledged by resuming the wave.
     """
 
     wave_id: str
@@ -58,12 +58,12 @@
 
 @dataclass(slots=True)
 class Claim:
-    """Hold an instance for a wave; it never lapses by time alone.
+    """Hold the claim of a wave on an instance; it never expires by time alone.
 
-    ``boot`` is the platform's boot generation seen when the claim was made; the
-    instance counts as back only when a newer one was positively seen up. ``taken`` is
-    the first generation: it stays over adoptions, so that platform operations named
-    after it are not repeated by an adopter.
+    ``boot`` is the platform's boot generation at the time of the claim; the instance
+    counts as back only once a newer boot was confirmed to be up. ``taken`` is the first
+    generation: it stays the same over adoptions, so that an adopter does not repeat
+    platform operations whose ids contain it.
     """
 
     instance_id: str
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Absence:
-    """Hold why an instance counts as unavailable besides claims."""
+    """Hold why an instance counts as unavailable apart from claims."""
 
     instance_id: str
     cause: str
@@ -88,9 +88,9 @@
 @record_kind("wave.schedule")
 @dataclass(frozen=True, slots=True)
 class ScheduleWave:
-    """Propose a wave over all instances of some pools, or over those named.
+    """Propose a wave over all instances of some pools, or over the listed ones.
 
-    ``not_before`` is in seconds since the epoch, read by executors, not by the fold.
+    ``not_before`` is in seconds since the epoch; only executors evaluate it.
     """
 
     wave_id: str
@@ -106,7 +106,7 @@
 class SignalWave:
     """Propose an event of ``charts/wave.yaml``: start, pause, resume, cancel, finish.
 
-    The base revision is the wave's revision that the actor saw.
+    The base revision is the revision of the wave that the actor read.
     """
 
     wave_id: str
@@ -117,7 +117,7 @@
 @record_kind("claim.take")
 @dataclass(frozen=True, slots=True)
 class TakeClaim:
-    """Propose to take instances out; each is admitted only within every budget."""
+    """Propose a claim on an instance; accepted only if every budget allows it."""
 
     wave_id: str
     instance_id: str
@@ -128,7 +128,7 @@
 @record_kind("claim.advance")
 @dataclass(frozen=True, slots=True)
 class AdvanceClaim:
-    """State that a claim reached a stage; ``generation`` has to be the claim's."""
+    """Record that a claim reached a stage; ``generation`` has to be the claim's."""
 
     instance_id: str
     generation: int
@@ -138,7 +138,7 @@
 @record_kind("claim.adopt")
 @dataclass(frozen=True, slots=True)
 class AdoptClaim:
-    """Propose another executor for a claim; it gets a new generation."""
+    """Propose another executor for a claim, which gets a new generation."""
 
     instance_id: str
     generation: int
@@ -150,8 +150,8 @@
 class ReleaseClaim:
     """End a claim. ``outcome`` is ``done``, ``given-back`` or ``failed``.
 
-    ``done`` has to carry a ``boot`` newer than the claim's. ``failed`` leaves the
-    instance absent until it is reported up.
+    ``done`` requires a ``boot`` newer than the claim's. ``failed`` leaves the instance
+    absent until it is reported up.
     """
 
     instance_id: str
@@ -163,7 +163,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AbsenceChange:
-    """Say that one instance went away (``up`` false) or was positively seen up."""
+    """Report that an instance went down (``up`` false) or was confirmed to be up."""
 
     instance_id: str
     up: bool
@@ -174,7 +174,7 @@
 @record_kind("absence.report")
 @dataclass(frozen=True, slots=True)
 class ReportAbsences:
-    """State failures, quarantines and returns of one data centre, coalesced."""
+    """Report failures, quarantines and recoveries of one data centre in a batch."""
 
     data_centre: str
     changes: tuple[AbsenceChange, ...]
@@ -183,7 +183,7 @@
 @record_kind("silence.report")
 @dataclass(frozen=True, slots=True)
 class ReportSilence:
-    """State that a data centre reports nothing (or speaks again)."""
+    """Report that a data centre is silent, or no longer is."""
 
     data_centre: str
     silent: bool
--- a/mustardward/state/models/pools.py
+++ b/mustardward/state/models/pools.py
@@ -1,4 +1,4 @@
-"""Model pools, the instances they own, and moves between them."""
+"""Define pools, the instances they own, and moves between them."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 @dataclass(slots=True)
 class Instance:
-    """Hold one worker instance, its one pool and the generation of that ownership.
+    """Hold one worker instance, its pool and the generation of that ownership.
 
-    ``generation`` is the fold's sequence number at the last change of owner; calls to
-    the worker carry it, so a call under an older owner is refused there.
+    ``generation`` is the sequence number of the last change of owner. Calls to the
+    worker contain it, so that the worker rejects calls under a previous owner.
     """
 
     instance_id: str
@@ -39,10 +39,10 @@
 
 @dataclass(slots=True)
 class Move:
-    """Hold a move in progress: the instance drains and still belongs to its source.
+    """Hold a move in progress; the instance drains and still belongs to its source.
 
-    ``acknowledged`` names entries of its data centre that send it no more work.
-    ``requested`` is the sequence of the request; platform calls carry it.
+    ``acknowledged`` holds the entry nodes of its data centre that no longer send it
+    work. ``requested`` is the sequence of the request, which platform calls contain.
     """
 
     move_id: str
@@ -66,7 +66,7 @@
 @record_kind("instance.add")
 @dataclass(frozen=True, slots=True)
 class AddInstance:
-    """Propose that an instance belongs to a pool from now on."""
+    """Propose a new instance of a pool."""
 
     instance_id: str
     data_centre: str
@@ -83,7 +83,7 @@
 @record_kind("instance.remove")
 @dataclass(frozen=True, slots=True)
 class RemoveInstance:
-    """Propose that an instance leaves the fleet."""
+    """Propose to remove an instance from the fleet."""
 
     instance_id: str
 
@@ -91,9 +91,9 @@
 @record_kind("move.request")
 @dataclass(frozen=True, slots=True)
 class RequestMove:
-    """Propose to move an instance; base revision is its ownership generation.
+    """Propose to move an instance; the base revision is its generation.
 
-    ``expected`` are the entries of its data centre that have to acknowledge.
+    ``expected`` holds the entry nodes of its data centre that have to acknowledge.
     """
 
     move_id: str
@@ -105,9 +105,9 @@
 @record_kind("move.acknowledge")
 @dataclass(frozen=True, slots=True)
 class AcknowledgeMove:
-    """State that entries send the instance no more work and hold no lease on it.
+    """Record that entry nodes send the instance no more work and hold no lease on it.
 
-    ``gone`` names expected entries that are proven gone for their incarnation.
+    ``gone`` holds expected entry nodes whose incarnation has verifiably ended.
     """
 
     move_id: str
@@ -118,7 +118,7 @@
 @record_kind("move.transfer")
 @dataclass(frozen=True, slots=True)
 class TransferInstance:
-    """Propose the one record that changes the owner; refused until all acknowledged."""
+    """Propose the change of owner; refused until all expected nodes acknowledged."""
 
     move_id: str
 
@@ -126,6 +126,6 @@
 @record_kind("move.cancel")
 @dataclass(frozen=True, slots=True)
 class CancelMove:
-    """Propose that the instance stays in its source pool."""
+    """Propose to cancel a move, which leaves the instance in its source pool."""
 
     move_id: str
--- a/mustardward/state/models/templates.py
+++ b/mustardward/state/models/templates.py
@@ -1,4 +1,4 @@
-"""Model templates, their parameters and the organisations made from them."""
+"""Define templates, their parameters and the organisations based on them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Urgency(StrEnum):
-    """Say how soon work has to start."""
+    """Name how soon work has to start."""
 
     URGENT = "urgent"
     NORMAL = "normal"
@@ -18,9 +18,9 @@
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceWindow:
-    """Allow maintenance on some days from a second of the day on (UTC).
+    """Allow maintenance on some weekdays, starting at a second of the day (UTC).
 
-    ``weekdays`` counts from 0, Monday; the window may run past midnight.
+    ``weekdays`` counts from 0 for Monday; the window may extend past midnight.
     """
 
     start_second: int
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Quota:
-    """Bound what an organisation may use in one data centre at a time."""
+    """Limit what an organisation may use at a time in one data centre."""
 
     concurrency: int = 64
     queue: int = 256
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanWeights:
-    """Weigh the three measures of a maintenance plan against each other."""
+    """Hold the relative weights of the three criteria of a maintenance plan."""
 
     buffer: float = 1.0
     rollout: float = 1.0
@@ -49,9 +49,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Objectives:
-    """State the service level an organisation is promised.
+    """Hold the service level objectives of an organisation.
 
-    ``latency_seconds`` has to hold for ``latency_share`` of its answers, and
+    ``latency_share`` of its responses have to arrive within ``latency_seconds``, and
     ``success_share`` of its requests have to succeed.
     """
 
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceBinding:
-    """Let one named service of an organisation run in one pool."""
+    """Assign one service of an organisation to a pool."""
 
     service: str
     pool: str
@@ -71,10 +71,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Parameters:
-    """Hold what a template sets and an organisation may override.
+    """Hold parameters that a template sets and an organisation may override.
 
-    ``minimum_available`` and ``headroom`` are shares of a pool's instances, kept both
-    in each data centre and over the fleet.
+    ``minimum_available`` and ``headroom`` are shares of a pool's instances that apply
+    both in each data centre and over the fleet.
     """
 
     services: tuple[ServiceBinding, ...] = ()
@@ -117,7 +117,7 @@
     retry_share: float | None = None
 
     def apply_to(self, parameters: Parameters) -> Parameters:
-        """Return the parameters with the fields set here in their place."""
+        """Return the parameters with these overrides applied."""
         changes = {
             item.name: value
             for item in fields(self)
@@ -128,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TemplateRevision:
-    """Hold one accepted revision; ``offset`` is where the log accepted it."""
+    """Hold one accepted revision; ``offset`` is its offset in the log."""
 
     name: str
     revision: int
@@ -138,7 +138,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Organisation:
-    """Hold one organisation as accepted; ``parameters`` are the ones in force."""
+    """Hold one accepted organisation; ``parameters`` are the effective ones."""
 
     name: str
     template: str
@@ -148,8 +148,8 @@
     parameters: Parameters
 
 
-# Records. ``base_revision`` of the envelope is the revision the operator saw; 0 for a
-# name that did not exist.
+# Records. ``base_revision`` of the envelope is the revision that the operator read, 0
+# for a name that did not exist.
 
 
 @record_kind("template.publish")
@@ -174,6 +174,6 @@
 @record_kind("organisation.remove")
 @dataclass(frozen=True, slots=True)
 class RemoveOrganisation:
-    """Propose that an organisation ends."""
+    """Propose to remove an organisation."""
 
     name: str
--- a/mustardward/state/options.py
+++ b/mustardward/state/options.py
@@ -1,4 +1,4 @@
-"""Hold the times and sizes by which one log is followed."""
+"""Define the intervals and limits of following one log."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LogOptions:
-    """Bound waits (seconds), reads and appends of one folded log.
+    """Hold the intervals (seconds) and limits of reads and appends of one log.
 
-    ``relay_after_seconds`` is how old the tail may get before peers are asked,
-    ``relay_idle_seconds`` the time between questions while they bring nothing;
-    ``snapshot_entries`` and ``snapshot_seconds`` say when a snapshot is rewritten.
+    ``relay_after_seconds`` is the age of the tail after which peers are queried, and
+    ``relay_idle_seconds`` the interval of queries that return no new entries.
+    ``snapshot_entries`` and ``snapshot_seconds`` define when a snapshot is due.
     """
 
     poll_seconds: float = 1.0
@@ -33,7 +33,7 @@
     snapshot_seconds: float = 1800.0
 
     def backoff(self, random: Random) -> Backoff:
-        """Return the waits between tries against a log that fails."""
+        """Return the backoff between attempts on a failing log."""
         return Backoff(
             self.backoff_initial_seconds, self.backoff_maximum_seconds, random
         )
--- a/mustardward/state/protocols.py
+++ b/mustardward/state/protocols.py
@@ -1,4 +1,4 @@
-"""Define what components ask of the logs that they decide through."""
+"""Define the interface of logs that components use."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 
 class StateLog(Protocol[S_co]):
-    """Read the folded state of one stream and propose records to it."""
+    """Provide the state of one stream and append records to it."""
 
     @property
     def state(self) -> S_co:
-        """Return the state as folded so far; read only.
+        """Return the current state; callers must not change it.
 
-        Another object after a jump to a snapshot: ask each time, never keep it.
+        A restore replaces the object, so callers must not keep a reference to it.
         """
         ...
 
     @property
     def next_offset(self) -> int:
-        """Return the offset of the entry wanted next."""
+        """Return the offset of the next entry to apply."""
         ...
 
     @property
@@ -44,24 +44,24 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether there is state to serve from."""
+        """Return whether the state may be served from."""
         ...
 
     @property
     def may_decide(self) -> bool:
-        """Tell whether this process may propose and act.
+        """Return whether this process may propose records and act on the state.
 
-        False after a pause until the tail is confirmed, and for good after a record
+        False after a pause until the tail is confirmed, and permanently after a record
         of an unknown version.
         """
         ...
 
     def tail_age_seconds(self) -> float:
-        """Return how long ago the read began that last confirmed the tail."""
+        """Return the time since the start of the read that last confirmed the tail."""
         ...
 
     async def async_confirm_tail(self, timeout_seconds: float) -> bool:
-        """Read up to a tail asked for after this call; tell whether that worked."""
+        """Catch up with the tail as of this call; return whether that succeeded."""
         ...
 
     async def async_propose(
@@ -74,21 +74,21 @@
         timeout_seconds: float = 5.0,
         priority: int = 1,
     ) -> Result[Acceptance, MustardwardError]:
-        """Append a record (in a group commit) and wait for what the fold says.
+        """Append a record in a group commit and wait for its outcome.
 
-        A lost answer is met by appending again under the same record id. Priority 0
-        goes first, 2 last. The failure is ``PlatformUnavailableError`` if the record
-        was certainly not appended and ``PlatformOutcomeUnknownError`` if it may still
-        be accepted later.
+        After a lost response the record is appended again with the same record id.
+        Priority 0 is the highest, 2 the lowest. The failure is
+        ``PlatformUnavailableError`` if the record was definitely not appended and
+        ``PlatformOutcomeUnknownError`` if it may still be accepted later.
         """
         ...
 
     def listen(self, listener: Callable[[RecordOutcome], None]) -> Callable[[], None]:
-        """Call ``listener`` for each folded record until unsubscribed."""
+        """Call ``listener`` for each applied record until unsubscribed."""
         ...
 
     def listen_restored(self, listener: Callable[[], None]) -> Callable[[], None]:
-        """Call ``listener`` when the state jumped past records nobody heard of."""
+        """Call ``listener`` when a restore skipped records, until unsubscribed."""
         ...
 
 
--- a/mustardward/state/records.py
+++ b/mustardward/state/records.py
@@ -1,7 +1,7 @@
 """Define the envelope of a record, its codec, and the registry of kinds.
 
-An append to the log is a proposal. Its ``record_id`` stays the same over every retry,
-so the fold drops a second copy however late it arrives.
+An append to the log proposes a record. Its ``record_id`` is the same in every retry, so
+that the fold can ignore late duplicates.
 """
 
 from __future__ import annotations
@@ -17,16 +17,17 @@
 from ..helpers.registry import Registry
 
 NO_BASE: Final = -1
-"""Base revision of a record that does not compare with an earlier one."""
+"""Base revision of a record that is not based on an earlier revision."""
 
 BodyT = TypeVar("BodyT", bound=type)
 
 
 @dataclass(frozen=True, slots=True)
 class Envelope:
-    """Carry one record through the log.
+    """Hold one record as it is stored in the log.
 
-    ``stamp`` is in seconds since the epoch, for people only: no decision reads it.
+    ``stamp`` is in seconds since the epoch and only informational: no decision
+    depends on it.
     """
 
     record_id: str
@@ -55,7 +56,7 @@
 
 
 def record_kind(kind: str, version: int = 1) -> Callable[[BodyT], BodyT]:
-    """Return a decorator that files a data class as the body of a kind."""
+    """Return a decorator that registers a data class as the body of a record kind."""
 
     def decorate(body_type: BodyT) -> BodyT:
         description = RecordKind(kind, version, body_type)
@@ -67,7 +68,7 @@
 
 
 def body_digest(kind: str, version: int, body: bytes) -> str:
-    """Return the digest that binds a body to its kind and version."""
+    """Return the digest of a body together with its kind and version."""
     return xxhash.xxh3_128_hexdigest(f"{kind}\x00{version}\x00".encode() + body)
 
 
@@ -79,9 +80,9 @@
     stamp: float,
     base_revision: int = NO_BASE,
 ) -> Envelope:
-    """Return the envelope for a body whose type was filed with ``record_kind``.
+    """Return the envelope for a body whose type is registered with ``record_kind``.
 
-    :raises UnknownRecordError: if the type was not filed.
+    :raises UnknownRecordError: if the type is not registered.
     """
     description = _KIND_BY_TYPE.get(type(body))
     if description is None:
@@ -102,8 +103,8 @@
 def decode_body(envelope: Envelope) -> Any:
     """Return the body as its data class.
 
-    :raises UnknownRecordError: for a kind or newer version this build does not know.
-    :raises CorruptRecordError: if digest or schema do not match.
+    :raises UnknownRecordError: if this build does not know the kind or version.
+    :raises CorruptRecordError: if the digest or the schema does not match.
     """
     description = RECORD_KINDS.get(envelope.kind)
     if description is None or envelope.version > description.version:
@@ -118,7 +119,7 @@
 
 
 def encode_batch(envelopes: Sequence[Envelope]) -> bytes:
-    """Return the payload of one append that carries ``envelopes`` in order."""
+    """Return the payload of one append with ``envelopes`` in order."""
     return _ENCODER.encode(list(envelopes))
 
 
--- a/mustardward/state/relay.py
+++ b/mustardward/state/relay.py
@@ -1,7 +1,7 @@
-"""Take entries and state from a peer while the platform is out of reach.
+"""Exchange entries and images between peers while the platform is unreachable.
 
-Monotone: an answer is used only to move ahead, and every entry's chained digest shows
-whether the peer folded the same log.
+A response is only used to advance the local state, and the chained digest of each entry
+shows whether the peer applied the same log.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 from .images import Image
 
-KEPT_ENTRIES: Final = 1024
-KEPT_BYTES: Final = 1_048_576
-ANSWER_BYTES: Final = 262_144
+MAX_RECENT_ENTRIES: Final = 1024
+MAX_RECENT_BYTES: Final = 1_048_576
+MAX_RESPONSE_BYTES: Final = 262_144
 
 
 class RelayRequestKind(StrEnum):
-    """Say what is asked of a peer."""
+    """Name what is requested from a peer."""
 
     POSITION = "position"
     ENTRIES = "entries"
@@ -27,7 +27,7 @@
 
 
 class RelayStatus(StrEnum):
-    """Say what a peer's answer is."""
+    """Name the result of a request to a peer."""
 
     POSITION = "position"
     ENTRIES = "entries"
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayRequest:
-    """Ask a peer how far it is, for what follows an offset, or for its state."""
+    """Request a peer's position, the entries after an offset, or an image."""
 
     stream: str
     next_offset: int
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayedEntry:
-    """Hold an entry with the chained digest after it."""
+    """Hold an entry with the chained digest after applying it."""
 
     offset: int
     payload: bytes
@@ -59,10 +59,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayResponse:
-    """Hold a peer's answer; ``tail_age_seconds`` is how old its own tail is.
+    """Hold a peer's response.
 
-    ``next_offset`` is what the peer's fold wants next, also when it sends no entry.
-    An image of more than one part has to be completed before it is used.
+    ``next_offset`` is the next offset of the peer's fold, also without entries, and
+    ``tail_age_seconds`` is the time since the peer last confirmed the tail. An image in
+    several parts has to be completed before use.
     """
 
     status: RelayStatus
@@ -75,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayPartRequest:
-    """Ask a peer for a further part of the image that it began to send."""
+    """Request a further part of an image from the peer that sent the first one."""
 
     stream: str
     body_digest: str
@@ -84,70 +85,72 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayPart:
-    """Hold one part of an image; empty if the peer does not hold it any more."""
+    """Hold one part of an image; empty if the peer no longer has the image."""
 
     body: bytes = b""
 
 
 class RelaySource(Protocol):
-    """Ask peers; every failure of a peer is an ``UNAVAILABLE`` answer."""
+    """Send requests to peers; each failure is an ``UNAVAILABLE`` response."""
 
-    async def async_entries(self, question: RelayRequest) -> RelayResponse:
-        """Ask one peer, by preference one that is ahead."""
+    async def async_entries(self, request: RelayRequest) -> RelayResponse:
+        """Request entries from one peer, preferably one that is ahead."""
         ...
 
-    async def async_image(self, question: RelayRequest) -> RelayResponse:
-        """Ask several peers how far they are, and the furthest for its state."""
+    async def async_image(self, request: RelayRequest) -> RelayResponse:
+        """Request an image from the peer with the newest state."""
         ...
 
 
 class RecentEntries:
-    """Keep the latest entries for peers, within a count and a size."""
+    """Keep the latest entries for peers, bounded by count and size."""
 
     def __init__(self) -> None:
         self._entries: deque[RelayedEntry] = deque()
         self._bytes = 0
-        self._before = ""
+        self._preceding_digest = ""
 
     def add(self, entry: RelayedEntry) -> None:
-        """Keep one entry, and drop the oldest ones beyond the bounds."""
+        """Add an entry and drop the oldest ones beyond the bounds."""
         self._entries.append(entry)
         self._bytes += len(entry.payload)
-        while len(self._entries) > KEPT_ENTRIES or self._bytes > KEPT_BYTES:
+        while len(self._entries) > MAX_RECENT_ENTRIES or self._bytes > MAX_RECENT_BYTES:
             dropped = self._entries.popleft()
             self._bytes -= len(dropped.payload)
-            self._before = dropped.digest
+            self._preceding_digest = dropped.digest
 
     def payload(self, offset: int) -> bytes | None:
-        """Return an entry that is still kept."""
+        """Return an entry's payload, or ``None`` if the entry is not kept."""
         index = offset - self._entries[0].offset if self._entries else -1
         if not 0 <= index < len(self._entries):
             return None
         return self._entries[index].payload
 
-    def start_after(self, digest: str) -> None:
-        """Drop everything, as the fold has jumped to a state with this digest."""
+    def reset(self, digest: str) -> None:
+        """Drop all entries after the fold was restored to a state with this digest."""
         self._entries.clear()
         self._bytes = 0
-        self._before = digest
+        self._preceding_digest = digest
 
     def since(self, offset: int, digest: str) -> tuple[RelayStatus, list[RelayedEntry]]:
-        """Return the entries from ``offset`` on, if that state is of the same log."""
+        """Return the entries from ``offset`` on if ``digest`` matches this log."""
         if not self._entries or offset < self._entries[0].offset:
             return RelayStatus.IMAGE_NEEDED, []
         index = offset - self._entries[0].offset
-        before = self._entries[index - 1].digest if index else self._before
-        if before != digest:
+        preceding_digest = (
+            self._entries[index - 1].digest if index else self._preceding_digest
+        )
+        if preceding_digest != digest:
             return RelayStatus.DIVERGED, []
-        return RelayStatus.ENTRIES, self._bounded(index)
+        return RelayStatus.ENTRIES, self._limit_size(index)
 
-    def _bounded(self, index: int) -> list[RelayedEntry]:
-        taken: list[RelayedEntry] = []
+    def _limit_size(self, index: int) -> list[RelayedEntry]:
+        selected: list[RelayedEntry] = []
         size = 0
         for position in range(index, len(self._entries)):
             entry = self._entries[position]
             size += len(entry.payload)
-            if taken and size > ANSWER_BYTES:
+            if selected and size > MAX_RESPONSE_BYTES:
                 break
-            taken.append(entry)
-        return taken
+            selected.append(entry)
+        return selected
--- a/mustardward/state/replica.py
+++ b/mustardward/state/replica.py
@@ -1,4 +1,4 @@
-"""Hold one node's copy of a stream's state, and move it ahead only."""
+"""Maintain one node's copy of a stream's state, which only ever advances."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     RelayStatus,
 )
 from .streams import StreamSpec
-from .tail import ReadTicket, TailTracker
+from .tail import ReadStart, TailTracker
 
 _LOGGER = get_logger(__name__)
 
@@ -33,16 +33,16 @@
 
 
 class StateDivergedError(StateError):
-    """Report that two nodes folded one offset to different states."""
+    """Report that two nodes have different states at the same offset."""
 
     code = "state-diverged"
 
 
 class Replica(Generic[S]):
-    """Fold entries from the log or a peer, whichever comes first.
+    """Apply entries from the log or from peers, whichever arrive first.
 
     :param spec: the stream.
-    :param tail: told of each step ahead.
+    :param tail: updated with each applied entry.
     """
 
     def __init__(self, spec: StreamSpec[S], tail: TailTracker) -> None:
@@ -66,91 +66,93 @@
 
     @property
     def stopped(self) -> StateError | None:
-        """Return why this node must not decide from its state, if so."""
+        """Return the error that prevents decisions from this state, if any."""
         blocked = self._fold.blocked
         return self._diverged or (StateError(blocked.code) if blocked else None)
 
     def listen(self, listener: OutcomeListener) -> Callable[[], None]:
-        """Call ``listener`` for each folded record until unsubscribed."""
+        """Call ``listener`` for each applied record until unsubscribed."""
         return _subscribe(self._listeners, listener)
 
     def listen_restored(self, listener: RestoredListener) -> Callable[[], None]:
-        """Call ``listener`` when the state jumped past records nobody heard of."""
+        """Call ``listener`` when a restore skipped records, until unsubscribed."""
         return _subscribe(self._restored_listeners, listener)
 
-    async def async_apply_page(self, ticket: ReadTicket, page: LogPage) -> None:
-        """Fold what a read brought, and note the tail it saw.
+    async def async_apply_page(self, ticket: ReadStart, page: LogPage) -> None:
+        """Apply the entries of a read and record its tail.
 
         :raises LogGapError: if an offset is missing.
         """
         for entry in page.entries:
-            # A peer may have been quicker while the read was under way.
+            # A peer may have sent the entry while the read was in flight.
             if entry.offset < self._fold.next_offset:
                 continue
             self._apply(entry.offset, entry.payload)
             await anyio.lowlevel.checkpoint()
         self._tail.record_read(ticket, page.tail, self._fold.next_offset)
 
-    async def async_apply_relayed(self, answer: RelayResponse) -> None:
-        """Fold what a peer relayed.
+    async def async_apply_relayed(self, response: RelayResponse) -> None:
+        """Apply entries received from a peer.
 
         :raises LogGapError: if an offset is missing.
         """
-        for entry in answer.entries:
+        for entry in response.entries:
             if entry.offset < self._fold.next_offset:
                 continue
             self._apply(entry.offset, entry.payload)
             if self._fold.digest != entry.digest:
-                self.note_divergence(entry.offset)
+                self.record_divergence(entry.offset)
                 return
             await anyio.lowlevel.checkpoint()
 
     def adopt(self, image: Image) -> None:
-        """Jump ahead to an image.
+        """Replace the state by that of a newer image.
 
-        :raises SnapshotUnusableError: if it is unusable or behind.
+        :raises SnapshotUnusableError: if the image is unusable or behind.
         """
         restore_image(self._spec, self._fold, image)
-        self._recent.start_after(self._fold.digest)
+        self._recent.reset(self._fold.digest)
         for listener in list(self._restored_listeners):
-            _call(listener)
+            _notify(listener)
         self._tail.record_progress(self._fold.next_offset)
 
     def image(self) -> Image:
-        """Return the image of the present state.
+        """Return an image of the current state.
 
-        :raises StateError: if this node must not decide from it.
+        :raises StateError: if this node must not make decisions from it.
         """
         if self._diverged is not None:
             raise self._diverged
         return make_image(self._spec, self._fold)
 
-    def answer(self, question: RelayRequest) -> RelayResponse:
-        """Return what this node can tell a peer."""
-        held = self._fold.next_offset
+    def respond(self, request: RelayRequest) -> RelayResponse:
+        """Return the response to a peer's request."""
+        reached_offset = self._fold.next_offset
         age = self._tail.age_seconds
         if self.stopped is not None:
             return RelayResponse(RelayStatus.UNAVAILABLE)
-        if held < question.next_offset:
-            return RelayResponse(RelayStatus.BEHIND, held, age)
-        if question.wanted is RelayRequestKind.POSITION:
-            return RelayResponse(RelayStatus.POSITION, held, age)
-        if question.wanted is RelayRequestKind.IMAGE:
-            return RelayResponse(RelayStatus.IMAGE, held, age, image=self.image())
-        status, entries = self._entries_since(question)
-        return RelayResponse(status, held, age, tuple(entries))
-
-    def note_divergence(self, offset: int) -> None:
-        """Stop deciding, as a peer came to another state at the same offset."""
+        if reached_offset < request.next_offset:
+            return RelayResponse(RelayStatus.BEHIND, reached_offset, age)
+        if request.wanted is RelayRequestKind.POSITION:
+            return RelayResponse(RelayStatus.POSITION, reached_offset, age)
+        if request.wanted is RelayRequestKind.IMAGE:
+            return RelayResponse(
+                RelayStatus.IMAGE, reached_offset, age, image=self.image()
+            )
+        status, entries = self._entries_since(request)
+        return RelayResponse(status, reached_offset, age, tuple(entries))
+
+    def record_divergence(self, offset: int) -> None:
+        """Stop making decisions, since a peer has a different state at this offset."""
         self._diverged = StateDivergedError(f"offset={offset}")
         _LOGGER.error("state_diverged", stream=self._spec.name, offset=offset)
 
     def _entries_since(
-        self, question: RelayRequest
+        self, request: RelayRequest
     ) -> tuple[RelayStatus, list[RelayedEntry]]:
-        if question.next_offset < self._fold.next_offset:
-            return self._recent.since(question.next_offset, question.digest)
-        same = question.digest == self._fold.digest
+        if request.next_offset < self._fold.next_offset:
+            return self._recent.since(request.next_offset, request.digest)
+        same = request.digest == self._fold.digest
         return (RelayStatus.ENTRIES if same else RelayStatus.DIVERGED), []
 
     def _apply(self, offset: int, payload: bytes) -> None:
@@ -168,13 +170,13 @@
             )
         for outcome in outcomes:
             for listener in list(self._listeners):
-                _call(listener, outcome)
+                _notify(listener, outcome)
         self._tail.record_progress(self._fold.next_offset)
 
 
-def _call(listener: Callable[..., None], *arguments: RecordOutcome) -> None:
-    # One part's bug must not end the follower of all parts; it would show as an entry
-    # that dies on a record which the others fold.
+def _notify(listener: Callable[..., None], *arguments: RecordOutcome) -> None:
+    # An exception in one listener must not end the follower, which would make this node
+    # stop at a record that the others apply.
     try:
         listener(*arguments)
     except Exception as error:
--- a/mustardward/state/snapshot_writer.py
+++ b/mustardward/state/snapshot_writer.py
@@ -1,4 +1,4 @@
-"""Rewrite the snapshots of a stream well before the log forgets what they spare."""
+"""Write snapshots well before the log drops the entries that they replace."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 _LOGGER = get_logger(__name__)
 
 
-_MANIFESTS_CHECKED: Final = 4
+_MAX_MANIFESTS_CHECKED: Final = 4
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotConditions:
-    """Hold what decides whether a snapshot is due.
+    """Hold the inputs that determine whether a snapshot is due.
 
-    ``written_offset`` and ``written_at`` are of the furthest snapshot, if any;
-    ``oldest`` is the first offset that the log still keeps.
+    ``written_offset`` and ``written_at`` are those of the newest snapshot, if any;
+    ``oldest`` is the first offset that the log retains.
     """
 
     next_offset: int
@@ -36,30 +36,30 @@
     written_at: float = 0.0
 
 
-def snapshot_due_cause(situation: SnapshotConditions, options: LogOptions) -> str:
-    """Return why a snapshot is due, or nothing."""
-    if situation.next_offset == 0:
+def snapshot_due_cause(conditions: SnapshotConditions, options: LogOptions) -> str:
+    """Return the cause that makes a snapshot due, or an empty string."""
+    if conditions.next_offset == 0:
         return ""
-    if situation.written_offset is None:
+    if conditions.written_offset is None:
         return "missing"
-    ahead = situation.next_offset - situation.written_offset
-    if ahead >= options.snapshot_entries:
+    new_entries = conditions.next_offset - conditions.written_offset
+    if new_entries >= options.snapshot_entries:
         return "entries"
-    # With what follows the snapshot making up more than half of what the log keeps,
-    # a slow writer could lose the race against retention.
-    if ahead > 0 and ahead * 2 > situation.next_offset - situation.oldest:
+    # Once the entries after the snapshot are more than half of the retained log, a slow
+    # writer could finish after retention has dropped the first of them.
+    if new_entries > 0 and new_entries * 2 > conditions.next_offset - conditions.oldest:
         return "retention"
-    # The snapshot's own stream forgets too, also when nothing changes.
-    if situation.now - situation.written_at >= options.snapshot_seconds:
+    # The snapshot's own stream has limited retention too, even if nothing changes.
+    if conditions.now - conditions.written_at >= options.snapshot_seconds:
         return "age"
     return ""
 
 
 class SnapshotWriter:
-    """Write snapshots of one log while this process holds the duty.
+    """Write snapshots of one log while this process is responsible for them.
 
     :param log: the folded log.
-    :param owns_duty: tells whether to write; two writers do no harm.
+    :param owns_duty: returns whether to write; concurrent writers are safe.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         self._busy = False
 
     def subscribe(self, tasks: TaskGroup) -> Callable[[], None]:
-        """Check at intervals until unsubscribed; writing goes on in a task."""
+        """Check periodically until unsubscribed; snapshots are written in a task."""
 
         async def check() -> None:
             tasks.start_soon(self.async_check)
@@ -81,7 +81,7 @@
         return self._timers.subscribe(name, seconds, check)
 
     async def async_check(self) -> None:
-        """Write a snapshot if this process holds the duty and one is due."""
+        """Write a snapshot if this process is responsible and one is due."""
         if self._busy or not self._owns_duty() or not self._log.may_decide:
             return
         self._busy = True
@@ -95,7 +95,7 @@
                 detail=error.detail,
             )
         except Exception as error:
-            # The duty runs in a task of the process; what escapes it ends the entry.
+            # An exception that escapes this task would end the whole entry process.
             _LOGGER.error(
                 "snapshot_not_written",
                 stream=self._log.spec.name,
@@ -106,9 +106,9 @@
             self._busy = False
 
     async def _async_check(self) -> None:
-        manifests = await self._log.store.async_manifests(_MANIFESTS_CHECKED)
+        manifests = await self._log.store.async_manifests(_MAX_MANIFESTS_CHECKED)
         latest = furthest_readable(manifests, self._log.spec)
-        cause = snapshot_due_cause(self._situation(latest), self._log.options)
+        cause = snapshot_due_cause(self._get_conditions(latest), self._log.options)
         if not cause:
             return
         manifest = await self._log.store.async_write(self._log.image())
@@ -120,7 +120,7 @@
             chunks=len(manifest.chunks),
         )
 
-    def _situation(self, latest: Manifest | None) -> SnapshotConditions:
+    def _get_conditions(self, latest: Manifest | None) -> SnapshotConditions:
         return SnapshotConditions(
             next_offset=self._log.next_offset,
             oldest=self._log.oldest_offset,
--- a/mustardward/state/snapshots.py
+++ b/mustardward/state/snapshots.py
@@ -1,8 +1,8 @@
-"""Keep snapshots of a fold in streams of the log itself.
+"""Store snapshots of a fold in streams of the log itself.
 
-The body goes in chunks to one stream; then a manifest that names their offsets goes to
-another. A snapshot without a manifest does not exist, so a writer that dies half way
-leaves nothing that could be mistaken for one, and two writers never mix.
+The body is appended in chunks to one stream, then a manifest with their offsets to
+another. A snapshot without a manifest is ignored, so a writer that fails half way
+leaves no partial snapshot, and concurrent writers don't interfere.
 """
 
 from __future__ import annotations
@@ -33,18 +33,18 @@
 
 CHUNK_BYTES: Final = 131_072
 CHUNK_STREAM_SUFFIX: Final = ".chunks"
-MANIFESTS_READ: Final = 16
-"""Manifests looked at from the tail back; two writers leave them out of order."""
-_APPEND_TRIES: Final = 8
+MAX_MANIFESTS_READ: Final = 16
+"""Latest manifests to consider; concurrent writers append them out of order."""
+_APPEND_ATTEMPTS: Final = 8
 _CHUNK_PAUSE_SECONDS: Final = 0.1
-"""Wait between chunks, which leaves the log's budget to claims and intents."""
+"""Delay between chunks, to leave the log's rate limit to claims and intents."""
 
 S = TypeVar("S")
 
 
 @dataclass(frozen=True, slots=True)
 class Chunk:
-    """Name one chunk by its offset and the digest of its bytes."""
+    """Identify one chunk by its offset and the digest of its bytes."""
 
     offset: int
     digest: str
@@ -52,9 +52,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Manifest:
-    """Complete a snapshot: what it holds, and where its chunks are, in order.
+    """Describe a complete snapshot: its header and its chunks in order.
 
-    ``written_at`` (seconds since the epoch) only says when the next one is due.
+    ``written_at`` (seconds since the epoch) only determines when the next one is due.
     """
 
     header: ImageHeader
@@ -63,8 +63,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _SealedManifest:
-    """Carry a manifest's bytes with their digest."""
+class _ManifestEntry:
+    """Hold an encoded manifest with its digest."""
 
     body: bytes
     digest: str
@@ -72,7 +72,7 @@
 
 _ENCODER: Final = msgspec.msgpack.Encoder()
 _MANIFEST_DECODER: Final = msgspec.msgpack.Decoder(Manifest)
-_SEALED_DECODER: Final = msgspec.msgpack.Decoder(_SealedManifest)
+_MANIFEST_ENTRY_DECODER: Final = msgspec.msgpack.Decoder(_ManifestEntry)
 
 
 class SnapshotStore(Generic[S]):
@@ -80,7 +80,7 @@
 
     :param service: the platform's log.
     :param spec: the stream that the snapshots are of.
-    :param timers: the clock, for waits between tries.
+    :param timers: the clock, for delays between attempts.
     :param random: source of jitter.
     """
 
@@ -101,7 +101,7 @@
     async def async_write(self, image: Image) -> Manifest:
         """Append an image, chunks first.
 
-        :raises PlatformError: if the log did not take it; nothing half is left over.
+        :raises PlatformError: if the log refused it; no partial snapshot remains.
         """
         chunks = []
         for start in range(0, len(image.body), CHUNK_BYTES):
@@ -113,15 +113,15 @@
         await self._async_append(self._manifests, encode_manifest(manifest))
         return manifest
 
-    async def async_manifests(self, count: int = MANIFESTS_READ) -> list[Manifest]:
-        """Return the latest readable manifests, the furthest state first.
+    async def async_manifests(self, count: int = MAX_MANIFESTS_READ) -> list[Manifest]:
+        """Return the latest readable manifests, the newest state first.
 
-        :param count: how many are looked at, from the tail back.
+        :param count: number of manifests to read, up to the tail.
         :raises PlatformError: if the log can't be read.
         """
-        end = await self._async_bounds(self._manifests)
-        start = max(end.oldest, end.tail - count)
-        if start >= end.tail:
+        bounds = await self._async_read_bounds(self._manifests)
+        start = max(bounds.oldest, bounds.tail - count)
+        if start >= bounds.tail:
             return []
         page = await self._service.async_read(self._manifests, start, count, 0.0)
         found = []
@@ -129,11 +129,11 @@
             try:
                 found.append(decode_manifest(entry.payload))
             except SnapshotUnusableError as error:
-                self._refuse(f"manifest:{entry.offset}", error)
+                self._log_refusal(f"manifest:{entry.offset}", error)
         return sorted(found, key=lambda item: -item.header.next_offset)
 
     async def async_load(self, least_offset: int) -> Image:
-        """Return the furthest whole image that is not behind ``least_offset``.
+        """Return the newest complete image that is not behind ``least_offset``.
 
         :raises SnapshotUnusableError: if there is none.
         :raises PlatformError: if the log can't be read.
@@ -143,7 +143,7 @@
                 check_header(self._spec, manifest.header, least_offset)
                 return Image(manifest.header, await self._async_body(manifest))
             except SnapshotUnusableError as error:
-                self._refuse(f"offset:{manifest.header.next_offset}", error)
+                self._log_refusal(f"offset:{manifest.header.next_offset}", error)
         raise SnapshotUnusableError(f"stream={self._spec.name} none usable")
 
     async def _async_body(self, manifest: Manifest) -> bytes:
@@ -162,17 +162,17 @@
             raise SnapshotUnusableError(f"chunk={chunk.offset} digest differs")
         return payload
 
-    async def _async_bounds(self, stream: str) -> LogPage:
+    async def _async_read_bounds(self, stream: str) -> LogPage:
         try:
             return await self._service.async_read(stream, 0, 1, 0.0)
         except OffsetExpiredError as error:
             return await self._service.async_read(stream, error.oldest, 1, 0.0)
 
     async def _async_append(self, stream: str, payload: bytes) -> int:
-        # A copy whose answer was lost only lies there unnamed; the manifest names the
-        # one whose offset is known. A manifest appended twice says the same twice.
+        # A chunk whose response was lost stays unreferenced, since the manifest refers
+        # to the copy whose offset is known. A duplicate manifest is harmless.
         backoff = Backoff(0.2, 5.0, self._random)
-        for _ in range(_APPEND_TRIES - 1):
+        for _ in range(_APPEND_ATTEMPTS - 1):
             try:
                 return await self._service.async_append(stream, payload)
             except PlatformRefusedError:
@@ -181,7 +181,7 @@
                 await self._timers.async_sleep(backoff.next_seconds())
         return await self._service.async_append(stream, payload)
 
-    def _refuse(self, subject: str, error: SnapshotUnusableError) -> None:
+    def _log_refusal(self, subject: str, error: SnapshotUnusableError) -> None:
         _LOGGER.warning(
             "snapshot_refused",
             stream=self._spec.name,
@@ -193,7 +193,7 @@
 def furthest_readable(
     manifests: list[Manifest], spec: StreamSpec[Any]
 ) -> Manifest | None:
-    """Return the manifest of the furthest state that this build can read."""
+    """Return the manifest of the newest state that this build can read."""
     for manifest in manifests:
         try:
             check_header(spec, manifest.header, 0)
@@ -204,20 +204,20 @@
 
 
 def encode_manifest(manifest: Manifest) -> bytes:
-    """Return the entry that carries a manifest and its digest."""
+    """Return the payload of an entry with a manifest and its digest."""
     body = _ENCODER.encode(manifest)
-    return _ENCODER.encode(_SealedManifest(body, xxhash.xxh3_128_hexdigest(body)))
+    return _ENCODER.encode(_ManifestEntry(body, xxhash.xxh3_128_hexdigest(body)))
 
 
 def decode_manifest(payload: bytes) -> Manifest:
-    """Return the manifest of an entry.
+    """Return the manifest in the payload of an entry.
 
     :raises SnapshotUnusableError: if it is corrupt.
     """
     try:
-        sealed = _SEALED_DECODER.decode(payload)
-        if xxhash.xxh3_128_hexdigest(sealed.body) != sealed.digest:
+        entry_body = _MANIFEST_ENTRY_DECODER.decode(payload)
+        if xxhash.xxh3_128_hexdigest(entry_body.body) != entry_body.digest:
             raise SnapshotUnusableError("manifest does not match its digest")
-        return _MANIFEST_DECODER.decode(sealed.body)
+        return _MANIFEST_DECODER.decode(entry_body.body)
     except msgspec.MsgspecError as error:
         raise SnapshotUnusableError(str(error)) from error
--- a/mustardward/state/streams.py
+++ b/mustardward/state/streams.py
@@ -1,4 +1,4 @@
-"""Describe the streams that entries fold: their state, its type and its handlers."""
+"""Describe the streams of the log: their names, state types and record handlers."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamSpec(Generic[S]):
-    """Describe one stream; ``compact`` shares equal values of a decoded state."""
+    """Describe one stream; ``compact`` deduplicates values of a decoded state."""
 
     name: str
     state_type: type[S]
@@ -28,15 +28,15 @@
     compact: Callable[[S], None]
 
     def new_fold(self) -> Fold[S]:
-        """Return a fold at the stream's first offset."""
+        """Return an empty fold at the stream's first offset."""
         return Fold(self.state_type(), self.handlers)
 
 
 def compact_fleet(state: FleetState) -> None:
-    """Let the instances share names, and organisations their template's parameters.
+    """Share names between instances, and a template's parameters between organisations.
 
-    A codec makes a new object of each value it reads; thousands of instances would
-    then hold thousands of copies of a few names.
+    The decoder creates a new object for each value, so thousands of instances would
+    hold thousands of copies of a few names.
     """
     for instance in state.instances.values():
         instance.data_centre = intern(instance.data_centre)
@@ -57,7 +57,7 @@
 
 
 def compact_work(state: WorkState) -> None:
-    """Let jobs and intents share the names of their organisations and services."""
+    """Share names of organisations, services and pools between jobs and intents."""
     for job in state.jobs.values():
         job.organisation = intern(job.organisation)
         job.service = intern(job.service)
@@ -71,6 +71,6 @@
 
 
 def work_spec(data_centre: str) -> StreamSpec[WorkState]:
-    """Return the description of one data centre's stream of work."""
+    """Return the description of one data centre's ``work`` stream."""
     name = WORK_STREAM_PREFIX + data_centre
     return StreamSpec(name, WorkState, WORK_HANDLERS, compact_work)
--- a/mustardward/state/wave_queries.py
+++ b/mustardward/state/wave_queries.py
@@ -1,4 +1,4 @@
-"""Answer questions on waves from the folded state; pure."""
+"""Provide queries on the waves of the fleet state."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 def running_waves(state: FleetState) -> list[Wave]:
-    """Return the waves that may take instances now."""
+    """Return the waves that may claim instances now."""
     return [wave for wave in state.waves.values() if wave.status == WaveStatus.RUNNING]
 
 
 def is_due(waves: list[Wave], instance_id: str) -> bool:
-    """Tell whether some of these waves will still take an instance."""
+    """Return whether any of these waves has yet to claim an instance."""
     return any(instance_id in wave.pending for wave in waves)
--- a/mustardward/state/window.py
+++ b/mustardward/state/window.py
@@ -1,4 +1,4 @@
-"""Remember what became of the latest records, by record id."""
+"""Store the verdicts on the latest records by record id."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 import xxhash
 
 DEDUPE_WINDOW: Final = 65_536
-_EMPTY: Final = -1
+_EMPTY_SLOT: Final = -1
 
 Verdict = int | str
 """Revision of an accepted record, or the code of its refusal."""
 
 
 class DedupeWindow:
-    """Hold the verdicts of the latest records within a fixed count.
+    """Store the verdicts on a fixed number of the latest records.
 
-    Ids are kept as 64-bit digests in a ring, and found through an open-addressed table
-    of places in it. Arrays of numbers take a fifth of what a map of objects does, in
-    every entry and for each stream.
+    Ids are stored as 64-bit digests in a ring buffer and found through an
+    open-addressed hash table of ring indexes. Arrays of numbers take a fifth of the
+    memory of a dict of objects, in every entry process and for each stream.
 
-    :param capacity: number of records remembered.
+    :param capacity: maximum number of records stored.
     """
 
     def __init__(self, capacity: int = DEDUPE_WINDOW) -> None:
@@ -31,26 +31,30 @@
         self._clear()
 
     def __len__(self) -> int:
-        """Return the number of records remembered."""
+        """Return the number of records stored."""
         return len(self._keys)
 
     def get(self, record_id: str) -> Verdict | None:
-        """Return what became of a record, or nothing if it is not remembered."""
-        place = self._places[self._find(_key(record_id))]
-        return None if place == _EMPTY else self._decode(self._verdicts[place])
+        """Return the verdict on a record, or ``None`` if it is not in the window."""
+        ring_index = self._table[self._find_slot(_key(record_id))]
+        return (
+            None
+            if ring_index == _EMPTY_SLOT
+            else self._decode(self._verdicts[ring_index])
+        )
 
     def add(self, record_id: str, verdict: Verdict) -> None:
-        """Remember a record that is not in the window, and forget the oldest."""
+        """Add a record that is not in the window, and drop the oldest if it is full."""
         self._add(_key(record_id), self._encode(verdict))
 
     def export(self) -> tuple[bytes, list[Verdict]]:
-        """Return the ids' digests, oldest first, and their verdicts."""
+        """Return the digests of the ids, oldest first, and their verdicts."""
         keys = self._keys[self._start :] + self._keys[: self._start]
         verdicts = self._verdicts[self._start :] + self._verdicts[: self._start]
         return keys.tobytes(), [self._decode(verdict) for verdict in verdicts]
 
     def restore(self, keys: bytes, verdicts: list[Verdict]) -> None:
-        """Hold what ``export`` returned in place of everything held now."""
+        """Replace the contents by what ``export`` returned."""
         self._clear()
         restored = array("Q")
         restored.frombytes(keys)
@@ -61,46 +65,48 @@
         self._keys = array("Q")
         self._verdicts = array("q")
         self._start = 0
-        self._places = array("i", [_EMPTY]) * (self._mask + 1)
+        self._table = array("i", [_EMPTY_SLOT]) * (self._mask + 1)
 
     def _add(self, key: int, verdict: int) -> None:
-        place = len(self._keys)
-        if place < self._capacity:
+        ring_index = len(self._keys)
+        if ring_index < self._capacity:
             self._keys.append(key)
             self._verdicts.append(verdict)
         else:
-            place = self._start
-            self._forget(self._keys[place])
-            self._keys[place] = key
-            self._verdicts[place] = verdict
-            self._start = (place + 1) % self._capacity
-        self._places[self._find(key)] = place
-
-    def _find(self, key: int) -> int:
-        """Return the slot that holds a key, or the empty one where it would go."""
+            ring_index = self._start
+            self._remove(self._keys[ring_index])
+            self._keys[ring_index] = key
+            self._verdicts[ring_index] = verdict
+            self._start = (ring_index + 1) % self._capacity
+        self._table[self._find_slot(key)] = ring_index
+
+    def _find_slot(self, key: int) -> int:
+        """Return the table slot of a key, or the empty slot where it belongs."""
         slot = key & self._mask
-        while (place := self._places[slot]) != _EMPTY and self._keys[place] != key:
+        while (ring_index := self._table[slot]) != _EMPTY_SLOT and self._keys[
+            ring_index
+        ] != key:
             slot = (slot + 1) & self._mask
         return slot
 
-    def _forget(self, key: int) -> None:
-        """Empty a key's slot, and move up what lies behind it.
+    def _remove(self, key: int) -> None:
+        """Empty a key's table slot and move later keys of its probe sequence up.
 
-        A gap would end the search for a key that had to go further, and a late copy of
-        a remembered record would be folded as new.
+        A gap would end the search for a key further along, and a late copy of a stored
+        record would be applied as new.
         """
-        gap = self._find(key)
+        gap = self._find_slot(key)
         slot = gap
         while True:
             slot = (slot + 1) & self._mask
-            place = self._places[slot]
-            if place == _EMPTY:
+            ring_index = self._table[slot]
+            if ring_index == _EMPTY_SLOT:
                 break
-            home = self._keys[place] & self._mask
-            if (slot - home) & self._mask >= (slot - gap) & self._mask:
-                self._places[gap] = place
+            preferred = self._keys[ring_index] & self._mask
+            if (slot - preferred) & self._mask >= (slot - gap) & self._mask:
+                self._table[gap] = ring_index
                 gap = slot
-        self._places[gap] = _EMPTY
+        self._table[gap] = _EMPTY_SLOT
 
     def _encode(self, verdict: Verdict) -> int:
         if isinstance(verdict, int):
--- a/tests/fakes/relay.py
+++ b/tests/fakes/relay.py
@@ -28,12 +28,12 @@
         if not self.peers:
             return RelayResponse(RelayStatus.UNAVAILABLE)
         self._request_count += 1
-        return self.peers[self._request_count % len(self.peers)].answer(question)
+        return self.peers[self._request_count % len(self.peers)].respond(question)
 
     async def async_image(self, question: RelayRequest) -> RelayResponse:
         """Request an image from the peer with the newest state."""
         probe = RelayRequest(question.stream, 0, "", RelayRequestKind.POSITION)
-        answers = [(peer.answer(probe), peer) for peer in self.peers]
+        answers = [(peer.respond(probe), peer) for peer in self.peers]
         usable = [
             (answer.next_offset, index)
             for index, (answer, _) in enumerate(answers)
@@ -41,4 +41,4 @@
         ]
         if not usable:
             return RelayResponse(RelayStatus.UNAVAILABLE)
-        return answers[max(usable)[1]][1].answer(question)
+        return answers[max(usable)[1]][1].respond(question)
--- a/tests/state/handlers/test_maintenance.py
+++ b/tests/state/handlers/test_maintenance.py
@@ -6,7 +6,7 @@
 
 from mustardward.state.budgets import BudgetIndex, get_budget_index
 from mustardward.state.handlers import waves
-from mustardward.state.handlers.waves import KEEP_ENDED
+from mustardward.state.handlers.waves import MAX_ENDED_WAVES
 from mustardward.state.models.maintenance import (
     AbsenceChange,
     AdoptClaim,
@@ -274,11 +274,11 @@
     driver.take("dc1-etching-000", "held")
     cancelled = driver.state.waves["held"].revision
     driver.accept(SignalWave("held", "cancel"), cancelled)
-    for number in range(KEEP_ENDED + 3):
+    for number in range(MAX_ENDED_WAVES + 3):
         revision = driver.accept(ScheduleWave(f"w{number}", ("etching",)))
         driver.accept(SignalWave(f"w{number}", "cancel"), revision)
     driver.accept(ScheduleWave("last", ("etching",)))
-    assert len(driver.state.waves) == KEEP_ENDED + 2
+    assert len(driver.state.waves) == MAX_ENDED_WAVES + 2
     assert {"held", "last", "w18"} <= driver.state.waves.keys()
     assert "w0" not in driver.state.waves
 
@@ -286,7 +286,7 @@
 def test_large_waves_that_ended_are_forgotten_sooner(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(waves, "KEEP_ENDED_INSTANCES", 45)
+    monkeypatch.setattr(waves, "MAX_ENDED_WAVE_INSTANCES", 45)
     driver = build_driver(size=20)
     for number in range(4):
         revision = driver.accept(ScheduleWave(f"w{number}", ("etching",)))
--- a/tests/state/test_intents.py
+++ b/tests/state/test_intents.py
@@ -66,8 +66,8 @@
 
 
 def test_keys_and_answers_are_kept_by_count(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(intents, "KEEP_INTENTS", 3)
-    monkeypatch.setattr(intents, "KEEP_ANSWERS", 1)
+    monkeypatch.setattr(intents, "MAX_INTENTS", 3)
+    monkeypatch.setattr(intents, "MAX_STORED_RESPONSES", 1)
     stream = Stream()
     for number in range(5):
         key = f"key-{number}"
--- a/tests/state/test_jobs.py
+++ b/tests/state/test_jobs.py
@@ -167,7 +167,7 @@
     stream.put(build_accept_job("later", group="spring"))
     assert stream.status("later") == "waiting"
     touched = sum(job.status != "waiting" for job in stream.state.jobs.values())
-    assert touched <= 1 + job_index.REAP_EACH_RECORD
+    assert touched <= 1 + job_index.REAPED_JOBS_PER_RECORD
 
 
 def test_a_cancelled_group_leaves_no_trace_once_all_its_jobs_followed() -> None:
@@ -185,7 +185,7 @@
 
 def test_finished_jobs_are_forgotten_by_count() -> None:
     stream = Stream()
-    kept = job_index.KEEP_FINISHED
+    kept = job_index.MAX_FINISHED_JOBS
     for number in range(kept + 5):
         stream.put(build_accept_job(f"job-{number}"))
         stream.put(CancelJobs("derwent", f"job-{number}"))
@@ -197,7 +197,7 @@
 def test_results_and_payloads_are_bounded_by_their_size(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(job_index, "KEEP_RESULT_BYTES", 25)
+    monkeypatch.setattr(job_index, "MAX_RESULT_BYTES", 25)
     stream = Stream()
     for number in range(4):
         job_id = f"job-{number}"
--- a/tests/state/test_pace.py
+++ b/tests/state/test_pace.py
@@ -17,12 +17,12 @@
 def test_the_window_widens_at_once_and_narrows_slowly() -> None:
     pace = AppendPace(0.02, 0.5)
     for _ in range(10):
-        pace.note_refused()
+        pace.record_refusal()
     assert pace.window_seconds == 0.5
-    pace.note_appended()
+    pace.record_append()
     assert 0.4 < pace.window_seconds < 0.5
     for _ in range(200):
-        pace.note_appended()
+        pace.record_append()
     assert pace.window_seconds == 0.02
 
 
--- a/tests/state/test_relay.py
+++ b/tests/state/test_relay.py
@@ -7,7 +7,7 @@
 from mustardward.state.models.pools import PutPool
 from mustardward.state.records import encode_batch
 from mustardward.state.relay import (
-    KEPT_ENTRIES,
+    MAX_RECENT_ENTRIES,
     RecentEntries,
     RelayedEntry,
     RelayRequest,
@@ -149,15 +149,15 @@
         object.__setattr__(record, "version", 99)
         bench.service.put("fleet", encode_batch([record]))
         await bench.async_settle(1.0)
-        answer = log.answer(RelayRequest("fleet", 0, ""))
+        answer = log.respond(RelayRequest("fleet", 0, ""))
         assert answer.status is RelayStatus.UNAVAILABLE
 
 
 def test_kept_entries_are_bounded_and_ask_for_an_image_beyond() -> None:
     recent = RecentEntries()
-    for offset in range(KEPT_ENTRIES + 10):
+    for offset in range(MAX_RECENT_ENTRIES + 10):
         recent.add(RelayedEntry(offset, b"payload", f"digest-{offset}"))
     assert recent.since(9, "digest-8")[0] is RelayStatus.IMAGE_NEEDED
     status, entries = recent.since(10, "digest-9")
-    assert (status, len(entries)) == (RelayStatus.ENTRIES, KEPT_ENTRIES)
+    assert (status, len(entries)) == (RelayStatus.ENTRIES, MAX_RECENT_ENTRIES)
     assert recent.since(20, "digest-x")[0] is RelayStatus.DIVERGED
--- a/tests/state/test_snapshots.py
+++ b/tests/state/test_snapshots.py
@@ -52,7 +52,7 @@
     assert msgspec.msgpack.encode(restored.fold.state) == msgspec.msgpack.encode(
         original.fold.state
     )
-    assert restored.fold.remembered("built-3") == original.fold.remembered("built-3")
+    assert restored.fold.get_verdict("built-3") == original.fold.get_verdict("built-3")
     organisations = restored.fold.state.organisations
     template = restored.fold.state.templates["dairy"][-1].parameters
     assert organisations["undredal"].parameters is template
--- a/tests/state/test_templates.py
+++ b/tests/state/test_templates.py
@@ -7,7 +7,7 @@
 from mustardward.exceptions import MustardwardError
 from mustardward.state.fold import RevisionConflictError
 from mustardward.state.handlers.refusals import UnknownPoolError
-from mustardward.state.handlers.templates import KEPT_REVISIONS
+from mustardward.state.handlers.templates import MAX_TEMPLATE_REVISIONS
 from mustardward.state.models.templates import (
     Overrides,
     PublishTemplate,
@@ -104,9 +104,9 @@
 def test_thousands_of_revisions_stay_within_a_bound() -> None:
     builder = build_fleet_fold("cellar")
     revision = 0
-    for _ in range(KEPT_REVISIONS * 3):
+    for _ in range(MAX_TEMPLATE_REVISIONS * 3):
         body = PublishTemplate("dairy", build_parameters("cellar"))
         revision = builder.accept(body, revision)
     revisions = builder.fold.state.templates["dairy"]
-    assert len(revisions) == KEPT_REVISIONS
+    assert len(revisions) == MAX_TEMPLATE_REVISIONS
     assert revisions[-1].revision == revision
