--- a/mustardward/state/appender.py
+++ b/mustardward/state/appender.py
@@ -19,8 +19,8 @@
     PlatformUnavailableError,
 )
 from ..helpers.logging import get_logger
-from ..helpers.waiting import async_wait_for
 from ..helpers.timer import TimerService
+from ..helpers.waiting import async_wait_for
 from ..standin.protocol.protocols import LogService
 from .fold import Acceptance, RecordOutcome, RecordRefusedError
 from .options import LogOptions
--- a/tests/state/handlers/test_maintenance.py
+++ b/tests/state/handlers/test_maintenance.py
@@ -1,4 +1,4 @@
-"""Fold waves and claims."""
+"""Test records of waves and claims."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 
 
 def build_driver(size: int = 8, **parameters: object) -> FoldDriver:
-    """Return a driver over one pool that one organisation uses."""
+    """Return a driver of a fleet with one pool that one organisation uses."""
     user = build_organisation("dairy", ("etching",), **parameters)
     return FoldDriver(build_fleet(user, size=size))
 
 
 def advance(driver: FoldDriver, instance: str, generation: int, *stages: str) -> None:
-    """Take a claim through stages."""
+    """Advance a claim through the given stages."""
     for stage in stages:
         driver.accept(AdvanceClaim(instance, generation, stage))
 
 
 def finish(driver: FoldDriver, instance: str, wave_id: str = "w1") -> None:
-    """Take an instance through its whole maintenance."""
+    """Run the whole maintenance of an instance."""
     generation = driver.take(instance, wave_id)
     advance(driver, instance, generation, *STAGES)
     driver.accept(ReleaseClaim(instance, generation, "done", 2))
@@ -55,21 +55,23 @@
     assert driver.refuse(ScheduleWave("w1", ("etching",))).code == "wave-exists"
 
 
-def test_two_operators_who_signal_at_once_get_one_acceptance() -> None:
+def test_one_of_two_concurrent_signals_is_accepted() -> None:
     driver = build_driver()
     driver.run_wave()
-    seen = driver.state.waves["w1"].revision
-    driver.accept(SignalWave("w1", "pause"), seen)
-    assert driver.refuse(SignalWave("w1", "cancel"), seen).code == "revision-conflict"
+    base_revision = driver.state.waves["w1"].revision
+    driver.accept(SignalWave("w1", "pause"), base_revision)
+    assert (
+        driver.refuse(SignalWave("w1", "cancel"), base_revision).code
+        == "revision-conflict"
+    )
     assert driver.state.waves["w1"].status == "paused"
 
 
-def test_the_last_instance_above_the_floor_is_taken_once() -> None:
-    """Let only one of two waves take the last instance that a budget can spare.
+def test_last_instance_above_the_floor_is_claimed_once() -> None:
+    """Guard against a service that falls below its floor during two waves.
 
-    Symptom: a service falls below its floor in the middle of two waves.
-    Sequence: two executors read the same margin of one and both claim.
-    Cause: both decided on what they had read, and not on the log's order.
+    Two executors read the same margin of one instance and both propose a claim. Log
+    order decides, so only the first is accepted.
     """
     driver = build_driver(size=4, reserve_largest_rack=True)
     driver.run_wave("w1", canary=4)
@@ -88,19 +90,18 @@
     assert refusal.code == "wave-growth"
 
 
-def test_an_adopted_claim_fences_its_first_executor() -> None:
-    """Refuse a paused executor's records once another has adopted its claim.
+def test_adopted_claim_fences_its_previous_executor() -> None:
+    """Guard against rebooting an instance that is back in service.
 
-    Symptom: an instance reboots after it was given back to service.
-    Sequence: the holder pauses between claim and reboot; another adopts and gives
-    back; the holder wakes and goes on. Cause: nothing told the two apart.
+    An executor pauses between claim and reboot, another one adopts and releases the
+    claim, and the first resumes. The generation has to distinguish the two.
     """
     driver = build_driver()
     driver.run_wave()
     old = driver.take("dc1-etching-000")
     new = driver.accept(AdoptClaim("dc1-etching-000", old, "entry-2#1"))
-    late = AdvanceClaim("dc1-etching-000", old, "draining")
-    assert driver.refuse(late).code == "claim-fenced"
+    outdated = AdvanceClaim("dc1-etching-000", old, "draining")
+    assert driver.refuse(outdated).code == "claim-fenced"
     again = AdoptClaim("dc1-etching-000", old, "entry-3#1")
     assert driver.refuse(again).code == "claim-fenced"
     advance(driver, "dc1-etching-000", new, "draining")
@@ -119,7 +120,7 @@
     assert "dc1-etching-000" in driver.state.claims
 
 
-def test_a_reboot_that_began_cannot_be_given_back() -> None:
+def test_rebooting_instance_cannot_be_given_back() -> None:
     driver = build_driver()
     driver.run_wave()
     generation = driver.take("dc1-etching-000")
@@ -128,12 +129,11 @@
     assert driver.refuse(release).code == "stage-refused"
 
 
-def test_failures_in_the_middle_refuse_the_step_to_the_reboot() -> None:
-    """Give a drained instance back when failures ate the margin.
+def test_failures_after_the_claim_refuse_the_reboot() -> None:
+    """Guard against a service below its floor when a rack fails during a wave.
 
-    Symptom: a rack fails while a wave runs and a service drops below its floor.
-    Sequence: claim, drain, a rack fails, reboot. Cause: the margin was looked at when
-    the claim was taken, and not before the step that cannot be taken back.
+    The rack fails after the claim was accepted and the instance drained. The margin has
+    to be checked again before the reboot, which can't be undone.
     """
     driver = build_driver(size=8, reserve_largest_rack=False)
     driver.run_wave()
@@ -146,12 +146,11 @@
     assert "dc1-etching-000" in driver.state.waves["w1"].pending
 
 
-def test_an_instance_that_never_comes_back_counts_and_stops_the_wave() -> None:
-    """Stop a wave whose instances do not come back.
+def test_failed_reboot_counts_as_absence_and_pauses_the_wave() -> None:
+    """Guard against a bad image that takes instance after instance out of a pool.
 
-    Symptom: a bad image takes instance after instance out of a pool.
-    Sequence: reboots begin and no newer boot is ever seen. Cause: a failed instance
-    was taken for finished, and its budget for free.
+    Reboots begin and no newer boot is ever reported. A failed instance has to stay
+    unavailable and must not count as finished.
     """
     driver = build_driver(size=20)
     driver.run_wave(maximum_failures=1)
@@ -181,7 +180,7 @@
     assert wave.status == "running"
 
 
-def test_an_organisation_made_in_the_middle_counts_from_then_on() -> None:
+def test_organisation_added_during_a_wave_is_counted() -> None:
     driver = build_driver(size=20, minimum_available=0.0, reserve_largest_rack=False)
     driver.run_wave(canary=4)
     driver.take("dc1-etching-000")
@@ -192,7 +191,7 @@
     assert "organisation=club" in refusal.detail
 
 
-def test_an_instance_on_the_move_or_absent_is_not_claimed() -> None:
+def test_moving_or_absent_instance_is_not_claimed() -> None:
     driver = build_driver(size=20)
     driver.run_wave(canary=4)
     moving, failed = "dc1-etching-001", "dc1-etching-002"
@@ -203,15 +202,15 @@
         assert refusal.code == "instance-busy"
 
 
-def test_a_live_probe_does_not_end_a_quarantine() -> None:
+def test_successful_probe_does_not_end_a_quarantine() -> None:
     driver = build_driver()
     name = "dc1-etching-000"
-    bad = AbsenceChange(name, False, 1, "quarantined")
-    driver.accept(ReportAbsences("dc1", (bad,)))
+    quarantined_change = AbsenceChange(name, False, 1, "quarantined")
+    driver.accept(ReportAbsences("dc1", (quarantined_change,)))
     driver.accept(ReportAbsences("dc1", (AbsenceChange(name, True, 1),)))
     assert name in driver.state.absences
-    lifted = AbsenceChange(name, True, 1, "quarantined")
-    driver.accept(ReportAbsences("dc1", (lifted,)))
+    recovered_change = AbsenceChange(name, True, 1, "quarantined")
+    driver.accept(ReportAbsences("dc1", (recovered_change,)))
     assert name not in driver.state.absences
 
 
@@ -235,13 +234,13 @@
     assert get_budget_index(driver.state).snapshot() == rebuilt.snapshot()
 
 
-def test_what_was_admitted_may_reboot_although_its_rack_was_the_largest() -> None:
-    """Admit the reboot of every instance that was rightly claimed.
+def test_claimed_instance_of_the_largest_rack_may_reboot() -> None:
+    """Guard against a wave over whole racks that releases its instances forever.
 
-    Symptom: a wave over whole racks gives instances back for ever.
-    Sequence: instances go from two racks of four in turn, and each lowers the reserve;
-    before the reboot the margin is counted as if one were back, which makes its rack
-    the largest again. Cause: the question was whether it could be taken anew.
+    Instances of two racks of four are claimed in turn, and each claim lowers the
+    reserve. Counting one as available before its reboot would make its rack the
+    largest again and enlarge the reserve, so the check must not ask whether it could
+    be claimed again.
     """
     user = build_organisation("dairy", ("etching",), minimum_available=0.25)
     driver = FoldDriver(build_fleet(user, size=8, rack_size=4))
@@ -253,7 +252,7 @@
     assert [claim.stage for claim in driver.state.claims.values()] == ["rebooting"] * 3
 
 
-def test_a_failed_canary_stops_the_wave_at_once() -> None:
+def test_failed_canary_pauses_the_wave() -> None:
     driver = build_driver(size=20)
     driver.run_wave(maximum_failures=5)
     generation = driver.take("dc1-etching-000")
@@ -263,11 +262,11 @@
     assert (wave.status, wave.reason) == ("paused", "failures=1 maximum=1")
 
 
-def test_waves_that_ended_long_ago_are_forgotten_unless_they_hold_claims() -> None:
-    """Keep the state from growing with every wave.
+def test_ended_waves_without_claims_are_dropped() -> None:
+    """Guard against state that grows with every wave.
 
-    Symptom: an entry's memory grows by a megabyte with each wave over the fleet.
-    Sequence: a wave every few hours for a year. Cause: ended waves kept their names.
+    Each wave over the whole fleet takes about a megabyte of memory for its instance
+    names.
     """
     driver = build_driver(size=20)
     driver.run_wave("held")
@@ -283,7 +282,7 @@
     assert "w0" not in driver.state.waves
 
 
-def test_large_waves_that_ended_are_forgotten_sooner(
+def test_large_ended_waves_are_dropped_sooner(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(waves, "MAX_ENDED_WAVE_INSTANCES", 45)
--- a/tests/state/test_budgets.py
+++ b/tests/state/test_budgets.py
@@ -1,4 +1,4 @@
-"""Count availability budgets."""
+"""Test availability budgets and their counters."""
 
 from __future__ import annotations
 
@@ -19,12 +19,13 @@
 
 
 @pytest.mark.parametrize(
-    ("share", "total", "wanted"), [(0.1, 30, 3), (0.5, 5, 3), (0.0, 9, 0), (1.0, 4, 4)]
+    ("share", "total", "expected"),
+    [(0.1, 30, 3), (0.5, 5, 3), (0.0, 9, 0), (1.0, 4, 4)],
 )
 def test_shares_round_up_without_rounding_errors(
-    share: float, total: int, wanted: int
+    share: float, total: int, expected: int
 ) -> None:
-    assert ceil_share(share, total) == wanted
+    assert ceil_share(share, total) == expected
 
 
 def test_the_largest_rack_shrinks_as_its_instances_go() -> None:
@@ -49,7 +50,7 @@
     assert [item.reserve for item in all_budgets(state, plain)] == [2, 2]
 
 
-def test_what_counts_as_unavailable_counts_once() -> None:
+def test_an_unavailable_instance_is_counted_once() -> None:
     user = build_organisation("dairy", ("etching",))
     state = build_fleet(user, size=8)
     first, second = "dc1-etching-000", "dc1-etching-001"
@@ -63,13 +64,12 @@
     assert get_budget_index(state).count(state, "etching", "dc1").unavailable == 2
 
 
-def test_a_silent_data_centre_counts_over_the_fleet_alone() -> None:
-    """Keep the fleet's floor while a data centre cannot report its failures.
+def test_silent_data_centre_is_unavailable_only_in_fleet_scope() -> None:
+    """Guard against losing all instances of a service after a partition heals.
 
-    Symptom: after a partition healed, a service had no instance left anywhere.
-    Sequence: a data centre is cut off; a wave elsewhere counts it as whole and takes
-    instances down to the fleet's floor; the data centre's own had failed unseen.
-    Cause: no report was taken for no failure.
+    While a data centre is disconnected it can't report failures. If its instances
+    counted as available, a wave elsewhere could claim instances down to the fleet's
+    floor although the disconnected ones have failed.
     """
     user = build_organisation("dairy", ("etching",), reserve_largest_rack=False)
     state = build_fleet(user, data_centres=("dc1", "dc2"), size=4)
@@ -94,22 +94,26 @@
     assert (binding.total, binding.floor, binding.margin) == (4, 4, -1)
 
 
-def test_local_evidence_eats_the_margin_of_an_instance_already_taken() -> None:
+def test_local_evidence_reduces_the_margin_of_an_unavailable_instance() -> None:
     user = build_organisation("dairy", ("etching",), reserve_largest_rack=False)
     state = build_fleet(user, size=4)
-    taken = state.instances["dc1-etching-000"]
-    state.absences[taken.instance_id] = Absence(taken.instance_id, "failed", "e", 1)
-    assert check_within_budgets(state, taken) is None
-    assert check_within_budgets(state, taken, more_unavailable=1) is None
-    assert check_within_budgets(state, taken, more_unavailable=2) is not None
+    unavailable_instance = state.instances["dc1-etching-000"]
+    state.absences[unavailable_instance.instance_id] = Absence(
+        unavailable_instance.instance_id, "failed", "e", 1
+    )
+    assert check_within_budgets(state, unavailable_instance) is None
+    assert check_within_budgets(state, unavailable_instance, more_unavailable=1) is None
+    assert (
+        check_within_budgets(state, unavailable_instance, more_unavailable=2)
+        is not None
+    )
 
 
-def test_a_state_restored_anew_is_counted_anew() -> None:
-    """Count a restored state as the one it was written from.
+def test_counters_are_rebuilt_for_a_restored_state() -> None:
+    """Guard against a node that accepts a claim which other nodes refuse.
 
-    Symptom: a node that started from a snapshot admits a claim that others refuse.
-    Sequence: claims and absences stand in the snapshot; the new node folds on.
-    Cause: its counters began at zero.
+    Claims and absences are part of a snapshot. Counters that started at zero after a
+    restore would not include them.
     """
     state = build_fleet(build_organisation("dairy", ("etching",)), size=8)
     index = get_budget_index(state)
--- a/tests/state/test_budgets_stateful.py
+++ b/tests/state/test_budgets_stateful.py
@@ -1,4 +1,4 @@
-"""Search sequences of records for one that breaks a budget or an ownership."""
+"""Search for sequences of records that violate a budget or the ownership rules."""
 
 from __future__ import annotations
 
@@ -44,8 +44,8 @@
 from tests.fakes.fleet import FoldDriver
 
 POOLS = ("etching", "casting")
-CENTRES = ("dc1", "dc2")
-NAMES = tuple(f"{centre}-{number}" for centre in CENTRES for number in range(10))
+DATA_CENTRES = ("dc1", "dc2")
+NAMES = tuple(f"{centre}-{number}" for centre in DATA_CENTRES for number in range(10))
 
 names = st.sampled_from(NAMES)
 numbers = st.integers(0, 99)
@@ -54,7 +54,7 @@
 
 
 class FleetMachine(RuleBasedStateMachine):
-    """Fold random records and look at every budget after each accepted claim."""
+    """Apply random records and check every budget after each accepted claim."""
 
     @initialize(
         minimum=shares, headroom=st.sampled_from((0.0, 0.2)), rack=st.booleans()
@@ -78,12 +78,17 @@
         self.driver.apply(AddInstance(name, name.split("-")[0], rack, "", pool))
 
     def _publish(
-        self, name: str, pools: tuple[str, ...], minimum: float, room: float, rack: bool
+        self,
+        name: str,
+        pools: tuple[str, ...],
+        minimum: float,
+        reserved_share: float,
+        rack: bool,
     ) -> None:
         parameters = Parameters(
             services=tuple(ServiceBinding(f"{name}-{pool}", pool) for pool in pools),
             minimum_available=minimum,
-            headroom=room,
+            headroom=reserved_share,
             reserve_largest_rack=rack,
         )
         held = self.driver.state.templates.get(name)
@@ -93,37 +98,37 @@
         if name not in self.driver.state.organisations:
             self.driver.accept(PutOrganisation(name, name), 0)
 
-    def _broken(self, instance: Instance) -> list[str]:
-        """Count, apart from the product's counters, what an instance's scopes keep."""
+    def _violated_budgets(self, instance: Instance) -> list[str]:
+        """Return the violated budgets, counted independently of ``BudgetIndex``."""
         state = self.driver.state
-        broken = []
+        violated = []
         for organisation in state.organisations.values():
             parameters = organisation.parameters
             if instance.pool not in parameters.pools:
                 continue
             for scope in (instance.data_centre, "fleet"):
-                total, racks = _look(state, instance.pool, scope)
+                total, racks = _count_available(state, instance.pool, scope)
                 available = sum(racks.values())
-                kept = math.ceil(parameters.minimum_available * total - 1e-9)
-                spare = math.ceil(parameters.headroom * total - 1e-9)
+                floor = math.ceil(parameters.minimum_available * total - 1e-9)
+                reserve = math.ceil(parameters.headroom * total - 1e-9)
                 if parameters.reserve_largest_rack:
-                    spare = max(spare, max(racks.values(), default=0))
-                if available < kept + spare:
-                    broken.append(f"{organisation.name} {scope}")
-        return broken
+                    reserve = max(reserve, max(racks.values(), default=0))
+                if available < floor + reserve:
+                    violated.append(f"{organisation.name} {scope}")
+        return violated
 
     def _generation(self, name: str) -> int:
         claim = self.driver.state.claims.get(name)
         return claim.generation if claim else 0
 
-    def _admitted(self, body: Any, name: str) -> None:
+    def _apply_within_budgets(self, body: Any, name: str) -> None:
         instance = self.driver.state.instances.get(name)
         outcome = self.driver.apply(body)
         if isinstance(outcome.result, Success) and instance is not None:
-            assert self._broken(instance) == [], body
+            assert self._violated_budgets(instance) == [], body
 
-    def _pick(self, held: dict[str, Any], number: int) -> str:
-        """Return one of the names held, or any if there is none."""
+    def _choose(self, held: dict[str, Any], number: int) -> str:
+        """Return one of the given names, or any instance if there are none."""
         return sorted(held)[number % len(held)] if held else NAMES[0]
 
     @rule(name=names, wave=waves)
@@ -131,29 +136,31 @@
         self.claim(name, wave)
 
     def claim(self, name: str, wave: str) -> None:
-        """Take a claim, which has to leave every budget whole."""
-        self._admitted(TakeClaim(wave, name, "e#1", self.boots[name]), name)
+        """Propose a claim, which must not violate any budget if accepted."""
+        self._apply_within_budgets(TakeClaim(wave, name, "e#1", self.boots[name]), name)
 
     @rule(number=numbers, stage=st.sampled_from(("draining", "drained")))
     def advance(self, number: int, stage: str) -> None:
-        name = self._pick(self.driver.state.claims, number)
+        name = self._choose(self.driver.state.claims, number)
         self.driver.apply(AdvanceClaim(name, self._generation(name), stage))
 
     @rule(number=numbers)
     def reboot(self, number: int) -> None:
-        name = self._pick(self.driver.state.claims, number)
+        name = self._choose(self.driver.state.claims, number)
         for stage in ("draining", "drained"):
             self.driver.apply(AdvanceClaim(name, self._generation(name), stage))
-        self._admitted(AdvanceClaim(name, self._generation(name), "rebooting"), name)
+        self._apply_within_budgets(
+            AdvanceClaim(name, self._generation(name), "rebooting"), name
+        )
 
     @rule(number=numbers)
     def adopt(self, number: int) -> None:
-        name = self._pick(self.driver.state.claims, number)
+        name = self._choose(self.driver.state.claims, number)
         self.driver.apply(AdoptClaim(name, self._generation(name), "f#1"))
 
     @rule(number=numbers, outcome=st.sampled_from(("done", "given-back", "failed")))
     def release(self, number: int, outcome: str) -> None:
-        name = self._pick(self.driver.state.claims, number)
+        name = self._choose(self.driver.state.claims, number)
         body = ReleaseClaim(name, self._generation(name), outcome, self.boots[name] + 1)
         if isinstance(self.driver.apply(body).result, Success) and outcome == "done":
             self.boots[name] += 1
@@ -165,7 +172,7 @@
         change = AbsenceChange(name, up, self.boots[name], cause)
         self.driver.apply(ReportAbsences(name.split("-")[0], (change,)))
 
-    @rule(centre=st.sampled_from(CENTRES), silent=st.booleans())
+    @rule(centre=st.sampled_from(DATA_CENTRES), silent=st.booleans())
     def silence(self, centre: str, silent: bool) -> None:
         self.driver.accept(ReportSilence(centre, silent))
 
@@ -174,25 +181,25 @@
         self.move(name, pool)
 
     def move(self, name: str, pool: str) -> None:
-        """Request a move, which has to leave every budget whole."""
+        """Request a move, which must not violate any budget if accepted."""
         held = self.driver.state.instances.get(name)
         base = held.generation if held else 0
         outcome = self.driver.apply(RequestMove(f"m-{name}", name, pool), base)
         moved = isinstance(outcome.result, Success) and held is not None
         if moved and name not in self.driver.state.absences:
-            assert self._broken(held) == []
+            assert self._violated_budgets(held) == []
 
     @rule(number=numbers, pool=st.sampled_from(POOLS))
-    def move_what_is_claimed(self, number: int, pool: str) -> None:
-        self.move(self._pick(self.driver.state.claims, number), pool)
+    def move_claimed_instance(self, number: int, pool: str) -> None:
+        self.move(self._choose(self.driver.state.claims, number), pool)
 
     @rule(number=numbers, wave=waves)
-    def claim_what_moves(self, number: int, wave: str) -> None:
-        self.claim(self._pick(self.driver.state.moves, number), wave)
+    def claim_moving_instance(self, number: int, wave: str) -> None:
+        self.claim(self._choose(self.driver.state.moves, number), wave)
 
     @rule(number=numbers, cancel=st.booleans())
     def end_move(self, number: int, cancel: bool) -> None:
-        name = self._pick(self.driver.state.moves, number)
+        name = self._choose(self.driver.state.moves, number)
         body = CancelMove(f"m-{name}") if cancel else TransferInstance(f"m-{name}")
         self.driver.apply(body)
 
@@ -204,7 +211,7 @@
             self._add(name, pool, "rack0")
 
     @rule(minimum=shares, pools=st.sampled_from((POOLS, POOLS[:1], ())))
-    def organisation_made(self, minimum: float, pools: tuple[str, ...]) -> None:
+    def change_organisation(self, minimum: float, pools: tuple[str, ...]) -> None:
         if "club" in self.driver.state.organisations and not pools:
             revision = self.driver.state.organisations["club"].revision
             self.driver.accept(RemoveOrganisation("club"), revision)
@@ -217,12 +224,12 @@
         self.driver.apply(SignalWave(wave, signal), revision)
 
     @invariant()
-    def counters_equal_a_new_count(self) -> None:
+    def counters_equal_a_rebuilt_index(self) -> None:
         state = self.driver.state
         assert get_budget_index(state).snapshot() == BudgetIndex(state).snapshot()
 
     @invariant()
-    def a_restored_state_counts_the_same(self) -> None:
+    def a_restored_state_has_the_same_counters(self) -> None:
         state = self.driver.state
         encoded = msgspec.msgpack.encode(state)
         restored = msgspec.msgpack.decode(encoded, type=FleetState)
@@ -231,7 +238,7 @@
         )
 
     @invariant()
-    def an_instance_is_claimed_or_moves_and_has_one_pool(self) -> None:
+    def instance_is_claimed_or_moving_and_has_one_pool(self) -> None:
         state = self.driver.state
         assert not state.claims.keys() & state.moves.keys()
         assert all(item.pool in state.pools for item in state.instances.values())
@@ -240,16 +247,20 @@
             assert move is None or move.source == instance.pool
 
 
-def _look(state: FleetState, pool: str, scope: str) -> tuple[int, Counter[str]]:
+def _count_available(
+    state: FleetState, pool: str, scope: str
+) -> tuple[int, Counter[str]]:
     total = 0
     racks: Counter[str] = Counter()
     for name, item in state.instances.items():
         if item.pool != pool or scope not in (item.data_centre, "fleet"):
             continue
         total += 1
-        out = name in state.claims or name in state.moves or name in state.absences
+        unavailable = (
+            name in state.claims or name in state.moves or name in state.absences
+        )
         silent = scope == "fleet" and item.data_centre in state.silent
-        if not out and not silent:
+        if not unavailable and not silent:
             racks[f"{item.data_centre}/{item.rack}"] += 1
     return total, racks
 
--- a/tests/state/test_entries_replaced.py
+++ b/tests/state/test_entries_replaced.py
@@ -1,4 +1,4 @@
-"""Replace real entry processes while the log is out."""
+"""Test the replacement of real entry processes during an outage of the log."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
     platform.platform.log.append("fleet", encode_batch(records))
 
 
-async def test_what_is_served_when_entries_are_replaced_with_the_log_out(
+async def test_entry_nodes_replaced_during_a_log_outage(
     tmp_path: Path,
 ) -> None:
-    """Take state from a peer; with none left, refuse truthfully until the log is back.
+    """Guard against a new entry node that serves from an empty state.
 
-    Symptom: after an outage of the log, a fresh entry refuses known customers as
-    unknown, or answers from nothing. Sequence: the log is out; one entry is replaced,
-    then all of them at once. Cause: an empty state is taken for the fleet's.
+    During an outage of the log, one entry node is replaced and gets its state from a
+    peer. Then all of them are replaced at once, so that no peer has a state. The new
+    node must refuse requests as not ready instead of treating organisations as unknown.
     """
     async with anyio.create_task_group() as group:
         timers = LoopTimerService(group)
@@ -50,8 +50,8 @@
 
             second = await processes.async_start("second", "flam", [first])
             await second.async_logged("event=state_ready .*stream=fleet source=peer")
-            known = await second.async_get("/undredal/service-cellar/wheels")
-            assert "no-worker" in known.text and known.headers["mw-ran"] == "no"
+            served = await second.async_get("/undredal/service-cellar/wheels")
+            assert "no-worker" in served.text and served.headers["mw-ran"] == "no"
 
             await processes.async_kill(first)
             await processes.async_kill(second)
@@ -68,14 +68,13 @@
         group.cancel_scope.cancel()
 
 
-async def test_a_data_centre_cut_off_from_the_platform_gets_configuration(
+async def test_data_centre_disconnected_from_the_platform_gets_configuration(
     tmp_path: Path,
 ) -> None:
-    """Relay a change over the peers' protocol within its bound.
+    """Guard against a data centre that keeps serving an old configuration.
 
-    Symptom: one data centre serves an old configuration. Sequence: it is cut off from
-    the platform, not from its peers, and an organisation is added elsewhere. Cause:
-    entries come from the platform alone.
+    It is disconnected from the platform but not from its peers while an organisation
+    is added elsewhere. Peers have to relay the change within the configuration bound.
     """
     async with anyio.create_task_group() as group:
         timers = LoopTimerService(group)
@@ -94,11 +93,11 @@
             await second.async_logged("event=log_out .*stream=fleet")
 
             _publish(platform)
-            began = anyio.current_time()
-            answer = await second.async_get("/undredal/service-cellar/wheels")
-            while "no-worker" not in answer.text:
-                assert anyio.current_time() - began < CONFIGURATION_BOUND_SECONDS
+            started_at = anyio.current_time()
+            response = await second.async_get("/undredal/service-cellar/wheels")
+            while "no-worker" not in response.text:
+                assert anyio.current_time() - started_at < CONFIGURATION_BOUND_SECONDS
                 await anyio.sleep(0.1)
-                answer = await second.async_get("/undredal/service-cellar/wheels")
+                response = await second.async_get("/undredal/service-cellar/wheels")
             assert "event=log_back" not in second.logged
         group.cancel_scope.cancel()
--- a/tests/state/test_intents.py
+++ b/tests/state/test_intents.py
@@ -1,4 +1,4 @@
-"""Fold the intents of idempotency keys."""
+"""Test records of intents under idempotency keys."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
     return CloseIntent("derwent", "key", home, ran, 200, "text/plain", body, opened)
 
 
-def test_the_first_intent_wins_and_the_loser_learns_whose() -> None:
+def test_first_intent_wins_and_the_state_shows_its_home() -> None:
     stream = Stream()
     stream.put(open_by("a")).unwrap()
-    lost = stream.put(open_by("b")).failure()
-    assert isinstance(lost, IntentTakenError)
+    refusal = stream.put(open_by("b")).failure()
+    assert isinstance(refusal, IntentTakenError)
     assert stream.state.intents[NAME].home == "a"
 
 
@@ -50,22 +50,24 @@
 
 
 def test_a_delayed_close_does_not_end_a_newer_intent() -> None:
-    """Bind a close to its own intent.
+    """Guard against executing a non-idempotent request twice.
 
-    Symptom: a turning order runs twice. Sequence: try one is closed as not run, try two
-    opens and runs, a second copy of the close with another record id arrives, try three
-    opens. Cause: the close named the key but not the intent.
+    The first attempt is closed as not run, a second one opens and runs. A delayed
+    duplicate of the close with another record id must not close the second intent,
+    which would let a third attempt open.
     """
     stream = Stream()
     first = stream.put(open_by("a")).unwrap().revision
     stream.put(close_by("a", first, "no")).unwrap()
     stream.put(open_by("a")).unwrap()
-    late = stream.put(close_by("a", first, "no")).failure()
-    assert isinstance(late, IntentUnknownError)
+    refused_close = stream.put(close_by("a", first, "no")).failure()
+    assert isinstance(refused_close, IntentUnknownError)
     assert isinstance(stream.put(open_by("a")).failure(), IntentTakenError)
 
 
-def test_keys_and_answers_are_kept_by_count(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_keys_and_responses_are_bounded_by_count(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(intents, "MAX_INTENTS", 3)
     monkeypatch.setattr(intents, "MAX_STORED_RESPONSES", 1)
     stream = Stream()
--- a/tests/state/test_jobs.py
+++ b/tests/state/test_jobs.py
@@ -1,4 +1,4 @@
-"""Fold the records of long jobs."""
+"""Test the records of long-running jobs."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Stream(FoldBuilder):
-    """Fold the records of one work stream."""
+    """Apply records of one ``work`` stream."""
 
     def __init__(self) -> None:
         super().__init__(Fold(WorkState(), WORK_HANDLERS))
@@ -59,18 +59,17 @@
 
 
 def test_an_older_attempt_cannot_end_the_job_of_a_newer_one() -> None:
-    """Fence the holder that lost its lease.
+    """Guard against reporting a job as done that is still running.
 
-    Symptom: a casting plan is reported done that is still being worked on. Sequence: a
-    holder pauses, another takes over, the first wakes and states its outcome. Cause:
-    the outcome did not name the attempt it belongs to.
+    A lease holder pauses, another one takes over, and the first resumes and records
+    its outcome. The generation has to identify the attempt of an outcome.
     """
     stream = Stream()
     stream.put(build_accept_job())
     first = stream.lease()
     second = stream.lease()
-    late = stream.put(EndAttempt("job-1", first, "done")).failure()
-    assert isinstance(late, JobFencedError)
+    refusal = stream.put(EndAttempt("job-1", first, "done")).failure()
+    assert isinstance(refusal, JobFencedError)
     assert stream.status() == "running"
     stream.put(EndAttempt("job-1", second, "done", result=b"ok")).unwrap()
     assert stream.status() == "done"
@@ -106,12 +105,11 @@
     assert stream.state.stuck == {}
 
 
-def test_a_job_that_may_not_run_twice_is_held_when_its_outcome_is_unknown() -> None:
-    """Hold what may have run, and let it go on only from what is surely known.
+def test_non_idempotent_job_is_held_when_its_outcome_is_unknown() -> None:
+    """Guard against running a non-idempotent job twice.
 
-    Symptom: brass is etched twice. Sequence: the worker is lost in mid-task, the job
-    waits again and runs once more. Cause: gone without an outcome was taken for not
-    run.
+    A worker that is lost during the task may have run it, so the job must be held
+    instead of requeued. It continues only from a known state.
     """
     for outcome in ("unknown", "lost"):
         stream = Stream()
@@ -130,16 +128,16 @@
 
 
 def test_a_lease_after_a_cancellation_is_refused_and_a_running_job_stops() -> None:
-    """Let the log's order decide between a cancellation and a start.
+    """Guard against starting a cancelled job.
 
-    Symptom: a cancelled run starts. Sequence: an operator cancels while a scheduler
-    leases. Cause: neither saw the other's record.
+    An operator cancels while a scheduler leases the job, and neither has read the
+    other's record. The order in the log decides.
     """
     stream = Stream()
     stream.put(build_accept_job())
     stream.put(CancelJobs("derwent", "job-1")).unwrap()
-    late = stream.put(LeaseJob("job-1", 0, "a", "worker-1")).failure()
-    assert isinstance(late, JobStateError)
+    refusal = stream.put(LeaseJob("job-1", 0, "a", "worker-1")).failure()
+    assert isinstance(refusal, JobStateError)
     stream.put(build_accept_job("job-2"))
     generation = stream.lease(job_id="job-2")
     stream.put(CancelJobs("derwent", "job-2")).unwrap()
@@ -148,29 +146,29 @@
     assert stream.status("job-2") == "cancelled"
 
 
-def test_ten_thousand_cancelled_at_once_touch_no_job() -> None:
-    """Cancel a wave of jobs by one mark.
+def test_cancelling_ten_thousand_jobs_updates_no_job() -> None:
+    """Guard against blocking every node while a large group is cancelled.
 
-    Symptom: every node stands still for a second. Sequence: a user cancels 10,000 jobs.
-    Cause: the record's handler walked over all of them.
+    A handler that iterated over 10,000 jobs would take about a second, so the record
+    only stores the cancellation of the group, and later records update the jobs.
     """
     stream = Stream()
     for number in range(10_000):
         stream.put(build_accept_job(f"job-{number}", group="spring"))
     stream.lease(job_id="job-5")
     stream.put(CancelJobs("derwent", group="spring")).unwrap()
-    untouched = sum(job.status == "waiting" for job in stream.state.jobs.values())
-    assert untouched == 9_999
+    unchanged = sum(job.status == "waiting" for job in stream.state.jobs.values())
+    assert unchanged == 9_999
     assert stream.status("job-9999") == "cancelled"
     assert stream.status("job-5") == "cancelling"
     assert stream.state.open_jobs == {}
     stream.put(build_accept_job("later", group="spring"))
     assert stream.status("later") == "waiting"
-    touched = sum(job.status != "waiting" for job in stream.state.jobs.values())
-    assert touched <= 1 + job_index.REAPED_JOBS_PER_RECORD
+    changed = sum(job.status != "waiting" for job in stream.state.jobs.values())
+    assert changed <= 1 + job_index.REAPED_JOBS_PER_RECORD
 
 
-def test_a_cancelled_group_leaves_no_trace_once_all_its_jobs_followed() -> None:
+def test_cancelled_group_is_removed_once_all_its_jobs_are_updated() -> None:
     stream = Stream()
     for number in range(20):
         stream.put(build_accept_job(f"job-{number}", group="spring"))
@@ -183,13 +181,13 @@
     assert len(stream.state.finished) == 20
 
 
-def test_finished_jobs_are_forgotten_by_count() -> None:
+def test_finished_jobs_are_dropped_by_count() -> None:
     stream = Stream()
-    kept = job_index.MAX_FINISHED_JOBS
-    for number in range(kept + 5):
+    limit = job_index.MAX_FINISHED_JOBS
+    for number in range(limit + 5):
         stream.put(build_accept_job(f"job-{number}"))
         stream.put(CancelJobs("derwent", f"job-{number}"))
-    assert len(stream.state.jobs) == kept
+    assert len(stream.state.jobs) == limit
     assert "job-4" not in stream.state.jobs
     assert stream.state.open_groups == {}
 
@@ -215,7 +213,7 @@
     assert stream.state.payload_bytes == 0
 
 
-def test_the_state_survives_its_codec() -> None:
+def test_state_round_trips_through_its_codec() -> None:
     stream = Stream()
     for number in range(3):
         stream.put(build_accept_job(f"job-{number}", group="spring"))
--- a/tests/state/test_log.py
+++ b/tests/state/test_log.py
@@ -1,4 +1,4 @@
-"""Follow a log and append to it through its faults."""
+"""Test following a log and appending to it under faults."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_a_proposal_is_folded_everywhere() -> None:
+async def test_proposal_is_applied_on_every_node() -> None:
     async with running_bench() as bench:
         first, second = bench.start(), bench.start()
         await bench.async_settle()
@@ -54,11 +54,11 @@
         assert len(log.state.pools) == 100
 
 
-async def test_a_lost_answer_is_met_by_the_same_record_again() -> None:
-    """Append at most one effect.
+async def test_record_is_appended_again_after_a_lost_response() -> None:
+    """Guard against accepting a change twice.
 
-    Symptom: a change is accepted twice. Sequence: the log takes an append, its answer
-    is lost, the appender sends it again. Cause: the second copy counts anew.
+    The log accepts an append, the response is lost, and the appender sends the record
+    again. The second copy must not be applied.
     """
     async with running_bench() as bench:
         log = bench.start()
@@ -74,11 +74,10 @@
 
 
 async def test_a_delayed_first_copy_changes_nothing() -> None:
-    """Let an old append arrive when the configuration has moved on.
+    """Guard against reverting an accepted revision.
 
-    Symptom: an accepted revision is undone minutes later. Sequence: the first copy of
-    a publication is delayed, its second is accepted, another revision follows, the
-    first copy arrives. Cause: the late copy is folded as if it were new.
+    The first copy of a publication is delayed, its second copy is accepted, and
+    another revision follows before the first copy arrives.
     """
     async with running_bench() as bench:
         log = bench.start()
@@ -97,7 +96,7 @@
         assert log.state.templates["dairy"][-1].parameters.headroom == 0.2
 
 
-async def test_an_append_that_never_got_through_is_said_to_be_so() -> None:
+async def test_append_that_was_not_sent_fails_as_unavailable() -> None:
     async with running_bench() as bench:
         client = LogClient(bench.service)
         log = bench.start(client)
@@ -110,12 +109,11 @@
         assert bench.service.tail("fleet") == 0
 
 
-async def test_an_append_whose_fate_is_open_is_said_to_be_so() -> None:
-    """Never call a change refused that may still be accepted.
+async def test_append_that_may_have_taken_effect_fails_as_unknown() -> None:
+    """Guard against reporting a change as refused that may still be accepted.
 
-    Symptom: an operator repeats a change that was made. Sequence: the append takes
-    effect, its answer is lost, and the log is out until the time-out. Cause: the
-    author was told that nothing had been appended.
+    The append takes effect, its response is lost, and the log is unreachable until the
+    timeout. An operator who is told that nothing was appended would repeat the change.
     """
     async with running_bench() as bench:
         client = LogClient(bench.service)
@@ -141,7 +139,7 @@
         assert set(log.state.pools) == {"cellar"}
 
 
-async def test_a_refused_rate_is_waited_out() -> None:
+async def test_rate_refusals_are_retried() -> None:
     async with running_bench() as bench:
         log = bench.start()
         await bench.async_settle()
@@ -151,7 +149,7 @@
         assert bench.service.appends == 1
 
 
-async def test_of_two_nodes_one_wins_and_both_agree() -> None:
+async def test_one_of_two_conflicting_proposals_is_accepted() -> None:
     async with running_bench() as bench:
         first, second = bench.start(), bench.start()
         await bench.async_settle()
@@ -175,11 +173,9 @@
 
 
 async def test_a_paused_process_decides_only_after_a_new_read() -> None:
-    """Confirm the tail after a pause.
+    """Guard against acting on outdated state after a pause of the process.
 
-    Symptom: a process acts on a picture a minute old. Sequence: it reads the tail, is
-    stopped, and goes on where it stood. Cause: a read sent before the pause counts as
-    fresh after it.
+    A read that was sent before the pause must not count as fresh after it.
     """
     async with running_bench() as bench:
         client = LogClient(bench.service)
@@ -199,12 +195,11 @@
         assert log.tail_age_seconds() < 5.0
 
 
-async def test_a_read_under_way_does_not_confirm_a_later_question() -> None:
-    """Count freshness from before the read was sent.
+async def test_read_in_flight_does_not_confirm_a_later_request() -> None:
+    """Guard against checking a claim against an outdated tail.
 
-    Symptom: a claim is checked against a tail that had moved. Sequence: a read waits,
-    the question comes, the read's old answer arrives. Cause: freshness is counted from
-    the answer.
+    A read is in flight when a confirmation is requested, and its old response arrives
+    afterwards. Freshness counts from the start of the read.
     """
     async with running_bench() as bench:
         log = bench.start()
@@ -225,11 +220,11 @@
         assert results == [False, True]
 
 
-async def test_a_record_of_a_newer_version_stops_deciding_but_not_serving() -> None:
-    """Stop deciding instead of guessing.
+async def test_unknown_record_version_stops_decisions_but_not_serving() -> None:
+    """Guard against a silent difference between the states of two nodes.
 
-    Symptom: one node's state differs without a sign. Sequence: a newer build appends a
-    record that this one does not know. Cause: the old build skips or guesses it.
+    A newer build appends a record of a version that this build does not know and could
+    only skip or misread.
     """
     async with running_bench() as bench:
         log = bench.start()
@@ -246,7 +241,7 @@
         assert isinstance(result.failure(), NotReadyError)
 
 
-async def test_garbage_in_the_log_stops_nobody() -> None:
+async def test_undecodable_entry_is_skipped() -> None:
     async with running_bench() as bench:
         log = bench.start()
         bench.service.put("fleet", b"\xc1 not a batch")
@@ -256,13 +251,12 @@
         assert set(log.state.pools) == {"barn"}
 
 
-async def test_a_log_that_lost_its_end_is_not_followed() -> None:
-    """Keep an accepted configuration when the log stands behind it.
+async def test_log_that_lost_its_last_entries_is_not_followed() -> None:
+    """Guard against nodes that hold different histories of the log.
 
-    Symptom: offsets are given out a second time, and nodes hold different histories.
-    Sequence: the log comes back from an outage without its last entries, others take
-    their place, and it grows past the node. Cause: the node waits for its offset and
-    reads on as if nothing happened.
+    The log is restored without its last entries after an outage, assigns their offsets
+    to other records, and grows past the node. The node must not wait for its offset and
+    continue reading.
     """
     async with running_bench() as bench:
         client = LogClient(bench.service)
@@ -282,7 +276,7 @@
         assert log.ready and not log.may_decide
 
 
-async def test_a_log_that_was_behind_for_a_moment_is_followed_again() -> None:
+async def test_log_that_was_temporarily_behind_is_followed_again() -> None:
     async with running_bench() as bench:
         client = LogClient(bench.service)
         log = bench.start(client)
--- a/tests/state/test_never_reverts.py
+++ b/tests/state/test_never_reverts.py
@@ -1,9 +1,9 @@
-"""Search for a sequence of events after which an accepted configuration is undone.
+"""Search for a sequence of events that reverts an accepted configuration.
 
-Nodes restart, are cut off, paused, offered stale peers and stale snapshots, and their
-appends are lost, repeated and delayed, while the log forgets and goes out. A reference
-folds the log's whole history; every node has to stand on one of its prefixes, and never
-to step back.
+Nodes are restarted, disconnected, paused and offered stale peers and snapshots, their
+appends are lost, repeated and delayed, and the log expires entries and has outages. A
+reference applies the whole history of the log; the state of every node has to equal one
+of its prefixes and must never go back.
 """
 
 from __future__ import annotations
@@ -40,9 +40,9 @@
 
 
 class Node:
-    """Hold one running incarnation and what it must not fall behind.
+    """Hold one incarnation of a node and the positions that it must not fall behind.
 
-    ``floor`` is the furthest offset that a ready peer had when this one started.
+    ``floor`` is the highest offset of a ready peer when this incarnation started.
     """
 
     def __init__(
@@ -55,34 +55,34 @@
         self.seen_revision = 0
 
     def revision(self) -> int:
-        """Return the template's revision in force here."""
+        """Return the revision of the template that is in force on this node."""
         revisions = self.log.state.templates.get("dairy")
         return revisions[-1].revision if revisions else 0
 
 
 class Reference:
-    """Fold the whole history of the log, and remember the digest at each offset."""
+    """Apply the whole history of the log and store the digest at each offset."""
 
     def __init__(self) -> None:
         self.fold = FLEET_SPEC.new_fold()
         self.digests = [""]
 
     def catch_up(self, history: list[bytes]) -> None:
-        """Fold what was appended since."""
+        """Apply the entries appended since the last call."""
         for payload in history[self.fold.next_offset :]:
             self.fold.apply(self.fold.next_offset, payload)
             self.digests.append(self.fold.digest)
 
 
 class ConfigurationMachine(RuleBasedStateMachine):
-    """Drive nodes, their log and their peers."""
+    """Control nodes, their log and their peers."""
 
     def __init__(self) -> None:
         super().__init__()
         self._runner = asyncio.Runner()
         self._reference = Reference()
         self._nodes: list[Node] = []
-        self._held: list[Image] = []
+        self._pending_images: list[Image] = []
         self._accepted: list[int] = []
         self._stop: anyio.Event
         self._bench: LogBench
@@ -92,13 +92,13 @@
         started = anyio.Event()
         self._stop = anyio.Event()
 
-        async def keep() -> None:
+        async def run_bench() -> None:
             async with running_bench() as bench:
                 self._bench = bench
                 started.set()
                 await self._stop.wait()
 
-        self._keeper = asyncio.get_running_loop().create_task(keep())
+        self._bench_task = asyncio.get_running_loop().create_task(run_bench())
         await started.wait()
 
     def _run(self, seconds: float) -> None:
@@ -119,7 +119,7 @@
 
     @initialize()
     def begin(self) -> None:
-        """Start the nodes on one pool."""
+        """Start the nodes and add one pool."""
         for _ in range(NODES):
             self._nodes.append(self._start())
         for node in self._nodes:
@@ -130,7 +130,7 @@
 
     @rule(number=node_numbers, headroom=st.sampled_from([0.0, 0.1, 0.2]))
     def publish(self, number: int, headroom: float) -> None:
-        """Publish a revision on top of the one that the node sees."""
+        """Publish a revision based on the node's current one."""
         node = self._nodes[number]
         parameters = build_parameters("pool-0", headroom=headroom)
         result = self._runner.run(
@@ -146,7 +146,7 @@
 
     @rule(number=node_numbers)
     def restart(self, number: int) -> None:
-        """Replace a node by one without any state, beside the same peers."""
+        """Replace a node by one without state and with the same peers."""
         node = self._runner.run(self._async_replace(self._nodes.pop(number)))
         self._nodes.insert(number, node)
         for other in self._nodes:
@@ -155,18 +155,18 @@
         self._run(0.5)
 
     @rule(number=node_numbers, cut_off=st.booleans())
-    def cut(self, number: int, cut_off: bool) -> None:
-        """Cut one node off from the log, or connect it again."""
+    def switch_connection(self, number: int, cut_off: bool) -> None:
+        """Disconnect one node from the log, or reconnect it."""
         self._nodes[number].client.cut_off = cut_off
 
     @rule(number=node_numbers)
     def isolate(self, number: int) -> None:
-        """Take a node's peers away until the next restart of any node."""
+        """Disconnect a node from its peers until the next restart of any node."""
         self._bench.relays[self._nodes[number].log].peers = []
 
     @rule(out=st.booleans())
     def switch_log(self, out: bool) -> None:
-        """Take the log out, or bring it back."""
+        """Start or end an outage of the log."""
         self._bench.service.out = out
 
     @rule(
@@ -176,49 +176,49 @@
         count=st.integers(1, 3),
     )
     def disturb_appends(self, fault: str, count: int) -> None:
-        """Let the next appends meet a fault."""
+        """Inject a fault into the next appends."""
         setattr(self._bench.service, fault, count)
 
     @rule()
     def deliver_delayed(self) -> None:
-        """Let the appends held back arrive now."""
+        """Deliver the delayed appends."""
         self._bench.service.deliver_delayed()
         self._run(0.0)
 
     @rule(seconds=st.sampled_from([0.5, 3.0, 10.0]))
     def advance(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the time."""
         self._run(seconds)
 
     @rule(seconds=st.sampled_from([2.0, 60.0]))
     def pause(self, seconds: float) -> None:
-        """Stop all processes for a while."""
+        """Pause all processes."""
         self._bench.timers.pause(seconds)
 
     @rule(number=node_numbers)
-    def hold_image(self, number: int) -> None:
-        """Let a slow snapshot writer take its image now and write it later."""
+    def take_image(self, number: int) -> None:
+        """Take an image that a slow snapshot writer writes later."""
         try:
-            self._held.append(self._nodes[number].log.image())
+            self._pending_images.append(self._nodes[number].log.image())
         except MustardwardError:
             return
 
-    @precondition(lambda self: self._held and not self._bench.service.out)
+    @precondition(lambda self: self._pending_images and not self._bench.service.out)
     @rule(first=st.booleans())
-    def write_held_image(self, first: bool) -> None:
+    def write_pending_image(self, first: bool) -> None:
         """Write an image that may have become stale."""
-        image = self._held.pop(0 if first else -1)
+        image = self._pending_images.pop(0 if first else -1)
         service = self._bench.service
         service.lose_answers = service.lose_requests = service.delay_appends = 0
         store = self._nodes[0].log.store
         if not self._nodes[0].client.cut_off:
             self._runner.run(self._bench.async_run(lambda: store.async_write(image)))
 
-    @rule(kept=st.integers(0, 5))
-    def expire(self, kept: int) -> None:
-        """Let the log forget all but its latest entries."""
+    @rule(retained=st.integers(0, 5))
+    def expire(self, retained: int) -> None:
+        """Expire all but the latest entries of the log."""
         service = self._bench.service
-        service.expire(STREAM, service.tail(STREAM) - kept)
+        service.expire(STREAM, service.tail(STREAM) - retained)
 
     @rule(stream=st.sampled_from(["fleet.snapshots", "fleet.snapshots.chunks"]))
     def corrupt_snapshot(self, stream: str) -> None:
@@ -228,8 +228,8 @@
             service.corrupt(stream, service.tail(stream) - 1)
 
     @invariant()
-    def nodes_stand_on_the_log_and_never_step_back(self) -> None:
-        """Compare every node with the reference and with its own past."""
+    def nodes_match_the_log_and_never_go_back(self) -> None:
+        """Compare every node with the reference and with its earlier positions."""
         self._reference.catch_up(self._bench.service.history(STREAM))
         for node in self._nodes:
             offset = node.log.next_offset
@@ -242,14 +242,14 @@
 
     @invariant()
     def accepted_revisions_stay_in_force(self) -> None:
-        """Find the last accepted revision, or a later one, in the reference."""
+        """Check that the last accepted revision, or a later one, is in force."""
         self._reference.catch_up(self._bench.service.history(STREAM))
         revisions = self._reference.fold.state.templates.get("dairy")
         latest = revisions[-1].revision if revisions else 0
         assert latest >= max(self._accepted, default=0)
 
     def teardown(self) -> None:
-        """Heal everything: all that can know the tail agree on it."""
+        """End all faults and check that nodes which may decide reach the tail."""
         service = self._bench.service
         service.out = False
         for fault in ("lose_answers", "lose_requests", "delay_appends"):
@@ -258,7 +258,7 @@
         for node in self._nodes:
             node.client.cut_off = False
         self._run(20.0)
-        self.nodes_stand_on_the_log_and_never_step_back()
+        self.nodes_match_the_log_and_never_go_back()
         for node in self._nodes:
             if node.log.may_decide:
                 assert node.log.next_offset == service.tail(STREAM)
@@ -267,7 +267,7 @@
 
     async def _async_close(self) -> None:
         self._stop.set()
-        await self._keeper
+        await self._bench_task
 
 
 TestConfigurationNeverReverts: Any = ConfigurationMachine.TestCase
--- a/tests/state/test_pace.py
+++ b/tests/state/test_pace.py
@@ -1,4 +1,4 @@
-"""Share the log's budget of appends."""
+"""Test the pacing of appends under the log's rate limit."""
 
 from __future__ import annotations
 
@@ -26,12 +26,11 @@
     assert pace.window_seconds == 0.02
 
 
-async def test_many_entries_get_their_records_through_a_small_budget() -> None:
-    """Stay within the budget instead of at its edge.
+async def test_many_nodes_append_under_a_small_rate_limit() -> None:
+    """Guard against claims that time out although the log is healthy.
 
-    Symptom: claims time out although the log is well. Sequence: many entries append at
-    once, each comes back to the log at its own short interval, most are refused. Cause:
-    the window of group commits stays as it is.
+    Many entry nodes append at once and retry at their own short intervals, so most
+    appends are refused unless the window of group commits widens.
     """
     async with running_bench() as bench:
         logs = [bench.start() for _ in range(12)]
@@ -54,22 +53,22 @@
         assert all(item.unwrap().revision for item in results)
 
 
-async def test_a_listener_that_breaks_stops_neither_fold_nor_other_listeners() -> None:
+async def test_failing_listener_stops_neither_fold_nor_other_listeners() -> None:
     async with running_bench() as bench:
         log = bench.start()
-        heard: list[int] = []
+        notified_offsets: list[int] = []
 
         def fail(outcome: object) -> None:
-            raise ValueError("broken part")
+            raise ValueError("listener failed")
 
         log.listen(fail)
-        log.listen(lambda outcome: heard.append(outcome.offset))
+        log.listen(lambda outcome: notified_offsets.append(outcome.offset))
         await bench.async_settle()
         await bench.async_fill(log, 2)
-        assert heard == [0, 1]
+        assert notified_offsets == [0, 1]
 
 
-async def test_claims_go_before_what_waits_longer() -> None:
+async def test_higher_priority_is_appended_first() -> None:
     async with running_bench() as bench:
         log = bench.start()
         await bench.async_settle()
--- a/tests/state/test_pools.py
+++ b/tests/state/test_pools.py
@@ -1,4 +1,4 @@
-"""Fold pools, ownership of instances, and moves."""
+"""Test records of pools, ownership of instances, and moves."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
     )
 
 
-def test_a_move_changes_the_owner_in_one_record(builder: FoldBuilder) -> None:
+def test_move_changes_the_owner_in_one_record(builder: FoldBuilder) -> None:
     before = _generation(builder, "one")
     _request(builder, "move-1")
     builder.accept(AcknowledgeMove("move-1", ("entry-a",)))
@@ -79,18 +79,17 @@
 def test_the_second_of_two_operators_moving_one_instance_is_refused(
     builder: FoldBuilder,
 ) -> None:
-    """Let one move hold an instance.
+    """Guard against an instance that serves two pools.
 
-    Symptom: an instance serves two pools. Sequence: two operators request moves of it
-    from the same picture. Cause: the second request is taken beside the first.
+    Two operators request moves of it based on the same generation.
     """
-    seen = _generation(builder, "one")
+    base_generation = _generation(builder, "one")
     _request(builder, "move-1")
-    second = builder.apply(RequestMove("move-2", "one", "casting"), seen)
+    second = builder.apply(RequestMove("move-2", "one", "casting"), base_generation)
     assert isinstance(second.result.failure(), MoveInProgressError)
     builder.accept(AcknowledgeMove("move-1", ("entry-a", "entry-b")))
     builder.accept(TransferInstance("move-1"))
-    late = builder.apply(RequestMove("move-2", "one", "etching"), seen)
+    late = builder.apply(RequestMove("move-2", "one", "etching"), base_generation)
     assert isinstance(late.result.failure(), RevisionConflictError)
 
 
@@ -103,10 +102,10 @@
 
 
 def test_an_instance_is_added_once(builder: FoldBuilder) -> None:
-    twice = builder.apply(build_instance("one", "casting")).result.failure()
-    nowhere = builder.apply(build_instance("three", "attic")).result.failure()
-    assert isinstance(twice, SubjectExistsError)
-    assert isinstance(nowhere, UnknownPoolError)
+    duplicate_refusal = builder.apply(build_instance("one", "casting")).result.failure()
+    pool_refusal = builder.apply(build_instance("three", "attic")).result.failure()
+    assert isinstance(duplicate_refusal, SubjectExistsError)
+    assert isinstance(pool_refusal, UnknownPoolError)
 
 
 def test_a_claimed_instance_is_neither_removed_nor_moved(builder: FoldBuilder) -> None:
@@ -156,15 +155,14 @@
     builder.accept(TransferInstance("move-1"))
 
 
-def test_a_transfer_waits_while_its_target_could_not_lose_the_larger_rack(
+def test_transfer_is_refused_while_it_would_violate_a_budget_of_the_target(
     builder: FoldBuilder,
 ) -> None:
-    """Keep a target's budget when an instance arrives.
+    """Guard against a pool that falls below its floor when a rack fails during a wave.
 
-    Symptom: a rack fails during a wave, and the pool falls below its floor although the
-    reserve is for just that. Sequence: one of four is out for maintenance; a fifth
-    arrives in a rack that holds another; that rack fails. Cause: the arrival made floor
-    and reserve larger, and nobody asked whether they still held.
+    One of four instances is in maintenance when a fifth arrives in a rack that holds
+    another one. The arrival enlarges floor and reserve, so the transfer has to check
+    that they are still met.
     """
     parameters = Parameters(services=(ServiceBinding("cast", "casting"),))
     builder.accept(PublishTemplate("base", parameters), 0)
@@ -189,7 +187,7 @@
     assert state.instances["one"].pool == "casting"
 
 
-def test_counters_of_budgets_follow_every_change_of_owner(
+def test_budget_counters_follow_every_change_of_owner(
     builder: FoldBuilder,
 ) -> None:
     _request(builder, "move-1")
@@ -211,7 +209,7 @@
         ({"claims": Claim("one", "w", "e#1", 1, "claimed", 1)}, "maintained"),
     ],
 )
-def test_an_instance_has_one_state_of_its_chart(
+def test_instance_status_is_a_state_of_the_chart(
     builder: FoldBuilder, held: dict[str, object], wanted: str
 ) -> None:
     state = builder.fold.state
--- a/tests/state/test_records.py
+++ b/tests/state/test_records.py
@@ -1,4 +1,4 @@
-"""Take records through their codec."""
+"""Test the codec of records."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.builders import build_record
 
 
-def test_a_batch_survives_its_codec() -> None:
+def test_batch_round_trips_through_its_codec() -> None:
     envelopes = [build_record(PutPool("etching")), build_record(PutPool("casting"))]
     decoded = decode_batch(encode_batch(envelopes))
     assert [decode_body(item) for item in decoded] == [
@@ -27,7 +27,7 @@
         decode_body(envelope)
 
 
-def test_a_newer_version_is_not_guessed_at() -> None:
+def test_newer_version_is_refused() -> None:
     envelope = replace(build_record(PutPool("etching")), version=99)
     with pytest.raises(UnknownRecordError):
         decode_body(envelope)
--- a/tests/state/test_relay.py
+++ b/tests/state/test_relay.py
@@ -1,4 +1,4 @@
-"""Take the log's entries and state from peers."""
+"""Test the exchange of entries and images between peers."""
 
 from __future__ import annotations
 
@@ -22,48 +22,49 @@
 BOUND_SECONDS = 5.0
 
 
-async def test_a_data_centre_cut_off_from_the_platform_gets_changes_from_peers() -> (
-    None
-):
-    """Relay configuration within its bound.
+async def test_disconnected_data_centre_gets_changes_from_peers() -> None:
+    """Guard against serving an old configuration while the platform is unreachable.
 
-    Symptom: a data centre serves an old configuration for as long as it can't reach
-    the platform. Sequence: it is cut off, and a change is accepted elsewhere. Cause:
-    entries come from the platform alone.
+    A data centre is disconnected from the platform, and a change is accepted
+    other_log. Peers have to relay it within the bound.
     """
     async with running_bench() as bench:
         client = LogClient(bench.service)
         log = bench.start()
-        cut = bench.start(client, [log])
+        disconnected = bench.start(client, [log])
         await bench.async_settle()
         await bench.async_fill(log, 1)
         client.cut_off = True
         await bench.async_settle(1.0)
         await bench.async_fill(log, 2)
-        await bench.async_until(lambda: cut.digest == log.digest, BOUND_SECONDS)
-        assert not cut.log_reachable
-        assert cut.tail_age_seconds() < BOUND_SECONDS
+        await bench.async_until(
+            lambda: disconnected.digest == log.digest, BOUND_SECONDS
+        )
+        assert not disconnected.log_reachable
+        assert disconnected.tail_age_seconds() < BOUND_SECONDS
         client.cut_off = False
         await bench.async_fill(log, 1)
         await bench.async_settle(3.0)
-        assert cut.digest == log.digest and cut.log_reachable
+        assert disconnected.digest == log.digest and disconnected.log_reachable
 
 
-async def test_a_slow_log_is_helped_out_by_peers() -> None:
+async def test_peers_provide_entries_while_the_log_is_slow() -> None:
     async with running_bench() as bench:
         client = LogClient(bench.service)
         log = bench.start()
-        cut = bench.start(client, [log])
+        disconnected = bench.start(client, [log])
         await bench.async_settle()
         await bench.async_fill(log, 1)
         client.hang = True
         bench.service.wake()
         await bench.async_fill(log, 1)
-        await bench.async_until(lambda: cut.digest == log.digest, BOUND_SECONDS)
-        assert cut.next_offset == 2
+        await bench.async_until(
+            lambda: disconnected.digest == log.digest, BOUND_SECONDS
+        )
+        assert disconnected.next_offset == 2
 
 
-async def test_with_the_log_out_a_newcomer_takes_state_from_its_furthest_peer() -> None:
+async def test_new_node_takes_state_from_the_newest_peer_during_an_outage() -> None:
     async with running_bench() as bench:
         stale_client = LogClient(bench.service)
         log, stale = bench.start(), bench.start(stale_client)
@@ -72,17 +73,16 @@
         stale_client.cut_off = True
         await bench.async_fill(log, 2)
         bench.service.out = True
-        newcomer = bench.start(peers=[stale, log])
-        await bench.async_until(lambda: newcomer.ready, BOUND_SECONDS)
-        assert newcomer.next_offset == 4 and newcomer.digest == log.digest
+        new_node = bench.start(peers=[stale, log])
+        await bench.async_until(lambda: new_node.ready, BOUND_SECONDS)
+        assert new_node.next_offset == 4 and new_node.digest == log.digest
 
 
-async def test_all_entries_replaced_while_the_log_is_out() -> None:
-    """Be truthful about having no state.
+async def test_all_entry_nodes_replaced_during_a_log_outage() -> None:
+    """Guard against a new entry node that serves from an empty state.
 
-    Symptom: a fresh entry refuses all as unknown, or serves from nothing. Sequence:
-    the log is out and every entry is replaced at once. Cause: an empty state is taken
-    for the fleet's.
+    All entry nodes are replaced at once during an outage of the log, so no node has a
+    state. None may become ready until the log is back.
     """
     async with running_bench() as bench:
         old = bench.start()
@@ -101,7 +101,7 @@
         assert first.digest == second.digest == old.digest
 
 
-async def test_a_stale_peer_moves_nobody_back() -> None:
+async def test_stale_peer_does_not_revert_a_node() -> None:
     async with running_bench() as bench:
         stale_client = LogClient(bench.service)
         client = LogClient(bench.service)
@@ -118,30 +118,30 @@
         assert log.tail_age_seconds() > 15.0
 
 
-async def test_a_peer_that_folded_another_log_is_not_followed() -> None:
-    """Compare the chained digest before taking entries.
+async def test_peer_with_another_history_is_not_followed() -> None:
+    """Guard against nodes whose states silently differ from some offset on.
 
-    Symptom: two nodes differ from one offset on and nobody notices. Sequence: a peer
-    folded other entries at the same offsets. Cause: offsets alone are compared.
+    A peer has applied other entries at the same offsets, so the chained digest has to
+    be compared in addition to offsets.
     """
     async with running_bench() as bench:
         client = LogClient(bench.service)
         log = bench.start()
         await bench.async_settle()
         await bench.async_fill(log, 1)
-        elsewhere = FakeLog()
+        other_log = FakeLog()
         for name in ("x", "y", "z"):
-            elsewhere.put("fleet", encode_batch([build_record(PutPool(name), name)]))
-        other = bench.start(LogClient(elsewhere))
-        cut = bench.start(client, [other])
+            other_log.put("fleet", encode_batch([build_record(PutPool(name), name)]))
+        other = bench.start(LogClient(other_log))
+        disconnected = bench.start(client, [other])
         await bench.async_settle()
         client.cut_off = True
         await bench.async_settle(10.0)
-        assert cut.digest == log.digest
-        assert set(cut.state.pools) == {"pool-0"}
+        assert disconnected.digest == log.digest
+        assert set(disconnected.state.pools) == {"pool-0"}
 
 
-async def test_a_node_that_may_not_decide_gives_no_state_away() -> None:
+async def test_node_that_may_not_decide_sends_no_state() -> None:
     async with running_bench() as bench:
         log = bench.start()
         await bench.async_settle()
@@ -149,11 +149,11 @@
         object.__setattr__(record, "version", 99)
         bench.service.put("fleet", encode_batch([record]))
         await bench.async_settle(1.0)
-        answer = log.respond(RelayRequest("fleet", 0, ""))
-        assert answer.status is RelayStatus.UNAVAILABLE
+        response = log.respond(RelayRequest("fleet", 0, ""))
+        assert response.status is RelayStatus.UNAVAILABLE
 
 
-def test_kept_entries_are_bounded_and_ask_for_an_image_beyond() -> None:
+def test_recent_entries_are_bounded_and_an_image_is_needed_beyond() -> None:
     recent = RecentEntries()
     for offset in range(MAX_RECENT_ENTRIES + 10):
         recent.add(RelayedEntry(offset, b"payload", f"digest-{offset}"))
--- a/tests/state/test_restored_folds.py
+++ b/tests/state/test_restored_folds.py
@@ -1,7 +1,7 @@
-"""Restore folds in the middle and let them go on beside the original.
+"""Restore folds from images and compare them with the original as both continue.
 
-A handler that depends on the order of a set, on an object's identity, or on something
-that no image holds comes to another answer after a restore.
+A handler that depends on the order of a set, on an object's identity, or on data that
+is not part of the image gives different results after a restore.
 """
 
 from __future__ import annotations
@@ -57,11 +57,11 @@
 from mustardward.state.work import intent_name
 from tests.builders import build_parameters, build_record
 
-RECORDS = 150
-RESTORE_SHARE = 0.08
+RECORD_COUNT = 150
+RESTORE_PROBABILITY = 0.08
 
 Proposal = tuple[Any, int]
-Generate = Callable[[Random, Any], Proposal]
+Generator = Callable[[Random, Any], Proposal]
 
 
 def _instance(random: Random) -> str:
@@ -162,7 +162,7 @@
     return random.choice(bodies), NO_BASE
 
 
-FLEET: tuple[Generate, ...] = (
+FLEET_GENERATORS: tuple[Generator, ...] = (
     _pools,
     _pools,
     _publish,
@@ -210,38 +210,39 @@
     return closed, NO_BASE
 
 
-WORK: tuple[Generate, ...] = (_job, _job, _intent)
+WORK_GENERATORS: tuple[Generator, ...] = (_job, _job, _intent)
 
 
 def _canonical(state: Any) -> Any:
-    """Return a state as plain data, in which sets compare by what they hold."""
+    """Return a state as plain data in which the order of sets does not matter."""
     return msgspec.to_builtins(state, order="deterministic")
 
 
 @pytest.mark.parametrize(
-    ("spec", "generators"), [(FLEET_SPEC, FLEET), (work_spec("bergen"), WORK)]
+    ("spec", "generators"),
+    [(FLEET_SPEC, FLEET_GENERATORS), (work_spec("bergen"), WORK_GENERATORS)],
 )
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(seed=st.integers(0, 1_000_000))
-def test_a_restored_fold_comes_to_the_same_answers(
-    spec: StreamSpec[Any], generators: tuple[Generate, ...], seed: int
+def test_restored_fold_gives_the_same_outcomes(
+    spec: StreamSpec[Any], generators: tuple[Generator, ...], seed: int
 ) -> None:
     random = Random(seed)
     original, other = spec.new_fold(), spec.new_fold()
     accepted = 0
-    for number in range(RECORDS):
+    for number in range(RECORD_COUNT):
         body, base = random.choice(generators)(random, original.state)
         payload = encode_batch([build_record(body, f"record-{number}", base)])
         offset = original.next_offset
         accepted += original.apply(offset, payload)[0].result.map(bool).value_or(False)
         other.apply(offset, payload)
         assert other.digest == original.digest
-        if random.random() < RESTORE_SHARE:
+        if random.random() < RESTORE_PROBABILITY:
             image = make_image(spec, other)
             other = spec.new_fold()
             restore_image(spec, other, image)
     assert original.blocked is None
-    assert accepted > RECORDS / 20
+    assert accepted > RECORD_COUNT / 20
     assert _canonical(other.state) == _canonical(original.state)
     if spec is FLEET_SPEC:
         counters = BudgetIndex(other.state).snapshot()
--- a/tests/state/test_snapshots.py
+++ b/tests/state/test_snapshots.py
@@ -1,4 +1,4 @@
-"""Start and recover from snapshots, and refuse the unusable ones."""
+"""Test starting and recovering from snapshots, and refusing unusable ones."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 CHUNKS = "fleet.snapshots.chunks"
 
 
-def test_a_restored_fold_goes_on_like_the_one_it_came_from() -> None:
+def test_restored_fold_continues_like_the_original() -> None:
     original = build_fleet_fold("cellar", "brine")
     original.accept(PublishTemplate("dairy", build_parameters("cellar")), 0)
     original.accept(PutOrganisation("undredal", "dairy"), 0)
@@ -68,7 +68,7 @@
         {"body_digest": "00"},
     ],
 )
-def test_an_image_that_is_not_surely_understood_is_refused(
+def test_image_that_may_be_misread_is_refused(
     change: dict[str, object],
 ) -> None:
     image = make_image(FLEET_SPEC, build_fleet_fold("cellar").fold)
@@ -79,7 +79,7 @@
     assert target.fold.next_offset == 0
 
 
-def test_a_restored_state_holds_each_name_once() -> None:
+def test_restored_state_shares_equal_names() -> None:
     original = build_fleet_fold("cellar")
     for number in range(4):
         original.accept(build_instance(f"instance-{number}", "cellar"))
@@ -87,16 +87,15 @@
     restored = build_fleet_fold()
     restore_image(FLEET_SPEC, restored.fold, make_image(FLEET_SPEC, original.fold))
     state = restored.fold.state
-    held = {id(name) for name in state.instances}
-    assert {id(name) for name in state.waves["wave-1"].pending} == held
+    shared_names = {id(name) for name in state.instances}
+    assert {id(name) for name in state.waves["wave-1"].pending} == shared_names
     assert len({id(item.rack) for item in state.instances.values()}) == 1
 
 
 def test_an_older_image_is_refused() -> None:
-    """Never step back to a snapshot.
+    """Guard against reverting an accepted configuration to an older snapshot.
 
-    Symptom: an accepted configuration is gone. Sequence: a node at offset 5 is offered
-    a snapshot of offset 1. Cause: any whole snapshot is taken.
+    A node at offset 5 is offered a valid snapshot of offset 1.
     """
     image = make_image(FLEET_SPEC, build_fleet_fold("cellar").fold)
     ahead = build_fleet_fold("a", "b", "c", "d", "e")
@@ -105,7 +104,7 @@
     assert set(ahead.fold.state.pools) == {"a", "b", "c", "d", "e"}
 
 
-async def test_a_new_node_starts_from_a_snapshot_when_the_log_forgot() -> None:
+async def test_new_node_starts_from_a_snapshot_when_entries_expired() -> None:
     async with running_bench() as bench:
         log = bench.start()
         await bench.async_settle()
@@ -113,37 +112,36 @@
         await bench.async_snapshot(log)
         await bench.async_fill(log, 2)
         bench.service.expire("fleet", 5)
-        late = bench.start()
+        new_node = bench.start()
         await bench.async_settle(1.0)
-        assert late.may_decide
-        assert late.digest == log.digest
+        assert new_node.may_decide
+        assert new_node.digest == log.digest
 
 
-async def test_without_a_snapshot_a_node_never_starts_from_the_latest() -> None:
-    """Refuse to begin in the middle.
+async def test_node_without_a_snapshot_does_not_start_at_a_later_offset() -> None:
+    """Guard against serving an incomplete configuration.
 
-    Symptom: a node serves a configuration that lacks most of it, as if it were whole.
-    Sequence: the log forgot its first entries, no snapshot exists, a node starts.
-    Cause: it begins at the oldest entry kept.
+    The log has expired its first entries and there is no snapshot, so a new node must
+    not start from the oldest retained entry.
     """
     async with running_bench() as bench:
         log = bench.start()
         await bench.async_settle()
         await bench.async_fill(log, 5)
         bench.service.expire("fleet", 3)
-        late = bench.start()
+        new_node = bench.start()
         await bench.async_settle(10.0)
-        assert not late.ready and not late.may_decide
-        assert late.next_offset == 0
+        assert not new_node.ready and not new_node.may_decide
+        assert new_node.next_offset == 0
         await bench.async_snapshot(log)
         await bench.async_settle(5.0)
-        assert late.ready and late.digest == log.digest
+        assert new_node.ready and new_node.digest == log.digest
 
 
 async def test_a_node_whose_offset_expired_recovers_from_a_snapshot() -> None:
     async with running_bench() as bench:
         client = LogClient(bench.service)
-        log, cut = bench.start(), bench.start(client)
+        log, disconnected = bench.start(), bench.start(client)
         await bench.async_settle()
         await bench.async_fill(log, 2)
         client.cut_off = True
@@ -152,30 +150,30 @@
         bench.service.expire("fleet", 5)
         client.cut_off = False
         restored: list[int] = []
-        cut.listen_restored(lambda: restored.append(cut.next_offset))
+        disconnected.listen_restored(lambda: restored.append(disconnected.next_offset))
         await bench.async_settle(5.0)
-        assert cut.may_decide
-        assert cut.digest == log.digest
+        assert disconnected.may_decide
+        assert disconnected.digest == log.digest
         assert restored == [6]
 
 
-async def test_an_append_whose_entry_expired_is_answered_from_the_window() -> None:
-    """Answer an author whose own record was folded out of sight.
+async def test_append_whose_entry_expired_is_resolved_from_the_window() -> None:
+    """Guard against reporting an accepted change as unknown, or making it again.
 
-    Symptom: an accepted change is reported as unknown, or made again. Sequence: the
-    append takes effect, its answer is lost, the node is cut off, the entry expires,
-    and the node recovers from a snapshot. Cause: the node only looks at entries.
+    The append takes effect, its response is lost, the node is disconnected, the entry
+    expires, and the node recovers from a snapshot. Only the dedupe window has the
+    outcome.
     """
     async with running_bench() as bench:
         client = LogClient(bench.service)
-        log, cut = bench.start(), bench.start(client)
+        log, disconnected = bench.start(), bench.start(client)
         await bench.async_settle()
         await bench.async_fill(log, 1)
         results: list[object] = []
 
         async def propose() -> None:
             results.append(
-                await cut.async_propose(
+                await disconnected.async_propose(
                     PutPool("late"), actor="operator", timeout_seconds=120.0
                 )
             )
@@ -194,31 +192,31 @@
         assert isinstance(results[0], Success)
         assert results[0].unwrap().revision == 2
         await bench.async_settle(3.0)
-        assert cut.digest == log.digest and cut.sequence == 5
+        assert disconnected.digest == log.digest and disconnected.sequence == 5
 
 
-async def test_a_gap_in_the_log_is_not_jumped_over() -> None:
-    """Notice a missing entry.
+async def test_gap_in_the_log_is_not_skipped() -> None:
+    """Guard against a node that misses one change permanently.
 
-    Symptom: a node misses one change for ever. Sequence: the log loses an entry in the
-    middle; the node reads the following one. Cause: offsets are not compared.
+    The log loses an entry in the middle and returns the following one, so offsets have
+    to be compared.
     """
     async with running_bench() as bench:
         log = bench.start()
         await bench.async_settle()
         await bench.async_fill(log, 4)
         bench.service.lose("fleet", 2)
-        late = bench.start()
+        new_node = bench.start()
         await bench.async_settle(3.0)
-        assert late.next_offset == 2
-        assert not late.ready and not late.may_decide
+        assert new_node.next_offset == 2
+        assert not new_node.ready and not new_node.may_decide
         await bench.async_snapshot(log)
         await bench.async_settle(5.0)
-        assert late.digest == log.digest and late.may_decide
+        assert new_node.digest == log.digest and new_node.may_decide
 
 
 @pytest.mark.parametrize("stream", [MANIFESTS, CHUNKS])
-async def test_a_corrupt_snapshot_gives_way_to_the_one_before(stream: str) -> None:
+async def test_previous_snapshot_replaces_a_corrupt_one(stream: str) -> None:
     async with running_bench() as bench:
         log = bench.start()
         await bench.async_settle()
@@ -230,12 +228,12 @@
         bench.service.expire("fleet", 3)
         image = await log.store.async_load(0)
         assert image.header.next_offset == 3
-        late = bench.start()
+        new_node = bench.start()
         await bench.async_settle(1.0)
-        assert late.digest == log.digest
+        assert new_node.digest == log.digest
 
 
-async def test_a_writer_that_died_half_way_leaves_nothing_to_load() -> None:
+async def test_partial_snapshot_is_not_loaded() -> None:
     async with running_bench() as bench:
         log = bench.start()
         await bench.async_settle()
@@ -245,23 +243,22 @@
             await log.store.async_load(0)
 
 
-async def test_of_two_writers_at_once_the_further_state_is_loaded() -> None:
-    """Order snapshots by their state.
+async def test_newest_state_of_concurrent_writers_is_loaded() -> None:
+    """Guard against starting from an older state than the newest snapshot.
 
-    Symptom: a node starts from an older state than the log holds a snapshot of.
-    Sequence: a slow writer's manifest comes after a quick one's of a later state.
-    Cause: the last manifest is taken.
+    The manifest of a slow writer comes after that of a fast writer with a newer state,
+    so snapshots are ordered by state and not by manifest.
     """
     async with running_bench() as bench:
         log = bench.start()
         await bench.async_settle()
         await bench.async_fill(log, 2)
-        slow = log.image()
+        older_image = log.image()
         await bench.async_fill(log, 3)
         await bench.async_snapshot(log)
 
         async def write() -> None:
-            await log.store.async_write(slow)
+            await log.store.async_write(older_image)
 
         bench.group.start_soon(write)
         await bench.async_until(lambda: bench.service.tail(MANIFESTS) == 2, 5.0)
@@ -269,7 +266,7 @@
         assert image.header.next_offset == 5
 
 
-async def test_a_snapshot_gets_through_refusals_and_lost_answers() -> None:
+async def test_snapshot_is_written_despite_refusals_and_lost_responses() -> None:
     async with running_bench() as bench:
         log = bench.start()
         await bench.async_settle()
@@ -282,7 +279,7 @@
 
 
 @pytest.mark.parametrize(
-    ("situation", "cause"),
+    ("conditions", "cause"),
     [
         (SnapshotConditions(0, 0, 0.0), ""),
         (SnapshotConditions(5, 0, 0.0), "missing"),
@@ -293,12 +290,12 @@
     ],
 )
 def test_a_snapshot_is_due_well_before_retention(
-    situation: SnapshotConditions, cause: str
+    conditions: SnapshotConditions, cause: str
 ) -> None:
-    assert snapshot_due_cause(situation, LogOptions()) == cause
+    assert snapshot_due_cause(conditions, LogOptions()) == cause
 
 
-async def test_only_the_holder_of_the_duty_writes_and_only_when_due() -> None:
+async def test_snapshot_is_written_only_by_the_responsible_node_when_due() -> None:
     async with running_bench() as bench:
         log = bench.start()
         await bench.async_settle()
@@ -313,7 +310,7 @@
         assert bench.service.tail(MANIFESTS) == 1
 
 
-async def test_a_snapshot_that_breaks_does_not_end_the_entry(
+async def test_failing_snapshot_does_not_end_the_process(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with running_bench() as bench:
--- a/tests/state/test_tail.py
+++ b/tests/state/test_tail.py
@@ -1,4 +1,4 @@
-"""Count freshness from before a read was sent."""
+"""Test that freshness counts from the start of a read."""
 
 from __future__ import annotations
 
@@ -19,24 +19,23 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_an_answer_under_way_says_nothing_of_a_later_question() -> None:
-    """Answer a question only by a read sent after it.
+async def test_read_in_flight_does_not_confirm_a_later_request() -> None:
+    """Guard against checking a claim against an outdated tail.
 
-    Symptom: a claim is checked against a tail that had already moved. Sequence: a read
-    is sent, the question comes, the read's answer arrives in the same tick. Cause: the
-    answer's arrival is compared instead of the read's start.
+    A read is sent, a confirmation is requested, and the response to the read arrives in
+    the same clock tick. Only a read sent after the request may confirm it.
     """
     tail = TailTracker(DrivenTimerService())
     results: list[bool] = []
 
-    async def ask() -> None:
+    async def confirm() -> None:
         results.append(await tail.async_confirm(1.0))
 
     async with anyio.create_task_group() as group:
-        early = tail.begin_read()
-        group.start_soon(ask)
+        earlier_read = tail.begin_read()
+        group.start_soon(confirm)
         await anyio.lowlevel.checkpoint()
-        tail.record_read(early, 0, 0)
+        tail.record_read(earlier_read, 0, 0)
         await anyio.lowlevel.checkpoint()
         assert results == []
         tail.record_read(tail.begin_read(), 3, 2)
@@ -46,13 +45,13 @@
     assert results == [True]
 
 
-async def test_an_answer_sent_for_before_a_pause_does_not_end_it() -> None:
+async def test_read_sent_before_a_pause_does_not_confirm_the_tail_after_it() -> None:
     timers = DrivenTimerService()
     tail = TailTracker(timers)
-    early = tail.begin_read()
+    earlier_read = tail.begin_read()
     timers.pause(30.0)
     tail.require_confirmation()
-    tail.record_read(early, 0, 0)
+    tail.record_read(earlier_read, 0, 0)
     assert not tail.sufficient
     assert tail.age_seconds == 30.0
     tail.record_peer(timers.monotonic(), 1.0)
@@ -62,7 +61,7 @@
     assert tail.age_seconds == 0.0
 
 
-async def test_a_peer_ahead_ends_a_pause_by_its_own_freshness() -> None:
+async def test_peer_confirms_the_tail_after_a_pause_by_its_own_freshness() -> None:
     timers = DrivenTimerService()
     tail = TailTracker(timers)
     timers.pause(30.0)
@@ -73,12 +72,11 @@
     assert tail.age_seconds == 4.0
 
 
-async def test_entries_that_a_peer_brought_first_are_folded_once() -> None:
-    """Skip what was folded while a read was under way.
+async def test_entries_relayed_during_a_read_are_applied_once() -> None:
+    """Guard against a follower that ends with a gap error.
 
-    Symptom: the follower ends with a gap. Sequence: a read is sent for offset 0, a peer
-    relays offset 0 meanwhile, the read brings offsets 0 and 1. Cause: the page is
-    folded from its first entry on.
+    A read is sent for offset 0, a peer relays offset 0 meanwhile, and the read returns
+    offsets 0 and 1. Entries that are already applied have to be skipped.
     """
     replica = Replica(FLEET_SPEC, TailTracker(DrivenTimerService()))
     payloads = [
@@ -87,10 +85,10 @@
     reference = FLEET_SPEC.new_fold()
     reference.apply(0, payloads[0])
     relayed = RelayedEntry(0, payloads[0], reference.digest)
-    answer = RelayResponse(RelayStatus.ENTRIES, 1, 0.0, (relayed,))
+    response = RelayResponse(RelayStatus.ENTRIES, 1, 0.0, (relayed,))
     tail = TailTracker(DrivenTimerService())
-    await replica.async_apply_relayed(answer)
-    await replica.async_apply_relayed(answer)
+    await replica.async_apply_relayed(response)
+    await replica.async_apply_relayed(response)
     entries = tuple(
         LogEntry(number, payload) for number, payload in enumerate(payloads)
     )
--- a/tests/state/test_templates.py
+++ b/tests/state/test_templates.py
@@ -1,4 +1,4 @@
-"""Fold templates and organisations."""
+"""Test records of templates and organisations."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
     return builder.apply(body, base_revision).result.failure()
 
 
-def test_of_two_operators_the_later_one_gets_a_typed_conflict() -> None:
-    """Keep the first change and tell the second author.
+def test_second_of_two_concurrent_publications_gets_a_conflict() -> None:
+    """Guard against losing a revision.
 
-    Symptom: a revision vanishes. Sequence: two operators read revision R and both
-    publish. Cause: the later one overwrites what it never saw.
+    Two operators publish based on the same revision, and the second would overwrite a
+    change that it has not read.
     """
     builder = build_fleet_fold("cellar")
     first = builder.accept(PublishTemplate("dairy", build_parameters("cellar")), 0)
@@ -53,7 +53,7 @@
     assert isinstance(_refusal(builder, body, -1), RevisionConflictError)
 
 
-def test_a_new_revision_takes_force_for_its_organisations_at_the_same_offset() -> None:
+def test_new_revision_applies_to_its_organisations_at_the_same_offset() -> None:
     builder = build_fleet_fold("cellar", "brine")
     first = builder.accept(PublishTemplate("dairy", build_parameters("cellar")), 0)
     builder.accept(PublishTemplate("works", build_parameters("brine")), 0)
@@ -101,7 +101,7 @@
     assert builder.fold.state.organisations == {}
 
 
-def test_thousands_of_revisions_stay_within_a_bound() -> None:
+def test_number_of_stored_revisions_is_bounded() -> None:
     builder = build_fleet_fold("cellar")
     revision = 0
     for _ in range(MAX_TEMPLATE_REVISIONS * 3):
--- a/tests/state/test_window.py
+++ b/tests/state/test_window.py
@@ -1,4 +1,4 @@
-"""Compare the dedupe window with a plain ordered map."""
+"""Compare the dedupe window with an ordered dict."""
 
 from __future__ import annotations
 
@@ -21,33 +21,32 @@
     steps=st.lists(st.tuples(st.integers(0, 30), verdicts), max_size=80),
     restore_at=st.integers(0, 80),
 )
-def test_it_remembers_the_latest_records_whatever_their_digests(
+def test_window_stores_the_latest_records_despite_collisions(
     capacity: int,
     stride: int,
     steps: list[tuple[int, Verdict]],
     restore_at: int,
 ) -> None:
-    """Remember exactly the last records.
+    """Guard against applying a late copy of a record as new.
 
-    Symptom: a late copy of a record is folded as new. Sequence: digests fall on the
-    same slot, the first of them is forgotten. Cause: its slot stays as a gap that ends
-    the search for the others.
+    Several digests map to the same table slot, and the first of them is removed. Its
+    empty slot must not end the search for the others.
     """
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(window, "_key", lambda name: int(name) * stride + 2)
-        held = DedupeWindow(capacity)
+        dedupe_window = DedupeWindow(capacity)
         expected: OrderedDict[str, Verdict] = OrderedDict()
         for number, (name, verdict) in enumerate(steps):
             if number == restore_at:
-                exported = held.export()
-                held = DedupeWindow(capacity)
-                held.restore(*exported)
+                exported = dedupe_window.export()
+                dedupe_window = DedupeWindow(capacity)
+                dedupe_window.restore(*exported)
             if str(name) in expected:
                 continue
-            held.add(str(name), verdict)
+            dedupe_window.add(str(name), verdict)
             expected[str(name)] = verdict
             if len(expected) > capacity:
                 expected.popitem(last=False)
-            assert len(held) == len(expected)
+            assert len(dedupe_window) == len(expected)
             for other in range(31):
-                assert held.get(str(other)) == expected.get(str(other))
+                assert dedupe_window.get(str(other)) == expected.get(str(other))
