--- a/bench/history/removals.py
+++ b/bench/history/removals.py
@@ -34,17 +34,17 @@
 
 def remove_intent() -> None:
     """Let every keyed request be dispatched at once."""
-    from mustardward.components.retries.intents import LogIntentGate
+    from mustardward.components.retries.idempotency_guard import LogIdempotencyGuard
 
     async def async_open(self: Any, facts: Any) -> Any:
         return Success(None)
 
-    setattr(LogIntentGate, "async_open", async_open)  # noqa: B010
+    setattr(LogIdempotencyGuard, "async_open", async_open)  # noqa: B010
 
 
 def remove_budget_recheck() -> None:
     """Neither refuse a reboot nor give a claim back for failures since the claim."""
-    from mustardward.components.maintenance.claim_steps import ClaimProcessor
+    from mustardward.components.maintenance.claim_processor import ClaimProcessor
     from mustardward.state.handlers import maintenance
 
     setattr(ClaimProcessor, "check_budget", lambda *arguments: None)  # noqa: B010
@@ -92,7 +92,7 @@
     from mustardward.components.routing.index import FleetIndex
 
     setattr(  # noqa: B010
-        MembershipService, "instance_may_get_work", lambda self, instance_id: True
+        MembershipService, "is_instance_eligible", lambda self, instance_id: True
     )
     setattr(FleetIndex, "_may_get_work", lambda self, instance_id: True)  # noqa: B010
 
--- a/mustardward/components/scheduling/scheduler.py
+++ b/mustardward/components/scheduling/scheduler.py
@@ -9,7 +9,7 @@
 from ...helpers.logging import get_logger
 from ...helpers.policies import switchable
 from ...platform.models import WorkerEntry
-from ...platform.workers import HoldAnswer
+from ...platform.workers import WorkerReport
 from ..ledger.ledger import LedgerJob
 from ..ledger.models import JobState, Progress
 from .commands import Command
@@ -117,7 +117,7 @@
         return self.worker_entries.update(worker_id, entry, now)
 
     def replace_worker(
-        self, worker_id: str, born: int, entry: WorkerEntry, now: float
+        self, worker_id: str, started_at_ms: int, entry: WorkerEntry, now: float
     ) -> None:
         """Replace a worker that restarted under its id.
 
@@ -126,14 +126,14 @@
         """
         old = self.state.workers.get(worker_id)
         new = make_worker(worker_id, entry)
-        new.born = born
-        new.described = entry.born == born
+        new.started_at_ms = started_at_ms
+        new.described = entry.born == started_at_ms
         new.absent = not new.described
         _LOGGER.info(
             "worker_restarted",
             worker=worker_id,
-            born=born,
-            previous_born=old.born if old is not None else 0,
+            born=started_at_ms,
+            previous_born=old.started_at_ms if old is not None else 0,
             described=new.described,
         )
         if old is None:
@@ -162,7 +162,7 @@
             self._crash_tracker.record_loss(worker, cause, suspects, now)
 
     def apply_worker_report(
-        self, worker_id: str, answer: HoldAnswer, sent_at: float, now: float
+        self, worker_id: str, answer: WorkerReport, sent_at: float, now: float
     ) -> None:
         """Apply a worker's report of running and ended tasks."""
         worker = self.state.workers.get(worker_id)
--- a/mustardward/state/follower.py
+++ b/mustardward/state/follower.py
@@ -65,7 +65,7 @@
         self._continuity = Continuity(replica, service, spec.name)
         self._relay: RelaySource | None = None
         self._ready = False
-        self._lost = False
+        self._has_gap = False
         self._started = False
         self._log_failed = False
         self._last_failure = ""
@@ -83,9 +83,9 @@
         return self._ready
 
     @property
-    def lost(self) -> bool:
+    def has_gap(self) -> bool:
         """Return whether entries are missing between the state and the log."""
-        return self._lost
+        return self._has_gap
 
     @property
     def log_failed(self) -> bool:
@@ -107,7 +107,7 @@
                 await self._async_pause(backoff)
             except LogRewrittenError as error:
                 # A snapshot of the rewritten log would undo records accepted here.
-                self._lost = True
+                self._has_gap = True
                 self._log_recovery_failure(error.code, error.detail)
                 await self._async_pause(backoff)
             except LogGapError as error:
@@ -161,7 +161,7 @@
         # After a start, a pause or an outage the tail has to be confirmed immediately;
         # a long poll of an idle log would delay that.
         tail_confirmed = self._tail.was_confirmed and self._tail.sufficient
-        log_readable = not self._lost and not self._log_failed
+        log_readable = not self._has_gap and not self._log_failed
         return self._options.poll_seconds if tail_confirmed and log_readable else 0.0
 
     async def _async_read(self, wait_seconds: float) -> None:
@@ -176,7 +176,7 @@
         self._continuity.check_page(page, offset)
         self._oldest = page.oldest
         await self._replica.async_apply_page(ticket, page)
-        self._lost = False
+        self._has_gap = False
         if not self._ready and self._tail.was_confirmed:
             self._become_ready("log")
 
@@ -195,7 +195,7 @@
         self._started = True
 
     async def _async_recover(self, cause: str) -> None:
-        self._lost = True
+        self._has_gap = True
         least_offset = self._replica.fold.next_offset + 1
         try:
             self._replica.adopt(await self._store.async_load(least_offset))
@@ -262,8 +262,12 @@
     def _handle_peers_behind(self, response: RelayResponse) -> None:
         # A snapshot may be newer than the state of every peer; adopting an older state
         # would revert the configuration.
-        held = self._replica.fold.next_offset
-        if response.status is RelayStatus.BEHIND and held > 0 and not self._ready:
+        reached_offset = self._replica.fold.next_offset
+        if (
+            response.status is RelayStatus.BEHIND
+            and reached_offset > 0
+            and not self._ready
+        ):
             self._become_ready("snapshot")
 
     def _become_ready(self, source: str) -> None:
--- a/mustardward/state/handlers/maintenance.py
+++ b/mustardward/state/handlers/maintenance.py
@@ -84,9 +84,11 @@
         return WaveNotRunningError(f"wave={wave.wave_id} status={wave.status}")
     if instance_id not in wave.pending:
         return UnknownSubjectError(f"wave={wave.wave_id} not pending={instance_id}")
-    held = get_budget_index(state).claim_count(wave.wave_id)
-    if held >= wave_limit(wave):
-        return WaveGrowthError(f"wave={wave.wave_id} held={held} done={len(wave.done)}")
+    claimed = get_budget_index(state).claim_count(wave.wave_id)
+    if claimed >= wave_limit(wave):
+        return WaveGrowthError(
+            f"wave={wave.wave_id} held={claimed} done={len(wave.done)}"
+        )
     return None
 
 
@@ -130,13 +132,13 @@
 def _next_transition(
     state: FleetState, instance_id: str, generation: int, event: str
 ) -> Result[_Transition, MustardwardError]:
-    claim = _find_claim(state, instance_id, generation)
-    if isinstance(claim, Failure):
-        return claim
-    held = claim.unwrap()
+    found = _find_claim(state, instance_id, generation)
+    if isinstance(found, Failure):
+        return found
+    claim = found.unwrap()
     try:
         return Success(
-            _Transition(held, load_chart("claim").next_state(held.stage, event))
+            _Transition(claim, load_chart("claim").next_state(claim.stage, event))
         )
     except TransitionError as error:
         return Failure(StageRefusedError(error.detail))
@@ -147,31 +149,31 @@
     state: FleetState, context: FoldContext, body: AdvanceClaim
 ) -> Decision:
     """Set a claim's next stage; rebooting is checked against the budgets again."""
-    step = _next_transition(state, body.instance_id, body.generation, body.stage)
-    if isinstance(step, Failure):
-        return step
-    held = step.unwrap().claim
-    if step.unwrap().stage == ClaimStage.REBOOTING:
+    transition = _next_transition(state, body.instance_id, body.generation, body.stage)
+    if isinstance(transition, Failure):
+        return transition
+    claim = transition.unwrap().claim
+    if transition.unwrap().stage == ClaimStage.REBOOTING:
         # Failures since the claim may have used up the margin. Before the reboot the
-        # instance can return to service immediately; afterwards only by its completion.
+        # instance can return to service immediately; once begun, it has to complete.
         instance = state.instances[body.instance_id]
         refusal = check_within_budgets(state, instance)
         if refusal is not None:
             return Failure(refusal)
-    held.stage = step.unwrap().stage
-    return accept(context, f"instance:{body.instance_id}", f"wave:{held.wave_id}")
+    claim.stage = transition.unwrap().stage
+    return accept(context, f"instance:{body.instance_id}", f"wave:{claim.wave_id}")
 
 
 @FLEET_HANDLERS.register("claim.adopt")
 def adopt_claim(state: FleetState, context: FoldContext, body: AdoptClaim) -> Decision:
     """Assign a claim to another executor; the new generation fences the old one."""
-    claim = _find_claim(state, body.instance_id, body.generation)
-    if isinstance(claim, Failure):
-        return claim
-    held = claim.unwrap()
-    held.executor = body.executor
-    held.generation = context.sequence
-    return accept(context, f"instance:{body.instance_id}", f"wave:{held.wave_id}")
+    found = _find_claim(state, body.instance_id, body.generation)
+    if isinstance(found, Failure):
+        return found
+    claim = found.unwrap()
+    claim.executor = body.executor
+    claim.generation = context.sequence
+    return accept(context, f"instance:{body.instance_id}", f"wave:{claim.wave_id}")
 
 
 @FLEET_HANDLERS.register("claim.release")
@@ -179,23 +181,25 @@
     state: FleetState, context: FoldContext, body: ReleaseClaim
 ) -> Decision:
     """End a claim; ``done`` requires a newer boot that was confirmed to be up."""
-    step = _next_transition(state, body.instance_id, body.generation, body.outcome)
-    if isinstance(step, Failure):
-        return step
-    held = step.unwrap().claim
-    if body.outcome == "done" and body.boot <= held.boot:
-        detail = f"claim={body.instance_id} boot={body.boot} needs>{held.boot}"
+    transition = _next_transition(
+        state, body.instance_id, body.generation, body.outcome
+    )
+    if isinstance(transition, Failure):
+        return transition
+    claim = transition.unwrap().claim
+    if body.outcome == "done" and body.boot <= claim.boot:
+        detail = f"claim={body.instance_id} boot={body.boot} needs>{claim.boot}"
         return Failure(StageRefusedError(detail))
     del state.claims[body.instance_id]
     note = f"outcome={body.outcome} {body.reason}".rstrip()
-    wave = state.waves.get(held.wave_id)
+    wave = state.waves.get(claim.wave_id)
     if wave is not None:
-        _RELEASE_HANDLERS[body.outcome](state, context, wave, held, body)
+        _RELEASE_HANDLERS[body.outcome](state, context, wave, claim, body)
         if wave.status == WaveStatus.PAUSED and body.outcome == "failed":
             note = f"{note} wave={wave.wave_id} paused"
     recount_instance(state, body.instance_id)
     return accept(
-        context, f"instance:{body.instance_id}", f"wave:{held.wave_id}", note=note
+        context, f"instance:{body.instance_id}", f"wave:{claim.wave_id}", note=note
     )
 
 
--- a/mustardward/state/handlers/pools.py
+++ b/mustardward/state/handlers/pools.py
@@ -222,9 +222,9 @@
 def _move_refusal(state: FleetState, instance: Instance) -> RecordRefusedError | None:
     """Return the error if an instance may not leave its pool now."""
     name = instance.instance_id
-    held = state.moves.get(name)
-    if held is not None:
-        return MoveInProgressError(f"move={held.move_id}")
+    move = state.moves.get(name)
+    if move is not None:
+        return MoveInProgressError(f"move={move.move_id}")
     if not instance_accepts(state, name, "request-move"):
         status = instance_status(state, name)
         return SubjectInUseError(f"instance={name} status={status}")
--- a/mustardward/state/log.py
+++ b/mustardward/state/log.py
@@ -123,8 +123,8 @@
         """Return whether this process may propose records and act on the state."""
         return (
             self._follower.ready
-            and not self._follower.lost
-            and self._replica.stopped is None
+            and not self._follower.has_gap
+            and self._replica.stop_cause is None
             and self._tail.sufficient
         )
 
@@ -218,9 +218,9 @@
                 self._appender.resolve_from_window(record_id, verdict)
 
     def _not_ready_cause(self) -> str:
-        stopped = self._replica.stopped
-        if stopped is not None:
-            return stopped.detail
+        stop_cause = self._replica.stop_cause
+        if stop_cause is not None:
+            return stop_cause.detail
         if not self.ready:
             return "no state yet"
-        return "tail not confirmed" if not self._follower.lost else "entries missing"
+        return "tail not confirmed" if not self._follower.has_gap else "entries missing"
--- a/mustardward/state/replica.py
+++ b/mustardward/state/replica.py
@@ -65,7 +65,7 @@
         return self._recent
 
     @property
-    def stopped(self) -> StateError | None:
+    def stop_cause(self) -> StateError | None:
         """Return the error that prevents decisions from this state, if any."""
         blocked = self._fold.blocked
         return self._diverged or (StateError(blocked.code) if blocked else None)
@@ -129,7 +129,7 @@
         """Return the response to a peer's request."""
         reached_offset = self._fold.next_offset
         age = self._tail.age_seconds
-        if self.stopped is not None:
+        if self.stop_cause is not None:
             return RelayResponse(RelayStatus.UNAVAILABLE)
         if reached_offset < request.next_offset:
             return RelayResponse(RelayStatus.BEHIND, reached_offset, age)
--- a/tests/components/scheduling/liveness_owner.py
+++ b/tests/components/scheduling/liveness_owner.py
@@ -17,7 +17,7 @@
 from mustardward.components.scheduling.models import QueuePolicy
 from mustardward.components.scheduling.scheduler import Scheduler
 from mustardward.platform.models import Room, WorkerEntry
-from mustardward.platform.workers import HoldAnswer, TaskName
+from mustardward.platform.workers import TaskName, WorkerReport
 
 from .liveness_calls import ModelAdvice, ModelClient
 from .liveness_virtual_time import LoopTimers
@@ -51,9 +51,13 @@
     world: World
 
     def _open_session(
-        self, worker_id: str, entry: WorkerEntry, born: int, lease_ends_at: float
+        self,
+        worker_id: str,
+        entry: WorkerEntry,
+        started_at_ms: int,
+        lease_ends_at: float,
     ) -> None:
-        super()._open_session(worker_id, entry, born, lease_ends_at)
+        super()._open_session(worker_id, entry, started_at_ms, lease_ends_at)
         client: Any = ModelClient(self.world, worker_id, self.token)
         self.sessions[worker_id].client = client
 
@@ -147,7 +151,7 @@
         apply: Callable[..., None] = self.scheduler.apply_worker_report
 
         def apply_worker_report(
-            worker_id: str, answer: HoldAnswer, sent_at: float, now: float
+            worker_id: str, answer: WorkerReport, sent_at: float, now: float
         ) -> None:
             if worker_id in self.scheduler.state.workers:
                 for end in answer.ended:
--- a/tests/components/scheduling/test_quota_walks.py
+++ b/tests/components/scheduling/test_quota_walks.py
@@ -29,9 +29,9 @@
 from mustardward.platform.models import Room
 from mustardward.platform.workers import (
     EndedTask,
-    HoldAnswer,
     RunningTask,
     TaskName,
+    WorkerReport,
     encode_task,
 )
 
@@ -67,7 +67,7 @@
         nothing prevents.
     """
 
-    born: int = 1
+    started_at_ms: int = 1
     token: int = 0
     running: dict[TaskName, int] = field(default_factory=dict)
     ended: list[EndedTask] = field(default_factory=list)
@@ -106,10 +106,10 @@
         )
 
     def _update_worker(self, name: str) -> None:
-        entry = an_entry(born=self.worker_models[name].born)
+        entry = an_entry(born=self.worker_models[name].started_at_ms)
         state = self.scheduler.state
         known = state.workers.get(name)
-        if known is not None and known.born != entry.born:
+        if known is not None and known.started_at_ms != entry.born:
             self.scheduler.replace_worker(name, entry.born, entry, self.now)
         self.scheduler.update_worker(name, entry, self.now)
 
@@ -212,7 +212,11 @@
     def _hold(self, name: str) -> None:
         worker = self.worker_models[name]
         known = self.scheduler.state.workers.get(name)
-        if worker.unreachable or known is None or known.born != worker.born:
+        if (
+            worker.unreachable
+            or known is None
+            or known.started_at_ms != worker.started_at_ms
+        ):
             return
         worker.token = max(worker.token, self.epoch)
         rows = [RunningTask(t, r, "", 50.0, 0.0) for t, r in worker.running.items()]
@@ -220,7 +224,7 @@
             if end.how == "done":
                 assert self.started_at[end.task] < at, "started after it was done"
                 self.known_done.add(end.task)
-        answer = HoldAnswer(0.0, rows, list(worker.ended), worker.born)
+        answer = WorkerReport(0.0, rows, list(worker.ended), worker.started_at_ms)
         self.scheduler.apply_worker_report(name, answer, self.now, self.now)
 
     def execute_late(self, name: str, number: int) -> None:
@@ -270,7 +274,7 @@
         """
         old = self.worker_models[name]
         self.worker_models[name] = _WorkerModel(
-            old.born + 1,
+            old.started_at_ms + 1,
             late_orders=[
                 order for order in old.late_orders if order.token == self.epoch
             ],
