--- a/bench/jobs_mutants.py
+++ b/bench/jobs_mutants.py
@@ -19,7 +19,7 @@
     def event(outcome: AttemptEnd, body: EndAttempt) -> str:
         return "lost" if outcome is AttemptEnd.UNKNOWN else outcome.value
 
-    handlers._event_when_not_idempotent = event
+    handlers._event_for_non_idempotent = event
 
 
 def lost_answer_is_no_start() -> None:
