--- a/mustardward/components/maintenance/api.py
+++ b/mustardward/components/maintenance/api.py
@@ -9,7 +9,7 @@
 from returns.result import Failure
 
 from ...exceptions import MustardwardError
-from ...state.budgets import index_of
+from ...state.budgets import get_budget_index
 from ...state.fleet import FleetState
 from ...state.handlers.waves import wave_limit
 from ...state.models.maintenance import ScheduleWave, SignalWave, Wave
@@ -206,7 +206,7 @@
         "status": wave.status,
         "revision": wave.revision,
         "pending": len(wave.pending),
-        "out": index_of(state).claims_of(wave.wave_id),
+        "out": get_budget_index(state).claim_count(wave.wave_id),
         "limit": wave_limit(wave),
         "done": len(wave.done),
         "failed": len(wave.failed),
@@ -216,7 +216,7 @@
 
 def _binding_budgets(state: FleetState, wave: Wave) -> list[dict[str, Any]]:
     """Return the budgets that allow no further pending instance to be claimed."""
-    index = index_of(state)
+    index = get_budget_index(state)
     units = {
         (item.pool, item.data_centre)
         for name in wave.pending
