--- a/mustardward/components/membership/digests.py
+++ b/mustardward/components/membership/digests.py
@@ -13,12 +13,12 @@
 from .counter import ChangeCounter, Changes
 from .failure_detector import DataCentreFailureDetector
 from .instances import InstanceTable
-from .messages import InstanceNote, MemberState, News, Vitals
+from .messages import GossipDigest, InstanceNote, MemberState, Vitals
 from .models import Member, MemberStatus
 from .reporter import Event
 from .table import UNCONFIRMED, MemberTable
 
-NewsT = TypeVar("NewsT", bound=News)
+NewsT = TypeVar("NewsT", bound=GossipDigest)
 
 _DISPUTED_STATUSES: Final = (MemberStatus.SUSPECT, MemberStatus.GONE)
 
@@ -65,15 +65,15 @@
         progress = self._progress.get(name)
         return progress.last_contact if progress else float("-inf")
 
-    def build(self, news_type: type[NewsT], peer: str, now: float) -> NewsT:
+    def build(self, digest_type: type[NewsT], peer: str, now: float) -> NewsT:
         """Return the digest for a peer."""
         own = self._members.own
         progress = self._progress.get(peer)
         seen = progress.acknowledged if progress else 0
         centres, heard = self._failure_detector.encode_ages(now)
-        members = self._member_news(peer, seen)
-        instances = self._instance_news(peer, seen)
-        return news_type(
+        members = self._select_members(peer, seen)
+        instances = self._select_notes(peer, seen)
+        return digest_type(
             vitals=Vitals(
                 own.incarnation, own.fleet_offset, own.fleet_digest, own.in_flight
             ),
@@ -86,29 +86,29 @@
             heard=heard,
         )
 
-    def apply(self, peer: str, news: News, now: float) -> list[Event]:
+    def apply(self, peer: str, digest: GossipDigest, now: float) -> list[Event]:
         """Apply a peer's digest and return the resulting events."""
-        received = [state.to_member() for state in news.members]
+        received = [state.to_member() for state in digest.members]
         events: list[Event] = list(self._members.apply(received, now, peer))
-        self._received_incarnations[peer] = news.vitals.incarnation
+        self._received_incarnations[peer] = digest.vitals.incarnation
         member = self._members.get(peer)
         if member is None or member.incarnation == UNCONFIRMED:
             return events
-        if member.incarnation > news.vitals.incarnation:
+        if member.incarnation > digest.vitals.incarnation:
             return events
-        self._record_progress(member, news, now)
+        self._record_progress(member, digest, now)
         self._members.update_vitals(
             peer,
-            news.vitals.fleet_offset,
-            news.vitals.fleet_digest,
-            news.vitals.in_flight,
+            digest.vitals.fleet_offset,
+            digest.vitals.fleet_digest,
+            digest.vitals.in_flight,
         )
         self._failure_detector.record_contact(member.data_centre, now)
-        self._failure_detector.merge_ages(news.centres, news.heard, now)
+        self._failure_detector.merge_ages(digest.centres, digest.heard, now)
         is_local = self._is_local(peer)
         if is_local:
-            events.extend(self._instances.apply_notes(news.instances, peer, now))
-        differs = news.view != self._members.view()
+            events.extend(self._instances.apply_notes(digest.instances, peer, now))
+        differs = digest.view != self._members.view()
         self._mismatches[is_local] = self._mismatches[is_local] + 1 if differs else 0
         return events
 
@@ -124,33 +124,35 @@
                 del self._received_incarnations[name]
                 self._progress.pop(name, None)
 
-    def _record_progress(self, member: Member, news: News, now: float) -> None:
+    def _record_progress(
+        self, member: Member, digest: GossipDigest, now: float
+    ) -> None:
         progress = self._progress.get(member.name)
         if progress is None or progress.incarnation != member.incarnation:
             progress = _PeerProgress(member.incarnation)
             self._progress[member.name] = progress
         # A version above the counter belongs to an earlier run of this process.
-        known = news.seen <= self._counter.value
-        progress.acknowledged = news.seen if known else 0
-        progress.received = news.version
+        known = digest.seen <= self._counter.value
+        progress.acknowledged = digest.seen if known else 0
+        progress.received = digest.version
         progress.last_contact = now
 
-    def _member_news(self, peer: str, seen: int) -> list[Member]:
+    def _select_members(self, peer: str, seen: int) -> list[Member]:
         # A new peer only needs the sender; it fetches the rest once as a view if its
         # own differs. The same holds if more changed than a digest holds: when many
         # members change at once, each entry node would receive most changes many times.
         if seen:
-            news = self._members.changes_since(seen, MAX_DIGEST_MEMBERS, peer)
+            selected = self._members.changes_since(seen, MAX_DIGEST_MEMBERS, peer)
         else:
-            news = [self._members.own]
+            selected = [self._members.own]
         candidate = self._members.get(peer)
         if (
             candidate is not None
-            and candidate not in news
+            and candidate not in selected
             and self._is_disputed(candidate)
         ):
-            news.append(candidate)
-        return news
+            selected.append(candidate)
+        return selected
 
     def _is_disputed(self, candidate: Member) -> bool:
         # Every digest to a peer that is suspect, or whose name has a later incarnation,
@@ -163,7 +165,7 @@
             or candidate.incarnation != received_incarnation
         )
 
-    def _instance_news(self, peer: str, seen: int) -> Changes[InstanceNote]:
+    def _select_notes(self, peer: str, seen: int) -> Changes[InstanceNote]:
         if not self._is_local(peer):
             return Changes((), self._counter.value)
         # A peer without acknowledged versions may have sent notes before its restart
--- a/mustardward/components/membership/gossip.py
+++ b/mustardward/components/membership/gossip.py
@@ -148,7 +148,7 @@
         if not sender:
             raise PeerRefusedError("sender name is empty")
         now = self._timers.monotonic()
-        self._apply_news(sender, message, now)
+        self._apply_digest(sender, message, now)
         return self._digests.build(ExchangeReply, sender, now)
 
     async def async_handle_view_request(self, sender: str, message: Any) -> View:
@@ -207,12 +207,12 @@
             self._handle_call_failure(member, error)
             return False
         self._targets.record_success(member.name)
-        self._apply_news(member.name, reply, self._timers.monotonic())
+        self._apply_digest(member.name, reply, self._timers.monotonic())
         self._contact_confirmed = True
         return True
 
-    def _apply_news(self, sender: str, news: Any, now: float) -> None:
-        events = self._digests.apply(sender, news, now)
+    def _apply_digest(self, sender: str, digest: Any, now: float) -> None:
+        events = self._digests.apply(sender, digest, now)
         member = self._table.get(sender)
         own_centre = self._table.own.data_centre
         from_elsewhere = member is None or member.data_centre != own_centre
--- a/mustardward/components/membership/messages.py
+++ b/mustardward/components/membership/messages.py
@@ -75,13 +75,13 @@
     in_flight: _Number = 0
 
 
-class News(msgspec.Struct, frozen=True, array_like=True):
+class GossipDigest(msgspec.Struct, frozen=True, array_like=True):
     """Carry changes in both directions: an exchange and its reply have the same fields.
 
-    ``version`` is the sender's version up to which the message is complete, and
-    ``seen`` the last version received from the peer; only later changes are sent.
-    ``view`` is a digest of all members. ``heard`` has a byte for each data centre in
-    order of name: quarter seconds since the last contact. It is valid only if
+    ``version`` is the sender's table version for the peer to acknowledge, and ``seen``
+    the last version received from the peer; only changes after the acknowledged version
+    are sent. ``view`` is a digest of all members. ``heard`` has a byte for each data
+    centre in order of name: quarter seconds since the last contact. It is valid only if
     ``centres``, the digest of the names, is the same at the receiver.
     """
 
@@ -95,12 +95,12 @@
     heard: bytes = b""
 
 
-class ExchangeReply(News, frozen=True, array_like=True):
+class ExchangeReply(GossipDigest, frozen=True, array_like=True):
     """Reply to an exchange with the receiver's changes."""
 
 
 @peer_message("membership.exchange", ExchangeReply)
-class Exchange(News, frozen=True, array_like=True):
+class Exchange(GossipDigest, frozen=True, array_like=True):
     """Send changes to a peer and request its own."""
 
 
--- a/tests/components/membership/test_digests.py
+++ b/tests/components/membership/test_digests.py
@@ -9,7 +9,7 @@
 from mustardward.components.membership.digests import Digests
 from mustardward.components.membership.failure_detector import DataCentreFailureDetector
 from mustardward.components.membership.instances import InstanceTable
-from mustardward.components.membership.messages import Exchange, News
+from mustardward.components.membership.messages import Exchange, GossipDigest
 from mustardward.components.membership.models import Member, MemberStatus
 from mustardward.components.membership.table import MemberTable
 from mustardward.helpers.msgpack_codec import MsgpackCodec
@@ -28,10 +28,10 @@
             counter, self.members, self.instances, DataCentreFailureDetector("v-1")
         )
 
-    def send(self, other: _Endpoint) -> News:
-        news = self.digests.build(Exchange, other.name, 0.0)
-        other.digests.apply(self.name, news, 0.0)
-        return news
+    def send(self, other: _Endpoint) -> GossipDigest:
+        digest = self.digests.build(Exchange, other.name, 0.0)
+        other.digests.apply(self.name, digest, 0.0)
+        return digest
 
 
 def _member(name: str, data_centre: str = "v-1") -> Member:
@@ -48,9 +48,9 @@
 
 def test_quiet_digest_is_small() -> None:
     a, b = _build_pair()
-    news = a.send(b)
-    assert news.members == () and news.instances == ()
-    assert len(MsgpackCodec().encode(news, Exchange)) <= 64
+    digest = a.send(b)
+    assert digest.members == () and digest.instances == ()
+    assert len(MsgpackCodec().encode(digest, Exchange)) <= 64
 
 
 def test_changes_are_sent_once_and_not_back() -> None:
@@ -110,9 +110,9 @@
     it instead of rejecting the message for its length.
     """
     a, b = _build_pair()
-    news = a.send(b)
-    fields = msgspec.msgpack.decode(MsgpackCodec().encode(news, Exchange))
+    digest = a.send(b)
+    fields = msgspec.msgpack.decode(MsgpackCodec().encode(digest, Exchange))
     longer = msgspec.msgpack.encode([*fields, "something new"])
-    assert MsgpackCodec().decode(longer, Exchange) == news
+    assert MsgpackCodec().decode(longer, Exchange) == digest
     shorter = msgspec.msgpack.encode(fields[:4])
-    assert MsgpackCodec().decode(shorter, Exchange).version == news.version
+    assert MsgpackCodec().decode(shorter, Exchange).version == digest.version
