--- a/bench/capacity/measures.py
+++ b/bench/capacity/measures.py
@@ -17,7 +17,7 @@
 from mustardward.components.limits.admission import PoolAdmission
 from mustardward.components.limits.latency import LatencyEstimate
 from mustardward.components.limits.models import PoolCapacity, Ticket
-from mustardward.components.maintenance.selection import SelectionFacts, select_claims
+from mustardward.components.maintenance.selection import SelectionContext, select_claims
 from mustardward.components.membership.messages import (
     Exchange,
     InstanceNote,
@@ -30,7 +30,7 @@
 from mustardward.components.routing.services import RouterService
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.standin.protocol.models import ListedInstance, ListedState
-from mustardward.state.budgets import check_budgets
+from mustardward.state.budgets import check_one_more_unavailable
 from mustardward.state.fold import Fold
 from mustardward.state.images import make_image, restore_image
 from mustardward.state.models.jobs import AcceptJob, OpenIntent
@@ -117,7 +117,7 @@
 
     def work() -> None:
         for instance in instances:
-            check_budgets(state, instance)
+            check_one_more_unavailable(state, instance)
 
     return best_seconds(work) / len(instances) * _MICRO
 
@@ -126,13 +126,13 @@
     """Return the time of one planning round over a wave that covers the fleet."""
     state = build_fleet(workers).state
     wave = Wave("wave", (), "running", 1, set(state.instances))
-    facts = SelectionFacts(
+    facts = SelectionContext(
         data_centre="dc-0",
         wall=0.0,
-        evidence=Counter(),
+        unreported=Counter(),
         concurrency=lambda pool: 4,
-        burden=lambda instance: 0.0,
-        most=16,
+        drain_cost=lambda instance: 0.0,
+        limit=16,
     )
     return best_seconds(lambda: select_claims(state, wave, facts)) * 1e3
 
@@ -159,7 +159,7 @@
         """Return one of them."""
         return self.live()[0]
 
-    def instance_may_get_work(self, instance_id: str) -> bool:
+    def is_instance_eligible(self, instance_id: str) -> bool:
         """Trust every instance."""
         return True
 
--- a/bench/history/removals.py
+++ b/bench/history/removals.py
@@ -11,7 +11,7 @@
 
 def remove_fencing() -> None:
     """Accept every lease as that of a new attempt, and act on any that was held."""
-    from mustardward.components.jobs.keeper import AttemptKeeper
+    from mustardward.components.jobs.attempt_manager import AttemptManager
     from mustardward.state.handlers import jobs
     from mustardward.state.handlers.all import WORK_HANDLERS
 
@@ -25,32 +25,32 @@
             body = replace(body, previous_generation=job.generation)
         return original(state, context, body)
 
-    def owned(self: Any, attempt: Any) -> Any:
+    def owned_job(self: Any, attempt: Any) -> Any:
         return self.log.state.jobs.get(attempt.job_id)
 
     WORK_HANDLERS._entries["job.lease"] = lease_job
-    setattr(AttemptKeeper, "owned", owned)  # noqa: B010
+    setattr(AttemptManager, "owned_job", owned_job)  # noqa: B010
 
 
 def remove_intent() -> None:
     """Let every keyed request be dispatched at once."""
-    from mustardward.components.retries.intents import LogIntentGate
+    from mustardward.components.retries.idempotency_guard import LogIdempotencyGuard
 
     async def async_open(self: Any, facts: Any) -> Any:
         return Success(None)
 
-    setattr(LogIntentGate, "async_open", async_open)  # noqa: B010
+    setattr(LogIdempotencyGuard, "async_open", async_open)  # noqa: B010
 
 
 def remove_budget_recheck() -> None:
     """Neither refuse a reboot nor give a claim back for failures since the claim."""
-    from mustardward.components.maintenance.claim_steps import ClaimSteps
+    from mustardward.components.maintenance.claim_processor import ClaimProcessor
     from mustardward.state.handlers import maintenance
 
-    setattr(ClaimSteps, "refusal", lambda *arguments: None)  # noqa: B010
-    if not hasattr(maintenance, "check_held"):
+    setattr(ClaimProcessor, "check_budget", lambda *arguments: None)  # noqa: B010
+    if not hasattr(maintenance, "check_within_budgets"):
         raise AttributeError("the protection has another name now")
-    setattr(maintenance, "check_held", lambda *arguments: None)  # noqa: B010
+    setattr(maintenance, "check_within_budgets", lambda *arguments: None)  # noqa: B010
 
 
 def remove_attempt_id() -> None:
@@ -92,7 +92,7 @@
     from mustardward.components.routing.index import FleetIndex
 
     setattr(  # noqa: B010
-        MembershipService, "instance_may_get_work", lambda self, instance_id: True
+        MembershipService, "is_instance_eligible", lambda self, instance_id: True
     )
     setattr(FleetIndex, "_may_get_work", lambda self, instance_id: True)  # noqa: B010
 
--- a/mustardward/components/fleet/services.py
+++ b/mustardward/components/fleet/services.py
@@ -9,7 +9,7 @@
 
 from anyio.abc import TaskGroup
 
-from ...helpers.duty import Duty
+from ...helpers.duty_cycle import DutyCycle
 from ...helpers.logging import get_logger
 from ...helpers.timer import TimerService
 from ...platform.models import INSTANCE_UP, Instance
@@ -47,7 +47,7 @@
 MAX_TICK_PAUSE_SECONDS: Final = 2.0
 """Longest pause between two ticks, and thus delay of the order for an instance."""
 
-_DUTY: Final = Duty(TICK_SECONDS, MAX_TICK_SHARE, MAX_TICK_PAUSE_SECONDS)
+_DUTY: Final = DutyCycle(TICK_SECONDS, MAX_TICK_SHARE, MAX_TICK_PAUSE_SECONDS)
 _IDLE: Final = Load(0, 0)
 
 
@@ -221,7 +221,7 @@
             return
         worker = self.scheduler.state.workers.get(order.worker_id)
         if worker is not None and is_other_incarnation(
-            worker.born, order.started_at_ms
+            worker.started_at_ms, order.started_at_ms
         ):
             return
         self.dispatcher.remove_worker(order.worker_id, LossCause.ORDERED)
@@ -258,8 +258,8 @@
         )
         for worker in self.scheduler.state.workers.values():
             should_cordon = is_cordoned(worker, cordoned)
-            if worker.leaving != should_cordon:
-                self.scheduler.set_leaving(worker.id, should_cordon, now)
+            if worker.cordoned != should_cordon:
+                self.scheduler.set_cordoned(worker.id, should_cordon, now)
 
     def _add_new_waves(self) -> None:
         for number, wave in self.configuration.waves.items():
@@ -304,7 +304,7 @@
 
 def _load_of(worker: WorkerState) -> Load:
     """Return the load of a worker; most workers of a large fleet have no tasks."""
-    if not worker.tasks and not worker.born:
+    if not worker.tasks and not worker.started_at_ms:
         return _IDLE
     long_running = sum(task.step.spec.long_running for task in worker.tasks.values())
-    return Load(long_running, len(worker.tasks) - long_running, worker.born)
+    return Load(long_running, len(worker.tasks) - long_running, worker.started_at_ms)
--- a/mustardward/components/jobs/const.py
+++ b/mustardward/components/jobs/const.py
@@ -1,4 +1,4 @@
-"""Hold the constants of long work."""
+"""Constants of the job component."""
 
 from __future__ import annotations
 
@@ -6,71 +6,79 @@
 
 TICK_SECONDS: Final = 1.0
 LEASE_SECONDS: Final = 90.0
-RENEW_SECONDS: Final = 30.0
-"""An entry may hold several hundred tasks, and each renewal is a call: a shorter lease
-would cost more of a core than all of control may."""
+RENEWAL_INTERVAL_SECONDS: Final = 30.0
+"""Upper bound of the interval between two renewals of a task.
 
-POLL_SHARE: Final = 0.1
-"""Share of its age after which a task is looked at again."""
+An entry node may hold several hundred tasks and each renewal is a call, so shorter
+leases with more frequent renewals would exceed the CPU budget of the control plane.
+"""
 
-ARRIVAL_SECONDS: Final = 10.0
-"""How long a start whose answer was lost may still be on its way."""
+POLL_INTERVAL_SHARE: Final = 0.1
+"""Interval between polls of a task, as a share of its age."""
 
-GIVE_BACK_SECONDS: Final = 0.8
-"""Longest wait for each of checkpoint, throttle and stop; the three have to fit into
-the time in which urgent work must start."""
+START_ARRIVAL_SECONDS: Final = 10.0
+"""How long a start whose reply was lost may still be in transit."""
+
+EVICTION_CALL_TIMEOUT_SECONDS: Final = 0.8
+"""Timeout of each of checkpoint, throttle and stop.
+
+All three together have to fit into the time in which urgent work must start.
+"""
 
 LEASE_MARGIN_SECONDS: Final = 5.0
-"""Added before a lease counts as surely lapsed on a worker that does not answer."""
+"""Margin before the lease of an unreachable worker counts as expired."""
 
-HOLD_AFTER_SECONDS: Final = 120.0
-"""How long an unreachable worker may still tell what became of a task."""
+UNKNOWN_OUTCOME_WAIT_SECONDS: Final = 120.0
+"""Additional wait for an unreachable worker's report on a non-idempotent task."""
 
-FRESH_SECONDS: Final = 5.0
-"""Oldest picture of the log's tail on which a task may be started."""
+MAX_TAIL_AGE_SECONDS: Final = 5.0
+"""Maximum age of the last read of the log's tail at which a task may be started."""
 
-CONFIRM_SECONDS: Final = 1.0
+CONFIRM_TIMEOUT_SECONDS: Final = 1.0
 
-PLACE_EACH_TICK: Final = 64
-CONCURRENT_CALLS: Final = 32
-CANDIDATES: Final = 8
+MAX_PLACEMENTS_PER_TICK: Final = 64
+MAX_CONCURRENT_CALLS: Final = 32
+WORKER_SAMPLE_SIZE: Final = 8
 BACKFILL_DEPTH: Final = 8
-SKIP_EACH_LOOK: Final = 256
-"""Most entries that ended elsewhere that one look into a queue drops."""
+MAX_STALE_ENTRIES_PER_PEEK: Final = 256
+"""Maximum number of stale entries that one peek drops from a queue."""
 
 AGING_SECONDS: Final = 60.0
-"""Waiting this long weighs as much as one running slot fewer."""
+"""Waiting time that counts as much as one running job fewer per unit of weight."""
 
 RESERVE_AFTER_SECONDS: Final = 300.0
-"""After this a job that finds no room gets a worker kept free for it."""
+"""Waiting time after which a worker is reserved for a job that can't be placed."""
 
-SILENT_SECONDS: Final = 5.0
-"""How long a worker that did not answer about one task is asked about no other."""
+UNRESPONSIVE_SECONDS: Final = 5.0
+"""How long an unresponsive worker isn't called about its other tasks."""
 
-BUSY_SECONDS: Final = 5.0
+BUSY_WORKER_SECONDS: Final = 5.0
 VACATE_SECONDS: Final = 60.0
-"""How long a worker gets no task after it was last asked to be vacated."""
+"""How long a worker gets no tasks after the last request to vacate it."""
 
-HOLD_BACK_SECONDS: Final = 10.0
-"""How long a slot that was given back stays free of long work."""
+SLOT_COOLDOWN_SECONDS: Final = 10.0
+"""How long a slot freed for urgent work is withheld from jobs."""
 
-MANY_BACK_OFFS: Final = 10_000
+BACKOFF_PRUNE_THRESHOLD: Final = 10_000
 RETRY_BASE_SECONDS: Final = 2.0
-RETRY_MAXIMUM_SECONDS: Final = 300.0
+RETRY_MAX_SECONDS: Final = 300.0
 
-STALL_SECONDS: Final = 60.0
-"""Shortest time without progress after which a task may count as stalled."""
+MIN_STALL_SECONDS: Final = 60.0
+"""Minimum time without progress before a task may count as stalled."""
 
 PROTECT_AFTER_PREEMPTIONS: Final = 3
-NEARLY_DONE: Final = 0.9
+NEARLY_DONE_PROGRESS: Final = 0.9
 
-MAXIMUM_PAYLOAD_BYTES: Final = 65_536
-MAXIMUM_OPEN_JOBS: Final = 12_000
-"""Unfinished jobs of one data centre; every entry there holds them in memory."""
+MAX_PAYLOAD_BYTES: Final = 65_536
+MAX_OPEN_JOBS: Final = 12_000
+"""Limit on unfinished jobs per data centre; every entry node holds them in memory."""
 
-MAXIMUM_OPEN_BYTES: Final = 8_388_608
-"""Size of the payloads of unfinished jobs of one data centre."""
+MAX_OPEN_BYTES: Final = 8_388_608
+"""Limit on the total payload size of unfinished jobs per data centre."""
 
-MAXIMUM_RESULT_BYTES: Final = 65_536
+MAX_RESULT_BYTES: Final = 65_536
 POOL_DUTY_PREFIX: Final = "jobs/"
-"""Each pool's jobs are placed by one entry of a data centre, by rendezvous."""
+"""Prefix of the duty to place a pool's jobs.
+
+One entry node per data centre has it, chosen by rendezvous hashing.
+"""
--- a/mustardward/components/jobs/metrics.py
+++ b/mustardward/components/jobs/metrics.py
@@ -1,4 +1,4 @@
-"""Feed what long work and idempotency keys do to statsd."""
+"""Export metrics on jobs and idempotency keys to statsd."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ...state.fold import RecordOutcome
 from ...state.models.jobs import CloseIntent, EndAttempt
 from ...state.protocols import WorkLog
-from .keeper import AttemptKeeper
+from .attempt_manager import AttemptManager
 
 UNFINISHED: Final[Metric] = declare_metric(
     "jobs_unfinished",
@@ -44,9 +44,9 @@
 
 
 def subscribe_metrics(
-    metrics: Metrics, log: WorkLog, keeper: AttemptKeeper
+    metrics: Metrics, log: WorkLog, attempt_manager: AttemptManager
 ) -> list[Callable[[], None]]:
-    """Begin to feed; return what ends it."""
+    """Subscribe the metrics to the log; return the unsubscribe functions."""
 
     def on_record(outcome: RecordOutcome) -> None:
         if not isinstance(outcome.result, Success):
@@ -60,7 +60,7 @@
         state = log.state
         metrics.gauge(UNFINISHED, sum(state.open_jobs.values()))
         metrics.gauge(STUCK, len(state.stuck))
-        metrics.gauge(LEASES, len(keeper.held))
+        metrics.gauge(LEASES, len(attempt_manager.attempts))
         metrics.gauge(KEYS, len(state.intents))
 
     return [log.listen(on_record), metrics.add_source(set_gauges)]
--- a/mustardward/components/maintenance/decisions.py
+++ b/mustardward/components/maintenance/decisions.py
@@ -1,4 +1,4 @@
-"""Announce why waves, claims and moves went as they did."""
+"""Publish the decisions on waves, claims and moves with their causes."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 
 _LOGGER = get_logger(__name__)
 
-_REMEMBERED: Final = 4096
-"""Subjects whose last decision is kept, so that it is not announced twice."""
+_MAX_SUBJECTS: Final = 4096
+"""Number of subjects whose last decision is kept to suppress duplicates."""
 
 
 class DecisionJournal:
-    """Publish each decision once, with the offset that it was made at."""
+    """Publish decisions with the log offset at which they were made."""
 
     def __init__(self, events: EventBus, log: FleetLog) -> None:
         self._events = events
         self._log = log
-        self._last: OrderedDict[tuple[SubjectKind, str], tuple[str, str]] = (
+        self._last_decisions: OrderedDict[tuple[SubjectKind, str], tuple[str, str]] = (
             OrderedDict()
         )
 
-    def note(
+    def record(
         self,
         kind: SubjectKind,
         subject_id: str,
@@ -37,13 +37,13 @@
         cause: str,
         *inputs: str,
     ) -> None:
-        """Announce a decision, unless it is the last one again."""
-        if self._last.get((kind, subject_id)) == (decision, cause):
+        """Publish and log a decision unless it repeats the last one on its subject."""
+        if self._last_decisions.get((kind, subject_id)) == (decision, cause):
             return
-        self._last[kind, subject_id] = (decision, cause)
-        self._last.move_to_end((kind, subject_id))
-        if len(self._last) > _REMEMBERED:
-            self._last.popitem(last=False)
+        self._last_decisions[kind, subject_id] = (decision, cause)
+        self._last_decisions.move_to_end((kind, subject_id))
+        if len(self._last_decisions) > _MAX_SUBJECTS:
+            self._last_decisions.popitem(last=False)
         offset = self._log.next_offset - 1
         self._events.publish(
             DecisionMade(kind, subject_id, decision, cause, inputs, offset)
@@ -57,10 +57,12 @@
         )
 
 
-def note_selection(journal: DecisionJournal, wave: Wave, selection: Selection) -> None:
-    """Announce what holds a wave back, if something does."""
+def record_selection(
+    journal: DecisionJournal, wave: Wave, selection: Selection
+) -> None:
+    """Record the budgets and closed windows that block a wave."""
     for pool, budget in selection.binding.items():
-        journal.note(
+        journal.record(
             SubjectKind.WAVE,
             wave.wave_id,
             "claim-held-back",
@@ -70,9 +72,9 @@
             f"scope={budget.scope}",
             f"margin={budget.margin}",
         )
-    if selection.closed:
-        pools = ",".join(sorted(selection.closed))
-        journal.note(
+    if selection.closed_pools:
+        pools = ",".join(sorted(selection.closed_pools))
+        journal.record(
             SubjectKind.WAVE,
             wave.wave_id,
             "claim-held-back",
--- a/mustardward/components/maintenance/models.py
+++ b/mustardward/components/maintenance/models.py
@@ -1,4 +1,4 @@
-"""Model what a maintenance executor works with."""
+"""Define the models of maintenance executors."""
 
 from __future__ import annotations
 
@@ -13,29 +13,29 @@
 from ...state.protocols import FleetLog
 from ..membership.models import Member
 from ..membership.protocols import Membership
-from .const import TAIL_FRESH_SECONDS
+from .const import MAX_START_TAIL_AGE_SECONDS
 
 
 class Outcome(StrEnum):
-    """Say how a claim ends."""
+    """Enumerate the outcomes of a claim."""
 
     DONE = "done"
     GIVEN_BACK = "given-back"
     FAILED = "failed"
 
 
-async def async_look_at_nothing(pool: str) -> None:
-    """Take what is folded for the whole truth."""
+async def async_skip_probe(pool: str) -> None:
+    """Do nothing: the applied state is taken as complete."""
 
 
 @dataclass(frozen=True, slots=True)
-class ExecutorParts:
-    """Hold the parts that an executor calls.
+class ExecutorDependencies:
+    """Hold the dependencies of an executor.
 
-    ``executor`` names this process and its start: a process that was replaced under the
-    same name has to adopt the claims of the one before. ``vacate`` moves
-    long work away and tells whether none is left. ``look`` folds what is down in a
-    pool; it comes before each claim and each reboot.
+    ``executor`` identifies this process and its incarnation: a process that restarts
+    under the same name has to adopt the claims of its predecessor. ``vacate`` moves
+    jobs away from an instance and returns whether none is left. ``probe`` reports the
+    unresponsive workers of a pool; it precedes each claim and each reboot.
     """
 
     executor: str
@@ -46,15 +46,15 @@
     timers: TimerService
     events: EventBus
     vacate: Callable[[str], Awaitable[bool]]
-    look: Callable[[str], Coroutine[Any, Any, None]] = async_look_at_nothing
+    probe: Callable[[str], Coroutine[Any, Any, None]] = async_skip_probe
 
-    def may_begin(self) -> bool:
-        """Tell whether something new may begin: the tail was confirmed just now."""
+    def may_start(self) -> bool:
+        """Return whether operations may start, which requires a recent log tail."""
         log = self.log
-        fresh = log.tail_age_seconds() <= TAIL_FRESH_SECONDS
+        fresh = log.tail_age_seconds() <= MAX_START_TAIL_AGE_SECONDS
         return log.ready and log.may_decide and fresh
 
 
 def executor_name(member: Member) -> str:
-    """Return the name under which a process holds claims and acknowledges moves."""
+    """Return the identity with which a process holds claims and confirms moves."""
     return f"{member.name}#{member.start}"
--- a/mustardward/components/maintenance/plan_models.py
+++ b/mustardward/components/maintenance/plan_models.py
@@ -1,4 +1,4 @@
-"""Model what a maintenance plan is made from and what it promises."""
+"""Define the inputs and results of maintenance planning."""
 
 from __future__ import annotations
 
@@ -9,35 +9,36 @@
 from ...state.models.templates import Parameters
 
 
-class Unit(NamedTuple):
-    """Name the instances that a pool has in one data centre."""
+class PoolUnit(NamedTuple):
+    """Identify the part of a pool in one data centre."""
 
     pool: str
     data_centre: str
 
 
 class PlanTask(NamedTuple):
-    """Hold one long task: what it still runs, and how long such work runs, in seconds.
+    """Describe a long-running task by its remaining and total duration in seconds.
 
-    Long work waits its turn, so that another like it follows on the same instance.
+    Further tasks are assumed to be queued, so that a task of the same duration follows
+    on the same instance.
     """
 
     remaining: float
-    length: float
+    duration: float
 
-    def left_at(self, now: float) -> float:
-        """Return how long the task that runs then still has to go."""
+    def remaining_at(self, now: float) -> float:
+        """Return the remaining seconds of the task that runs at a time."""
         if now < self.remaining:
             return self.remaining - now
-        return self.length - (now - self.remaining) % self.length
+        return self.duration - (now - self.remaining) % self.duration
 
 
 @dataclass(frozen=True, slots=True)
 class PlanInstance:
-    """Hold one instance with the long tasks that it runs as the wave begins."""
+    """Describe an instance with its long-running tasks at the start of the wave."""
 
     instance_id: str
-    unit: Unit
+    unit: PoolUnit
     rack: str
     tasks: tuple[PlanTask, ...] = ()
     slots: int = 8
@@ -46,10 +47,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanInput:
-    """Hold a wave as the planner sees it.
+    """Hold the inputs of the planner.
 
-    ``due`` names the instances to maintain; all others only serve. ``users`` holds the
-    parameters of the organisations on each pool. Times are in seconds.
+    ``due`` contains the ids of the instances to maintain; all others only serve.
+    ``users`` maps each pool to the parameters of the organisations that use it.
     """
 
     instances: tuple[PlanInstance, ...]
@@ -58,42 +59,44 @@
     canary: int = 1
     reboot_seconds: float = 180.0
     drain_seconds: float = 5.0
-    silent: frozenset[str] = frozenset()
+    unreachable_data_centres: frozenset[str] = frozenset()
 
     @property
     def cycle_seconds(self) -> float:
-        """Return the least time for which an instance is out."""
+        """Return the minimum time for which a maintained instance is unavailable."""
         return self.reboot_seconds + self.drain_seconds
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
-    """Say how a unit is taken: how many at once, and how long work may end by itself.
+class RolloutLimits:
+    """Hold the concurrency and drain grace period of a unit.
 
-    ``patience`` is in seconds.
+    ``concurrency`` is the maximum number of claimed instances; ``grace_seconds`` is the
+    time for which a drain waits for work to complete before it moves the rest.
     """
 
     concurrency: int
-    patience: float
+    grace_seconds: float
 
 
 @dataclass(frozen=True, slots=True)
 class PlanStep:
-    """Hold one instance's turn, in seconds from the start of the wave."""
+    """Hold the maintenance of one instance, timed from the start of the wave."""
 
     instance_id: str
-    unit: Unit
-    begins: float
-    ends: float
+    unit: PoolUnit
+    start_seconds: float
+    end_seconds: float
     moves: int
 
 
 @dataclass(frozen=True, slots=True)
-class Measures:
-    """Hold the three measures of a plan.
+class PlanMetrics:
+    """Hold the metrics of a plan.
 
-    ``buffer`` is the sum over all units of the most instances out at once, which is
-    the spare capacity that has to be held; ``moves`` counts relocated tasks.
+    ``buffer`` is the sum over all units of the maximum number of instances that are
+    unavailable at once, which is the required spare capacity; ``moves`` is the number
+    of moved tasks.
     """
 
     buffer: int
@@ -103,13 +106,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Hold the turns in order, their measures, and what binds.
+    """Hold the steps of a plan in order, its metrics and its tightest budgets.
 
-    ``binding`` is the tightest budget of each unit before the wave; ``never`` names
-    the instances that no budget lets go.
+    ``binding`` is the tightest budget of each unit before the wave; ``blocked``
+    contains the ids of the instances that the budgets never allow to be claimed.
     """
 
     steps: tuple[PlanStep, ...]
-    measures: Measures
-    binding: dict[Unit, Budget] = field(default_factory=dict)
-    never: tuple[str, ...] = ()
+    metrics: PlanMetrics
+    binding: dict[PoolUnit, Budget] = field(default_factory=dict)
+    blocked: tuple[str, ...] = ()
--- a/mustardward/components/maintenance/windows.py
+++ b/mustardward/components/maintenance/windows.py
@@ -1,4 +1,4 @@
-"""Tell when organisations allow maintenance."""
+"""Evaluate the maintenance windows of organisations."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 
 _DAY_SECONDS: Final = 86_400
 _EPOCH_WEEKDAY: Final = 3
-"""Weekday of the first day of the epoch: a Thursday."""
+"""Weekday of the first day of the Unix epoch, a Thursday (Monday is 0)."""
 
 
-def window_is_open(window: MaintenanceWindow, wall: float) -> bool:
-    """Tell whether a window is open; one that began yesterday may run on."""
-    day, second = divmod(int(wall), _DAY_SECONDS)
+def is_window_open(window: MaintenanceWindow, now: float) -> bool:
+    """Return whether a window is open, including one that opened on an earlier day."""
+    day, second_of_day = divmod(int(now), _DAY_SECONDS)
     for days_ago in range(window.length_seconds // _DAY_SECONDS + 2):
         weekday = (day - days_ago + _EPOCH_WEEKDAY) % 7
-        passed = second + days_ago * _DAY_SECONDS - window.start_second
-        if weekday in window.weekdays and 0 <= passed < window.length_seconds:
+        elapsed = second_of_day + days_ago * _DAY_SECONDS - window.start_second
+        if weekday in window.weekdays and 0 <= elapsed < window.length_seconds:
             return True
     return False
 
 
-def windows_allow(users: Iterable[Parameters], wall: float) -> bool:
-    """Tell whether every organisation allows maintenance now.
+def is_maintenance_allowed(users: Iterable[Parameters], now: float) -> bool:
+    """Return whether all organisations allow maintenance at a time.
 
     An organisation without windows allows it at any time.
     """
     return all(
         not parameters.windows
-        or any(window_is_open(window, wall) for window in parameters.windows)
+        or any(is_window_open(window, now) for window in parameters.windows)
         for parameters in users
     )
--- a/mustardward/components/ownership/owner.py
+++ b/mustardward/components/ownership/owner.py
@@ -7,7 +7,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from ...helpers.duty import Duty
+from ...helpers.duty_cycle import DutyCycle
 from ...helpers.logging import get_logger
 from ...platform.fleet import FleetClient
 from ...platform.models import WorkerEntry
@@ -20,12 +20,12 @@
 from ..fleet.services import Fleet
 from ..fleet.wave_planner import WavePlanner
 from ..fleet.wave_reporter import WaveReporter
+from ..ledger.append_watcher import AppendWatcher
 from ..ledger.appender import GroupAppender, Record
-from ..ledger.const import MARKS_OF_OWNERS, SHARD, TOPIC
+from ..ledger.const import SHARD, TOPIC, UNIQUE_OWNER_PREFIXES
 from ..ledger.follower import TopicFollower
 from ..ledger.ledger import LedgerJob
 from ..ledger.models import OwnerRecord
-from ..ledger.sighting import Sighting
 from ..scheduling.demand import log_loads
 from ..scheduling.scheduler import Scheduler
 from .authority import Authority
@@ -48,7 +48,7 @@
 
 _LOGGER = get_logger(__name__)
 
-_PLANNING: Final = Duty(
+_PLANNING: Final = DutyCycle(
     MIN_PLAN_INTERVAL_SECONDS, MAX_PLAN_SHARE, MAX_PLAN_DELAY_SECONDS
 )
 
@@ -91,8 +91,10 @@
             epoch,
             sequence=1,
         )
-        self._sighting = Sighting(dependencies.follower.async_confirm, MARKS_OF_OWNERS)
-        self.appender.sighting = self._sighting
+        self._append_watcher = AppendWatcher(
+            dependencies.follower.async_catch_up, UNIQUE_OWNER_PREFIXES
+        )
+        self.appender.sighting = self._append_watcher
         self._renewals = Renewals(
             epoch,
             claim,
@@ -250,11 +252,11 @@
             dependencies.ledger.jobs.values(), key=lambda job: job.record.accepted_at
         ):
             self.scheduler.add_job(job, now, wall)
-        dependencies.follower.watchers.append(self._sighting.see)
+        dependencies.follower.record_listeners.append(self._append_watcher.observe)
         dependencies.ledger.on_job = self._add_job
         dependencies.ledger.on_cancel = lambda job: self._cancel_job(job.record.id)
         dependencies.ledger.on_told = lambda job: self._end_reported_job(job.record.id)
-        dependencies.ahead.owner_knows = self.scheduler.is_job_done
+        dependencies.unlogged.completed_at_owner = self.scheduler.is_job_done
         dependencies.configuration.on_change = self._apply_configuration
         _LOGGER.info(
             "owner_started",
@@ -264,11 +266,13 @@
         )
 
     def _unsubscribe(self) -> None:
-        self._dependencies.follower.watchers.remove(self._sighting.see)
+        self._dependencies.follower.record_listeners.remove(
+            self._append_watcher.observe
+        )
         self._dependencies.ledger.on_job = None
         self._dependencies.ledger.on_cancel = None
         self._dependencies.ledger.on_told = None
-        self._dependencies.ahead.owner_knows = None
+        self._dependencies.unlogged.completed_at_owner = None
         self._dependencies.configuration.on_change = None
 
     def _add_job(self, job: LedgerJob) -> None:
@@ -326,7 +330,7 @@
             pause_seconds = self._authority.pause_seconds()
             if pause_seconds:
                 _LOGGER.warning("owner_paused", pause_seconds=pause_seconds)
-                while not await dependencies.follower.async_confirm():
+                while not await dependencies.follower.async_catch_up():
                     await dependencies.timers.async_sleep(CONFIRM_RETRY_SECONDS)
             owner = dependencies.ledger.owner
             if owner.epoch > self._epoch or owner.claim != self._claim:
--- a/mustardward/components/ownership/renewals.py
+++ b/mustardward/components/ownership/renewals.py
@@ -26,7 +26,7 @@
     An owner's renewals therefore name each instance before it is ordered, for the time
     of a lease.
     """
-    elapsed = max(0.0, wall - previous.wall)
+    elapsed = max(0.0, wall - previous.renewed_at)
     until = now + max(0.0, lease_seconds - elapsed)
     return dict.fromkeys(previous.ordered, until)
 
--- a/mustardward/components/pools/api.py
+++ b/mustardward/components/pools/api.py
@@ -9,13 +9,13 @@
 from returns.result import Failure
 
 from ...exceptions import MustardwardError
-from ...state.budgets import index_of
+from ...state.budgets import get_budget_index
 from ...state.fleet import FleetState
 from ...state.instance_status import instance_status
 from ...state.models.pools import CancelMove, Instance, Move, RequestMove
 from ...state.records import NO_BASE
 from ..api.routes import ApiAnswer, ApiRequest, api_route
-from ..keys import FLEET_LOG, MEMBERSHIP, POOL_LOOK
+from ..keys import FLEET_LOG, MEMBERSHIP, POOL_PROBER
 from ..maintenance.models import executor_name
 
 
@@ -67,7 +67,7 @@
     name = request.path["name"]
     if name not in state.pools:
         raise PoolUnknownError(f"pool={name}")
-    index = index_of(state)
+    index = get_budget_index(state)
     budgets = [
         {
             "organisation": item.organisation,
@@ -109,10 +109,10 @@
     instance = request.core.get(FLEET_LOG).state.instances.get(model.instance_id)
     if instance is None:
         raise PoolUnknownError(f"instance={model.instance_id}")
-    look = request.core.find(POOL_LOOK)
+    look = request.core.find(POOL_PROBER)
     if look is not None:
-        # A move takes an instance out as a wave does; see maintenance/pool_look.py.
-        await look.async_look(instance.pool)
+        # A move takes an instance out as a wave does; see maintenance/pool_prober.py.
+        await look.async_probe(instance.pool)
     members = request.core.get(MEMBERSHIP).members(instance.data_centre)
     if not members:
         raise EntriesUnknownError(f"data_centre={instance.data_centre}")
@@ -151,12 +151,12 @@
 
 
 def _line(state: FleetState, name: str) -> dict[str, Any]:
-    count = index_of(state).count(state, name, "fleet")
+    count = get_budget_index(state).count(state, name, "fleet")
     return {
         "pool": name,
         "total": count.total,
         "available": count.total - count.unavailable,
-        "organisations": len(index_of(state).users(name)),
+        "organisations": len(get_budget_index(state).users(name)),
     }
 
 
--- a/mustardward/components/scheduling/losses.py
+++ b/mustardward/components/scheduling/losses.py
@@ -43,10 +43,10 @@
     _LOGGER.info(
         "worker_lost",
         worker=worker.id,
-        born=worker.born,
+        born=worker.started_at_ms,
         cause=cause.value,
         draining=worker.draining,
-        leaving=worker.leaving,
+        leaving=worker.cordoned,
         tasks=len(runs),
         runs=",".join(runs[:MAX_RUNS_PER_LINE]),
     )
--- a/mustardward/components/scheduling/worker_state.py
+++ b/mustardward/components/scheduling/worker_state.py
@@ -26,13 +26,13 @@
     :param missing_since: when its entry in the store was first missing, or None.
     :param absent: whether its entry is invalid or has been missing for too long, so
         that it gets no tasks until a valid entry appears.
-    :param leaving: whether the fleet has cordoned it.
+    :param cordoned: whether the fleet has cordoned it.
     :param maintenance_due: whether its instance has yet to be maintained.
     :param speed: its learned speed relative to the expected run times, at most 1.
     :param stale: whether it is unresponsive, so that its last report may be outdated.
     :param clock_ms: its own clock in its last report, in milliseconds.
-    :param born: when it started, in milliseconds since 1970, or 0 if unknown; a worker
-        that restarts under the same id is another incarnation.
+    :param started_at_ms: when it started, in milliseconds since 1970, or 0 if unknown;
+        a worker that restarts under the same id is another incarnation.
     :param described: whether an entry of this incarnation has been read. Otherwise its
         pool, labels and capacity are those of the previous incarnation.
     :param orphan_steps: the steps of its orphan runs, which no task owns.
@@ -54,9 +54,9 @@
     drains_at: float = 0.0
     missing_since: float | None = None
     absent: bool = False
-    leaving: bool = False
+    cordoned: bool = False
     maintenance_due: bool = False
-    leaving_since: float = 0.0
+    cordoned_since: float = 0.0
     refusing_until: float = 0.0
     quarantined_until: float = 0.0
     failed_jobs: set[str] = field(default_factory=set)
@@ -64,7 +64,7 @@
     stale: bool = False
     reported_at: float = 0.0
     clock_ms: float = 0.0
-    born: int = 0
+    started_at_ms: int = 0
     described: bool = True
     orphan_steps: list[StepRun] = field(default_factory=list)
     unknown_runs: bool = False
@@ -117,7 +117,7 @@
     @property
     def incarnation(self) -> str:
         """Return a name that is unique to the incarnation, if its start is known."""
-        return f"{self.id}/{self.born}" if self.born else self.id
+        return f"{self.id}/{self.started_at_ms}" if self.started_at_ms else self.id
 
     @property
     def rack(self) -> str:
--- a/tests/components/dispatch/test_recovery.py
+++ b/tests/components/dispatch/test_recovery.py
@@ -10,15 +10,20 @@
 import pytest
 
 from mustardward.components.dispatch.const import LEASE_SECONDS
+from mustardward.components.ledger.bitset import pack_indices
 from mustardward.components.ledger.ledger import LedgerJob
-from mustardward.components.ledger.marks import pack
-from mustardward.components.ledger.models import JobState, Progress, StepMark
+from mustardward.components.ledger.models import JobState, Progress, StepProgress
 from mustardward.components.ownership.directory import WorkerDirectory
 from mustardward.components.scheduling.models import Phase
 from mustardward.platform.bodies import StartBody
 from mustardward.platform.exceptions import CallUnknownError
 from mustardward.platform.store import KeyedRecord
-from mustardward.platform.workers import HoldAnswer, StartAnswer, StartOrder, TaskName
+from mustardward.platform.workers import (
+    StartRequest,
+    StartResponse,
+    TaskName,
+    WorkerReport,
+)
 from mustardward.standin.estate.worker import STOP_MS, MemoryWorker, Work
 
 from ...platform.test_entries import GOOD
@@ -79,7 +84,7 @@
     unfinished = a_job(
         a_step(count=2, cpu=ROOM.cpu, mem_mb=ROOM.mem_mb), job=PREVIOUS_JOB
     )
-    marks = [StepMark(0, 0, pack([0]))]
+    marks = [StepProgress(0, 0, pack_indices([0]))]
     unfinished.progress = Progress(JobState.RUNNING, marks, [])
     async with a_takeover(running=f"{PREVIOUS_JOB}.0.0.0", job=unfinished) as harness:
         harness.scheduler.cancel_job(PREVIOUS_JOB)
@@ -148,13 +153,13 @@
     release = anyio.Event()
 
     class _PreviousIncarnation:
-        async def async_start(self, order: StartOrder) -> StartAnswer:
+        async def async_start(self, order: StartRequest) -> StartResponse:
             raise CallUnknownError("no answer")
 
         async def async_stop(self, task: TaskName, run: int) -> None:
             await release.wait()
 
-        async def async_hold(self, *_: object) -> HoldAnswer:
+        async def async_poll(self, *_: object) -> WorkerReport:
             await anyio.sleep_forever()
             raise AssertionError
 
--- a/tests/components/maintenance/test_planner.py
+++ b/tests/components/maintenance/test_planner.py
@@ -1,4 +1,4 @@
-"""Plan waves, and take the plans through the fold."""
+"""Test wave plans by applying them to the replicated state."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import pytest
 
 from mustardward.components.maintenance.plan_bounds import canary_bound, rollout_bound
-from mustardward.components.maintenance.plan_facts import gather_facts
+from mustardward.components.maintenance.plan_inputs import build_plan_input
 from mustardward.components.maintenance.plan_models import Plan, PlanInput, PlanTask
 from mustardward.components.maintenance.planner import plan_wave
 from mustardward.state.models.maintenance import (
@@ -24,7 +24,7 @@
 
 
 def build_driver(weights: PlanWeights = EVEN, minimum: float = 0.5) -> FoldDriver:
-    """Return a fleet of a tight pool and a loose one in two data centres."""
+    """Return a fleet of two pools, one with tight budgets, in two data centres."""
     tight = build_organisation(
         "dairy", ("etching",), minimum_available=0.75, weights=weights
     )
@@ -37,8 +37,8 @@
     return FoldDriver(state)
 
 
-def build_facts(driver: FoldDriver) -> PlanInput:
-    """Return the facts for a wave over all, with tasks of several lengths."""
+def build_input(driver: FoldDriver) -> PlanInput:
+    """Return the inputs for a wave over all instances, with tasks of any length."""
     names = sorted(driver.state.instances)
     tasks = {
         name: [
@@ -47,20 +47,20 @@
         ]
         for number, name in enumerate(names)
     }
-    return gather_facts(
+    return build_plan_input(
         driver.state, ("etching", "casting"), frozenset(names), tasks, canary=1
     )
 
 
-def fold_plan(driver: FoldDriver, plan: Plan) -> None:
-    """Fold every turn of a plan at its time; the fold has to admit all."""
+def apply_plan(driver: FoldDriver, plan: Plan) -> None:
+    """Apply each step of a plan at its time; all of them must be admitted."""
     driver.run_wave(pools=("etching", "casting"))
-    begins = [(step.begins, 1, step) for step in plan.steps]
-    ends = [(step.ends, 0, step) for step in plan.steps]
+    starts = [(step.start_seconds, 1, step) for step in plan.steps]
+    ends = [(step.end_seconds, 0, step) for step in plan.steps]
     generations: dict[str, int] = {}
-    for _, begin, step in sorted(begins + ends, key=lambda item: item[:2]):
+    for _, is_start, step in sorted(starts + ends, key=lambda item: item[:2]):
         name = step.instance_id
-        if begin:
+        if is_start:
             generations[name] = driver.accept(TakeClaim("w1", name, "e#1", 1))
             continue
         for stage in ("draining", "drained", "rebooting"):
@@ -69,48 +69,48 @@
 
 
 @pytest.mark.parametrize("weights", [EVEN, MOVES, BUFFER])
-def test_the_fold_admits_every_turn_of_a_plan(weights: PlanWeights) -> None:
+def test_every_step_of_a_plan_is_admitted(weights: PlanWeights) -> None:
     driver = build_driver(weights)
-    plan = plan_wave(build_facts(driver))
+    plan = plan_wave(build_input(driver))
     assert len(plan.steps) == 32
-    fold_plan(driver, plan)
+    apply_plan(driver, plan)
     assert len(driver.state.waves["w1"].done) == 32
 
 
-def test_the_canary_comes_first_and_alone() -> None:
-    plan = plan_wave(build_facts(build_driver()))
+def test_canary_is_planned_first_and_alone() -> None:
+    plan = plan_wave(build_input(build_driver()))
     first, second = plan.steps[:2]
-    assert first.begins == 0.0
-    assert second.begins == first.ends
+    assert first.start_seconds == 0.0
+    assert second.start_seconds == first.end_seconds
     assert first.moves == 0
 
 
-def test_weights_steer_between_moves_and_buffer() -> None:
-    by_moves = plan_wave(build_facts(build_driver(MOVES))).measures
-    by_buffer = plan_wave(build_facts(build_driver(BUFFER))).measures
+def test_weights_trade_moves_against_buffer() -> None:
+    by_moves = plan_wave(build_input(build_driver(MOVES))).metrics
+    by_buffer = plan_wave(build_input(build_driver(BUFFER))).metrics
     assert by_moves.moves < by_buffer.moves
     assert by_buffer.buffer < by_moves.buffer
 
 
-def test_a_plan_keeps_near_the_bound_of_the_budgets() -> None:
-    facts = build_facts(build_driver())
-    plan = plan_wave(facts)
-    assert rollout_bound(facts) <= canary_bound(facts)
-    assert canary_bound(facts) <= plan.measures.rollout_seconds
-    assert plan.measures.rollout_seconds <= 1.3 * rollout_bound(facts)
+def test_rollout_time_is_close_to_its_lower_bound() -> None:
+    plan_input = build_input(build_driver())
+    plan = plan_wave(plan_input)
+    assert rollout_bound(plan_input) <= canary_bound(plan_input)
+    assert canary_bound(plan_input) <= plan.metrics.rollout_seconds
+    assert plan.metrics.rollout_seconds <= 1.3 * rollout_bound(plan_input)
 
 
-def test_what_no_budget_lets_go_is_said_and_not_taken() -> None:
+def test_instances_blocked_by_budgets_are_returned_and_not_planned() -> None:
     driver = build_driver(minimum=1.0)
-    plan = plan_wave(build_facts(driver))
-    assert {name.split("-")[1] for name in plan.never} == {"casting"}
-    assert len(plan.never) == 16
+    plan = plan_wave(build_input(driver))
+    assert {name.split("-")[1] for name in plan.blocked} == {"casting"}
+    assert len(plan.blocked) == 16
     assert {step.unit.pool for step in plan.steps} == {"etching"}
     binding = {unit.pool: budget for unit, budget in plan.binding.items()}
     assert binding["casting"].organisation == "club"
 
 
-def test_the_same_facts_give_the_same_plan() -> None:
-    facts = build_facts(build_driver())
-    shuffled = replace(facts, instances=tuple(reversed(facts.instances)))
-    assert plan_wave(facts).steps == plan_wave(shuffled).steps
+def test_plan_is_independent_of_input_order() -> None:
+    plan_input = build_input(build_driver())
+    shuffled = replace(plan_input, instances=tuple(reversed(plan_input.instances)))
+    assert plan_wave(plan_input).steps == plan_wave(shuffled).steps
--- a/tests/components/scheduling/test_accounting_walks.py
+++ b/tests/components/scheduling/test_accounting_walks.py
@@ -15,7 +15,7 @@
 from mustardward.components.scheduling.models import ACTIVE, Task
 from mustardward.components.scheduling.scheduler_state import SchedulerState
 from mustardward.platform.models import Room
-from mustardward.platform.workers import EndedTask, HoldAnswer, RunningTask, TaskName
+from mustardward.platform.workers import EndedTask, RunningTask, TaskName, WorkerReport
 
 from .builders import a_job, a_step, an_entry
 from .test_quota_walks import ORGANISATIONS, OUTCOMES, WORKERS, QuotaWalk, _Order
@@ -34,11 +34,11 @@
         super().__init__(seed)
 
     def _update_worker(self, name: str) -> None:
-        born = self.worker_models[name].born
-        entry = an_entry(born=born, capacity=self.rooms[name])
+        started_at_ms = self.worker_models[name].started_at_ms
+        entry = an_entry(born=started_at_ms, capacity=self.rooms[name])
         known = self.scheduler.state.workers.get(name)
-        if known is not None and known.born != born:
-            self.scheduler.replace_worker(name, born, entry, self.now)
+        if known is not None and known.started_at_ms != started_at_ms:
+            self.scheduler.replace_worker(name, started_at_ms, entry, self.now)
         self.scheduler.update_worker(name, entry, self.now)
 
     def _check_start(self, order: _Order) -> None:
@@ -47,11 +47,15 @@
     def _hold(self, name: str) -> None:
         worker = self.worker_models[name]
         known = self.scheduler.state.workers.get(name)
-        if worker.silent or known is None or known.born != worker.born:
+        if (
+            worker.unreachable
+            or known is None
+            or known.started_at_ms != worker.started_at_ms
+        ):
             return
         worker.token = max(worker.token, self.epoch)
         rows = [RunningTask(t, r, "", 50.0, 0.0) for t, r in worker.running.items()]
-        answer = HoldAnswer(0.0, rows, list(worker.ended), worker.born)
+        answer = WorkerReport(0.0, rows, list(worker.ended), worker.started_at_ms)
         self.scheduler.apply_worker_report(name, answer, self.now, self.now)
         self.orphans_seen += len(known.orphan_steps)
 
@@ -107,7 +111,7 @@
         self.jobs[name] = job
         self.scheduler.add_job(job, self.now, self.now)
 
-    def counts_match(self) -> None:
+    def check_usage(self) -> None:
         """Compare rooms, quotas and counts with a recount of the runs."""
         state = self.scheduler.state
         used: Counter[str] = Counter()
@@ -145,12 +149,12 @@
         lambda: walk.hold(rng.choice(WORKERS)),
         lambda: walk.hold(rng.choice(WORKERS)),
         lambda: walk.execute_late(rng.choice(WORKERS), rng.randint(0, 3)),
-        lambda: walk.toggle_cut(rng.choice(WORKERS)),
-        lambda: walk.lapse(),
+        lambda: walk.toggle_reachable(rng.choice(WORKERS)),
+        lambda: walk.expire_leases(),
         lambda: walk.restart(rng.choice(WORKERS)),
         lambda: walk.configure(rng.choice(ORGANISATIONS), rng.randint(1, 6)),
         lambda: walk.take_over(),
-        lambda: walk.release(),
+        lambda: walk.end_takeover_hold(),
         lambda: walk.resize(rng.choice(WORKERS)),
         lambda: walk.orphan(rng.choice(WORKERS)),
         lambda: walk.repeat_end(rng.choice(WORKERS)),
@@ -160,7 +164,7 @@
     ]
     for _ in range(steps):
         rng.choice(events)()
-        walk.counts_match()
+        walk.check_usage()
     return walk
 
 
--- a/tests/fakes/entry.py
+++ b/tests/fakes/entry.py
@@ -1,4 +1,4 @@
-"""Provide fakes of the components that an entry's request path uses."""
+"""Provide fakes of the dependencies of an entry's request path."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
 
 
 def build_settings(limits: RequestLimits | None = None) -> Settings:
-    """Return the settings of one entry on loopback."""
+    """Return the settings of one entry that listens on loopback."""
     return Settings(
         entry=EntryIdentity(name="entry-1", data_centre="dc-a", leaving_seconds=0.0),
         callers=Listener(port=0),
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True)
 class ReadyLog:
-    """A log that is ready."""
+    """Provide a fleet log whose state is loaded."""
 
     ready: bool = True
     state: FleetState = field(default_factory=FleetState)
@@ -83,7 +83,7 @@
 
 @dataclass(slots=True)
 class FakeDirectory:
-    """A directory of one organisation with one service."""
+    """Resolve one organisation with the services of its parameters."""
 
     parameters: Parameters = field(
         default_factory=lambda: Parameters(services=(ServiceBinding("turn", "rack"),))
@@ -107,7 +107,7 @@
 
 @dataclass(slots=True)
 class FakePermit:
-    """A permit that records its release."""
+    """Record its release, once."""
 
     released: list[bool]
     is_released: bool = False
@@ -120,7 +120,7 @@
 
 @dataclass(slots=True)
 class FakeLimiter:
-    """A limiter that admits or refuses all requests."""
+    """Admit all requests, or refuse all while ``refusal`` is set."""
 
     refusal: RequestRefusal | None = None
     admitted: int = 0
@@ -135,7 +135,7 @@
 
 @dataclass(slots=True)
 class FakeRouter:
-    """A router that chooses workers in order and records their attempts."""
+    """Choose workers in order, and record the finished attempts."""
 
     addresses: list[str]
     attempts: list[Attempt] = field(default_factory=list)
@@ -165,13 +165,13 @@
 
     @property
     def outcomes(self) -> list[str]:
-        """Return the outcomes and causes in order."""
+        """Return the outcomes and causes of the attempts in order."""
         return [f"{item.outcome.value}:{item.cause}" for item in self.attempts]
 
 
 @dataclass(slots=True)
 class FakeRetries:
-    """A policy that allows safe retries up to a number of attempts."""
+    """Allow safe retries up to a maximum number of attempts."""
 
     maximum: int = 3
     hedge_seconds: float | None = None
@@ -196,7 +196,7 @@
 
 @dataclass(slots=True)
 class FakeIntents:
-    """An idempotency guard in memory."""
+    """Hold idempotency records in memory."""
 
     stored: StoredResponse | None = None
     refusal: RequestRefusal | None = None
@@ -223,7 +223,7 @@
 
 @dataclass(slots=True)
 class FakePeers:
-    """A forwarder that returns a preset result."""
+    """Respond to forwarded requests with the result that a test sets."""
 
     result: Result[WorkerResponse, FailedAttempt] | None = None
     forwarded: list[str] = field(default_factory=list)
@@ -237,8 +237,8 @@
 
 
 @dataclass(slots=True)
-class ReceivedRequest:
-    """A request as a worker received it."""
+class SeenRequest:
+    """Hold a request as a worker received it."""
 
     method: str
     target: str
@@ -247,33 +247,33 @@
 
     @property
     def attempt_id(self) -> str:
-        """Return the attempt id that the response must repeat."""
+        """Return the attempt id that the response has to repeat."""
         return self.headers["mw-attempt-id"]
 
 
-Script = Callable[["SocketStream", ReceivedRequest], Awaitable[bool]]
-"""Respond to a request on its connection; ``False`` closes the connection."""
+Script = Callable[["SocketStream", SeenRequest], Awaitable[bool]]
+"""Responds to a request on its connection; a false result closes the connection."""
 
 
 def build_response(
     request: ReceivedRequest, body: bytes = b"done", status: int = 200, extra: str = ""
 ) -> bytes:
-    """Return the bytes of a complete response."""
+    """Return a complete HTTP response as bytes."""
     return (
         f"HTTP/1.1 {status} X\r\nmw-attempt-id: {request.attempt_id}\r\n{extra}"
         f"content-length: {len(body)}\r\n\r\n"
     ).encode() + body
 
 
-async def respond_ok(stream: SocketStream, request: ReceivedRequest) -> bool:
-    """Respond 200 and keep the connection open."""
-    await stream.send(build_response(request))
+async def respond_ok(stream: SocketStream, seen: SeenRequest) -> bool:
+    """Respond with status 200 and keep the connection open."""
+    await stream.send(build_response(seen))
     return True
 
 
 @dataclass(slots=True)
 class RawWorker:
-    """A worker that responds to requests with the raw bytes of a script."""
+    """Serve requests by a script that controls each byte of the responses."""
 
     script: Script = respond_ok
     address: str = ""
@@ -299,8 +299,8 @@
         return await self.script(stream, request)
 
 
-async def async_read_request(stream: SocketStream) -> ReceivedRequest | None:
-    """Return the next request on a connection, or ``None`` at its end."""
+async def async_read_request(stream: SocketStream) -> SeenRequest | None:
+    """Return the next request on a connection, or None at its end."""
     connection = h11.Connection(h11.SERVER)
     head: h11.Request | None = None
     body = b""
@@ -342,7 +342,7 @@
 
 @dataclass(slots=True)
 class RunningEntry:
-    """A listening entry with its fakes."""
+    """Hold a listening entry with its fakes."""
 
     core: Core
     timers: DrivenTimerService
@@ -356,7 +356,7 @@
 
     @property
     def url(self) -> str:
-        """Return the base URL for callers."""
+        """Return the URL for callers."""
         return f"http://127.0.0.1:{self.listener.port}"
 
 
@@ -381,10 +381,10 @@
         limiter, retries = FakeLimiter(), FakeRetries()
         dispatcher = HttpDispatcher(timers)
         guard = None if make_guard is None else make_guard(core)
-        dependencies = EntryDependencies(
+        entry_dependencies = EntryDependencies(
             limiter, router, retries, dispatcher, intents, peers, guard
         )
-        service = EntryService(dependencies, timers, tasks)
+        service = EntryService(entry_dependencies, timers, tasks)
         directory = FakeDirectory()
         if parameters is not None:
             directory.parameters = parameters
--- a/tests/fakes/jobs_world.py
+++ b/tests/fakes/jobs_world.py
@@ -1,4 +1,4 @@
-"""Run the long work of several entries on one shared log and fake workers."""
+"""Run the jobs of several entries on a shared log and fake workers."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from types import SimpleNamespace
 from typing import Any
 
-from mustardward.components.jobs.keeper import AttemptKeeper
-from mustardward.components.jobs.lessons import Lessons
+from mustardward.components.jobs.attempt_manager import AttemptManager
+from mustardward.components.jobs.attempt_statistics import AttemptStatistics
 from mustardward.components.jobs.models import Submission
 from mustardward.components.jobs.pool_view import PoolIndex
 from mustardward.components.jobs.scheduler import JobScheduler
 from mustardward.components.jobs.services import LogJobService
-from mustardward.components.jobs.slots import SlotReturns
+from mustardward.components.jobs.slot_reclaimer import SlotReclaimer
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.state.fleet import FleetState
 from mustardward.state.models.pools import Instance
@@ -29,29 +29,29 @@
 from tests.fakes.worklog import FakeWorkLog, SharedLog
 
 POOL = "casting"
-TICK = 1.0
+TICK_SECONDS = 1.0
 
 
 @dataclass(slots=True, eq=False)
 class Entry:
-    """Hold one entry's parts of long work."""
+    """Hold one entry's job services."""
 
     name: str
     log: FakeWorkLog
-    keeper: AttemptKeeper
+    attempt_manager: AttemptManager
     scheduler: JobScheduler
     service: LogJobService
     frozen: bool = False
 
     @property
     def stopped(self) -> bool:
-        """Tell whether the process stands still, as its peers would notice."""
+        """Return whether the process is paused, as its peers would detect it."""
         return self.frozen or (self.log.wake_up is not None and self.log.cut_off)
 
 
 @dataclass(slots=True, eq=False)
 class JobsWorld:
-    """Drive entries and workers second by second."""
+    """Run entries and workers with a driven clock in steps of a second."""
 
     workers_count: int = 4
     slots: int = 8
@@ -97,49 +97,49 @@
     def add_entry(self, name: str) -> Entry:
         log = FakeWorkLog(self.shared, name)
         pools = PoolIndex(self.fleet, "dc-1", lambda instance_id: True)
-        keeper = AttemptKeeper(
+        attempt_manager = AttemptManager(
             log=log,
             workers=self.workers,
             timers=self.timers,
             identity=f"{name}/1",
-            usable=pools.is_usable,
-            lessons=Lessons(
+            is_usable=pools.is_usable,
+            statistics=AttemptStatistics(
                 self.timers, lambda job: f"{job.organisation}/{job.service}"
             ),
         )
         scheduler = JobScheduler(
             log=log,
-            keeper=keeper,
+            attempt_manager=attempt_manager,
             pools=pools,
             timers=self.timers,
             owns_duty=lambda duty: self._first_alive() == name,
-            holder_present=self._is_present,
+            is_holder_live=self._is_present,
             random=Random(7),
         )
         log.listen(scheduler.on_record)
-        self.timers.subscribe_pause(keeper.on_pause)
+        self.timers.subscribe_pause(attempt_manager.on_pause)
         ids = iter(range(1_000_000))
         service = LogJobService(
             log,
             self.fleet,
             pools,
             scheduler,
-            SlotReturns(scheduler, self.timers),
+            SlotReclaimer(scheduler, self.timers),
             lambda: f"{name}-{next(ids)}",
         )
-        self.entries[name] = Entry(name, log, keeper, scheduler, service)
+        self.entries[name] = Entry(name, log, attempt_manager, scheduler, service)
         return self.entries[name]
 
     def remove_entry(self, name: str) -> Entry:
-        """Take an entry away without a word, as a replaced instance goes."""
+        """Remove an entry without notice, as when its instance is replaced."""
         entry = self.entries.pop(name)
         self.shared.readers.remove(entry.log)
         return entry
 
     async def async_run(self, seconds: float) -> None:
-        """Let time pass, with a tick of every entry that is not frozen."""
-        for _ in range(int(seconds / TICK)):
-            await self.timers.async_advance(TICK)
+        """Advance the clock, and run the scheduler ticks of all active entries."""
+        for _ in range(int(seconds / TICK_SECONDS)):
+            await self.timers.async_advance(TICK_SECONDS)
             self.workers.advance()
             for entry in list(self.entries.values()):
                 if not entry.frozen:
--- a/tests/fakes/relay.py
+++ b/tests/fakes/relay.py
@@ -1,4 +1,4 @@
-"""Relay between folded logs of one process, without a transport."""
+"""Relay entries between folded logs of one process without a network."""
 
 from __future__ import annotations
 
@@ -6,39 +6,39 @@
 
 from mustardward.state.log import FoldedLog
 from mustardward.state.relay import (
-    RelayAnswer,
-    RelayQuestion,
+    RelayRequest,
+    RelayRequestKind,
+    RelayResponse,
     RelayStatus,
-    RelayWanted,
 )
 
 
 class DirectRelay:
-    """Ask other logs by call; implements ``RelaySource``.
+    """Implement ``RelaySource`` by direct calls to other logs.
 
-    ``peers`` may be changed at any time, as partitions come and go.
+    ``peers`` may change at any time, as in network partitions.
     """
 
     def __init__(self, peers: list[FoldedLog[Any]] | None = None) -> None:
         self.peers = peers or []
-        self._turn = 0
+        self._request_count = 0
 
-    async def async_entries(self, question: RelayQuestion) -> RelayAnswer:
-        """Ask the peers in turn."""
+    async def async_entries(self, question: RelayRequest) -> RelayResponse:
+        """Request entries from the peers in round-robin order."""
         if not self.peers:
-            return RelayAnswer(RelayStatus.UNAVAILABLE)
-        self._turn += 1
-        return self.peers[self._turn % len(self.peers)].answer(question)
-
-    async def async_image(self, question: RelayQuestion) -> RelayAnswer:
-        """Ask the furthest peer."""
-        probe = RelayQuestion(question.stream, 0, "", RelayWanted.POSITION)
-        answers = [(peer.answer(probe), peer) for peer in self.peers]
+            return RelayResponse(RelayStatus.UNAVAILABLE)
+        self._request_count += 1
+        return self.peers[self._request_count % len(self.peers)].respond(question)
+
+    async def async_image(self, question: RelayRequest) -> RelayResponse:
+        """Request an image from the peer with the newest state."""
+        probe = RelayRequest(question.stream, 0, "", RelayRequestKind.POSITION)
+        answers = [(peer.respond(probe), peer) for peer in self.peers]
         usable = [
             (answer.next_offset, index)
             for index, (answer, _) in enumerate(answers)
             if answer.status is not RelayStatus.UNAVAILABLE
         ]
         if not usable:
-            return RelayAnswer(RelayStatus.UNAVAILABLE)
-        return answers[max(usable)[1]][1].answer(question)
+            return RelayResponse(RelayStatus.UNAVAILABLE)
+        return answers[max(usable)[1]][1].respond(question)
