--- a/tests/fakes/entry.py
+++ b/tests/fakes/entry.py
@@ -202,10 +202,10 @@
     refusal: RequestRefusal | None = None
     opened: list[str] = field(default_factory=list)
     closed: list[tuple[str, StoredResponse | None]] = field(default_factory=list)
-    served_keyless: bool = False
+    served_without_key: bool = False
 
     def reportable_ran(self, facts: RequestFacts, ran: Ran) -> Ran:
-        return Ran.UNKNOWN if self.served_keyless else ran
+        return Ran.UNKNOWN if self.served_without_key else ran
 
     async def async_open(
         self, facts: RequestFacts
@@ -256,11 +256,11 @@
 
 
 def build_response(
-    seen: SeenRequest, body: bytes = b"done", status: int = 200, extra: str = ""
+    request: ReceivedRequest, body: bytes = b"done", status: int = 200, extra: str = ""
 ) -> bytes:
     """Return a complete HTTP response as bytes."""
     return (
-        f"HTTP/1.1 {status} X\r\nmw-attempt-id: {seen.attempt_id}\r\n{extra}"
+        f"HTTP/1.1 {status} X\r\nmw-attempt-id: {request.attempt_id}\r\n{extra}"
         f"content-length: {len(body)}\r\n\r\n"
     ).encode() + body
 
@@ -277,7 +277,7 @@
 
     script: Script = respond_ok
     address: str = ""
-    seen: list[SeenRequest] = field(default_factory=list)
+    requests: list[ReceivedRequest] = field(default_factory=list)
     connections: int = 0
 
     async def async_serve(self, stream: SocketStream) -> None:
@@ -292,11 +292,11 @@
                 return
 
     async def _async_one(self, stream: SocketStream) -> bool:
-        seen = await async_read_request(stream)
-        if seen is None:
+        request = await async_read_request(stream)
+        if request is None:
             return False
-        self.seen.append(seen)
-        return await self.script(stream, seen)
+        self.requests.append(request)
+        return await self.script(stream, request)
 
 
 async def async_read_request(stream: SocketStream) -> SeenRequest | None:
@@ -318,7 +318,7 @@
         elif isinstance(event, h11.EndOfMessage):
             assert head is not None
             headers = {k.decode(): v.decode("latin-1") for k, v in head.headers}
-            return SeenRequest(
+            return ReceivedRequest(
                 head.method.decode(), head.target.decode(), headers, body
             )
         else:
