--- a/mustardward/state/appender.py
+++ b/mustardward/state/appender.py
@@ -40,7 +40,8 @@
 class Proposal:
     """Hold a record until its outcome is known.
 
-    ``sent`` is true if the record may already be in the log."""
+    ``sent`` is true if the record may already be in the log.
+    """
 
     envelope: Envelope
     priority: int
--- a/mustardward/state/budgets.py
+++ b/mustardward/state/budgets.py
@@ -84,14 +84,14 @@
         Owner, claim, move and absence of an instance determine how it is counted.
         """
         self._recount_claim(state, instance_id)
-        current = _count_state(state, instance_id)
-        before = self._counted.get(instance_id)
-        if current == before:
+        current = _classify(state, instance_id)
+        previous = self._counted.get(instance_id)
+        if current == previous:
             return
-        if before is not None:
-            self._count(before, -1)
+        if previous is not None:
+            self._count(previous, -1)
             del self._counted[instance_id]
-            del self._by_data_centre[before.data_centre][instance_id]
+            del self._by_data_centre[previous.data_centre][instance_id]
         if current is not None:
             self._count(current, 1)
             self._counted[instance_id] = current
@@ -113,13 +113,13 @@
         return self._pool_users.get(pool, {})
 
     def instances_of(self, data_centre: str) -> Collection[str]:
-        """Return the instances of a data centre."""
+        """Return the instances of a data centre without iterating over the fleet."""
         return self._by_data_centre.get(data_centre, {}).keys()
 
     def is_available(self, instance_id: str) -> bool:
         """Return whether an instance counts as available in its data centre."""
-        current = self._counted.get(instance_id)
-        return current is not None and current.available
+        counted = self._counted.get(instance_id)
+        return counted is not None and counted.available
 
     def claim_count(self, wave_id: str) -> int:
         """Return the number of instances that a wave has claimed."""
@@ -175,23 +175,23 @@
         claims = {wave: number for wave, number in self._wave_claims.items() if number}
         return counters, users, claims
 
-    def _count(self, current: _CountedInstance, step: int) -> None:
-        by_centre = self._counters.setdefault(current.pool, {})
-        counter = by_centre.setdefault(current.data_centre, PoolCounter())
-        counter.add(current.rack, current.available, step)
+    def _count(self, counted: _CountedInstance, step: int) -> None:
+        by_centre = self._counters.setdefault(counted.pool, {})
+        counter = by_centre.setdefault(counted.data_centre, PoolCounter())
+        counter.add(counted.rack, counted.available, step)
 
     def _recount_claim(self, state: FleetState, instance_id: str) -> None:
         claim = state.claims.get(instance_id)
         wave = claim.wave_id if claim else ""
-        before = self._claim_waves.pop(instance_id, "")
-        if before:
-            self._wave_claims[before] -= 1
+        previous = self._claim_waves.pop(instance_id, "")
+        if previous:
+            self._wave_claims[previous] -= 1
         if wave:
             self._wave_claims[wave] = self._wave_claims.get(wave, 0) + 1
             self._claim_waves[instance_id] = wave
 
 
-def _count_state(state: FleetState, instance_id: str) -> _CountedInstance | None:
+def _classify(state: FleetState, instance_id: str) -> _CountedInstance | None:
     instance = state.instances.get(instance_id)
     if instance is None or instance.removed:
         return None
--- a/mustardward/state/fold.py
+++ b/mustardward/state/fold.py
@@ -77,7 +77,8 @@
 class Acceptance:
     """Describe what an accepted record changed.
 
-    ``revision`` is returned to the caller that proposed the record."""
+    ``revision`` is returned to the caller that proposed the record.
+    """
 
     subjects: tuple[str, ...]
     revision: int
--- a/mustardward/state/follower.py
+++ b/mustardward/state/follower.py
@@ -93,7 +93,7 @@
         return self._log_failed
 
     def set_relay(self, relay: RelaySource | None) -> None:
-        """Set the source of entries and images from peers."""
+        """Set the peers to query while the log is unreachable or silent."""
         self._relay = relay
 
     async def async_follow(self) -> None:
@@ -169,13 +169,13 @@
             await self._async_start()
         offset = self._replica.fold.next_offset
         await self._continuity.async_check(offset)
-        ticket = self._tail.begin_read()
+        read_start = self._tail.begin_read()
         page = await self._service.async_read(
             self._spec.name, offset, self._options.page_entries, wait_seconds
         )
         self._continuity.check_page(page, offset)
         self._oldest = page.oldest
-        await self._replica.async_apply_page(ticket, page)
+        await self._replica.async_apply_page(read_start, page)
         self._has_gap = False
         if not self._ready and self._tail.was_confirmed:
             self._become_ready("log")
--- a/mustardward/state/handlers/waves.py
+++ b/mustardward/state/handlers/waves.py
@@ -155,8 +155,8 @@
 
     Until the canary has come back, a single failure pauses the wave.
     """
-    fresh = len(wave.failed) - wave.forgiven
+    new_failures = len(wave.failed) - wave.forgiven
     maximum = wave.maximum_failures if len(wave.done) >= wave.canary else 1
-    if wave.status != WaveStatus.RUNNING or fresh < maximum:
+    if wave.status != WaveStatus.RUNNING or new_failures < maximum:
         return
-    apply_signal(context, wave, "stop", f"failures={fresh} maximum={maximum}")
+    apply_signal(context, wave, "stop", f"failures={new_failures} maximum={maximum}")
--- a/mustardward/state/log.py
+++ b/mustardward/state/log.py
@@ -171,7 +171,7 @@
         return self._replica.listen_restored(listener)
 
     def set_relay(self, relay: RelaySource | None) -> None:
-        """Set the source of entries and images from peers."""
+        """Set the peers to query while the log is unreachable or silent."""
         self._follower.set_relay(relay)
 
     def respond(self, request: RelayRequest) -> RelayResponse:
@@ -206,7 +206,7 @@
         """End the tasks of ``async_run``."""
         self._scope.cancel()
 
-    def _handle_pause(self, lost_seconds: float) -> None:
+    def _handle_pause(self, pause_seconds: float) -> None:
         # The state may be out of date after a pause without any sign in the process, so
         # no decision is made until a read sent after the pause confirms the tail.
         self._tail.require_confirmation()
--- a/mustardward/state/relay.py
+++ b/mustardward/state/relay.py
@@ -98,7 +98,7 @@
         ...
 
     async def async_image(self, request: RelayRequest) -> RelayResponse:
-        """Request an image from the peer with the newest state."""
+        """Query several peers for their position and the newest one for its image."""
         ...
 
 
--- a/mustardward/state/window.py
+++ b/mustardward/state/window.py
@@ -8,7 +8,7 @@
 import xxhash
 
 DEDUPE_WINDOW: Final = 65_536
-_EMPTY_SLOT: Final = -1
+_EMPTY: Final = -1
 
 Verdict = int | str
 """Revision of an accepted record, or the code of its refusal."""
@@ -36,12 +36,8 @@
 
     def get(self, record_id: str) -> Verdict | None:
         """Return the verdict on a record, or ``None`` if it is not in the window."""
-        ring_index = self._table[self._find_slot(_key(record_id))]
-        return (
-            None
-            if ring_index == _EMPTY_SLOT
-            else self._decode(self._verdicts[ring_index])
-        )
+        position = self._table[self._find_slot(_key(record_id))]
+        return None if position == _EMPTY else self._decode(self._verdicts[position])
 
     def add(self, record_id: str, verdict: Verdict) -> None:
         """Add a record that is not in the window, and drop the oldest if it is full."""
@@ -65,27 +61,25 @@
         self._keys = array("Q")
         self._verdicts = array("q")
         self._start = 0
-        self._table = array("i", [_EMPTY_SLOT]) * (self._mask + 1)
+        self._table = array("i", [_EMPTY]) * (self._mask + 1)
 
     def _add(self, key: int, verdict: int) -> None:
-        ring_index = len(self._keys)
-        if ring_index < self._capacity:
+        position = len(self._keys)
+        if position < self._capacity:
             self._keys.append(key)
             self._verdicts.append(verdict)
         else:
-            ring_index = self._start
-            self._remove(self._keys[ring_index])
-            self._keys[ring_index] = key
-            self._verdicts[ring_index] = verdict
-            self._start = (ring_index + 1) % self._capacity
-        self._table[self._find_slot(key)] = ring_index
+            position = self._start
+            self._remove(self._keys[position])
+            self._keys[position] = key
+            self._verdicts[position] = verdict
+            self._start = (position + 1) % self._capacity
+        self._table[self._find_slot(key)] = position
 
     def _find_slot(self, key: int) -> int:
         """Return the table slot of a key, or the empty slot where it belongs."""
         slot = key & self._mask
-        while (ring_index := self._table[slot]) != _EMPTY_SLOT and self._keys[
-            ring_index
-        ] != key:
+        while (position := self._table[slot]) != _EMPTY and self._keys[position] != key:
             slot = (slot + 1) & self._mask
         return slot
 
@@ -99,14 +93,14 @@
         slot = gap
         while True:
             slot = (slot + 1) & self._mask
-            ring_index = self._table[slot]
-            if ring_index == _EMPTY_SLOT:
+            position = self._table[slot]
+            if position == _EMPTY:
                 break
-            preferred = self._keys[ring_index] & self._mask
+            preferred = self._keys[position] & self._mask
             if (slot - preferred) & self._mask >= (slot - gap) & self._mask:
-                self._table[gap] = ring_index
+                self._table[gap] = position
                 gap = slot
-        self._table[gap] = _EMPTY_SLOT
+        self._table[gap] = _EMPTY
 
     def _encode(self, verdict: Verdict) -> int:
         if isinstance(verdict, int):
--- a/tests/state/test_pools.py
+++ b/tests/state/test_pools.py
@@ -89,15 +89,15 @@
     assert isinstance(second.result.failure(), MoveInProgressError)
     builder.accept(AcknowledgeMove("move-1", ("entry-a", "entry-b")))
     builder.accept(TransferInstance("move-1"))
-    late = builder.apply(RequestMove("move-2", "one", "etching"), base_generation)
-    assert isinstance(late.result.failure(), RevisionConflictError)
+    outdated = builder.apply(RequestMove("move-2", "one", "etching"), base_generation)
+    assert isinstance(outdated.result.failure(), RevisionConflictError)
 
 
 def test_a_cancelled_move_leaves_the_owner(builder: FoldBuilder) -> None:
     _request(builder, "move-1")
     builder.accept(CancelMove("move-1"))
-    late = builder.apply(TransferInstance("move-1")).result.failure()
-    assert isinstance(late, UnknownSubjectError)
+    outdated = builder.apply(TransferInstance("move-1")).result.failure()
+    assert isinstance(outdated, UnknownSubjectError)
     assert builder.fold.state.instances["one"].pool == "etching"
 
 
--- a/tests/state/test_relay.py
+++ b/tests/state/test_relay.py
@@ -26,7 +26,7 @@
     """Guard against serving an old configuration while the platform is unreachable.
 
     A data centre is disconnected from the platform, and a change is accepted
-    other_log. Peers have to relay it within the bound.
+    elsewhere. Peers have to relay it within the bound.
     """
     async with running_bench() as bench:
         client = LogClient(bench.service)
