--- a/mustardward/components/membership/const.py
+++ b/mustardward/components/membership/const.py
@@ -51,7 +51,7 @@
 
 LIST_DUTY_HOLDERS: Final = 2
 ABSENCES_BEFORE_GONE: Final = 2
-"""Consecutive reads that omit an unresponsive entry node before it counts as gone."""
+"""Reads in a row that omit a suspect or leaving entry node before it counts as gone."""
 
 RETURN_CHECK_INTERVAL_SECONDS: Final = 2.0
 MAX_RETURN_CHECKS: Final = 8
--- a/mustardward/components/membership/models.py
+++ b/mustardward/components/membership/models.py
@@ -56,7 +56,7 @@
 
 
 class ContestReason(StrEnum):
-    """List the wrong beliefs that peers may hold about this process."""
+    """List how peers' records can contradict the own status of this process."""
 
     SUSPECTED = "suspected"
     DECLARED_GONE = "declared-gone"
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnStatusContested:
-    """Represent this process's reaction to a wrong belief of its peers."""
+    """Represent this process's reaction to records that contradict its own status."""
 
     reason: ContestReason
     incarnation: int
