--- a/mustardward/components/maintenance/claim_processor.py
+++ b/mustardward/components/maintenance/claim_processor.py
@@ -19,7 +19,7 @@
 from ...helpers.logging import get_logger
 from ...helpers.registry import Registry
 from ...standin.protocol.models import InstancePower, PowerState
-from ...state.budgets import BudgetExceededError, check_held
+from ...state.budgets import BudgetExceededError, check_within_budgets
 from ...state.models.maintenance import (
     Claim,
     ClaimStage,
@@ -245,7 +245,7 @@
     ) -> BudgetExceededError | None:
         """Return the budget error that requires a claim to be aborted, if any."""
         instance = self._dependencies.log.state.instances[claim.instance_id]
-        return check_held(
+        return check_within_budgets(
             self._dependencies.log.state, instance, unreported[instance.pool]
         )
 
--- a/mustardward/components/maintenance/selection.py
+++ b/mustardward/components/maintenance/selection.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from ...state.budget_counters import Budget
-from ...state.budgets import index_of
+from ...state.budgets import get_budget_index
 from ...state.fleet import FleetState
 from ...state.handlers.waves import wave_limit
 from ...state.instance_status import instance_status
@@ -68,7 +68,8 @@
 ) -> Selection:
     """Return the instances of one data centre that a wave should claim."""
     remaining = min(
-        context.limit, wave_limit(wave) - index_of(state).claims_of(wave.wave_id)
+        context.limit,
+        wave_limit(wave) - get_budget_index(state).claim_count(wave.wave_id),
     )
     if remaining <= 0:
         return Selection((), {}, frozenset(), wave_limit_reached=True)
@@ -78,7 +79,7 @@
     candidates = _candidates(state, wave, context)
     for pool in sorted(candidates, key=lambda name: (-len(candidates[name]), name)):
         if not is_maintenance_allowed(
-            index_of(state).users(pool).values(), context.wall
+            get_budget_index(state).users(pool).values(), context.wall
         ):
             closed_pools.add(pool)
             continue
@@ -102,7 +103,7 @@
 def _candidates(
     state: FleetState, wave: Wave, context: SelectionContext
 ) -> dict[str, list[Instance]]:
-    index = index_of(state)
+    index = get_budget_index(state)
     found: dict[str, list[Instance]] = defaultdict(list)
     for instance_id in index.instances_of(context.data_centre):
         if instance_id not in wave.pending or instance_id in context.excluded:
@@ -128,7 +129,7 @@
 def _available_claims(
     state: FleetState, pool: str, context: SelectionContext
 ) -> tuple[int, Budget | None]:
-    index = index_of(state)
+    index = get_budget_index(state)
     claimed = sum(1 for _ in claimed_in(state, pool, context.data_centre))
     concurrency_left = context.concurrency(pool) - claimed
     tightest = index.tightest(state, pool, context.data_centre)
