--- a/mustardward/components/dispatch/const.py
+++ b/mustardward/components/dispatch/const.py
@@ -19,8 +19,8 @@
 """Used where short tasks run, so that a lost answer delays them less."""
 
 SHORT_POLL_MS: Final = 300
-"""Used where load figures must be fresh: for workers that share capacity between
-latency-sensitive and backfill tasks, and during evacuations."""
+"""Used where the figures of tasks must be fresh: on workers with both serving and
+filling tasks, and during evacuations."""
 
 MIN_POLL_INTERVAL_SECONDS: Final = 0.07
 """Minimum time between two polls of a worker, so that runs that end close together are
--- a/mustardward/components/fleet/const.py
+++ b/mustardward/components/fleet/const.py
@@ -6,7 +6,7 @@
 
 TICK_SECONDS: Final = 0.1
 LIST_INTERVAL_SECONDS: Final = 2.0
-"""Poll interval of the instance list while no wave, move or loss is in progress."""
+"""Poll interval of the instance list without a wave, a move or a lost worker."""
 
 PROGRESS_LOG_SECONDS: Final = 1.0
 """Interval of the log lines with the progress of maintenance waves."""
@@ -15,7 +15,8 @@
 """Most instances that a progress line names of those that a wave still waits for."""
 
 ACTIVE_LIST_INTERVAL_SECONDS: Final = 0.4
-"""Poll interval of the instance list while instances are maintained, moved or lost."""
+"""Poll interval of the instance list while a wave is unfinished, a move is in progress
+or a worker is unresponsive."""
 
 MAINTENANCE_CYCLE_SECONDS: Final = 4.5
 """Typical time from choosing an instance until it is up again: draining, maintenance,
--- a/mustardward/components/jobs/task_eviction.py
+++ b/mustardward/components/jobs/task_eviction.py
@@ -1,4 +1,4 @@
-"""Evict a task from its worker by checkpoint, throttle or stop."""
+"""Evict a task from its worker by checkpoint, else by throttle, else by stop."""
 
 from __future__ import annotations
 
--- a/mustardward/components/ledger/models.py
+++ b/mustardward/components/ledger/models.py
@@ -136,6 +136,7 @@
     """Store the progress of a maintenance wave.
 
     :param machines: machines whose maintenance has begun.
+    :param done: whether the wave is complete.
     :param seen_at: wall clock at which an owner first saw it, in seconds, or 0.
     """
 
--- a/mustardward/components/maintenance/absence_reporter.py
+++ b/mustardward/components/maintenance/absence_reporter.py
@@ -169,7 +169,8 @@
             backoff.due = now + RETURN_BACKOFF_SECONDS
             return
         # The platform may report an instance as serving that no entry node can reach.
-        # The backoff keeps it from alternating between absent and returned in the log.
+        # It would alternate between absent and returned in the log for ever, so each
+        # return doubles the delay of the next one.
         backoff.seconds = min(backoff.seconds * 2, MAX_RETURN_BACKOFF_SECONDS)
         backoff.due = now + backoff.seconds
         changes.append(AbsenceChange(name, True, power.boot, absence.cause))
--- a/mustardward/components/ownership/const.py
+++ b/mustardward/components/ownership/const.py
@@ -43,7 +43,8 @@
 """A larger gap between two self-checks means that the process was paused."""
 
 JOB_RETENTION_MARGIN_SECONDS: Final = 60.0
-"""Added to the time for which a job's state must be readable."""
+"""Added to the time for which a job's state must be readable, before its records are
+removed."""
 
 JOB_CLEANUP_INTERVAL_SECONDS: Final = 5.0
 """Interval at which the records of expired jobs are removed."""
--- a/mustardward/components/routing/const.py
+++ b/mustardward/components/routing/const.py
@@ -49,7 +49,7 @@
 """Minimum failure share of an outlier."""
 
 OUTLIER_MARGIN: Final = 0.4
-"""Minimum distance of an outlier's failure share from the mean of its peers."""
+"""Minimum excess of an outlier's failure share over the mean of its trusted peers."""
 
 ABANDONED_RATIO: Final = 4.0
 """Duration from which an abandoned attempt counts as a failure of its worker.
--- a/mustardward/components/scheduling/advice.py
+++ b/mustardward/components/scheduling/advice.py
@@ -19,8 +19,8 @@
 ) -> bool:
     """Return whether advice allows any of the workers, requesting advice if needed.
 
-    A request is needed where no allowed worker can run a task and the last request did
-    not cover all workers.
+    A request is needed where no allowed worker can run a task, and no worker is allowed
+    or the last request did not cover all workers.
     """
     if now >= step.tickets_valid_until:
         step.tickets.clear()
--- a/mustardward/components/scheduling/const.py
+++ b/mustardward/components/scheduling/const.py
@@ -31,8 +31,8 @@
 """Worker crashes under a task after which its job is given up in any case."""
 
 CONCLUSIVE_CRASHES: Final = 3
-"""Worker crashes under a task after which its job is given up if no common cause and
-no coincidence explains them."""
+"""Worker crashes under a task after which its job is given up, unless the last one came
+together with many others or the task is long-running."""
 
 COMMON_CAUSE_SECONDS: Final = 0.5
 """Crashes within this time of each other may have a common cause, such as a rack
--- a/mustardward/components/scheduling/evacuation.py
+++ b/mustardward/components/scheduling/evacuation.py
@@ -18,8 +18,8 @@
     """Return whether a step's limit of missing tasks allows one more to be stopped.
 
     Every other task that is not known to be serving counts as missing, whatever the
-    cause, so that an evacuation never adds to a failure. A task that was not serving in
-    its worker's last report also counts, though it may serve by now.
+    cause, so that an evacuation never adds to a failure. The limit also holds for a
+    task that was not serving in its worker's last report, since it may serve by now.
     """
     others = (other for other in task.step.tasks if other is not task)
     missing = sum(not _is_surely_serving(other, now) for other in others)
--- a/mustardward/components/scheduling/worker_state.py
+++ b/mustardward/components/scheduling/worker_state.py
@@ -121,5 +121,5 @@
 
     @property
     def rack(self) -> str:
-        """Return the label of the rack, which is the last of a worker's labels."""
+        """Return the label of the rack, the last one; a worker names its kind first."""
         return self.labels[-1] if self.labels else ""
