--- a/mustardward/components/fleet/const.py
+++ b/mustardward/components/fleet/const.py
@@ -6,7 +6,7 @@
 
 TICK_SECONDS: Final = 0.1
 LIST_INTERVAL_SECONDS: Final = 2.0
-"""Poll interval of the instance list without a wave, a move or a lost worker."""
+"""Poll interval of the instance list unless ACTIVE_LIST_INTERVAL_SECONDS applies."""
 
 PROGRESS_LOG_SECONDS: Final = 1.0
 """Interval of the log lines with the progress of maintenance waves."""
