--- a/bench/history/removals.py
+++ b/bench/history/removals.py
@@ -34,12 +34,12 @@
 
 def remove_intent() -> None:
     """Let every keyed request be dispatched at once."""
-    from mustardward.components.retries.intents import LogIntentGate
+    from mustardward.components.retries.idempotency_guard import LogIdempotencyGuard
 
     async def async_open(self: Any, facts: Any) -> Any:
         return Success(None)
 
-    setattr(LogIntentGate, "async_open", async_open)  # noqa: B010
+    setattr(LogIdempotencyGuard, "async_open", async_open)  # noqa: B010
 
 
 def remove_budget_recheck() -> None:
@@ -48,9 +48,9 @@
     from mustardward.state.handlers import maintenance
 
     setattr(ClaimProcessor, "check_budget", lambda *arguments: None)  # noqa: B010
-    if not hasattr(maintenance, "check_held"):
+    if not hasattr(maintenance, "check_within_budgets"):
         raise AttributeError("the protection has another name now")
-    setattr(maintenance, "check_held", lambda *arguments: None)  # noqa: B010
+    setattr(maintenance, "check_within_budgets", lambda *arguments: None)  # noqa: B010
 
 
 def remove_attempt_id() -> None:
@@ -92,7 +92,7 @@
     from mustardward.components.routing.index import FleetIndex
 
     setattr(  # noqa: B010
-        MembershipService, "instance_may_get_work", lambda self, instance_id: True
+        MembershipService, "is_instance_eligible", lambda self, instance_id: True
     )
     setattr(FleetIndex, "_may_get_work", lambda self, instance_id: True)  # noqa: B010
 
--- a/mustardward/components/maintenance/absence_reporter.py
+++ b/mustardward/components/maintenance/absence_reporter.py
@@ -10,7 +10,7 @@
 from ...helpers.logging import get_logger
 from ...standin.protocol.models import InstancePower, PowerState
 from ...standin.protocol.protocols import ListingService
-from ...state.budgets import index_of
+from ...state.budgets import get_budget_index
 from ...state.handlers.absences import CAUSE_FAILED
 from ...state.instance_status import is_quarantine
 from ...state.models.maintenance import AbsenceChange, ReportAbsences
@@ -89,8 +89,8 @@
     def _suspects(self) -> set[str]:
         dependencies = self._dependencies
         state = dependencies.log.state
-        index = index_of(state)
-        suspected = dependencies.membership.instances_held_back() | self._unlisted
+        index = get_budget_index(state)
+        suspected = dependencies.membership.suspended_instances() | self._unlisted
         return {
             name
             for name in suspected
--- a/mustardward/components/maintenance/pool_prober.py
+++ b/mustardward/components/maintenance/pool_prober.py
@@ -18,7 +18,7 @@
 from ...helpers.logging import get_logger
 from ...helpers.rendezvous import rendezvous_owner
 from ...standin.protocol.protocols import WorkerService
-from ...state.budgets import index_of
+from ...state.budgets import get_budget_index
 from ...state.handlers.absences import CAUSE_FAILED
 from ...state.models.maintenance import AbsenceChange, ReportAbsences
 from ...state.models.pools import Instance
@@ -100,7 +100,7 @@
 
     def _available_instances(self, pool: str) -> list[Instance]:
         state = self._dependencies.log.state
-        index = index_of(state)
+        index = get_budget_index(state)
         return [
             state.instances[name]
             for name in index.instances_of(self._dependencies.data_centre)
@@ -111,7 +111,7 @@
         """Return one live entry node of each other data centre that the pool spans."""
         state = self._dependencies.log.state
         entries: list[Member] = []
-        for data_centre in index_of(state).data_centres(pool):
+        for data_centre in get_budget_index(state).data_centres(pool):
             if (
                 data_centre == self._dependencies.data_centre
                 or data_centre in state.silent
--- a/mustardward/components/maintenance/unreported_failures.py
+++ b/mustardward/components/maintenance/unreported_failures.py
@@ -4,7 +4,7 @@
 
 from collections import Counter
 
-from ...state.budgets import index_of
+from ...state.budgets import get_budget_index
 from ...state.fleet import FleetState
 from ..membership.protocols import Membership
 
@@ -17,9 +17,9 @@
     Failures reach the log seconds after their detection. A reboot that ignored them
     could hit the instance that took over the work of a failed one.
     """
-    index = index_of(state)
+    index = get_budget_index(state)
     found: Counter[str] = Counter()
-    for instance_id in membership.instances_held_back():
+    for instance_id in membership.suspended_instances():
         instance = state.instances.get(instance_id)
         if instance is None or instance.data_centre != data_centre:
             continue
--- a/mustardward/platform/callers.py
+++ b/mustardward/platform/callers.py
@@ -1,4 +1,4 @@
-"""Name what callers send, and decode and encode their bodies."""
+"""Define callers' headers and limits, and decode and encode their bodies."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 READINESS_PATH: Final = f"{ROOT}/readiness"
 HEADER_DEADLINE_MS: Final = "Mustardward-Deadline-Ms"
 HEADER_KEY: Final = "Authorization"
-MOST_KEY_LENGTH: Final = 256
-"""A longer text is no key; it is not even compared."""
-MOST_SPEC_BYTES: Final = 4000
-MOST_TASKS: Final = 100_000
-"""Most tasks of one step: each takes some 400 bytes in the owner's memory."""
+MAX_KEY_LENGTH: Final = 256
+"""Longer values are rejected without comparing them to any key."""
+MAX_SPEC_BYTES: Final = 4000
+MAX_TASKS: Final = 100_000
+"""Maximum tasks of a step; each takes about 400 bytes of the owner's memory."""
 
 STATE_QUEUED: Final = "queued"
 STATE_RUNNING: Final = "running"
@@ -32,29 +32,29 @@
 
 
 def is_job_id(text: str) -> bool:
-    """Return whether a path's last part can name a job."""
+    """Return whether a text has the format of a job id."""
     return _JOB_ID.fullmatch(text) is not None
 
 
 def decode_key(header: str) -> str:
-    """Return the key that a caller shows, or nothing if it shows none."""
+    """Return the API key in an Authorization header, or an empty string."""
     scheme, _, key = header.strip().partition(" ")
     key = key.strip()
-    if scheme.lower() != _KEY_SCHEME or len(key) > MOST_KEY_LENGTH:
+    if scheme.lower() != _KEY_SCHEME or len(key) > MAX_KEY_LENGTH:
         return ""
     return key
 
 
 def decode_job(body: bytes) -> SubmittedJob:
-    """Return a submitted job.
+    """Return the decoded and validated job.
 
-    :raises MalformedJobError: saying what is wrong with it.
+    :raises MalformedJobError: if it is malformed or exceeds a limit.
     """
     try:
         job = msgspec.json.decode(body, type=SubmittedJob)
     except msgspec.MsgspecError as error:
         raise MalformedJobError(str(error)) from error
-    if len(job.spec.encode()) > MOST_SPEC_BYTES:
+    if len(job.spec.encode()) > MAX_SPEC_BYTES:
         raise MalformedJobError("spec is too long")
     if not job.steps:
         raise MalformedJobError("steps is empty")
@@ -65,15 +65,15 @@
 
 
 def check_steps(steps: list[SubmittedStep]) -> None:
-    """Check that steps can be carried out.
+    """Check the count, dependencies and amounts of each step.
 
-    A negative processor share would give a worker more room than it has.
+    A negative CPU request would give a worker more capacity than it has.
 
-    :raises MalformedJobError: saying what is wrong with which step.
+    :raises MalformedJobError: if a step is invalid; names the step.
     """
     for number, step in enumerate(steps):
-        if not 1 <= step.count <= MOST_TASKS:
-            raise MalformedJobError(f"steps[{number}].count is not 1 to {MOST_TASKS}")
+        if not 1 <= step.count <= MAX_TASKS:
+            raise MalformedJobError(f"steps[{number}].count is not 1 to {MAX_TASKS}")
         if any(earlier < 0 or earlier >= number for earlier in step.after):
             raise MalformedJobError(f"steps[{number}].after names no earlier step")
         amounts = (step.cpu, step.mem_mb, step.gpu, step.max_per_server, step.may_miss)
@@ -86,15 +86,15 @@
 
 
 def encode_state(state: str) -> bytes:
-    """Return the body that tells a job's state."""
+    """Return the response body with a job's state."""
     return msgspec.json.encode({"state": state})
 
 
 def encode_pending(count: int) -> bytes:
-    """Return the body that tells how many jobs wait."""
+    """Return the response body with the number of pending jobs."""
     return msgspec.json.encode({"pending": count})
 
 
 def encode_error(code: str, detail: str) -> bytes:
-    """Return the body of a refusal."""
+    """Return the body of an error response."""
     return msgspec.json.encode({"error": code, "detail": detail})
--- a/tests/components/maintenance/test_wave_executor.py
+++ b/tests/components/maintenance/test_wave_executor.py
@@ -146,7 +146,7 @@
     harness.power.finish_reboots()
     while name in harness.driver.state.claims:
         await executor.async_step()
-    assert harness.membership.instance_may_get_work(name)
+    assert harness.membership.is_instance_eligible(name)
     await step_until(harness, executor, "rebooting")
     assert harness.causes("claim-given-back") == []
 
