--- a/tests/fakes/entry.py
+++ b/tests/fakes/entry.py
@@ -237,7 +237,7 @@
 
 
 @dataclass(slots=True)
-class SeenRequest:
+class ReceivedRequest:
     """Hold a request as a worker received it."""
 
     method: str
@@ -251,7 +251,7 @@
         return self.headers["mw-attempt-id"]
 
 
-Script = Callable[["SocketStream", SeenRequest], Awaitable[bool]]
+Script = Callable[["SocketStream", ReceivedRequest], Awaitable[bool]]
 """Responds to a request on its connection; a false result closes the connection."""
 
 
@@ -265,9 +265,9 @@
     ).encode() + body
 
 
-async def respond_ok(stream: SocketStream, seen: SeenRequest) -> bool:
+async def respond_ok(stream: SocketStream, request: ReceivedRequest) -> bool:
     """Respond with status 200 and keep the connection open."""
-    await stream.send(build_response(seen))
+    await stream.send(build_response(request))
     return True
 
 
@@ -299,7 +299,7 @@
         return await self.script(stream, request)
 
 
-async def async_read_request(stream: SocketStream) -> SeenRequest | None:
+async def async_read_request(stream: SocketStream) -> ReceivedRequest | None:
     """Return the next request on a connection, or None at its end."""
     connection = h11.Connection(h11.SERVER)
     head: h11.Request | None = None
