--- a/bench/history/removals.py
+++ b/bench/history/removals.py
@@ -98,19 +98,19 @@
 
 
 def remove_acknowledgement() -> None:
-    """Change an owner without waiting for what its entries still send there."""
+    """Transfer an instance without waiting for its entries' acknowledgements."""
     from mustardward.components.pools.acknowledge import Acknowledger
     from mustardward.components.pools.messages import Acknowledgement
     from mustardward.components.pools.services import MoveExecutor
 
     async def async_acknowledge(self: Any, message: Any) -> Any:
-        return Acknowledgement(self._parts.executor, True)
+        return Acknowledgement(self._dependencies.executor, True)
 
-    async def async_empty(self: Any, move: Any) -> bool:
+    async def async_drain(self: Any, move: Any) -> bool:
         return True
 
     setattr(Acknowledger, "async_acknowledge", async_acknowledge)  # noqa: B010
-    setattr(MoveExecutor, "_async_empty", async_empty)  # noqa: B010
+    setattr(MoveExecutor, "_async_drain", async_drain)  # noqa: B010
 
 
 def remove_drain() -> None:
--- a/mustardward/components/pools/__init__.py
+++ b/mustardward/components/pools/__init__.py
@@ -6,7 +6,7 @@
 
 
 async def async_setup(core: Core) -> Unload:
-    """Set the component up and return what undoes it."""
+    """Set the component up and return its unload callback."""
     from .setup import async_setup_pools
 
     return await async_setup_pools(core)
--- a/mustardward/components/pools/api.py
+++ b/mustardward/components/pools/api.py
@@ -1,4 +1,4 @@
-"""Let operators look at pools and move instances between them."""
+"""Provide the operators' routes for pools and for moves between them."""
 
 from __future__ import annotations
 
@@ -28,7 +28,8 @@
 class EntriesUnknownError(MustardwardError):
     """Report that no entry of the instance's data centre is known here.
 
-    Without their names nobody could tell who still has to give the instance up.
+    A move names the entries that have to acknowledge it; without their names it could
+    be completed while an entry still sends work to the instance.
     """
 
     code = "entries-unknown"
@@ -57,7 +58,7 @@
 async def async_list(request: ApiRequest) -> ApiAnswer:
     """Return how many instances each pool has, and how many are available."""
     state = request.core.get(FLEET_LOG).state
-    return ApiAnswer([_line(state, name) for name in sorted(state.pools)])
+    return ApiAnswer([_describe_pool(state, name) for name in sorted(state.pools)])
 
 
 @api_route("GET", "/pools/{name}", "Show a pool")
@@ -82,37 +83,38 @@
         for item in index.budgets(state, name, scope)
     ]
     instances = [
-        _instance(state, item)
+        _describe_instance(state, item)
         for _, item in sorted(state.instances.items())
         if item.pool == name and not item.removed
     ]
     moves = [
-        _move(item)
+        _describe_move(item)
         for item in state.moves.values()
         if name in (item.source, item.target)
     ]
     details = {"instances": instances, "moves": moves, "budgets": budgets}
-    return ApiAnswer({**_line(state, name), **details})
+    return ApiAnswer({**_describe_pool(state, name), **details})
 
 
 @api_route("GET", "/moves", "List the moves in progress")
 async def async_moves(request: ApiRequest) -> ApiAnswer:
-    """Return each move and the entries that it waits for."""
+    """Return each move and the entries whose acknowledgement is missing."""
     state = request.core.get(FLEET_LOG).state
-    return ApiAnswer([_move(move) for _, move in sorted(state.moves.items())])
+    return ApiAnswer([_describe_move(move) for _, move in sorted(state.moves.items())])
 
 
 @api_route("POST", "/moves", "Move an instance to another pool", MoveModel)
 async def async_move(request: ApiRequest) -> ApiAnswer:
-    """Propose a move; every entry of the instance's data centre has to give it up."""
+    """Propose a move, which every entry of the data centre has to acknowledge."""
     model: MoveModel = request.model
     instance = request.core.get(FLEET_LOG).state.instances.get(model.instance_id)
     if instance is None:
         raise PoolUnknownError(f"instance={model.instance_id}")
-    look = request.core.find(POOL_PROBER)
-    if look is not None:
-        # A move takes an instance out as a wave does; see maintenance/pool_prober.py.
-        await look.async_probe(instance.pool)
+    prober = request.core.find(POOL_PROBER)
+    if prober is not None:
+        # A move makes an instance unavailable as a maintenance wave does, so the pool
+        # is probed first; see maintenance/pool_prober.py.
+        await prober.async_probe(instance.pool)
     members = request.core.get(MEMBERSHIP).members(instance.data_centre)
     if not members:
         raise EntriesUnknownError(f"data_centre={instance.data_centre}")
@@ -131,7 +133,7 @@
 
 @api_route("POST", "/moves/{move_id}/cancel", "Cancel a move", CancelModel)
 async def async_cancel(request: ApiRequest) -> ApiAnswer:
-    """Propose that the instance stays where it is."""
+    """Propose to cancel a move; the instance stays in its pool."""
     move_id = request.path["move_id"]
     record_id = request.model.record_id or uuid4().hex
     return await _async_propose(request, CancelMove(move_id), NO_BASE, record_id)
@@ -150,7 +152,7 @@
     )
 
 
-def _line(state: FleetState, name: str) -> dict[str, Any]:
+def _describe_pool(state: FleetState, name: str) -> dict[str, Any]:
     count = get_budget_index(state).count(state, name, "fleet")
     return {
         "pool": name,
@@ -160,7 +162,7 @@
     }
 
 
-def _instance(state: FleetState, item: Instance) -> dict[str, Any]:
+def _describe_instance(state: FleetState, item: Instance) -> dict[str, Any]:
     claim = state.claims.get(item.instance_id)
     absence = state.absences.get(item.instance_id)
     return {
@@ -174,7 +176,7 @@
     }
 
 
-def _move(move: Move) -> dict[str, Any]:
+def _describe_move(move: Move) -> dict[str, Any]:
     return {
         "move": move.move_id,
         "instance": move.instance_id,
--- a/mustardward/components/pools/const.py
+++ b/mustardward/components/pools/const.py
@@ -1,11 +1,11 @@
-"""Hold the constants of moves between pools."""
+"""Define the constants of moves between pools."""
 
 from __future__ import annotations
 
 from typing import Final
 
-STEP_SECONDS: Final = 0.5
-"""Time between two looks at the moves in progress."""
+STEP_INTERVAL_SECONDS: Final = 0.5
+"""Interval at which the moves in progress are advanced."""
 
-ASK_TIMEOUT_SECONDS: Final = 1.0
-"""Longest wait for an entry's acknowledgement; it is asked again."""
+ACKNOWLEDGEMENT_TIMEOUT_SECONDS: Final = 1.0
+"""Timeout of a request for an acknowledgement, which the next step repeats."""
--- a/mustardward/components/pools/messages.py
+++ b/mustardward/components/pools/messages.py
@@ -1,4 +1,4 @@
-"""Define how entries tell each other that they gave an instance up."""
+"""Define the messages by which entries acknowledge a move."""
 
 from __future__ import annotations
 
@@ -9,9 +9,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Acknowledgement:
-    """Reply whether an entry gave an instance up, and why not yet.
+    """Reply whether an entry has stopped using an instance, and if not, why.
 
-    ``entry`` names the process and its start: a process started later is another one.
+    ``entry`` names the process and its start time, so that a process restarted under
+    the same name counts as another one.
     """
 
     entry: str
@@ -21,8 +22,8 @@
 
 @peer_message("pools.acknowledge", Acknowledgement)
 @dataclass(frozen=True, slots=True)
-class AskAcknowledgement:
-    """Ask an entry whether it has given an instance up for a move."""
+class AcknowledgementRequest:
+    """Ask an entry whether it has stopped using an instance that is being moved."""
 
     move_id: str
     instance_id: str
--- a/mustardward/components/pools/services.py
+++ b/mustardward/components/pools/services.py
@@ -1,4 +1,4 @@
-"""Carry out moves: ask every entry, empty the worker, change the owner once."""
+"""Carry out moves: collect acknowledgements, drain the worker, transfer it once."""
 
 from __future__ import annotations
 
@@ -19,192 +19,208 @@
 from ..membership.models import Member
 from ..peers.protocols import Peers
 from .acknowledge import Acknowledger
-from .const import ASK_TIMEOUT_SECONDS
-from .messages import Acknowledgement, AskAcknowledgement
+from .const import ACKNOWLEDGEMENT_TIMEOUT_SECONDS
+from .messages import Acknowledgement, AcknowledgementRequest
 
 _LOGGER = get_logger(__name__)
 
 
 @dataclass(slots=True, eq=False)
 class _Progress:
-    """Hold what this process saw of a move.
+    """Hold what this process has observed of a move.
 
-    ``given_up`` names the entries that gave the instance up, also such as joined after
-    the request; ``emptied`` tells that the worker was then seen empty, and
-    ``refused_at`` how far the log was when the transfer was refused.
+    ``acknowledged`` names the entries that have stopped using the instance, including
+    entries that joined after the request. ``drained`` is set once the worker was empty
+    after that. ``refused_offset`` is the log offset at which the transfer was refused.
     """
 
-    number: int
-    given_up: set[str] = field(default_factory=set)
-    emptied: bool = False
-    refused_at: int = -1
+    sequence: int
+    acknowledged: set[str] = field(default_factory=set)
+    drained: bool = False
+    refused_offset: int = -1
 
 
 class MoveExecutor:
-    """Carry out the moves of one data centre, as far as this process has the duty.
+    """Carry out the moves of one data centre whose duty this process owns.
 
-    Only acknowledgements of single processes count. One that cannot be reached blocks
-    the move, never the serving, until it is proven to have ended.
+    Each entry process has to acknowledge for itself. One that is unreachable blocks
+    the move, but no requests, until it has verifiably ended.
     """
 
     def __init__(
         self,
-        parts: ExecutorDependencies,
+        dependencies: ExecutorDependencies,
         peers: Peers | None,
         acknowledger: Acknowledger,
     ) -> None:
-        self._parts = parts
+        self._dependencies = dependencies
         self._peers = peers
         self._acknowledger = acknowledger
-        self._journal = DecisionJournal(parts.events, parts.log)
+        self._journal = DecisionJournal(dependencies.events, dependencies.log)
         self._progress: dict[str, _Progress] = {}
-        self._numbers = count(1)
+        self._sequences = count(1)
 
     async def async_step(self) -> None:
-        """Take each move of this process's duty a step further."""
-        if not self._parts.may_start():
+        """Advance each move whose duty this process owns by one step."""
+        if not self._dependencies.may_start():
             return
-        moves = self._duties()
+        moves = self._get_owned_moves()
         self._progress = {
             move.move_id: self._progress.get(move.move_id)
-            or _Progress(next(self._numbers))
+            or _Progress(next(self._sequences))
             for move in moves
         }
         async with anyio.create_task_group() as group:
             for move in moves:
                 group.start_soon(self._async_step_move, move)
 
-    def _duties(self) -> list[Move]:
-        state = self._parts.log.state
+    def _get_owned_moves(self) -> list[Move]:
+        state = self._dependencies.log.state
         return [
             move
             for move in list(state.moves.values())
-            if state.instances[move.instance_id].data_centre == self._parts.data_centre
-            and self._parts.membership.owns_duty(f"move:{move.move_id}")
+            if state.instances[move.instance_id].data_centre
+            == self._dependencies.data_centre
+            and self._dependencies.membership.owns_duty(f"move:{move.move_id}")
         ]
 
     async def _async_step_move(self, move: Move) -> None:
         try:
-            await self._async_gather(move)
-            if self._missing(move):
-                self._note_blocked(move)
-            elif await self._async_empty(move):
+            await self._async_collect_acknowledgements(move)
+            if self._get_missing_acknowledgements(move):
+                self._record_blocked(move)
+            elif await self._async_drain(move):
                 await self._async_transfer(move)
         except PlatformError as error:
             _LOGGER.warning("move_postponed", move=move.move_id, cause=error.code)
 
-    async def _async_gather(self, move: Move) -> None:
-        """Ask every entry that is not gone, and fold what they answered."""
-        given_up = self._progress[move.move_id].given_up
+    async def _async_collect_acknowledgements(self, move: Move) -> None:
+        """Ask all entries for acknowledgement and record the result in the log."""
+        acknowledged = self._progress[move.move_id].acknowledged
         async with anyio.create_task_group() as group:
-            for member in self._members():
-                if executor_name(member) not in given_up:
-                    group.start_soon(self._async_ask, move, member)
+            for member in self._get_members():
+                if executor_name(member) not in acknowledged:
+                    group.start_soon(self._async_request_acknowledgement, move, member)
         waiting = move.expected - move.acknowledged
-        entries = tuple(sorted(waiting & given_up))
-        gone = tuple(sorted(name for name in waiting - given_up if self._gone(name)))
+        entries = tuple(sorted(waiting & acknowledged))
+        gone = tuple(
+            sorted(name for name in waiting - acknowledged if self._is_gone(name))
+        )
         if entries or gone:
-            await self._parts.log.async_propose(
+            await self._dependencies.log.async_propose(
                 AcknowledgeMove(move.move_id, entries, gone),
-                actor=self._parts.executor,
+                actor=self._dependencies.executor,
             )
 
-    def _members(self) -> tuple[Member, ...]:
-        return self._parts.membership.members(self._parts.data_centre)
+    def _get_members(self) -> tuple[Member, ...]:
+        return self._dependencies.membership.members(self._dependencies.data_centre)
 
-    def _gone(self, name: str) -> bool:
+    def _is_gone(self, name: str) -> bool:
         entry, _, start = name.rpartition("#")
-        return start.isdigit() and self._parts.membership.is_gone(entry, int(start))
+        return start.isdigit() and self._dependencies.membership.is_gone(
+            entry, int(start)
+        )
 
-    async def _async_ask(self, move: Move, member: Member) -> None:
-        question = AskAcknowledgement(move.move_id, move.instance_id)
+    async def _async_request_acknowledgement(self, move: Move, member: Member) -> None:
+        request = AcknowledgementRequest(move.move_id, move.instance_id)
         try:
-            answer = await self._async_call(member, question)
+            reply = await self._async_call(member, request)
         except PeerError as error:
-            _LOGGER.debug("move_ask_failed", entry=member.name, cause=error.code)
+            _LOGGER.debug(
+                "move_acknowledgement_failed", entry=member.name, cause=error.code
+            )
             return
-        # Another process under the same name may answer; it speaks for itself alone.
-        if answer is not None and answer.given_up:
-            self._progress[move.move_id].given_up.add(answer.entry)
+        # A process restarted under the same name may reply; it acknowledges for itself
+        # alone, so the name in its reply counts.
+        if reply is not None and reply.given_up:
+            self._progress[move.move_id].acknowledged.add(reply.entry)
 
     async def _async_call(
-        self, member: Member, question: AskAcknowledgement
+        self, member: Member, request: AcknowledgementRequest
     ) -> Acknowledgement | None:
-        if member.name == self._parts.membership.own.name:
-            return await self._acknowledger.async_acknowledge(question)
+        if member.name == self._dependencies.membership.own.name:
+            return await self._acknowledger.async_acknowledge(request)
         if self._peers is None:
             return None
-        answer: Acknowledgement = await self._peers.async_call(
-            member, question, ASK_TIMEOUT_SECONDS
+        reply: Acknowledgement = await self._peers.async_call(
+            member, request, ACKNOWLEDGEMENT_TIMEOUT_SECONDS
         )
-        return answer
+        return reply
 
-    def _missing(self, move: Move) -> list[str]:
-        """Return who may still send work there.
+    def _get_missing_acknowledgements(self, move: Move) -> list[str]:
+        """Return the entries that may still send work to the instance.
 
-        An entry that joined after the request is not named in the record, and may
-        have begun from a state that knew nothing of the move.
+        These include entries that joined after the request: the record does not name
+        them, and they may have started from a snapshot older than the move.
         """
-        given_up = self._progress[move.move_id].given_up
-        joined = {executor_name(member) for member in self._members()} - given_up
+        acknowledged = self._progress[move.move_id].acknowledged
+        joined = {
+            executor_name(member) for member in self._get_members()
+        } - acknowledged
         return sorted((move.expected - move.acknowledged) | joined)
 
-    async def _async_empty(self, move: Move) -> bool:
-        """Wait until nothing runs on the worker, then let it serve again.
+    async def _async_drain(self, move: Move) -> bool:
+        """Drain the worker, return it to service, and tell whether both are done.
 
-        No entry chooses it while the move stands, so it stays empty until the owner
-        has changed; returned before that, it is not left drained if this process dies.
+        No entry selects the worker while the move is in progress, so it stays empty
+        until the transfer. It is returned to service before that, so that it isn't
+        left drained if this process ends.
         """
         progress = self._progress[move.move_id]
-        power = await self._parts.power.async_get(move.instance_id)
+        power = await self._dependencies.power.async_get(move.instance_id)
         if power.state is PowerState.SERVING:
-            if progress.emptied:
+            if progress.drained:
                 return True
-            await self._parts.power.async_drain(
-                move.instance_id, self._operation(move, "drain"), move.requested
+            await self._dependencies.power.async_drain(
+                move.instance_id,
+                self._build_operation_id(move, "drain"),
+                move.requested,
             )
             return False
         if power.state is not PowerState.DRAINED or power.running > 0:
             return False
-        if not await self._parts.vacate(move.instance_id):
+        if not await self._dependencies.vacate(move.instance_id):
             return False
-        progress.emptied = True
-        power = await self._parts.power.async_return(
-            move.instance_id, self._operation(move, "return"), move.requested
+        progress.drained = True
+        power = await self._dependencies.power.async_return(
+            move.instance_id, self._build_operation_id(move, "return"), move.requested
         )
         return power.state is PowerState.SERVING
 
-    def _operation(self, move: Move, action: str) -> str:
-        # Another executor may have drained and returned the instance before it died;
-        # under its name the platform would take a second drain for done.
-        number = self._progress[move.move_id].number
-        return f"move.{move.move_id}.{self._parts.executor}.{number}.{action}"
+    def _build_operation_id(self, move: Move, action: str) -> str:
+        # A previous executor may have drained and returned the instance before it
+        # ended. The platform would take a second drain under the same id for a
+        # repetition that is already done, so the id names the executor too.
+        sequence = self._progress[move.move_id].sequence
+        return f"move.{move.move_id}.{self._dependencies.executor}.{sequence}.{action}"
 
     async def _async_transfer(self, move: Move) -> None:
-        log = self._parts.log
+        log = self._dependencies.log
         if not await log.async_confirm_tail(CONFIRM_TIMEOUT_SECONDS):
             return
-        held = log.state.moves.get(move.instance_id)
-        if held is None or held.move_id != move.move_id or not log.may_decide:
+        current = log.state.moves.get(move.instance_id)
+        if current is None or current.move_id != move.move_id or not log.may_decide:
             return
         progress = self._progress[move.move_id]
-        if progress.refused_at == log.next_offset:
-            # Nothing was folded since the refusal, so the answer would be the same.
+        if progress.refused_offset == log.next_offset:
+            # The log has not advanced since the refusal; it would be refused again.
             return
         result = await log.async_propose(
-            TransferInstance(move.move_id), actor=self._parts.executor
+            TransferInstance(move.move_id), actor=self._dependencies.executor
         )
         if isinstance(result, Failure):
-            progress.refused_at = log.next_offset
-            self._note(move, "move-refused", result.failure().code)
+            progress.refused_offset = log.next_offset
+            self._record_decision(move, "move-refused", result.failure().code)
             return
-        self._note(move, "instance-moved", "acknowledged-and-empty")
+        self._record_decision(move, "instance-moved", "acknowledged-and-empty")
 
-    def _note_blocked(self, move: Move) -> None:
-        waiting = ",".join(self._missing(move))
-        self._note(move, "move-waiting", "entries-not-acknowledged", waiting)
+    def _record_blocked(self, move: Move) -> None:
+        waiting = ",".join(self._get_missing_acknowledgements(move))
+        self._record_decision(move, "move-waiting", "entries-not-acknowledged", waiting)
 
-    def _note(self, move: Move, decision: str, cause: str, waiting: str = "") -> None:
+    def _record_decision(
+        self, move: Move, decision: str, cause: str, waiting: str = ""
+    ) -> None:
         self._journal.record(
             SubjectKind.INSTANCE,
             move.instance_id,
--- a/tests/components/pools/test_moves.py
+++ b/tests/components/pools/test_moves.py
@@ -1,4 +1,4 @@
-"""Move instances between pools against paused, cut-off and new entries."""
+"""Test moves between pools with paused, unreachable and newly joined entries."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class FakePeers:
-    """Reach the acknowledgers of other entries, unless they are cut off or paused."""
+    """Call the acknowledgers of other entries, unless they are unreachable."""
 
     def __init__(self) -> None:
         self.entries: dict[str, Acknowledger] = {}
@@ -45,190 +45,191 @@
         raise NotImplementedError
 
 
-class Moves:
-    """Hold a data centre of three entries and one fleet."""
+class MoveHarness:
+    """Provide a data centre with three entries and a move executor."""
 
     def __init__(self) -> None:
-        self.site = MaintenanceHarness(size=8)
-        self.site.driver.state.pools["casting"] = Pool("casting", 1)
+        self.maintenance = MaintenanceHarness(size=8)
+        self.maintenance.driver.state.pools["casting"] = Pool("casting", 1)
         self.peers = FakePeers()
         self.in_flight: dict[str, int] = {}
         for name in ("entry-2", "entry-3"):
             self.join(name)
-        self.executor = self.make_executor()
+        self.executor = self.build_executor()
 
     def join(self, name: str) -> None:
-        """Let an entry join."""
-        self.site.membership.others.append(build_member(name))
-        self.peers.entries[name] = self.acknowledger(name)
+        """Add an entry to the data centre."""
+        self.maintenance.membership.others.append(build_member(name))
+        self.peers.entries[name] = self.build_acknowledger(name)
 
-    def acknowledger(self, name: str) -> Acknowledger:
-        parts = self.site.dependencies(name)
-        return Acknowledger(parts, lambda _: self.in_flight.get(name, 0))
+    def build_acknowledger(self, name: str) -> Acknowledger:
+        dependencies = self.maintenance.dependencies(name)
+        return Acknowledger(dependencies, lambda _: self.in_flight.get(name, 0))
 
-    def make_executor(self) -> MoveExecutor:
-        own = executor_name(self.site.membership.own)
-        parts = replace(self.site.dependencies(), executor=own)
-        return MoveExecutor(parts, self.peers, Acknowledger(parts, lambda _: 0))
+    def build_executor(self) -> MoveExecutor:
+        own = executor_name(self.maintenance.membership.own)
+        dependencies = replace(self.maintenance.dependencies(), executor=own)
+        return MoveExecutor(
+            dependencies, self.peers, Acknowledger(dependencies, lambda _: 0)
+        )
 
     def restart(self) -> None:
-        """Replace the process that carries the move out."""
-        self.site.membership.gone.add(("entry-1", 0))
-        self.site.membership.restart()
-        self.executor = self.make_executor()
+        """Replace the process that carries out the move by a restarted one."""
+        self.maintenance.membership.gone.add(("entry-1", 0))
+        self.maintenance.membership.restart()
+        self.executor = self.build_executor()
 
     def request(self, move_id: str = "m1", target: str = "casting") -> Any:
-        """Request a move as the interface does; return the outcome."""
-        members = self.site.membership.members("dc1")
+        """Request a move as the API does and return the result."""
+        members = self.maintenance.membership.members("dc1")
         expected = tuple(executor_name(member) for member in members)
-        generation = self.site.driver.state.instances[FIRST].generation
+        generation = self.maintenance.driver.state.instances[FIRST].generation
         body = RequestMove(move_id, FIRST, target, expected)
-        return self.site.driver.apply(body, generation).result
+        return self.maintenance.driver.apply(body, generation).result
 
     @property
     def pool(self) -> str:
-        return self.site.driver.state.instances[FIRST].pool
+        return self.maintenance.driver.state.instances[FIRST].pool
 
-    async def steps(self, number: int = 6) -> None:
-        for _ in range(number):
+    async def async_steps(self, count: int = 6) -> None:
+        for _ in range(count):
             await self.executor.async_step()
 
 
-async def test_a_move_asks_every_entry_and_changes_the_owner_once() -> None:
-    moves = Moves()
-    before = moves.site.driver.state.instances[FIRST].generation
-    moves.request().unwrap()
-    await moves.steps()
-    instance = moves.site.driver.state.instances[FIRST]
+async def test_move_asks_every_entry_and_transfers_once() -> None:
+    harness = MoveHarness()
+    before = harness.maintenance.driver.state.instances[FIRST].generation
+    harness.request().unwrap()
+    await harness.async_steps()
+    instance = harness.maintenance.driver.state.instances[FIRST]
     assert (instance.pool, instance.generation > before) == ("casting", True)
-    assert moves.site.driver.state.moves == {}
-    assert moves.site.power.held[FIRST].state is PowerState.SERVING
+    assert harness.maintenance.driver.state.moves == {}
+    assert harness.maintenance.power.held[FIRST].state is PowerState.SERVING
 
 
-async def test_an_entry_paused_in_the_middle_blocks_the_move_until_it_wakes() -> None:
-    """Wait for an entry that holds a request in its hands while it is paused.
+async def test_paused_entry_blocks_the_move_until_it_resumes() -> None:
+    """Guard against a request of one pool that runs on another pool's worker.
 
-    Symptom: a request of one pool runs on a worker that another pool owns.
-    Sequence: an entry chooses the worker and pauses for a minute; the move goes on
-    without it; it wakes and sends. Cause: silence was taken for consent.
+    An entry selects the worker and is paused for a minute with the request unsent. If
+    its missing reply counts as an acknowledgement, the move completes, and the entry
+    sends the request when it resumes.
     """
-    moves = Moves()
-    moves.request().unwrap()
-    moves.in_flight["entry-2"] = 1
-    moves.peers.unreachable.add("entry-2")
+    harness = MoveHarness()
+    harness.request().unwrap()
+    harness.in_flight["entry-2"] = 1
+    harness.peers.unreachable.add("entry-2")
     for _ in range(60):
-        await moves.executor.async_step()
-        moves.site.timers.pause(1.0)
-    assert moves.pool == "etching"
-    moves.peers.unreachable.clear()
-    await moves.steps()
-    assert moves.pool == "etching"
-    moves.in_flight.clear()
-    await moves.steps()
-    assert moves.pool == "casting"
-
-
-async def test_an_entry_cut_off_blocks_until_it_is_proven_gone() -> None:
-    moves = Moves()
-    moves.request().unwrap()
-    moves.peers.unreachable.add("entry-3")
-    member = moves.site.membership.others[-1]
+        await harness.executor.async_step()
+        harness.maintenance.timers.pause(1.0)
+    assert harness.pool == "etching"
+    harness.peers.unreachable.clear()
+    await harness.async_steps()
+    assert harness.pool == "etching"
+    harness.in_flight.clear()
+    await harness.async_steps()
+    assert harness.pool == "casting"
+
+
+async def test_unreachable_entry_blocks_until_it_has_verifiably_ended() -> None:
+    harness = MoveHarness()
+    harness.request().unwrap()
+    harness.peers.unreachable.add("entry-3")
+    member = harness.maintenance.membership.others[-1]
     suspect = build_member(member.name, status=MemberStatus.SUSPECT)
-    moves.site.membership.others[-1] = suspect
-    await moves.steps(20)
-    assert moves.pool == "etching"
-    waiting = [d for d in moves.site.decisions if d.decision == "move-waiting"]
+    harness.maintenance.membership.others[-1] = suspect
+    await harness.async_steps(20)
+    assert harness.pool == "etching"
+    waiting = [d for d in harness.maintenance.decisions if d.decision == "move-waiting"]
     assert "waiting=entry-3#1" in waiting[-1].inputs
-    moves.site.membership.others.pop()
-    moves.site.membership.gone.add(("entry-3", 1))
-    await moves.steps()
-    assert moves.pool == "casting"
+    harness.maintenance.membership.others.pop()
+    harness.maintenance.membership.gone.add(("entry-3", 1))
+    await harness.async_steps()
+    assert harness.pool == "casting"
 
 
-async def test_an_entry_that_joined_after_the_request_is_asked_too() -> None:
-    """Ask a newcomer, whose state may be older than the move.
+async def test_entry_that_joined_after_the_request_is_asked_too() -> None:
+    """Guard against a new entry that sends a pool's work to a worker moved away.
 
-    Symptom: a fresh entry sends a pool's work to a worker that just left it.
-    Sequence: the move is requested; an entry starts from an older snapshot; all that
-    the record names acknowledge; the transfer is folded before the newcomer is there.
-    Cause: only entries named in the record counted.
+    After the request an entry starts from a snapshot older than the move. If only the
+    entries named in the record are asked, they acknowledge and the transfer is applied
+    before the new entry has caught up.
     """
-    moves = Moves()
-    moves.request().unwrap()
-    moves.join("entry-4")
-    moves.peers.unreachable.add("entry-4")
-    await moves.steps(10)
-    assert moves.pool == "etching"
-    moves.peers.unreachable.clear()
-    await moves.steps()
-    assert moves.pool == "casting"
-
-
-async def test_running_work_and_leases_hold_the_transfer_up() -> None:
-    moves = Moves()
-    moves.request().unwrap()
-    moves.site.busy.add(FIRST)
-    await moves.steps(10)
-    assert moves.pool == "etching"
-    moves.site.busy.clear()
-    moves.site.power.put(FIRST, running=2)
-    await moves.steps(10)
-    assert moves.pool == "etching"
-    moves.site.power.put(FIRST, running=0)
-    await moves.steps()
-    assert moves.pool == "casting"
-
-
-async def test_two_operators_move_one_instance_once() -> None:
-    moves = Moves()
-    generation = moves.site.driver.state.instances[FIRST].generation
-    moves.request("m1").unwrap()
-    assert isinstance(moves.request("m2").failure(), MoveInProgressError)
-    await moves.steps()
+    harness = MoveHarness()
+    harness.request().unwrap()
+    harness.join("entry-4")
+    harness.peers.unreachable.add("entry-4")
+    await harness.async_steps(10)
+    assert harness.pool == "etching"
+    harness.peers.unreachable.clear()
+    await harness.async_steps()
+    assert harness.pool == "casting"
+
+
+async def test_running_work_and_leases_delay_the_transfer() -> None:
+    harness = MoveHarness()
+    harness.request().unwrap()
+    harness.maintenance.busy.add(FIRST)
+    await harness.async_steps(10)
+    assert harness.pool == "etching"
+    harness.maintenance.busy.clear()
+    harness.maintenance.power.put(FIRST, running=2)
+    await harness.async_steps(10)
+    assert harness.pool == "etching"
+    harness.maintenance.power.put(FIRST, running=0)
+    await harness.async_steps()
+    assert harness.pool == "casting"
+
+
+async def test_concurrent_moves_of_one_instance_are_refused() -> None:
+    harness = MoveHarness()
+    generation = harness.maintenance.driver.state.instances[FIRST].generation
+    harness.request("m1").unwrap()
+    assert isinstance(harness.request("m2").failure(), MoveInProgressError)
+    await harness.async_steps()
     late = RequestMove("m3", FIRST, "etching", ())
-    refused = moves.site.driver.apply(late, generation).result.failure()
+    refused = harness.maintenance.driver.apply(late, generation).result.failure()
     assert isinstance(refused, RevisionConflictError)
-    assert moves.pool == "casting"
+    assert harness.pool == "casting"
 
 
-async def test_a_cancelled_move_leaves_the_instance_with_its_pool() -> None:
-    moves = Moves()
-    moves.request().unwrap()
-    moves.peers.unreachable.add("entry-2")
-    await moves.steps()
-    moves.site.driver.accept(CancelMove("m1"))
-    moves.peers.unreachable.clear()
-    await moves.steps()
-    assert moves.pool == "etching"
-    moves.site.driver.run_wave()
-    moves.site.driver.accept(TakeClaim("w1", FIRST, "entry-1#1", 1))
+async def test_cancelled_move_leaves_the_instance_in_its_pool() -> None:
+    harness = MoveHarness()
+    harness.request().unwrap()
+    harness.peers.unreachable.add("entry-2")
+    await harness.async_steps()
+    harness.maintenance.driver.accept(CancelMove("m1"))
+    harness.peers.unreachable.clear()
+    await harness.async_steps()
+    assert harness.pool == "etching"
+    harness.maintenance.driver.run_wave()
+    harness.maintenance.driver.accept(TakeClaim("w1", FIRST, "entry-1#1", 1))
 
 
-async def test_an_executor_that_dies_after_the_return_is_followed_by_another() -> None:
-    """Drain anew under another name when the first executor is no more.
+async def test_new_executor_drains_again_after_its_predecessor_ended() -> None:
+    """Guard against a move that never ends.
 
-    Symptom: a move never ends. Sequence: the executor drains, sees the worker empty,
-    returns it and dies before the transfer; its follower drains under the same
-    operation id, which the platform takes for done. Cause: the id was the move's alone.
+    The executor drains the worker, returns it to service and ends before the transfer.
+    If the operation id names the move alone, the platform takes the next executor's
+    drain for a repetition that is already done.
     """
-    moves = Moves()
-    moves.request().unwrap()
-    await moves.steps(1)
-    moves.site.log.out = True
-    await moves.steps(3)
-    assert moves.site.power.count("return") == 1
-    assert moves.pool == "etching"
-    moves.site.log.out = False
-    moves.restart()
-    await moves.steps(8)
-    assert moves.site.power.count("drain") == 2
-    assert moves.pool == "casting"
-
-
-async def test_without_the_tail_no_move_goes_on() -> None:
-    moves = Moves()
-    moves.request().unwrap()
-    moves.site.log.tail_age = 60.0
-    await moves.steps()
-    assert moves.site.power.count("drain") == 0
-    assert moves.pool == "etching"
+    harness = MoveHarness()
+    harness.request().unwrap()
+    await harness.async_steps(1)
+    harness.maintenance.log.out = True
+    await harness.async_steps(3)
+    assert harness.maintenance.power.count("return") == 1
+    assert harness.pool == "etching"
+    harness.maintenance.log.out = False
+    harness.restart()
+    await harness.async_steps(8)
+    assert harness.maintenance.power.count("drain") == 2
+    assert harness.pool == "casting"
+
+
+async def test_no_move_advances_without_a_confirmed_log_tail() -> None:
+    harness = MoveHarness()
+    harness.request().unwrap()
+    harness.maintenance.log.tail_age = 60.0
+    await harness.async_steps()
+    assert harness.maintenance.power.count("drain") == 0
+    assert harness.pool == "etching"
