--- a/mustardward/components/maintenance/absence_reporter.py
+++ b/mustardward/components/maintenance/absence_reporter.py
@@ -10,7 +10,7 @@
 from ...helpers.logging import get_logger
 from ...standin.protocol.models import InstancePower, PowerState
 from ...standin.protocol.protocols import ListingService
-from ...state.budgets import index_of
+from ...state.budgets import get_budget_index
 from ...state.handlers.absences import CAUSE_FAILED
 from ...state.instance_status import is_quarantine
 from ...state.models.maintenance import AbsenceChange, ReportAbsences
@@ -89,7 +89,7 @@
     def _suspects(self) -> set[str]:
         dependencies = self._dependencies
         state = dependencies.log.state
-        index = index_of(state)
+        index = get_budget_index(state)
         suspected = dependencies.membership.suspended_instances() | self._unlisted
         return {
             name
@@ -169,7 +169,8 @@
             backoff.due = now + RETURN_BACKOFF_SECONDS
             return
         # The platform may report an instance as serving that no entry node can reach.
-        # The backoff keeps it from alternating between absent and returned in the log.
+        # It would alternate between absent and returned in the log for ever, so each
+        # return doubles the delay of the next one.
         backoff.seconds = min(backoff.seconds * 2, MAX_RETURN_BACKOFF_SECONDS)
         backoff.due = now + backoff.seconds
         changes.append(AbsenceChange(name, True, power.boot, absence.cause))
--- a/mustardward/state/handlers/maintenance.py
+++ b/mustardward/state/handlers/maintenance.py
@@ -1,7 +1,7 @@
-"""Fold claims on instances; importing this module files all maintenance handlers.
+"""Apply records of claims; importing this module registers all maintenance handlers.
 
-The order of the log is the only judge between executors: each claim is admitted
-against the budgets as they stand at its own offset.
+Conflicts between executors are resolved by log order alone: each claim is checked
+against the budgets at its own offset.
 """
 
 from __future__ import annotations
@@ -13,7 +13,12 @@
 
 from ...exceptions import MustardwardError, TransitionError
 from ...helpers.chart import load_chart
-from ..budgets import check_budgets, check_held, index_of, touch_instance
+from ..budgets import (
+    check_one_more_unavailable,
+    check_within_budgets,
+    get_budget_index,
+    recount_instance,
+)
 from ..fleet import FleetState
 from ..fold import FoldContext, RecordRefusedError
 from ..instance_status import instance_accepts, instance_status
@@ -39,15 +44,15 @@
     WaveNotRunningError,
 )
 from .refusals import UnknownSubjectError
-from .waves import Decision, accept, stop_if_failing, wave_limit
+from .waves import Decision, accept, pause_if_failing, wave_limit
 
-RECENT_FINISHED: Final = 16
-"""Finished instances of a wave whose later failure is held against the wave."""
+MAX_RECENT_INSTANCES: Final = 16
+"""Finished instances of a wave whose later failure counts as the wave's."""
 
 
 @FLEET_HANDLERS.register("claim.take")
 def take_claim(state: FleetState, context: FoldContext, body: TakeClaim) -> Decision:
-    """Admit a claim if the wave, the instance and every budget allow it."""
+    """Accept a claim if the wave, the instance and every budget allow it."""
     wave = state.waves.get(body.wave_id)
     instance = state.instances.get(body.instance_id)
     if wave is None or instance is None or instance.removed:
@@ -68,7 +73,7 @@
         boot=body.boot,
         taken=context.sequence,
     )
-    touch_instance(state, body.instance_id)
+    recount_instance(state, body.instance_id)
     return accept(context, f"instance:{body.instance_id}", f"wave:{body.wave_id}")
 
 
@@ -79,9 +84,11 @@
         return WaveNotRunningError(f"wave={wave.wave_id} status={wave.status}")
     if instance_id not in wave.pending:
         return UnknownSubjectError(f"wave={wave.wave_id} not pending={instance_id}")
-    held = index_of(state).claims_of(wave.wave_id)
-    if held >= wave_limit(wave):
-        return WaveGrowthError(f"wave={wave.wave_id} held={held} done={len(wave.done)}")
+    claimed = get_budget_index(state).claim_count(wave.wave_id)
+    if claimed >= wave_limit(wave):
+        return WaveGrowthError(
+            f"wave={wave.wave_id} held={claimed} done={len(wave.done)}"
+        )
     return None
 
 
@@ -93,43 +100,46 @@
     if not instance_accepts(state, name, "claim"):
         return InstanceBusyError(f"instance={name} status={status}")
     if name in state.absences:
-        # Quarantined, it counts as unavailable already: a reboot takes nothing from any
-        # budget, and may be what it needs.
-        return check_held(state, instance)
-    return check_budgets(state, instance)
+        # A quarantined instance already counts as unavailable, so its reboot does not
+        # reduce any budget and may even fix it.
+        return check_within_budgets(state, instance)
+    return check_one_more_unavailable(state, instance)
 
 
-def _fenced(
+def _find_claim(
     state: FleetState, instance_id: str, generation: int
 ) -> Result[Claim, MustardwardError]:
     claim = state.claims.get(instance_id)
     if claim is None:
         return Failure(UnknownSubjectError(f"claim={instance_id}"))
     if claim.generation != generation:
-        # The old executor was paused while another adopted its claim. Were its record
-        # taken, two would steer one instance, and a reboot could follow a give-back.
+        # The old executor was paused while another adopted its claim. Accepting its
+        # record would let two executors control one instance, and a reboot could follow
+        # its release.
         detail = f"claim={instance_id} generation={generation} is={claim.generation}"
         return Failure(ClaimFencedError(detail))
     return Success(claim)
 
 
 @dataclass(frozen=True, slots=True)
-class _Step:
-    """Hold a claim and the stage that an event takes it to."""
+class _Transition:
+    """Hold a claim and its stage after an event."""
 
     claim: Claim
     stage: str
 
 
-def _step(
+def _next_transition(
     state: FleetState, instance_id: str, generation: int, event: str
-) -> Result[_Step, MustardwardError]:
-    claim = _fenced(state, instance_id, generation)
-    if isinstance(claim, Failure):
-        return claim
-    held = claim.unwrap()
+) -> Result[_Transition, MustardwardError]:
+    found = _find_claim(state, instance_id, generation)
+    if isinstance(found, Failure):
+        return found
+    claim = found.unwrap()
     try:
-        return Success(_Step(held, load_chart("claim").next_state(held.stage, event)))
+        return Success(
+            _Transition(claim, load_chart("claim").next_state(claim.stage, event))
+        )
     except TransitionError as error:
         return Failure(StageRefusedError(error.detail))
 
@@ -138,60 +148,62 @@
 def advance_claim(
     state: FleetState, context: FoldContext, body: AdvanceClaim
 ) -> Decision:
-    """Note a claim's next stage; the step to the reboot is admitted anew."""
-    step = _step(state, body.instance_id, body.generation, body.stage)
-    if isinstance(step, Failure):
-        return step
-    held = step.unwrap().claim
-    if step.unwrap().stage == ClaimStage.REBOOTING:
-        # Failures since the claim may have eaten the margin. Up to here the instance
-        # can go back at once; after the reboot began it can only be waited for.
+    """Set a claim's next stage; rebooting is checked against the budgets again."""
+    transition = _next_transition(state, body.instance_id, body.generation, body.stage)
+    if isinstance(transition, Failure):
+        return transition
+    claim = transition.unwrap().claim
+    if transition.unwrap().stage == ClaimStage.REBOOTING:
+        # Failures since the claim may have used up the margin. Before the reboot the
+        # instance can return to service immediately; once begun, it has to complete.
         instance = state.instances[body.instance_id]
-        refusal = check_held(state, instance)
+        refusal = check_within_budgets(state, instance)
         if refusal is not None:
             return Failure(refusal)
-    held.stage = step.unwrap().stage
-    return accept(context, f"instance:{body.instance_id}", f"wave:{held.wave_id}")
+    claim.stage = transition.unwrap().stage
+    return accept(context, f"instance:{body.instance_id}", f"wave:{claim.wave_id}")
 
 
 @FLEET_HANDLERS.register("claim.adopt")
 def adopt_claim(state: FleetState, context: FoldContext, body: AdoptClaim) -> Decision:
-    """Give a claim another executor and a new generation, which fences the old one."""
-    claim = _fenced(state, body.instance_id, body.generation)
-    if isinstance(claim, Failure):
-        return claim
-    held = claim.unwrap()
-    held.executor = body.executor
-    held.generation = context.sequence
-    return accept(context, f"instance:{body.instance_id}", f"wave:{held.wave_id}")
+    """Assign a claim to another executor; the new generation fences the old one."""
+    found = _find_claim(state, body.instance_id, body.generation)
+    if isinstance(found, Failure):
+        return found
+    claim = found.unwrap()
+    claim.executor = body.executor
+    claim.generation = context.sequence
+    return accept(context, f"instance:{body.instance_id}", f"wave:{claim.wave_id}")
 
 
 @FLEET_HANDLERS.register("claim.release")
 def release_claim(
     state: FleetState, context: FoldContext, body: ReleaseClaim
 ) -> Decision:
-    """End a claim; ``done`` needs a newer boot that was positively seen up."""
-    step = _step(state, body.instance_id, body.generation, body.outcome)
-    if isinstance(step, Failure):
-        return step
-    held = step.unwrap().claim
-    if body.outcome == "done" and body.boot <= held.boot:
-        detail = f"claim={body.instance_id} boot={body.boot} needs>{held.boot}"
+    """End a claim; ``done`` requires a newer boot that was confirmed to be up."""
+    transition = _next_transition(
+        state, body.instance_id, body.generation, body.outcome
+    )
+    if isinstance(transition, Failure):
+        return transition
+    claim = transition.unwrap().claim
+    if body.outcome == "done" and body.boot <= claim.boot:
+        detail = f"claim={body.instance_id} boot={body.boot} needs>{claim.boot}"
         return Failure(StageRefusedError(detail))
     del state.claims[body.instance_id]
     note = f"outcome={body.outcome} {body.reason}".rstrip()
-    wave = state.waves.get(held.wave_id)
+    wave = state.waves.get(claim.wave_id)
     if wave is not None:
-        _RELEASES[body.outcome](state, context, wave, held, body)
+        _RELEASE_HANDLERS[body.outcome](state, context, wave, claim, body)
         if wave.status == WaveStatus.PAUSED and body.outcome == "failed":
             note = f"{note} wave={wave.wave_id} paused"
-    touch_instance(state, body.instance_id)
+    recount_instance(state, body.instance_id)
     return accept(
-        context, f"instance:{body.instance_id}", f"wave:{held.wave_id}", note=note
+        context, f"instance:{body.instance_id}", f"wave:{claim.wave_id}", note=note
     )
 
 
-def _release_done(
+def _handle_done(
     state: FleetState,
     context: FoldContext,
     wave: Wave,
@@ -201,14 +213,14 @@
     wave.done.add(claim.instance_id)
     wave.recent.pop(claim.instance_id, None)
     wave.recent[claim.instance_id] = body.boot
-    while len(wave.recent) > RECENT_FINISHED:
+    while len(wave.recent) > MAX_RECENT_INSTANCES:
         del wave.recent[next(iter(wave.recent))]
     absence = state.absences.get(claim.instance_id)
     if absence is not None and absence.boot < body.boot:
         del state.absences[claim.instance_id]
 
 
-def _release_given_back(
+def _handle_given_back(
     state: FleetState,
     context: FoldContext,
     wave: Wave,
@@ -218,7 +230,7 @@
     wave.pending.add(claim.instance_id)
 
 
-def _release_failed(
+def _handle_failed(
     state: FleetState,
     context: FoldContext,
     wave: Wave,
@@ -229,11 +241,11 @@
         claim.instance_id, CAUSE_REBOOT, context.actor, claim.boot + 1
     )
     wave.failed.add(claim.instance_id)
-    stop_if_failing(context, wave)
+    pause_if_failing(context, wave)
 
 
-_RELEASES: Final = {
-    "done": _release_done,
-    "given-back": _release_given_back,
-    "failed": _release_failed,
+_RELEASE_HANDLERS: Final = {
+    "done": _handle_done,
+    "given-back": _handle_given_back,
+    "failed": _handle_failed,
 }
