--- a/mustardward/node/main.py
+++ b/mustardward/node/main.py
@@ -40,7 +40,7 @@
 async def async_main(boot: BootSettings, output: BoundedOutput) -> None:
     """Run one entry node until it receives SIGTERM.
 
-    :raises UnaskedEndError: if a task was cancelled without a stop signal.
+    :raises UnexpectedExitError: if a task was cancelled without a stop signal.
     """
     stop_requested = False
     async with anyio.create_task_group() as tasks:
