--- a/bench/history/removals.py
+++ b/bench/history/removals.py
@@ -99,9 +99,9 @@
 
 def remove_acknowledgement() -> None:
     """Transfer an instance without waiting for its entries' acknowledgements."""
-    from mustardward.components.pools.acknowledge import Acknowledger
+    from mustardward.components.pools.acknowledger import Acknowledger
     from mustardward.components.pools.messages import Acknowledgement
-    from mustardward.components.pools.services import MoveExecutor
+    from mustardward.components.pools.move_executor import MoveExecutor
 
     async def async_acknowledge(self: Any, message: Any) -> Any:
         return Acknowledgement(self._dependencies.executor, True)
--- a/mustardward/components/pools/services.py
+++ b/mustardward/components/pools/move_executor.py
@@ -18,7 +18,7 @@
 from ..maintenance.models import ExecutorDependencies, executor_name
 from ..membership.models import Member
 from ..peers.protocols import Peers
-from .acknowledge import Acknowledger
+from .acknowledger import Acknowledger
 from .const import ACKNOWLEDGEMENT_TIMEOUT_SECONDS
 from .messages import Acknowledgement, AcknowledgementRequest
 
--- a/mustardward/components/pools/setup.py
+++ b/mustardward/components/pools/setup.py
@@ -8,10 +8,10 @@
 from ..keys import PEERS, ROUTER
 from ..maintenance.setup import build_executor_dependencies
 from . import api  # noqa: F401
-from .acknowledge import Acknowledger
+from .acknowledger import Acknowledger
 from .const import STEP_INTERVAL_SECONDS
 from .messages import AcknowledgementRequest
-from .services import MoveExecutor
+from .move_executor import MoveExecutor
 
 
 async def async_setup_pools(core: Core) -> Unload:
--- a/tests/components/pools/test_moves.py
+++ b/tests/components/pools/test_moves.py
@@ -10,8 +10,8 @@
 
 from mustardward.components.maintenance.models import executor_name
 from mustardward.components.membership.models import Member, MemberStatus
-from mustardward.components.pools.acknowledge import Acknowledger
-from mustardward.components.pools.services import MoveExecutor
+from mustardward.components.pools.acknowledger import Acknowledger
+from mustardward.components.pools.move_executor import MoveExecutor
 from mustardward.exceptions import PeerError
 from mustardward.standin.protocol.models import PowerState
 from mustardward.state.fold import RevisionConflictError
