--- a/mustardward/cli/files.py
+++ b/mustardward/cli/files.py
@@ -10,18 +10,18 @@
 
 from ..components.templates.border import (
     Address,
-    BorderModel,
     Identifier,
     InstanceModel,
     Name,
     ParametersModel,
+    StrictModel,
 )
 from ..settings.loader import SettingsFaultsError, load_model
 
 M = TypeVar("M", bound=BaseModel)
 
 
-class TemplateFile(BorderModel):
+class TemplateFile(StrictModel):
     """Hold a template; ``base_revision`` is the one its author saw."""
 
     name: Name
@@ -29,7 +29,7 @@
     base_revision: int | None = Field(default=None, ge=0)
 
 
-class OrganisationEntry(BorderModel):
+class OrganisationEntry(StrictModel):
     """Hold one organisation of a file."""
 
     name: Name
@@ -37,13 +37,13 @@
     overrides: ParametersModel = ParametersModel()
 
 
-class OrganisationsFile(BorderModel):
+class OrganisationsFile(StrictModel):
     """Hold organisations to create."""
 
     organisations: tuple[OrganisationEntry, ...]
 
 
-class WorkerSize(BorderModel):
+class WorkerSize(StrictModel):
     """Hold what all workers of a file have alike."""
 
     cores: int = 32
@@ -53,7 +53,7 @@
     connections: int = 64
 
 
-class RackEntry(BorderModel):
+class RackEntry(StrictModel):
     """Hold the workers of one rack; they are named after the rack and counted."""
 
     data_centre: Name
@@ -62,7 +62,7 @@
     addresses: Annotated[tuple[Address, ...], Field(min_length=1)]
 
 
-class PoolsFile(BorderModel):
+class PoolsFile(StrictModel):
     """Hold pools and the workers they own at first."""
 
     pools: tuple[Name, ...]
--- a/mustardward/components/entry/exchange.py
+++ b/mustardward/components/entry/exchange.py
@@ -16,7 +16,7 @@
 from ...helpers.timer import TimerService
 from ...settings.models import RequestLimits
 from ...state.models.templates import Urgency
-from ..templates.protocols import Directory, Resolved
+from ..templates.protocols import Directory, ResolvedService
 from .attribution import WORKER, BudgetAttributor
 from .body import BodyReader, StreamedBody
 from .const import KEYED_BODY_BYTES, RETRY_BUFFER_BYTES
@@ -132,7 +132,7 @@
         return await self._async_read(request, resolved.unwrap())
 
     async def _async_read(
-        self, request: CallerRequest, resolved: Resolved
+        self, request: CallerRequest, resolved: ResolvedService
     ) -> Result[OutgoingRequest, RequestRefusal]:
         facts = build_facts(request, resolved, self._parts.limits, self._arrived)
         keyed = bool(request.idempotency_key)
--- a/mustardward/components/entry/parse.py
+++ b/mustardward/components/entry/parse.py
@@ -19,7 +19,7 @@
 )
 from ...settings.models import RequestLimits
 from ...state.models.templates import Parameters, Urgency
-from ..templates.protocols import Resolved
+from ..templates.protocols import ResolvedService
 from .const import IDEMPOTENT_METHODS
 from .headers import has_injection, header_bytes
 from .models import Ran, RequestFacts, RequestRefusal
@@ -104,7 +104,7 @@
 
 def build_facts(
     request: CallerRequest,
-    resolved: Resolved,
+    resolved: ResolvedService,
     limits: RequestLimits,
     arrived: float,
 ) -> RequestFacts:
@@ -128,7 +128,7 @@
 
 
 def _urgency(
-    request: CallerRequest, resolved: Resolved, parameters: Parameters
+    request: CallerRequest, resolved: ResolvedService, parameters: Parameters
 ) -> Urgency:
     word = request.wanted.get(HEADER_CLASS)
     if word is not None:
--- a/mustardward/components/peers/receiver.py
+++ b/mustardward/components/peers/receiver.py
@@ -14,7 +14,7 @@
 from ..entry.models import Ran, RequestFacts, RequestRefusal
 from ..entry.protocols import OutgoingRequest, WorkerResponse
 from ..entry.response import async_close_response
-from ..templates.protocols import Directory, Resolved
+from ..templates.protocols import Directory, ResolvedService
 from .const import CHUNK_BYTES, LAST_FRAMES_SECONDS, MAXIMUM_HOPS
 from .exceptions import PeerBodyTruncatedError, PeerMessageError
 from .framing import async_receive_bytes
@@ -123,7 +123,7 @@
         await _async_stream(stream, result.unwrap())
         await _async_wait_taken(stream, facts.deadline - self._clock())
 
-    def _facts(self, head: ForwardHead, resolved: Resolved) -> RequestFacts:
+    def _facts(self, head: ForwardHead, resolved: ResolvedService) -> RequestFacts:
         # The sender may hold an older or newer configuration, and its clocks are its
         # own: only names and a duration are taken over, the rest is looked up here.
         now = self._clock()
--- a/mustardward/components/templates/__init__.py
+++ b/mustardward/components/templates/__init__.py
@@ -1,4 +1,4 @@
-"""Resolve organisations and their parameters."""
+"""Manage templates and resolve organisations and their parameters."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 async def async_setup(core: Core) -> Unload:
-    """Set the component up and return what undoes it."""
-    from .services import async_start_directory
+    """Set the component up and return its unload callback."""
+    from .services import async_set_up_templates
 
-    return await async_start_directory(core)
+    return await async_set_up_templates(core)
 
 
 COMPONENTS.register("templates")(
--- a/mustardward/components/templates/border.py
+++ b/mustardward/components/templates/border.py
@@ -1,4 +1,4 @@
-"""Validate what operators send about templates, organisations, pools, instances."""
+"""Define the request models for templates, organisations, pools and instances."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from ...state.models.templates import Overrides, Parameters, Urgency
 
 NAME_PATTERN: Final = r"^[a-z0-9][a-z0-9-]*$"
-MOST_INSTANCES: Final = 5000
-"""Instances that one call may register."""
+MAX_INSTANCES: Final = 5000
+"""Maximum number of instances that one call may register."""
 
 Name = Annotated[str, Field(min_length=1, max_length=64, pattern=NAME_PATTERN)]
 Share = Annotated[float, Field(ge=0, le=1)]
@@ -21,13 +21,13 @@
 Identifier = Annotated[str, Field(min_length=1, max_length=128)]
 
 
-def check_address(text: str) -> str:
-    """Return an address that has an IP number and a port.
+def validate_address(text: str) -> str:
+    """Return the address if it consists of an IP address and a port.
 
-    :raises ValueError: for anything else.
+    :raises ValueError: for anything else, host names included.
     """
-    # A name would need a resolver on the way of every request, and could answer
-    # otherwise at another entry, seen as one worker under two addresses.
+    # A host name would need a DNS lookup on the path of every request, and could
+    # resolve differently at another entry: one worker with two addresses.
     host, _, port = text.rpartition(":")
     ip_address(host.removeprefix("[").removesuffix("]"))
     if not port.isdecimal() or not 0 < int(port) < 65536:
@@ -35,16 +35,16 @@
     return text
 
 
-Address = Annotated[str, AfterValidator(check_address)]
+Address = Annotated[str, AfterValidator(validate_address)]
 
 
-class BorderModel(BaseModel):
-    """Refuse unknown keys and later changes."""
+class StrictModel(BaseModel):
+    """Reject unknown keys; instances are immutable."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-class ServiceModel(BorderModel):
+class ServiceModel(StrictModel):
     """Hold the binding of a service to a pool."""
 
     service: Name
@@ -52,7 +52,7 @@
     urgency: Urgency = Urgency.NORMAL
 
 
-class WindowModel(BorderModel):
+class WindowModel(StrictModel):
     """Hold a maintenance window (UTC)."""
 
     start_second: int = Field(ge=0, lt=86_400)
@@ -60,8 +60,8 @@
     weekdays: tuple[Annotated[int, Field(ge=0, le=6)], ...] = (0, 1, 2, 3, 4, 5, 6)
 
 
-class QuotaModel(BorderModel):
-    """Hold what an organisation may use in one data centre."""
+class QuotaModel(StrictModel):
+    """Hold the quota of an organisation in one data centre."""
 
     concurrency: int = Field(default=64, ge=1, le=100_000)
     queue: int = Field(default=256, ge=0, le=100_000)
@@ -69,7 +69,7 @@
     long_jobs: int = Field(default=1000, ge=0, le=1_000_000)
 
 
-class WeightsModel(BorderModel):
+class WeightsModel(StrictModel):
     """Hold the weights of a maintenance plan."""
 
     buffer: Weight = 1.0
@@ -77,18 +77,19 @@
     moves: Weight = 1.0
 
 
-class ObjectivesModel(BorderModel):
-    """Hold the promised service level."""
+class ObjectivesModel(StrictModel):
+    """Hold the service level objectives."""
 
     success_share: float = Field(default=0.999, gt=0, lt=1)
     latency_seconds: float = Field(default=0.5, gt=0, le=3600)
     latency_share: float = Field(default=0.99, gt=0, lt=1)
 
 
-class ParametersModel(BorderModel):
-    """Hold parameters as an operator writes them; what is left out stays as it was.
+class ParametersModel(StrictModel):
+    """Hold parameters as an operator writes them, all of them optional.
 
-    For a template that is the default, for an organisation the template's value.
+    A parameter that is left out has its default in a template, and the template's
+    value in an organisation.
     """
 
     services: tuple[ServiceModel, ...] | None = None
@@ -104,21 +105,21 @@
     deadline_seconds: float | None = Field(default=None, gt=0, le=3600)
     retry_share: Share | None = None
 
-    def overrides(self) -> Overrides:
-        """Return the fields that were given."""
+    def to_overrides(self) -> Overrides:
+        """Return the fields that are set."""
         given = self.model_dump(mode="json", exclude_none=True)
         return msgspec.convert(given, Overrides)
 
-    def parameters(self) -> Parameters:
-        """Return the defaults with the fields that were given."""
-        return self.overrides().apply_to(Parameters())
+    def to_parameters(self) -> Parameters:
+        """Return the defaults, overridden by the fields that are set."""
+        return self.to_overrides().apply_to(Parameters())
 
 
-class PublishModel(BorderModel):
+class PublishModel(StrictModel):
     """Propose a template's revision.
 
-    ``base_revision`` is the one its author saw, 0 for a new template. ``record_id``
-    stays the same over the repetitions of one wish.
+    ``base_revision`` is the revision that the change is based on, 0 for a new
+    template. ``record_id`` is the same in each retry of one request.
     """
 
     parameters: ParametersModel
@@ -127,8 +128,8 @@
     wait_seconds: float = Field(default=0.0, ge=0, le=60)
 
 
-class OrganisationModel(BorderModel):
-    """Propose an organisation or its new overrides."""
+class OrganisationModel(StrictModel):
+    """Propose an organisation or new overrides for it."""
 
     template: Name
     overrides: ParametersModel = ParametersModel()
@@ -137,8 +138,8 @@
     wait_seconds: float = Field(default=0.0, ge=0, le=60)
 
 
-class InstanceModel(BorderModel):
-    """Hold one instance that a pool is to own."""
+class InstanceModel(StrictModel):
+    """Hold an instance to register in a pool."""
 
     instance_id: Identifier
     data_centre: Name
@@ -151,17 +152,17 @@
     slots: int = Field(default=8, ge=1, le=10_000)
     connections: int = Field(default=64, ge=1, le=100_000)
 
-    def record(self) -> AddInstance:
-        """Return the record that proposes it."""
+    def to_record(self) -> AddInstance:
+        """Return the log record that proposes the instance."""
         return AddInstance(**self.model_dump())
 
 
-class InstancesModel(BorderModel):
-    """Hold instances to register."""
+class InstancesModel(StrictModel):
+    """Hold the instances to register in one call."""
 
-    instances: tuple[InstanceModel, ...] = Field(max_length=MOST_INSTANCES)
+    instances: tuple[InstanceModel, ...] = Field(max_length=MAX_INSTANCES)
 
 
-def plain(value: object) -> Any:
-    """Return a state model as what JSON can hold."""
+def to_json_value(value: object) -> Any:
+    """Return a state model as built-in types that JSON can represent."""
     return msgspec.to_builtins(value)
--- a/mustardward/components/templates/directory.py
+++ b/mustardward/components/templates/directory.py
@@ -1,4 +1,4 @@
-"""Resolve organisations and services in the folded state."""
+"""Resolve organisations and services in the replicated state."""
 
 from __future__ import annotations
 
@@ -8,36 +8,40 @@
 
 from ...state.protocols import FleetLog
 from ..entry.models import Ran, RequestRefusal
-from .protocols import Resolved
+from .protocols import ResolvedService
 
-RETRY_SECONDS: Final = 1.0
+RETRY_AFTER_SECONDS: Final = 1.0
 
 
-class FoldedDirectory:
-    """Find organisations by what the fold accepted."""
+class StateDirectory:
+    """Resolve organisations and services from the fleet log's state."""
 
     def __init__(self, log: FleetLog) -> None:
         self._log = log
 
     def resolve(
         self, organisation: str, service: str
-    ) -> Result[Resolved, RequestRefusal]:
-        """Return the organisation and its service's binding, or a typed refusal."""
-        # An entry without state knows no organisation at all. A "not found" would be
-        # believed and not tried again, although the next entry could have served it.
+    ) -> Result[ResolvedService, RequestRefusal]:
+        """Return the organisation and the service's binding, or a typed refusal."""
+        # An entry without state knows no organisation. The caller would take a "not
+        # found" as final and not retry at an entry that could serve the request.
         if not self._log.ready:
             refusal = RequestRefusal(
-                "not-ready", 503, Ran.NO, "no state folded yet", RETRY_SECONDS
+                "not-ready",
+                503,
+                Ran.NO,
+                "the log has not been read yet",
+                RETRY_AFTER_SECONDS,
             )
             return Failure(refusal)
         found = self._log.state.organisations.get(organisation)
         if found is None:
-            return Failure(_not_found("organisation-unknown", organisation))
+            return Failure(_build_refusal("organisation-unknown", organisation))
         for binding in found.parameters.services:
             if binding.service == service:
-                return Success(Resolved(found, binding))
-        return Failure(_not_found("service-unknown", f"{organisation}/{service}"))
+                return Success(ResolvedService(found, binding))
+        return Failure(_build_refusal("service-unknown", f"{organisation}/{service}"))
 
 
-def _not_found(code: str, what: str) -> RequestRefusal:
-    return RequestRefusal(code, 404, Ran.NO, what)
+def _build_refusal(code: str, detail: str) -> RequestRefusal:
+    return RequestRefusal(code, 404, Ran.NO, detail)
--- a/mustardward/components/templates/exceptions.py
+++ b/mustardward/components/templates/exceptions.py
@@ -1,4 +1,4 @@
-"""Define the refusals of the operators' calls on templates and organisations."""
+"""Define the errors of the routes for templates and organisations."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @answered_with(404)
 class TemplateUnknownError(MustardwardError):
-    """Report a template, or a revision of one, that was never accepted."""
+    """Report a template or a revision that does not exist."""
 
     code = "template-unknown"
 
@@ -22,6 +22,6 @@
 
 @answered_with(422)
 class QueryInvalidError(MustardwardError):
-    """Report a query parameter that can't be read."""
+    """Report an invalid query parameter."""
 
     code = "query-invalid"
--- a/mustardward/components/templates/fleet_api.py
+++ b/mustardward/components/templates/fleet_api.py
@@ -1,4 +1,4 @@
-"""Let operators register pools and the instances that they own."""
+"""Provide the operators' routes for registering pools and instances."""
 
 from __future__ import annotations
 
@@ -10,42 +10,42 @@
 from ...state.models.pools import AddInstance, Instance, PutPool
 from ..api.routes import ApiAnswer, ApiRequest, api_route
 from .border import InstancesModel
-from .proposing import async_accepted, async_propose, ready_state
+from .proposing import async_build_response, async_propose, require_ready_state
 
-_COMPARED = ("data_centre", "rack", "address", "pool")
+_COMPARED_FIELDS = ("data_centre", "rack", "address", "pool")
 
 
 @api_route("PUT", "/pools/{name}", "Put a pool")
 async def async_put_pool(request: ApiRequest) -> ApiAnswer:
-    """Propose a pool; one that exists stays as it is."""
+    """Propose a pool; an existing one is unchanged."""
     acceptance = await async_propose(request, PutPool(request.path["name"]))
-    return await async_accepted(request.core, acceptance, "", 0.0)
+    return await async_build_response(request.core, acceptance, "", 0.0)
 
 
 @api_route("POST", "/instances", "Register instances in pools", InstancesModel)
 async def async_add_instances(request: ApiRequest) -> ApiAnswer:
-    """Propose many instances; each gets its own outcome."""
+    """Propose instances and return an outcome for each."""
     model: InstancesModel = request.model
     outcomes: dict[str, dict[str, Any]] = {}
 
     async def add(record: AddInstance) -> None:
         outcomes[record.instance_id] = await _async_add(request, record)
 
-    # All at once, so that one group commit carries them: one append for each of
-    # thousands would take the whole log's rate for many seconds.
+    # Proposed concurrently, so that one group commit carries them: a separate append
+    # for each of thousands would use up the log's append rate for many seconds.
     async with anyio.create_task_group() as tasks:
         for instance in model.instances:
-            tasks.start_soon(add, instance.record())
+            tasks.start_soon(add, instance.to_record())
     refused = sum("error" in outcome for outcome in outcomes.values())
     body = {"outcomes": [outcomes[key] for key in sorted(outcomes)], "refused": refused}
     return ApiAnswer(body, status=207 if refused else 200)
 
 
 async def _async_add(request: ApiRequest, record: AddInstance) -> dict[str, Any]:
-    held = ready_state(request.core).instances.get(record.instance_id)
+    existing = require_ready_state(request.core).instances.get(record.instance_id)
     outcome: dict[str, Any] = {"instance_id": record.instance_id}
-    if held is not None and _same(held, record):
-        return {**outcome, "revision": held.generation, "unchanged": True}
+    if existing is not None and _matches(existing, record):
+        return {**outcome, "revision": existing.generation, "unchanged": True}
     try:
         acceptance = await async_propose(request, record)
     except MustardwardError as error:
@@ -53,5 +53,7 @@
     return {**outcome, "revision": acceptance.revision}
 
 
-def _same(held: Instance, record: AddInstance) -> bool:
-    return all(getattr(held, name) == getattr(record, name) for name in _COMPARED)
+def _matches(existing: Instance, record: AddInstance) -> bool:
+    return all(
+        getattr(existing, name) == getattr(record, name) for name in _COMPARED_FIELDS
+    )
--- a/mustardward/components/templates/models.py
+++ b/mustardward/components/templates/models.py
@@ -1,4 +1,4 @@
-"""Model how far a change has got among the entries."""
+"""Define the models of how far entries have applied a change."""
 
 from __future__ import annotations
 
@@ -8,17 +8,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FoldedReply:
-    """Say how far an entry has folded; ``revision`` 0 if it has no such template."""
+class ProgressReply:
+    """Reply how far an entry has applied the log.
+
+    ``revision`` is 0 if the entry has no such template.
+    """
 
     fleet_offset: int
     digest: str
     revision: int
 
 
-@peer_message("templates.folded", FoldedReply)
+@peer_message("templates.folded", ProgressReply)
 @dataclass(frozen=True, slots=True)
-class AskFolded:
+class ProgressRequest:
     """Ask an entry which revision of a template it has in force."""
 
     template: str
@@ -26,7 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryProgress:
-    """Hold what one entry said; offset and revision are -1 if it did not answer."""
+    """Hold the progress of one entry.
+
+    The offset and the revision are -1 if the entry did not reply.
+    """
 
     entry: str
     data_centre: str
@@ -36,5 +42,5 @@
 
     @property
     def answered(self) -> bool:
-        """Tell whether the entry answered."""
+        """Return whether the entry replied."""
         return self.fleet_offset >= 0
--- a/mustardward/components/templates/organisations_api.py
+++ b/mustardward/components/templates/organisations_api.py
@@ -1,18 +1,23 @@
-"""Let operators create, show, list and remove organisations."""
+"""Provide the operators' routes for organisations."""
 
 from __future__ import annotations
 
 from ...state.models.templates import Organisation, PutOrganisation, RemoveOrganisation
 from ..api.routes import ApiAnswer, ApiRequest, api_route
-from .border import OrganisationModel, plain
+from .border import OrganisationModel, to_json_value
 from .exceptions import OrganisationUnknownError
-from .proposing import async_accepted, async_propose, ready_state, whole_number
+from .proposing import (
+    async_build_response,
+    async_propose,
+    parse_integer,
+    require_ready_state,
+)
 
 
 @api_route("GET", "/organisations", "List the organisations")
 async def async_list(request: ApiRequest) -> ApiAnswer:
     """Return each organisation with its template and services."""
-    organisations = ready_state(request.core).organisations
+    organisations = require_ready_state(request.core).organisations
     return ApiAnswer(
         [
             {
@@ -30,36 +35,36 @@
 @api_route("GET", "/organisations/{name}", "Show an organisation")
 async def async_show(request: ApiRequest) -> ApiAnswer:
     """Return an organisation with its overrides and the parameters in force."""
-    return ApiAnswer(plain(_find(request, request.path["name"])))
+    return ApiAnswer(to_json_value(_find(request, request.path["name"])))
 
 
 @api_route("PUT", "/organisations/{name}", "Put an organisation", OrganisationModel)
 async def async_put(request: ApiRequest) -> ApiAnswer:
-    """Propose an organisation, or new overrides over the base revision."""
+    """Propose an organisation, or new overrides based on a revision."""
     model: OrganisationModel = request.model
     record = PutOrganisation(
-        request.path["name"], model.template, model.overrides.overrides()
+        request.path["name"], model.template, model.overrides.to_overrides()
     )
     acceptance = await async_propose(
         request, record, model.base_revision, model.record_id
     )
-    return await async_accepted(
+    return await async_build_response(
         request.core, acceptance, model.template, model.wait_seconds
     )
 
 
 @api_route("DELETE", "/organisations/{name}", "Remove an organisation")
 async def async_remove(request: ApiRequest) -> ApiAnswer:
-    """Propose the end of an organisation; ``base_revision`` is the one seen."""
+    """Propose to remove an organisation at its ``base_revision``."""
     name = request.path["name"]
     found = _find(request, name)
-    base = whole_number(request, "base_revision", found.revision)
+    base = parse_integer(request, "base_revision", found.revision)
     acceptance = await async_propose(request, RemoveOrganisation(name), base)
-    return await async_accepted(request.core, acceptance, found.template, 0.0)
+    return await async_build_response(request.core, acceptance, found.template, 0.0)
 
 
 def _find(request: ApiRequest, name: str) -> Organisation:
-    found = ready_state(request.core).organisations.get(name)
+    found = require_ready_state(request.core).organisations.get(name)
     if found is None:
         raise OrganisationUnknownError(name)
     return found
--- a/mustardward/components/templates/proposing.py
+++ b/mustardward/components/templates/proposing.py
@@ -1,4 +1,4 @@
-"""Propose operators' changes and say how far they got."""
+"""Propose operators' changes to the fleet log and build their responses."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 from ..api.routes import ApiAnswer, ApiRequest
 from ..keys import FLEET_LOG
 from .exceptions import QueryInvalidError
-from .progress import async_wait_in_force
+from .progress import async_wait_until_in_force
 
-PROPOSAL_SECONDS: Final = 5.0
+PROPOSAL_TIMEOUT_SECONDS: Final = 5.0
 OPERATOR_PRIORITY: Final = 1
 
 
-def ready_state(core: Core) -> FleetState:
-    """Return the folded state to show.
+def require_ready_state(core: Core) -> FleetState:
+    """Return the state of the fleet log.
 
     :raises NotReadyError: if this entry has not caught up with the log yet.
     """
-    # An entry that has just started folds the past at first. Shown meanwhile, an old
-    # revision would look as if the one in force had been reverted.
+    # A newly started entry replays the log. An old revision shown meanwhile would look
+    # as if the one in force had been reverted.
     log = core.get(FLEET_LOG)
     if not log.ready:
-        raise NotReadyError("still reading the log")
+        raise NotReadyError("the log has not been read to its end yet")
     return log.state
 
 
@@ -39,17 +39,16 @@
     base_revision: int = NO_BASE,
     record_id: str | None = None,
 ) -> Acceptance:
-    """Return the acceptance.
+    """Propose a record and return its acceptance.
 
-    :raises MustardwardError: why the fold refused the record, or why its fate is
-        not known.
+    :raises MustardwardError: if the record is refused or its outcome is unknown.
     """
     result = await request.core.get(FLEET_LOG).async_propose(
         body,
         actor=request.actor,
         base_revision=base_revision,
         record_id=record_id,
-        timeout_seconds=PROPOSAL_SECONDS,
+        timeout_seconds=PROPOSAL_TIMEOUT_SECONDS,
         priority=OPERATOR_PRIORITY,
     )
     if isinstance(result, Failure):
@@ -57,32 +56,37 @@
     return result.unwrap()
 
 
-async def async_accepted(
+async def async_build_response(
     core: Core, acceptance: Acceptance, template: str, wait_seconds: float
 ) -> ApiAnswer:
-    """Answer for an accepted change, waiting until it is in force if so asked."""
-    wanted = core.get(FLEET_LOG).next_offset
-    answer: dict[str, Any] = {
+    """Return the response for an accepted change.
+
+    :param wait_seconds: longest time to wait until the change is in force everywhere.
+    """
+    required_offset = core.get(FLEET_LOG).next_offset
+    body: dict[str, Any] = {
         "revision": acceptance.revision,
-        "fleet_offset": wanted,
+        "fleet_offset": required_offset,
         "subjects": list(acceptance.subjects),
     }
     if wait_seconds <= 0:
-        return ApiAnswer(answer)
-    behind = await async_wait_in_force(core, template, wanted, wait_seconds)
-    answer["in_force"] = not behind
-    answer["behind"] = [item.entry for item in behind]
-    return ApiAnswer(answer)
+        return ApiAnswer(body)
+    behind = await async_wait_until_in_force(
+        core, template, required_offset, wait_seconds
+    )
+    body["in_force"] = not behind
+    body["behind"] = [item.entry for item in behind]
+    return ApiAnswer(body)
 
 
-def whole_number(request: ApiRequest, name: str, default: int) -> int:
-    """Return a query parameter.
+def parse_integer(request: ApiRequest, name: str, default: int) -> int:
+    """Return a query parameter as an integer.
 
-    :raises QueryInvalidError: if it is not a whole number.
+    :raises QueryInvalidError: if it is not a non-negative integer.
     """
     text = request.query.get(name, "")
     if not text:
         return default
     if not text.isdecimal():
-        raise QueryInvalidError(f"{name}={text} is not a whole number")
+        raise QueryInvalidError(f"{name}={text} is not a non-negative integer")
     return int(text)
--- a/mustardward/components/templates/protocols.py
+++ b/mustardward/components/templates/protocols.py
@@ -1,4 +1,4 @@
-"""Define how a request's organisation and service are resolved."""
+"""Define the interface that resolves a request's organisation and service."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Resolved:
-    """Hold an organisation with the binding of the wanted service."""
+class ResolvedService:
+    """Hold an organisation and the binding of the requested service."""
 
     organisation: Organisation
     binding: ServiceBinding
 
 
 class Directory(Protocol):
-    """Find organisations in the folded state."""
+    """Resolve organisations and their services."""
 
     def resolve(
         self, organisation: str, service: str
-    ) -> Result[Resolved, RequestRefusal]:
-        """Return the organisation and its service's binding, or a typed refusal."""
+    ) -> Result[ResolvedService, RequestRefusal]:
+        """Return the organisation and the service's binding, or a typed refusal."""
         ...
--- a/tests/components/peers/builders.py
+++ b/tests/components/peers/builders.py
@@ -20,7 +20,7 @@
 from mustardward.components.peers.receiver import ForwardReceiver
 from mustardward.components.peers.services import GrpcPeers
 from mustardward.components.peers.tls import client_context, server_context
-from mustardward.components.templates.protocols import Resolved
+from mustardward.components.templates.protocols import ResolvedService
 from mustardward.settings.models import TlsSettings
 from mustardward.state.models.templates import (
     Organisation,
@@ -92,11 +92,11 @@
 
     def resolve(
         self, organisation: str, service: str
-    ) -> Result[Resolved, RequestRefusal]:
+    ) -> Result[ResolvedService, RequestRefusal]:
         if (organisation, service) != ("derwent", "orders"):
             return Failure(RequestRefusal("unknown-service", 404, Ran.NO, ""))
         found = Organisation("derwent", "t", 1, 1, Overrides(), PARAMETERS)
-        return Success(Resolved(found, PARAMETERS.services[0]))
+        return Success(ResolvedService(found, PARAMETERS.services[0]))
 
 
 @dataclass(eq=False)
--- a/tests/components/templates/test_directory.py
+++ b/tests/components/templates/test_directory.py
@@ -1,4 +1,4 @@
-"""Resolve organisations and publish templates over fakes."""
+"""Test organisation lookup and the routes for templates against fakes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     ParametersModel,
     PublishModel,
 )
-from mustardward.components.templates.directory import FoldedDirectory
+from mustardward.components.templates.directory import StateDirectory
 from mustardward.components.templates.exceptions import TemplateUnknownError
 from mustardward.core import Core
 from mustardward.exceptions import MustardwardError, NotReadyError
@@ -66,16 +66,17 @@
     return ApiRequest(core, "operator", path, {}, model)
 
 
-async def async_in_core(
+async def async_call_handler(
     log: FakeFleetLog, peers: FakePeers, handler: Any, model: Any = None, **path: str
 ) -> ApiAnswer:
-    """Call a handler beside entries ``entry-1``, ``entry-2`` and a suspect one."""
+    """Call a handler in a cluster of two live entries and a suspect one."""
     members = [
         build_member("entry-1"),
         build_member("entry-2"),
         build_member("entry-3", MemberStatus.SUSPECT),
     ]
-    # A task group would wrap what the handler raises; so it is raised outside.
+    # A task group would wrap an exception of the handler in a group, so it is raised
+    # outside the task group.
     outcome: ApiAnswer | MustardwardError
     async with async_directory_core(log, members, peers) as core:
         try:
@@ -88,7 +89,7 @@
 
 
 async def async_start_publishing(core: Core, wait_seconds: float) -> list[ApiAnswer]:
-    """Start to publish, and return the list that will hold the answer."""
+    """Start to publish and return the list that receives the response."""
     model = PublishModel(parameters=ParametersModel(), wait_seconds=wait_seconds)
     answers: list[ApiAnswer] = []
 
@@ -101,8 +102,8 @@
     return answers
 
 
-def test_a_service_is_found_with_its_binding() -> None:
-    found = FoldedDirectory(build_log()).resolve("dairy", "climate").unwrap()
+def test_service_resolves_to_its_binding() -> None:
+    found = StateDirectory(build_log()).resolve("dairy", "climate").unwrap()
     assert found.binding == BINDING
     assert found.organisation.name == "dairy"
 
@@ -114,28 +115,27 @@
         ("dairy", "etching", "service-unknown"),
     ],
 )
-def test_what_is_not_there_is_refused_as_not_run(
+def test_unknown_names_are_refused_as_not_run(
     organisation: str, service: str, code: str
 ) -> None:
-    refusal = FoldedDirectory(build_log()).resolve(organisation, service).failure()
+    refusal = StateDirectory(build_log()).resolve(organisation, service).failure()
     assert (refusal.code, refusal.status, refusal.ran) == (code, 404, Ran.NO)
 
 
-def test_an_entry_without_state_does_not_say_not_found() -> None:
-    """Send the caller on, not away.
+def test_entry_without_state_refuses_as_not_ready() -> None:
+    """Guard against a caller told that its existing organisation is unknown.
 
-    Symptom: a caller is told that its organisation does not exist. Sequence: a fresh
-    entry takes requests before it has folded anything. Cause: empty state read as
-    "there is none".
+    A new entry accepts requests before it has read the log, and its empty state holds
+    no organisation. The caller has to be able to retry elsewhere.
     """
     log = build_log()
     log.ready = False
-    refusal = FoldedDirectory(log).resolve("dairy", "climate").failure()
+    refusal = StateDirectory(log).resolve("dairy", "climate").failure()
     assert (refusal.code, refusal.status, refusal.ran) == ("not-ready", 503, Ran.NO)
     assert refusal.retry_after_seconds
 
 
-async def test_publishing_proposes_the_parameters_over_the_base_seen() -> None:
+async def test_publishing_proposes_parameters_with_the_base_revision() -> None:
     log = build_log()
     model = PublishModel.model_validate(
         {
@@ -147,7 +147,7 @@
             "record_id": "wish-1",
         }
     )
-    answer = await async_in_core(
+    answer = await async_call_handler(
         log, FakePeers({}), api.async_publish, model, name="cellar"
     )
     [proposal] = log.proposals
@@ -159,24 +159,26 @@
     assert answer.body["revision"] == 6
 
 
-async def test_the_later_of_two_operators_gets_the_conflict() -> None:
-    """Never drop a change in silence.
+async def test_outdated_base_revision_is_a_conflict() -> None:
+    """Guard against a change that is overwritten without notice.
 
-    Symptom: an operator's change is gone. Sequence: two operators revise the same
-    base, both are told that it worked. Cause: the second one overwrites the first.
+    Two operators revise the same base; if both succeed, the second change replaces the
+    first one.
     """
     log = build_log()
     log.result = Failure(RevisionConflictError("base=2 current=4"))
     model = PublishModel(parameters=ParametersModel(), base_revision=2)
     with pytest.raises(RevisionConflictError):
-        await async_in_core(log, FakePeers({}), api.async_publish, model, name="cellar")
+        await async_call_handler(
+            log, FakePeers({}), api.async_publish, model, name="cellar"
+        )
 
 
 async def test_publishing_waits_for_every_live_entry() -> None:
-    """Return only when the change is in force.
+    """Guard against a change reported as in force while an entry is behind.
 
-    Symptom: a caller meets the old template after "in force". Sequence: one entry is
-    behind, and the answer counts the others. Cause: waiting for most, not for all.
+    If publishing waits for most entries only, a request to the remaining one still
+    gets the old template.
     """
     peers = FakePeers({"entry-2": 9, "entry-3": -1})
     members = [build_member("entry-1"), build_member("entry-2")]
@@ -192,7 +194,7 @@
     assert answers[0].body["behind"] == []
 
 
-async def test_an_entry_that_stays_behind_is_named() -> None:
+async def test_entry_that_stays_behind_is_named() -> None:
     peers = FakePeers({"entry-2": 9, "entry-3": -1})
     members = [build_member("entry-1"), build_member("entry-2")]
     async with async_directory_core(build_log(), members, peers) as core:
@@ -205,7 +207,9 @@
 
 async def test_status_names_the_revision_of_each_entry() -> None:
     peers = FakePeers({"entry-2": 9, "entry-3": -1}, {"entry-2": 2})
-    answer = await async_in_core(build_log(), peers, api.async_status, name="cellar")
+    answer = await async_call_handler(
+        build_log(), peers, api.async_status, name="cellar"
+    )
     entries = {item["entry"]: item for item in answer.body["entries"]}
     assert answer.body["in_force_everywhere"] is False
     assert (entries["entry-1"]["revision"], entries["entry-1"]["in_force"]) == (4, True)
@@ -215,9 +219,11 @@
 
 async def test_history_is_newest_first_and_unknown_names_are_refused() -> None:
     log = build_log()
-    history = await async_in_core(log, FakePeers({}), api.async_history, name="cellar")
+    history = await async_call_handler(
+        log, FakePeers({}), api.async_history, name="cellar"
+    )
     with pytest.raises(TemplateUnknownError):
-        await async_in_core(log, FakePeers({}), api.async_show, name="attic")
+        await async_call_handler(log, FakePeers({}), api.async_show, name="attic")
     assert [item["revision"] for item in history.body] == [4, 2]
 
 
@@ -231,27 +237,26 @@
         (organisations_api.async_show, "dairy"),
     ],
 )
-async def test_an_entry_that_reads_the_past_shows_nothing(
+async def test_entry_that_replays_the_log_shows_nothing(
     handler: Any, name: str
 ) -> None:
-    """Never show a configuration as reverted.
+    """Guard against a configuration that seems to be reverted.
 
-    Symptom: an operator sees an old revision after a newer one. Sequence: an entry is
-    replaced, folds the log from its beginning, and is asked meanwhile. Cause: state
-    shown before the entry has caught up.
+    A replaced entry replays the log from its beginning. If it shows its state before
+    it has caught up, an operator sees an old revision after a newer one.
     """
     log = build_log()
     log.ready = False
     with pytest.raises(NotReadyError):
-        await async_in_core(log, FakePeers({}), handler, name=name)
+        await async_call_handler(log, FakePeers({}), handler, name=name)
 
 
-async def test_an_organisation_keeps_only_what_it_overrides() -> None:
+async def test_organisation_stores_only_its_overrides() -> None:
     log = build_log()
     model = OrganisationModel.model_validate(
         {"template": "cellar", "overrides": {"headroom": 0.25}}
     )
-    await async_in_core(
+    await async_call_handler(
         log, FakePeers({}), organisations_api.async_put, model, name="dairy"
     )
     assert log.proposals[0].body == PutOrganisation(
@@ -270,7 +275,7 @@
         "pool": "cellar",
     }
     model = InstancesModel.model_validate({"instances": [instance]})
-    answer = await async_in_core(
+    answer = await async_call_handler(
         log, FakePeers({}), fleet_api.async_add_instances, model
     )
     assert answer.status == 207
@@ -287,13 +292,13 @@
         {"windows": [{"start_second": 90_000, "length_seconds": 1}]},
     ],
 )
-def test_wrong_parameters_are_refused_at_the_border(parameters: Any) -> None:
+def test_invalid_parameters_are_rejected(parameters: Any) -> None:
     with pytest.raises(ValidationError):
         ParametersModel.model_validate(parameters)
 
 
 @pytest.mark.parametrize("address", ["worker:80", "10.0.0.1", "10.0.0.256:80", "::1:0"])
-def test_an_address_is_an_ip_number_with_a_port(address: str) -> None:
+def test_address_without_ip_or_port_is_rejected(address: str) -> None:
     instance = {
         "instance_id": "worker-1",
         "data_centre": "dc-1",
--- a/tests/components/templates/test_joined.py
+++ b/tests/components/templates/test_joined.py
@@ -1,4 +1,4 @@
-"""Publish templates through real logs, peers and the stand-in platform."""
+"""Test publishing with two entries, a real log and the stand-in platform."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 @asynccontextmanager
 async def async_entry(bench: PlatformBench, settings: Settings) -> AsyncIterator[Core]:
-    """Set up the parts of an entry that publishing needs."""
+    """Set up the components of an entry that publishing needs."""
     async with anyio.create_task_group() as tasks:
         core = Core(settings, bench.timers, tasks)
         for domain in DOMAINS:
@@ -70,7 +70,7 @@
 
 @asynccontextmanager
 async def async_two_entries(bench: PlatformBench) -> AsyncIterator[tuple[Core, Core]]:
-    """Set two entries up in two data centres, the second one knowing the first."""
+    """Set up entries in two data centres; the first is the second one's seed."""
     first_settings = build_settings("entry-1", "dc-1", bench.url, ())
     async with async_entry(bench, first_settings) as first:
         host, _, port = first.get(MEMBERSHIP).own.address.rpartition(":")
@@ -89,7 +89,7 @@
 
 
 async def async_drive(bench: PlatformBench, condition: Callable[[], bool]) -> None:
-    """Move the clock on beside the loopback traffic until a condition holds."""
+    """Advance the clock during the loopback traffic until a condition holds."""
     await async_drive_until(bench.timers, condition, APPENDS)
 
 
@@ -100,7 +100,7 @@
     model: Any = None,
     **path: str,
 ) -> ApiAnswer:
-    """Return a handler's answer while the clock moves on."""
+    """Call a handler while the clock advances and return its response."""
     outcomes: list[ApiAnswer | MustardwardError] = []
 
     async def call() -> None:
@@ -119,7 +119,7 @@
     return outcomes[0]
 
 
-async def test_a_template_is_in_force_at_both_entries_when_publishing_returns() -> None:
+async def test_template_is_in_force_at_both_entries_when_publishing_returns() -> None:
     model = PublishModel.model_validate({"parameters": PARAMETERS, "wait_seconds": 5})
     organisation = OrganisationModel(template="dairy", wait_seconds=5)
     async with (
@@ -141,11 +141,11 @@
     assert [item["entry"] for item in status.body["entries"]] == ["entry-1", "entry-2"]
 
 
-async def test_of_two_racing_operators_one_gets_the_conflict() -> None:
-    """Accept one of two changes over the same base.
+async def test_one_of_two_concurrent_changes_is_a_conflict() -> None:
+    """Guard against a revision that is lost.
 
-    Symptom: an operator's revision vanishes. Sequence: two operators publish at two
-    entries, both saw revision 0. Cause: an append taken for an acceptance.
+    Two operators publish at two entries, both based on revision 0. Both records are
+    appended; if an append counts as acceptance, both operators are told of success.
     """
     model = PublishModel.model_validate({"parameters": PARAMETERS})
     outcomes: list[ApiAnswer | MustardwardError] = []
@@ -173,14 +173,13 @@
 @pytest.mark.parametrize(
     ("fault", "appends"), [({"lose_answers": 1}, 1), ({"late_appends": 1}, 2)]
 )
-async def test_a_lost_answer_does_not_publish_twice(
+async def test_lost_response_does_not_publish_twice(
     fault: dict[str, int], appends: int
 ) -> None:
-    """Publish once for one wish.
+    """Guard against one request that publishes twice or conflicts with itself.
 
-    Symptom: history shows a revision twice, or a conflict with oneself. Sequence: the
-    append takes effect at once or a second later, its answer is lost, it is appended
-    again unless its fold was seen. Cause: no record id that stays the same.
+    The append takes effect at once or a second later and its response is lost. It is
+    appended again unless it has been applied already, so both need the same record id.
     """
     model = PublishModel.model_validate({"parameters": PARAMETERS})
     async with (
@@ -203,12 +202,11 @@
     assert [item["revision"] for item in history.body] == [published.body["revision"]]
 
 
-async def test_publishing_in_an_outage_says_that_nothing_happened() -> None:
-    """Refuse truthfully while the log is out.
+async def test_publishing_in_an_outage_has_no_effect() -> None:
+    """Guard against a change reported as failed that takes effect later.
 
-    Symptom: an operator repeats a change that was told to have failed, and meets it as
-    a conflict. Sequence: the log is out, the entry gives up, the append lands later.
-    Cause: "unavailable" said of a record that may still be appended.
+    The log is unavailable and the entry stops retrying. If the record can still be
+    appended afterwards, the operator's retry conflicts with it.
     """
     model = PublishModel.model_validate({"parameters": PARAMETERS})
     async with (
--- a/tests/embedded/test_examples.py
+++ b/tests/embedded/test_examples.py
@@ -95,7 +95,7 @@
     """
     instances = load_pools(deployment).instances()
     template = load_model(EXAMPLES / f"{deployment}-template.yaml", TemplateFile)
-    parameters = template.parameters.parameters()
+    parameters = template.parameters.to_parameters()
     for scope in {(item.data_centre, item.pool) for item in instances}:
         here = [item for item in instances if (item.data_centre, item.pool) == scope]
         largest = max(Counter(item.rack for item in here).values())
--- a/tests/fakes/entry.py
+++ b/tests/fakes/entry.py
@@ -41,7 +41,7 @@
 from mustardward.components.keys import FLEET_LOG
 from mustardward.components.membership.models import Member
 from mustardward.components.routing.models import RemoteChoice
-from mustardward.components.templates.protocols import Resolved
+from mustardward.components.templates.protocols import ResolvedService
 from mustardward.core import Core
 from mustardward.helpers.listener import HttpListener, ListenerOptions
 from mustardward.helpers.timer import DrivenTimerService
@@ -91,14 +91,14 @@
 
     def resolve(
         self, organisation: str, service: str
-    ) -> Result[Resolved, RequestRefusal]:
+    ) -> Result[ResolvedService, RequestRefusal]:
         if organisation != "hvelv":
             return Failure(
                 RequestRefusal("organisation-unknown", 404, Ran.NO, organisation)
             )
         for binding in self.parameters.services:
             if binding.service == service:
-                return Success(Resolved(self._organisation(), binding))
+                return Success(ResolvedService(self._organisation(), binding))
         return Failure(RequestRefusal("service-unknown", 404, Ran.NO, service))
 
     def _organisation(self) -> Organisation:
--- a/tests/fakes/templates.py
+++ b/tests/fakes/templates.py
@@ -12,7 +12,7 @@
 
 from mustardward.components.keys import FLEET_LOG, MEMBERSHIP, PEERS
 from mustardward.components.membership.models import Member, MemberStatus
-from mustardward.components.templates.models import FoldedReply
+from mustardward.components.templates.models import ProgressReply
 from mustardward.core import Core
 from mustardward.exceptions import MustardwardError, PeerError
 from mustardward.helpers.timer import DrivenTimerService
@@ -97,11 +97,11 @@
 
     async def async_call(
         self, member: Member, message: Any, timeout_seconds: float = 1.0
-    ) -> FoldedReply:
+    ) -> ProgressReply:
         offset = self.offsets[member.name]
         if offset < 0:
             raise PeerError(member.name)
-        return FoldedReply(offset, "", self.revisions.get(member.name, 0))
+        return ProgressReply(offset, "", self.revisions.get(member.name, 0))
 
 
 def build_member(name: str, status: MemberStatus = MemberStatus.ALIVE) -> Member:
