--- a/mustardward/cli/files.py
+++ b/mustardward/cli/files.py
@@ -8,7 +8,7 @@
 import click
 from pydantic import BaseModel, Field
 
-from ..components.templates.border import (
+from ..components.templates.api_models import (
     Address,
     Identifier,
     InstanceModel,
--- a/mustardward/components/templates/__init__.py
+++ b/mustardward/components/templates/__init__.py
@@ -7,7 +7,7 @@
 
 async def async_setup(core: Core) -> Unload:
     """Set the component up and return its unload callback."""
-    from .services import async_set_up_templates
+    from .setup import async_set_up_templates
 
     return await async_set_up_templates(core)
 
--- a/mustardward/components/templates/api.py
+++ b/mustardward/components/templates/api.py
@@ -7,10 +7,10 @@
 from ...core import Core
 from ...state.models.templates import PublishTemplate, TemplateRevision
 from ..api.routes import ApiAnswer, ApiRequest, api_route
-from .border import PublishModel, to_json_value
+from .api_models import PublishModel, to_json_value
 from .exceptions import TemplateUnknownError
 from .progress import async_fetch_progress
-from .proposing import (
+from .proposals import (
     async_build_response,
     async_propose,
     parse_integer,
--- a/mustardward/components/templates/fleet_api.py
+++ b/mustardward/components/templates/fleet_api.py
@@ -9,8 +9,8 @@
 from ...exceptions import MustardwardError
 from ...state.models.pools import AddInstance, Instance, PutPool
 from ..api.routes import ApiAnswer, ApiRequest, api_route
-from .border import InstancesModel
-from .proposing import async_build_response, async_propose, require_ready_state
+from .api_models import InstancesModel
+from .proposals import async_build_response, async_propose, require_ready_state
 
 _COMPARED_FIELDS = ("data_centre", "rack", "address", "pool")
 
--- a/mustardward/components/templates/organisations_api.py
+++ b/mustardward/components/templates/organisations_api.py
@@ -4,9 +4,9 @@
 
 from ...state.models.templates import Organisation, PutOrganisation, RemoveOrganisation
 from ..api.routes import ApiAnswer, ApiRequest, api_route
-from .border import OrganisationModel, to_json_value
+from .api_models import OrganisationModel, to_json_value
 from .exceptions import OrganisationUnknownError
-from .proposing import (
+from .proposals import (
     async_build_response,
     async_propose,
     parse_integer,
--- a/tests/components/templates/test_directory.py
+++ b/tests/components/templates/test_directory.py
@@ -13,7 +13,7 @@
 from mustardward.components.entry.models import Ran
 from mustardward.components.membership.models import MemberStatus
 from mustardward.components.templates import api, fleet_api, organisations_api
-from mustardward.components.templates.border import (
+from mustardward.components.templates.api_models import (
     InstancesModel,
     OrganisationModel,
     ParametersModel,
--- a/tests/components/templates/test_joined.py
+++ b/tests/components/templates/test_integration.py
@@ -13,7 +13,7 @@
 from mustardward.components.api.routes import ApiAnswer, ApiRequest
 from mustardward.components.keys import DIRECTORY, FLEET_LOG, MEMBERSHIP
 from mustardward.components.templates import api, fleet_api, organisations_api
-from mustardward.components.templates.border import OrganisationModel, PublishModel
+from mustardward.components.templates.api_models import OrganisationModel, PublishModel
 from mustardward.core import Core, async_setup_components
 from mustardward.exceptions import MustardwardError, PlatformUnavailableError
 from mustardward.settings.models import (
