--- a/mustardward/settings/__init__.py
+++ b/mustardward/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Read and validate the YAML settings of a process."""
+"""Load and validate the YAML settings of a process."""
--- a/mustardward/settings/loader.py
+++ b/mustardward/settings/loader.py
@@ -1,4 +1,4 @@
-"""Read a YAML settings file and find all its faults at once."""
+"""Load YAML settings files and report all their faults at once."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 KeyPath = tuple[str | int, ...]
 
 
-M = TypeVar("M", bound=BaseModel)
+ModelT = TypeVar("ModelT", bound=BaseModel)
 
 _YAML_FAILURES: Final = (yaml.YAMLError, ValueError, AttributeError, RecursionError)
-"""What the library raises for a date, number or nesting that it can't read."""
+"""Raised by PyYAML for invalid dates and numbers and for too deep nesting."""
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsFault:
-    """Hold one fault: where it stands and what was expected there."""
+    """Describe one fault: its location and what was expected there."""
 
     file: str
     line: int
@@ -32,14 +32,14 @@
     expected: str
 
     def __str__(self) -> str:
-        """Return the line that an operator reads."""
+        """Return the line that ``check`` prints."""
         return f"{self.file}:{self.line}: {self.key or '-'}: {self.expected}"
 
 
 class SettingsFaultsError(SettingsError):
-    """Report every fault of a settings file.
+    """Raised when a settings file has faults.
 
-    :param faults: all of them, in order of lines.
+    :param faults: all faults, sorted by line.
     """
 
     def __init__(self, faults: tuple[SettingsFault, ...]) -> None:
@@ -48,20 +48,20 @@
 
     @property
     def faults(self) -> tuple[SettingsFault, ...]:
-        """Return the faults in order of lines."""
+        """Return the faults, sorted by line."""
         return self._faults
 
 
 def load_settings(path: Path) -> Settings:
-    """Return the settings in a file.
+    """Load settings from a file.
 
     :raises SettingsFaultsError: if the file can't be read or has faults.
     """
     return load_model(path, Settings)
 
 
-def load_model(path: Path, model: type[M]) -> M:
-    """Return what a YAML file holds, as a model.
+def load_model(path: Path, model: type[ModelT]) -> ModelT:
+    """Load a YAML file into a model.
 
     :raises SettingsFaultsError: if the file can't be read or has faults.
     """
@@ -75,24 +75,24 @@
 
 
 def parse_settings(text: str, name: str) -> Settings:
-    """Return the settings that a YAML text holds.
+    """Parse settings from a YAML text.
 
-    :param name: what the text is called in faults.
+    :param name: file name to report in faults.
     :raises SettingsFaultsError: if the text has faults.
     """
     return parse_model(text, name, Settings)
 
 
-def parse_model(text: str, name: str, model: type[M]) -> M:
-    """Return what a YAML text holds, as a model.
+def parse_model(text: str, name: str, model: type[ModelT]) -> ModelT:
+    """Parse a YAML text into a model.
 
-    :param name: what the text is called in faults.
+    :param name: file name to report in faults.
     :raises SettingsFaultsError: if the text has faults.
     """
     try:
         root = yaml.compose(text, Loader=yaml.SafeLoader)
         data = yaml.safe_load(text)
-        lines = _Lines(root)
+        lines = _LineIndex(root)
     except yaml.MarkedYAMLError as error:
         raise SettingsFaultsError((_yaml_fault(error, name),)) from error
     except _YAML_FAILURES as error:
@@ -105,14 +105,14 @@
         value = model.model_validate(data)
     except ValidationError as error:
         faults += [_fault(item, lines, name) for item in error.errors()]
-        raise SettingsFaultsError(_sorted(faults)) from error
+        raise SettingsFaultsError(_sort_faults(faults)) from error
     if faults:
-        raise SettingsFaultsError(_sorted(faults))
+        raise SettingsFaultsError(_sort_faults(faults))
     return value
 
 
-class _Lines:
-    """Know the line of each key."""
+class _LineIndex:
+    """Map each key to its line."""
 
     def __init__(self, root: Node | None) -> None:
         self._lines: dict[KeyPath, int] = {(): 1}
@@ -120,29 +120,29 @@
         if root is not None:
             self._visit((), root)
 
-    def line(self, path: KeyPath) -> int:
-        """Return the line of a key, or of the nearest one that holds it."""
+    def get_line(self, path: KeyPath) -> int:
+        """Return the line of a key, or of its nearest parent with a known line."""
         while path not in self._lines:
             path = path[:-1]
         return self._lines[path]
 
     def duplicates(self, name: str) -> list[SettingsFault]:
-        """Return a fault for each key given twice: YAML would drop the first."""
+        """Return a fault for each duplicate key, which YAML silently overwrites."""
         return [
-            SettingsFault(name, line, _dotted(path), "each key once")
+            SettingsFault(name, line, _format_path(path), "each key once")
             for path, line in self._duplicates
         ]
 
     def _visit(self, path: KeyPath, node: Node) -> None:
         if isinstance(node, MappingNode):
             for key, value in node.value:
-                self._enter((*path, str(key.value)), key, value)
+                self._add_key((*path, str(key.value)), key, value)
         elif isinstance(node, SequenceNode):
             for index, value in enumerate(node.value):
-                self._enter((*path, index), value, value)
+                self._add_key((*path, index), value, value)
 
-    def _enter(self, path: KeyPath, marked: Node, value: Node) -> None:
-        line = marked.start_mark.line + 1
+    def _add_key(self, path: KeyPath, key_node: Node, value: Node) -> None:
+        line = key_node.start_mark.line + 1
         if path in self._lines:
             self._duplicates.append((path, line))
             return
@@ -150,7 +150,7 @@
         self._visit(path, value)
 
 
-def _fault(item: object, lines: _Lines, name: str) -> SettingsFault:
+def _fault(item: object, lines: _LineIndex, name: str) -> SettingsFault:
     assert isinstance(item, dict)
     path: KeyPath = tuple(item["loc"])
     expected = str(item["msg"])
@@ -158,7 +158,7 @@
         expected = "no such key; see the settings reference"
     elif item["type"] == "missing":
         expected = "this key is required"
-    return SettingsFault(name, lines.line(path), _dotted(path), expected)
+    return SettingsFault(name, lines.get_line(path), _format_path(path), expected)
 
 
 def _yaml_fault(error: yaml.MarkedYAMLError, name: str) -> SettingsFault:
@@ -167,9 +167,9 @@
     return SettingsFault(name, line, "", f"valid YAML ({error.problem})")
 
 
-def _sorted(faults: list[SettingsFault]) -> tuple[SettingsFault, ...]:
+def _sort_faults(faults: list[SettingsFault]) -> tuple[SettingsFault, ...]:
     return tuple(sorted(faults, key=lambda fault: (fault.line, fault.key)))
 
 
-def _dotted(path: KeyPath) -> str:
+def _format_path(path: KeyPath) -> str:
     return ".".join(str(part) for part in path)
--- a/mustardward/settings/models.py
+++ b/mustardward/settings/models.py
@@ -1,4 +1,4 @@
-"""Model the settings file of one entry process.
+"""Define the settings of one entry process.
 
 Source: every value comes from the YAML file named on the command line; unknown keys
 are errors.
@@ -12,7 +12,7 @@
 
 
 class SettingsModel(BaseModel):
-    """Refuse unknown keys and later changes."""
+    """Base class of settings: immutable, rejects unknown keys."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -129,7 +129,7 @@
 
 
 class Settings(SettingsModel):
-    """Hold all settings of one entry process."""
+    """Settings of one entry process."""
 
     entry: EntryIdentity
     callers: Listener
--- a/mustardward/settings/reference.py
+++ b/mustardward/settings/reference.py
@@ -1,4 +1,4 @@
-"""Write the reference of the settings file from its models."""
+"""Generate the settings reference page from the settings models."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 | Key | Type | Default | Bounds | Meaning |
 |---|---|---|---|---|
 """
-_NAMES = {Path: "path", NoneType: "nothing"}
+_TYPE_NAMES = {Path: "path", NoneType: "nothing"}
 
 
 @dataclass(frozen=True, slots=True)
 class ReferenceRow:
-    """Hold one line of the table."""
+    """One row of the settings table."""
 
     key: str
     type: str
@@ -43,13 +43,13 @@
     meaning: str
 
     def __str__(self) -> str:
-        """Return the line in Markdown."""
+        """Return the row in Markdown."""
         cells = (f"`{self.key}`", self.type, self.default, self.bounds, self.meaning)
         return "| " + " | ".join(cells) + " |"
 
 
 def settings_reference() -> str:
-    """Return the page."""
+    """Return the settings reference page in Markdown."""
     rows = "".join(f"{row}\n" for row in _rows(Settings, ""))
     return _HEAD + rows
 
@@ -57,18 +57,18 @@
 def _rows(model: type[BaseModel], prefix: str) -> Iterator[ReferenceRow]:
     for name, field in model.model_fields.items():
         key = f"{prefix}{name}"
-        inner, many = _inner_model(field.annotation)
-        if inner is None:
+        nested, is_list = _nested_model(field.annotation)
+        if nested is None:
             yield _row(key, field)
         else:
             yield ReferenceRow(
                 key,
-                "list of mappings" if many else "mapping",
+                "list of mappings" if is_list else "mapping",
                 "required" if field.is_required() else "see below",
                 "",
-                " ".join((inner.__doc__ or "").split()),
+                " ".join((nested.__doc__ or "").split()),
             )
-            yield from _rows(inner, f"{key}[]." if many else f"{key}.")
+            yield from _rows(nested, f"{key}[]." if is_list else f"{key}.")
 
 
 def _row(key: str, field: FieldInfo) -> ReferenceRow:
@@ -81,20 +81,20 @@
     )
 
 
-def _inner_model(annotation: Any) -> tuple[type[BaseModel] | None, bool]:
+def _nested_model(annotation: Any) -> tuple[type[BaseModel] | None, bool]:
     if isinstance(annotation, type) and issubclass(annotation, BaseModel):
         return annotation, False
-    many = typing.get_origin(annotation) is tuple
+    is_list = typing.get_origin(annotation) is tuple
     for part in typing.get_args(annotation):
         if isinstance(part, type) and issubclass(part, BaseModel):
-            return part, many
+            return part, is_list
     return None, False
 
 
 def _type_name(annotation: Any) -> str:
     if isinstance(annotation, UnionType):
         return " or ".join(_type_name(part) for part in typing.get_args(annotation))
-    return _NAMES.get(annotation, getattr(annotation, "__name__", str(annotation)))
+    return _TYPE_NAMES.get(annotation, getattr(annotation, "__name__", str(annotation)))
 
 
 def _bounds(field: FieldInfo) -> Iterator[str]:
--- a/tests/settings/test_loader.py
+++ b/tests/settings/test_loader.py
@@ -1,4 +1,4 @@
-"""Read settings files with and without faults."""
+"""Test loading of valid and invalid settings files."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 """
 
 
-def faults(text: str) -> list[tuple[int, str]]:
+def find_faults(text: str) -> list[tuple[int, str]]:
     with pytest.raises(SettingsFaultsError) as caught:
         parse_settings(text, "entry.yaml")
     return [(fault.line, fault.key) for fault in caught.value.faults]
@@ -40,7 +40,7 @@
   - {name: entry-2, data_centre: vestland-1, host: 10.0.0.2, port: 0}
 limits: {body_bytes: many}
 """
-    assert faults(text) == [
+    assert find_faults(text) == [
         (1, "platform"),
         (2, "entry.name"),
         (5, "callers.port"),
@@ -65,7 +65,7 @@
 def test_malformed_files_give_faults_and_no_traceback(
     text: str, expected: list[tuple[int, str]]
 ) -> None:
-    assert faults(text) == expected
+    assert find_faults(text) == expected
 
 
 def test_check_prints_a_line_for_each_fault_and_sets_its_exit_code(
