--- a/mustardward/cli/load.py
+++ b/mustardward/cli/load.py
@@ -87,7 +87,7 @@
     from ..helpers.timer import LoopTimerService
     from ..load.runner import LoadRunner
 
-    limits = httpx.Limits(max_connections=plan.most_open)
+    limits = httpx.Limits(max_connections=plan.max_in_flight)
     async with (
         anyio.create_task_group() as tasks,
         httpx.AsyncClient(limits=limits, trust_env=False) as client,
--- a/mustardward/load/__init__.py
+++ b/mustardward/load/__init__.py
@@ -1,1 +1,1 @@
-"""Put bounded load on entries and measure their answers."""
+"""Generate bounded load on entries and measure the responses."""
--- a/mustardward/load/models.py
+++ b/mustardward/load/models.py
@@ -1,4 +1,4 @@
-"""Model a load, its requests and what came of them."""
+"""Define load plans, their requests and their results."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """Name a service of an organisation."""
+    """A service of an organisation."""
 
     organisation: str
     service: str
@@ -27,10 +27,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadPlan:
-    """Bound a load; shares are of all requests, the rest is normal work.
-
-    ``rate`` is in requests a second, ``long_seconds`` how long a worker takes over
-    long work, ``most_open`` how many requests may be without an answer at a time.
+    """Parameters of a load.
+
+    :param rate: requests per second.
+    :param urgent_share: fraction of all requests; what neither share covers is
+        normal work.
+    :param long_share: fraction of all requests.
+    :param long_seconds: processing time of a long request on its worker.
+    :param max_in_flight: limit of requests awaiting a response.
     """
 
     entries: tuple[str, ...]
@@ -41,13 +45,13 @@
     long_share: float = 0.1
     long_seconds: float = 0.5
     timeout_seconds: float = 30.0
-    most_open: int = 500
+    max_in_flight: int = 500
     seed: int = 1
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedRequest:
-    """Hold one request; ``due`` is in seconds after the load's start."""
+    """One request; ``due`` is in seconds since the start of the load."""
 
     number: int
     due: float
@@ -57,10 +61,10 @@
 
 
 def plan_requests(plan: LoadPlan) -> Iterator[PlannedRequest]:
-    """Yield the requests of a plan in order; the seed fixes them all."""
-    chance = random.Random(plan.seed)
+    """Yield the requests of a plan in order, determined by its seed."""
+    rng = random.Random(plan.seed)
     for number in range(int(plan.rate * plan.seconds)):
-        draw = chance.random()
+        draw = rng.random()
         urgency = Urgency.NORMAL
         if draw < plan.urgent_share:
             urgency = Urgency.URGENT
@@ -70,7 +74,7 @@
             number=number,
             due=number / plan.rate,
             entry=plan.entries[number % len(plan.entries)],
-            target=chance.choice(plan.targets),
+            target=rng.choice(plan.targets),
             urgency=urgency,
         )
 
@@ -81,10 +85,10 @@
 
 @dataclass(slots=True, eq=False)
 class ClassResult:
-    """Count the answers of one class of work.
+    """Response counts and latencies of one request class.
 
-    ``refused_unknown`` are refusals that may have run, ``mixed_up`` answers that
-    name another request.
+    ``refused_unknown`` counts refused requests that may have run, ``mixed_up``
+    responses that name another request.
     """
 
     answered: int = 0
@@ -96,7 +100,7 @@
     latency: Any = field(default_factory=_histogram)
 
     def record(self, seconds: float) -> None:
-        """Count the latency of an answer."""
+        """Record the latency of a response."""
         self.latency.record_value(max(LOWEST_MICROSECONDS, int(seconds * 1e6)))
 
     def summary(self) -> dict[str, float | int]:
@@ -123,7 +127,10 @@
 
 @dataclass(slots=True, eq=False)
 class LoadResult:
-    """Hold what came of a load; ``held_back`` were not sent as too many were open."""
+    """Result of a load.
+
+    ``held_back`` counts requests that were not sent because of the in-flight limit.
+    """
 
     seconds: float = 0.0
     held_back: int = 0
@@ -132,7 +139,7 @@
     )
 
     def summary(self) -> dict[str, Any]:
-        """Return all figures."""
+        """Return the duration, throughput and per-class results."""
         answered = sum(result.answered for result in self.classes.values())
         return {
             "seconds": round(self.seconds, 3),
--- a/mustardward/load/runner.py
+++ b/mustardward/load/runner.py
@@ -1,4 +1,4 @@
-"""Send a planned load and take its answers down."""
+"""Send the requests of a load plan and record the responses."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 
 
 class LoadRunner:
-    """Send the requests of a plan at their times, whatever the answers do.
+    """Send the requests of a plan on schedule, independent of responses (open loop).
 
-    Latency counts from when a request was due. Counting from when it was sent would
-    hide every wait behind a slow entry, and a stalled entry would look fast.
+    Latency is measured from the time a request was due. Measuring from the time it
+    was sent hides queueing behind a slow entry (coordinated omission), so that a
+    stalled entry looks fast.
     """
 
     def __init__(
@@ -25,35 +26,35 @@
         self._timers = timers
         self._client = client
         self._result = LoadResult()
-        self._open = 0
+        self._in_flight = 0
 
     async def async_run(self) -> LoadResult:
-        """Return the result when every request has its answer or timed out."""
+        """Return the result once every request was answered or timed out."""
         start = self._timers.monotonic()
         async with anyio.create_task_group() as tasks:
             for request in plan_requests(self._plan):
                 wait = start + request.due - self._timers.monotonic()
                 if wait > 0:
                     await self._timers.async_sleep(wait)
-                if self._open >= self._plan.most_open:
+                if self._in_flight >= self._plan.max_in_flight:
                     self._result.held_back += 1
                     continue
-                self._open += 1
-                tasks.start_soon(self._async_one, request, start + request.due)
+                self._in_flight += 1
+                tasks.start_soon(self._async_execute, request, start + request.due)
         self._result.seconds = self._timers.monotonic() - start
         return self._result
 
-    async def _async_one(self, request: PlannedRequest, due: float) -> None:
+    async def _async_execute(self, request: PlannedRequest, due: float) -> None:
         counts = self._result.classes[str(request.urgency)]
         try:
-            answer = await self._async_send(request)
-            _count(counts, answer, request_id(request))
-            if answer.status_code < 500:
+            response = await self._async_send(request)
+            _count_response(counts, response, request_id(request))
+            if response.status_code < 500:
                 counts.record(self._timers.monotonic() - due)
         except httpx.TransportError:
             counts.unreachable += 1
         finally:
-            self._open -= 1
+            self._in_flight -= 1
 
     async def _async_send(self, request: PlannedRequest) -> httpx.Response:
         target = request.target
@@ -72,28 +73,30 @@
 
 
 def request_id(request: PlannedRequest) -> str:
-    """Return the id by which an answer is matched to its request."""
+    """Return the id that matches a response to its request."""
     return f"load-{request.number}"
 
 
-def _count(counts: ClassResult, answer: httpx.Response, wanted: str) -> None:
-    ran = answer.headers.get(HEADER_RAN, "")
-    if answer.is_error and ran == "no":
+def _count_response(
+    counts: ClassResult, response: httpx.Response, expected_id: str
+) -> None:
+    ran = response.headers.get(HEADER_RAN, "")
+    if response.is_error and ran == "no":
         counts.refused_not_run += 1
-    elif answer.is_error and ran == "unknown":
+    elif response.is_error and ran == "unknown":
         counts.refused_unknown += 1
-    elif answer.status_code >= 500:
+    elif response.status_code >= 500:
         counts.failed += 1
     else:
         counts.answered += 1
-        if _named_request(answer) not in (wanted, ""):
+        if _response_request_id(response) not in (expected_id, ""):
             counts.mixed_up += 1
 
 
-def _named_request(answer: httpx.Response) -> str:
-    """Return the request that a stand-in worker's answer names, if it does."""
+def _response_request_id(response: httpx.Response) -> str:
+    """Return the request id in a stand-in worker's response, or an empty string."""
     try:
-        body = answer.json()
+        body = response.json()
     except ValueError:
         return ""
     return str(body.get("request", "")) if isinstance(body, dict) else ""
--- a/tests/load/test_load.py
+++ b/tests/load/test_load.py
@@ -1,4 +1,4 @@
-"""Plan loads and count their answers."""
+"""Test load plans and the counting of responses."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 )
 
 
-async def async_result(plan: LoadPlan, handler: object) -> LoadResult:
+async def async_run_load(plan: LoadPlan, handler: object) -> LoadResult:
     timers = DrivenTimerService()
     results: list[LoadResult] = []
     transport = httpx.MockTransport(handler)  # type: ignore[arg-type]
@@ -56,8 +56,8 @@
     assert {request.target for request in requests} == set(plan.targets)
 
 
-async def test_answers_are_counted_by_what_they_say() -> None:
-    answers = [
+async def test_responses_are_counted_by_outcome() -> None:
+    responses = [
         httpx.Response(200, json={"request": "load-0"}),
         httpx.Response(200, json={"request": "load-77"}),
         httpx.Response(503, headers={"mw-ran": "no"}),
@@ -67,23 +67,22 @@
 
     def handle(request: httpx.Request) -> httpx.Response:
         number = int(request.headers["mw-request-id"].removeprefix("load-"))
-        if number >= len(answers):
-            raise httpx.ConnectError("nobody there")
-        return answers[number]
+        if number >= len(responses):
+            raise httpx.ConnectError("connection refused")
+        return responses[number]
 
     plan = LoadPlan(PLAN.entries, PLAN.targets, 10.0, 0.6, urgent_share=1.0)
-    counts = (await async_result(plan, handle)).classes["urgent"]
+    counts = (await async_run_load(plan, handle)).classes["urgent"]
     assert (counts.answered, counts.mixed_up) == (2, 1)
     assert (counts.refused_not_run, counts.refused_unknown) == (1, 1)
     assert (counts.failed, counts.unreachable) == (1, 1)
 
 
 async def test_latency_counts_from_when_a_request_was_due() -> None:
-    """Show a stalled entry.
+    """Guard against latency measured from the time of sending.
 
-    Symptom: percentiles look well while callers wait. Sequence: the load itself is
-    held up for a second, then sends all that is due. Cause: latency counted from the
-    sending.
+    The load generator is paused for a second, then sends all overdue requests.
+    Measured from sending, percentiles would look good while callers wait.
     """
     timers = DrivenTimerService()
     plan = LoadPlan(PLAN.entries, PLAN.targets, 10.0, 1.0, urgent_share=1.0)
@@ -103,19 +102,19 @@
     assert summary["max_ms"] == pytest.approx(900.0, rel=0.01)
 
 
-async def test_a_load_keeps_its_bound_of_open_requests() -> None:
+async def test_a_load_limits_its_requests_in_flight() -> None:
     release = anyio.Event()
-    plan = LoadPlan(PLAN.entries, PLAN.targets, 10.0, 1.0, most_open=3)
-    seen: list[str] = []
+    plan = LoadPlan(PLAN.entries, PLAN.targets, 10.0, 1.0, max_in_flight=3)
+    received: list[str] = []
 
-    async def hold(request: httpx.Request) -> httpx.Response:
-        seen.append(request.headers["mw-request-id"])
+    async def block_request(request: httpx.Request) -> httpx.Response:
+        received.append(request.headers["mw-request-id"])
         await release.wait()
         return httpx.Response(200)
 
     timers = DrivenTimerService()
     async with (
-        httpx.AsyncClient(transport=httpx.MockTransport(hold)) as client,
+        httpx.AsyncClient(transport=httpx.MockTransport(block_request)) as client,
         anyio.create_task_group() as tasks,
     ):
         runner = LoadRunner(plan, timers, client)
@@ -123,7 +122,7 @@
         for _ in range(12):
             await anyio.wait_all_tasks_blocked()
             await timers.async_advance(0.1)
-        sent = len(seen)
+        sent = len(received)
         release.set()
     assert sent == 3
     assert runner._result.held_back == 7
