--- a/bench/history/collect.py
+++ b/bench/history/collect.py
@@ -18,7 +18,7 @@
     """
     now = world.now()
     for name, worker in world.workers.items():
-        for item in worker.executions.all():
+        for item in worker.executions.list_executions():
             world.history.executions.append(_execution(name, item))
         for run in worker.tasks.runs(now):
             world.history.tasks.append(
--- a/bench/history/faults.py
+++ b/bench/history/faults.py
@@ -234,7 +234,7 @@
     shortest: float = 1.0,
     longest: float = 5.0,
 ) -> None:
-    struck = [worker for worker in workers if not worker.faults.now.down]
+    struck = [worker for worker in workers if not worker.faults.active.down]
     for worker in struck:
         world.note_power(worker.options.instance_id, PowerChange.FAILED)
         worker.faults.change(down=True)
@@ -266,7 +266,10 @@
     with anyio.move_on_after(_AWAIT_DRAIN_SECONDS):
         while True:
             for worker in world.workers.values():
-                if worker.power is WorkerPower.DRAINING and not worker.faults.now.down:
+                if (
+                    worker.power is WorkerPower.DRAINING
+                    and not worker.faults.active.down
+                ):
                     return worker
             await anyio.sleep(0.1)
     return None
--- a/bench/history/operators.py
+++ b/bench/history/operators.py
@@ -49,7 +49,7 @@
         base = known.revision if known else 0
         start = self.world.now()
         await anyio.sleep(random.random() * 0.1)
-        if self.world.platform.log.faults.now.outage:
+        if self.world.platform.log.faults.active.outage:
             return
         overrides = Overrides(
             services=SERVICES[name], deadline_seconds=5.0 + random.random()
--- a/bench/history/provocations.py
+++ b/bench/history/provocations.py
@@ -91,7 +91,7 @@
     """Let workers answer now and then what they were asked before."""
     from mustardward.standin.worker_serve import ServeApp
 
-    original = ServeApp._async_answer
+    original = ServeApp._async_respond
     last: dict[int, Any] = {}
     count = 0
 
@@ -112,4 +112,4 @@
             scope, headers, body, execution = before
         return await original(self, scope, headers, body, execution, send, struck)
 
-    setattr(ServeApp, "_async_answer", async_answer)  # noqa: B010
+    setattr(ServeApp, "_async_respond", async_answer)  # noqa: B010
--- a/mustardward/embedded/demo.py
+++ b/mustardward/embedded/demo.py
@@ -273,5 +273,5 @@
             "request_id": item.request_id,
         }
         for running in context.fleet.workers.values()
-        for item in running.worker.executions.all()
+        for item in running.worker.executions.list_executions()
     ]
--- a/mustardward/standin/__init__.py
+++ b/mustardward/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand in for the platform and its workers, in tests, drills and the demo."""
+"""Simulate the platform and its workers for tests, drills and the demo."""
--- a/mustardward/standin/common.py
+++ b/mustardward/standin/common.py
@@ -1,4 +1,4 @@
-"""Share what the stand-in services do alike: faults, waiting, JSON answers."""
+"""Provide request parsing, error responses and fault injection for the services."""
 
 from __future__ import annotations
 
@@ -12,31 +12,31 @@
 from ..const import HEADER_DATA_CENTRE
 from ..helpers.timer import TimerService
 from .faults import FaultSwitch, ServiceFaults
-from .serving import connection_of
+from .serving import get_connection
 
-M = TypeVar("M", bound=BaseModel)
-F = TypeVar("F", bound=ServiceFaults)
+ModelT = TypeVar("ModelT", bound=BaseModel)
+FaultsT = TypeVar("FaultsT", bound=ServiceFaults)
 
 
-class NoAnswer(Response):
-    """Reset the connection in place of an answer."""
+class ConnectionReset(Response):
+    """Response that resets the connection."""
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
         """Reset the connection."""
-        connection = connection_of(scope)
+        connection = get_connection(scope)
         if connection is not None:
             connection.abort()
 
 
-def refusal(status: int, code: str, **fields: object) -> JSONResponse:
-    """Return a refusal with a stable code."""
+def error_response(status: int, code: str, **fields: object) -> JSONResponse:
+    """Return an error response with a stable code."""
     return JSONResponse({"code": code, **fields}, status_code=status)
 
 
-async def async_body(request: Request, model: type[M]) -> M:
-    """Return the validated body.
+async def async_parse_body(request: Request, model: type[ModelT]) -> ModelT:
+    """Return the validated request body.
 
-    :raises BodyError: if it does not fit.
+    :raises BodyError: if the body is invalid.
     """
     try:
         return model.model_validate_json(await request.body() or b"{}")
@@ -45,32 +45,32 @@
 
 
 class BodyError(Exception):
-    """Report a request body that does not fit its model."""
+    """Raised for a request body that fails validation."""
 
 
-async def async_body_refusal(request: Request, error: Exception) -> Response:
-    """Answer a body that does not fit."""
-    return refusal(422, "body-invalid", detail=str(error))
+async def async_handle_body_error(request: Request, error: Exception) -> Response:
+    """Return the error response to an invalid body."""
+    return error_response(422, "body-invalid", detail=str(error))
 
 
 async def async_with_faults(
     request: Request,
-    switch: FaultSwitch[F],
+    switch: FaultSwitch[FaultsT],
     timers: TimerService,
     run: Callable[[], Awaitable[Response]],
 ) -> Response:
-    """Run a call under the faults in force."""
-    faults = switch.now
+    """Handle a call with the active faults applied."""
+    faults = switch.active
     if request.headers.get(HEADER_DATA_CENTRE) in faults.cut_off:
-        return NoAnswer()
+        return ConnectionReset()
     if faults.slow_seconds:
         await timers.async_sleep(faults.slow_seconds)
     if faults.outage:
-        return refusal(503, "outage")
-    answer = await run()
-    # A read has no effect to hide. Long polls would use the fault up before the call
-    # that it is meant for, and a test of lost answers would show nothing.
-    changed = request.method != "GET" and answer.status_code < 400
-    if changed and switch.take("lose_answers"):
-        return NoAnswer()
-    return answer
+        return error_response(503, "outage")
+    response = await run()
+    # Only calls that change state consume the fault. Long polls would otherwise use
+    # it up before the intended call, and tests of lost responses would test nothing.
+    changed = request.method != "GET" and response.status_code < 400
+    if changed and switch.consume("lose_answers"):
+        return ConnectionReset()
+    return response
--- a/mustardward/standin/estate/__init__.py
+++ b/mustardward/standin/estate/__init__.py
@@ -1,1 +1,1 @@
-"""Stand in for the users' platform: store, workers and fleet, small and seeded."""
+"""Simulate the users' platform: store, workers and fleet, from a seed."""
--- a/mustardward/standin/estate/app.py
+++ b/mustardward/standin/estate/app.py
@@ -1,4 +1,4 @@
-"""Serve the stand-in platform over HTTP, so that real entries run against it."""
+"""Serve the simulated platform over HTTP, for real entries to run against."""
 
 from __future__ import annotations
 
@@ -43,18 +43,18 @@
 
 _HEAD: Final = struct.Struct(">QQ")
 TICK_SECONDS: Final = 0.01
-SILENCE_SECONDS: Final = 30.0
-"""A silent store or worker keeps a call open for so long."""
+UNRESPONSIVE_SECONDS: Final = 30.0
+"""Time for which an unresponsive store or worker keeps a call open."""
 
-HOSTS_A_BLOCK: Final = 250
-LISTED_ROWS: Final = 100
-"""Rows of the fleet's list in one page."""
+HOSTS_PER_BLOCK: Final = 250
+LIST_PAGE_ROWS: Final = 100
+"""Rows of the instance list per page."""
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
 class EstateApp:
-    """Answer the platform's calls."""
+    """Handle calls to the platform."""
 
     def __init__(self, estate: Estate) -> None:
         self._estate = estate
@@ -72,7 +72,7 @@
         }
 
     async def async_handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one call."""
+        """Handle one call."""
         handler = self._handlers.get((request.method, request.path))
         if handler is None:
             return web.Response(status=404)
@@ -82,7 +82,7 @@
         except CallRefusedError:
             return web.Response(status=503)
         except CallUnknownError:
-            await anyio.sleep(SILENCE_SECONDS)
+            await anyio.sleep(UNRESPONSIVE_SECONDS)
             return web.Response(status=503)
 
     async def _async_append(self, request: web.Request) -> web.StreamResponse:
@@ -100,11 +100,11 @@
         try:
             end = await self._estate.store.async_append(topic, records, producer)
         except FencedError:
-            return _json(AppendRefusedBody(names.REASON_FENCED), 409)
+            return _json_response(AppendRefusedBody(names.REASON_FENCED), 409)
         except SequenceError as error:
             refusal = AppendRefusedBody(names.REASON_SEQUENCE, error.expected)
-            return _json(refusal, 409)
-        return _json(AppendedBody(end - len(records), end))
+            return _json_response(refusal, 409)
+        return _json_response(AppendedBody(end - len(records), end))
 
     async def _async_read(self, request: web.Request) -> web.StreamResponse:
         topic = request.query[names.PARAM_TOPIC]
@@ -115,7 +115,7 @@
             try:
                 page = await self._estate.store.async_read(topic, start, 0)
             except OffsetGoneError as error:
-                return _json(GoneBody(error.first), 410)
+                return _json_response(GoneBody(error.first), 410)
             if page.records or time.monotonic() >= until:
                 break
             await anyio.sleep(TICK_SECONDS)
@@ -127,10 +127,10 @@
             request.query[names.PARAM_TOPIC], request.query.get(names.PARAM_AFTER, "")
         )
         items = [
-            _raw(NewestItem(r.key, r.offset, base64.b64encode(r.value).decode()))
+            _encode_raw(NewestItem(r.key, r.offset, base64.b64encode(r.value).decode()))
             for r in page.records
         ]
-        return _json(NewestBody(items, page.end, page.more))
+        return _json_response(NewestBody(items, page.end, page.more))
 
     async def _async_start(self, request: web.Request) -> web.StreamResponse:
         order = msgspec.json.decode(await request.read(), type=StartBody)
@@ -138,7 +138,7 @@
         if worker is None:
             return web.Response(status=421)
         now_ms = _clock_ms(worker)
-        return _clock(worker.start(order, now_ms), now_ms)
+        return _clock_response(worker.start(order, now_ms), now_ms)
 
     async def _async_stop(self, request: web.Request) -> web.StreamResponse:
         order = msgspec.json.decode(await request.read(), type=StopBody)
@@ -146,70 +146,83 @@
         if worker is None:
             return web.Response(status=421)
         now_ms = _clock_ms(worker)
-        return _clock(worker.stop(order.task, order.run, order.fence, now_ms), now_ms)
+        return _clock_response(
+            worker.stop(order.task, order.run, order.fence, now_ms), now_ms
+        )
 
     async def _async_pace(self, request: web.Request) -> web.StreamResponse:
         msgspec.json.decode(await request.read(), type=PaceBody)
         worker = await self._async_worker(request)
         if worker is None:
             return web.Response(status=421)
-        return _clock("", _clock_ms(worker))
+        return _clock_response("", _clock_ms(worker))
 
     async def _async_hold(self, request: web.Request) -> web.StreamResponse:
         call = msgspec.json.decode(await request.read(), type=HoldBody)
         worker = await self._async_worker(request)
         if worker is None:
             return web.Response(status=421)
-        worker.hold(call.fence, call.seen_upto, call.deadline_ms, _clock_ms(worker))
+        worker.poll(call.fence, call.seen_upto, call.deadline_ms, _clock_ms(worker))
         until = time.monotonic() + call.wait_ms / 1000
-        while time.monotonic() < until and not worker.has_news(call.seen_upto):
+        while time.monotonic() < until and not worker.has_unacknowledged_ends(
+            call.seen_upto
+        ):
             await anyio.sleep(TICK_SECONDS)
             worker.advance(_clock_ms(worker))
         if self._estate.workers.get(worker.id) is not worker:
-            # Its process ended meanwhile: the connection breaks without an answer.
+            # The process restarted during the poll: the connection ends.
             raise CallUnknownError("restarted")
-        answer = worker.hold(call.fence, call.seen_upto, None, _clock_ms(worker))
-        if answer is None:
-            return _clock(names.REASON_FENCE, _clock_ms(worker))
-        return _json(answer)
+        report = worker.poll(call.fence, call.seen_upto, None, _clock_ms(worker))
+        if report is None:
+            return _clock_response(names.REASON_FENCE, _clock_ms(worker))
+        return _json_response(report)
 
     async def _async_worker(self, request: web.Request) -> MemoryWorker | None:
         worker_id = request.headers.get(names.HEADER_EXPECTED, "")
         worker = self._estate.workers.get(worker_id)
-        if worker is not None and worker.silent:
-            await anyio.sleep(SILENCE_SECONDS)
+        if worker is not None and worker.unresponsive:
+            await anyio.sleep(UNRESPONSIVE_SECONDS)
         return worker
 
     async def _async_list(self, request: web.Request) -> web.StreamResponse:
         first = int(request.query.get(names.PARAM_PAGE, "0"))
         instances = self._estate.list_instances()
-        rows = [_raw(instance) for instance in instances[first : first + LISTED_ROWS]]
-        behind = first + LISTED_ROWS
-        return _json(ListedBody(rows, str(behind) if behind < len(instances) else None))
+        rows = [
+            _encode_raw(instance)
+            for instance in instances[first : first + LIST_PAGE_ROWS]
+        ]
+        next_row = first + LIST_PAGE_ROWS
+        return _json_response(
+            ListedBody(rows, str(next_row) if next_row < len(instances) else None)
+        )
 
     async def _async_move(self, request: web.Request) -> web.StreamResponse:
         order = msgspec.json.decode(await request.read(), type=MoveBody)
         now = time.monotonic()
         token = int(request.headers[names.HEADER_TOKEN])
-        return _refusal(self._estate.move(order.machine, order.pool, token, now))
+        return _command_response(
+            self._estate.move(order.machine, order.pool, token, now)
+        )
 
     async def _async_maintain(self, request: web.Request) -> web.StreamResponse:
         order = msgspec.json.decode(await request.read(), type=MaintainBody)
         now = time.monotonic()
         token = int(request.headers[names.HEADER_TOKEN])
-        return _refusal(self._estate.maintain(order.machine, order.wave, token, now))
+        return _command_response(
+            self._estate.maintain(order.machine, order.wave, token, now)
+        )
 
 
 def _clock_ms(worker: MemoryWorker) -> float:
-    """Return a worker's own clock, which begins anew with each start."""
+    """Return the time of a worker's clock, which restarts with its process."""
     return time.monotonic() * 1000 - worker.clock_zero_ms
 
 
-def _raw(body: msgspec.Struct) -> msgspec.Raw:
+def _encode_raw(body: msgspec.Struct) -> msgspec.Raw:
     return msgspec.Raw(msgspec.json.encode(body))
 
 
-def _json(body: Any, status: int = 200) -> web.Response:
+def _json_response(body: Any, status: int = 200) -> web.Response:
     return web.Response(
         status=status,
         body=msgspec.json.encode(body),
@@ -217,17 +230,17 @@
     )
 
 
-def _clock(reason: str, clock_ms: float) -> web.Response:
-    return _json(ClockBody(clock_ms, reason), 409 if reason else 200)
+def _clock_response(reason: str, clock_ms: float) -> web.Response:
+    return _json_response(ClockBody(clock_ms, reason), 409 if reason else 200)
 
 
-def _refusal(reason: str) -> web.Response:
-    return _json(RefusedBody(reason), 409 if reason else 200)
+def _command_response(reason: str) -> web.Response:
+    return _json_response(RefusedBody(reason), 409 if reason else 200)
 
 
 def _worker_host(number: int) -> str:
-    """Return a loopback address that no other instance has."""
-    block, rest = divmod(number, HOSTS_A_BLOCK)
+    """Return a loopback address unique to an instance."""
+    block, rest = divmod(number, HOSTS_PER_BLOCK)
     return f"127.0.{1 + block}.{1 + rest}"
 
 
@@ -235,13 +248,13 @@
 async def async_run_estate(plan: EstatePlan, host: str) -> AsyncIterator[Estate]:
     """Serve a platform on a free port until the block ends.
 
-    ``estate.address`` tells where. Each worker has a loopback address of its own, as
-    it would have elsewhere: calls to one must not wait for those to another.
+    ``estate.address`` is its address. Each worker has its own loopback address, so
+    that calls to one worker do not wait for calls to another.
     """
-    holder: list[EstateApp] = []
+    app_holder: list[EstateApp] = []
 
     async def async_handle(request: web.BaseRequest) -> web.StreamResponse:
-        return await holder[0].async_handle(request)
+        return await app_holder[0].async_handle(request)
 
     runner = web.ServerRunner(web.Server(async_handle, access_log=None))
     await runner.setup()
@@ -252,7 +265,7 @@
     for worker_host in worker_hosts:
         await web.TCPSite(runner, worker_host, port).start()
     estate = Estate(plan, f"{host}:{port}", worker_hosts)
-    holder.append(EstateApp(estate))
+    app_holder.append(EstateApp(estate))
     try:
         yield estate
     finally:
--- a/mustardward/standin/estate/estate.py
+++ b/mustardward/standin/estate/estate.py
@@ -1,4 +1,4 @@
-"""Tie a store, workers and a fleet into one platform."""
+"""Combine the store, the workers and the fleet into one simulated platform."""
 
 from __future__ import annotations
 
@@ -28,29 +28,29 @@
 )
 from .foreign import foreign_records
 from .store import MemoryStore
-from .worker import MemoryWorker, Work, draw_seconds
+from .worker import MemoryWorker, Workload, sample_run_seconds
 
 DOWN_SECONDS: Final = 0.5
-"""How long an instance is away for a move or maintenance."""
+"""Downtime of an instance for a move or maintenance."""
 
 FIRST_CLOCK_MS: Final = 10.0
-"""What a worker's clock shows at its start."""
+"""Time of a worker's clock at its start."""
 
 SPEC_FAILS: Final = "fails"
 SPEC_CRASHES: Final = "crashes"
-"""What a job names whose tasks all fail, or end the worker that starts them."""
+"""Specs of jobs whose tasks all fail, or crash the worker that starts them."""
 
 _JOB: Final = msgspec.msgpack.Decoder(JobRecord)
 
 
 @dataclass(frozen=True, slots=True)
 class EstatePlan:
-    """Hold how large a platform is.
+    """Size of a simulated platform.
 
-    :param pools: names of the pools that serve.
-    :param instances: instances in each of them.
-    :param standby: instances that are off.
-    :param guarded: whether workers refuse what their room does not hold.
+    :param pools: names of the serving pools.
+    :param instances: number of instances per pool.
+    :param standby: number of instances that are off.
+    :param enforce_capacity: whether workers refuse tasks beyond their capacity.
     """
 
     pools: tuple[str, ...] = ("pool-a", "pool-b")
@@ -58,24 +58,24 @@
     standby: int = 2
     cores: int = 8
     seed: int = 1
-    guarded: bool = True
+    enforce_capacity: bool = True
 
     @property
     def machines(self) -> int:
-        """Return how many instances there are."""
+        """Return the total number of instances."""
         return len(self.pools) * self.instances + self.standby
 
 
 @dataclass(slots=True, eq=False)
 class _Machine:
-    """Hold one instance."""
+    """State of an instance."""
 
     name: str
     pool: str
     rack: str
     address: str
     state: str = INSTANCE_UP
-    back_at: float = 0.0
+    available_at: float = 0.0
     incarnation: int = 0
     worker: MemoryWorker | None = None
     maintained: set[int] = field(default_factory=set)
@@ -83,10 +83,10 @@
 
 
 class Estate:
-    """Play the platform.
+    """The simulated platform.
 
-    :param address: the ``host:port`` of its store and its fleet's calls.
-    :param worker_hosts: the host of each instance, where its worker has the same port.
+    :param address: ``host:port`` of the store and the fleet API.
+    :param worker_hosts: host of each instance's worker, on the same port.
     """
 
     def __init__(
@@ -94,7 +94,7 @@
     ) -> None:
         self.store = MemoryStore()
         self.workers: dict[str, MemoryWorker] = {}
-        self.work_of: dict[str, Work] = {}
+        self.workloads: dict[str, Workload] = {}
         self.orders: list[tuple[str, str, str]] = []
         self.crashed: list[MemoryWorker] = []
         self._plan = plan
@@ -105,24 +105,24 @@
         self._machines: dict[str, _Machine] = {}
         self._read_upto = 0
         self._versions = 0
-        self._add_machines()
+        self._add_planned_machines()
 
     @property
     def address(self) -> str:
-        """Return where the store and the fleet are called."""
+        """Return the ``host:port`` of the store and the fleet API."""
         return self._address
 
     def address_of(self, worker_id: str) -> str:
-        """Return where a worker is called, or nothing if it is gone."""
+        """Return the address of a worker, or an empty string if it is gone."""
         for machine in self._machines.values():
             if machine.worker is not None and machine.worker.id == worker_id:
                 return machine.address
         return ""
 
     def publish_config(self, queues: dict[str, str], host: str) -> int:
-        """Put a configuration in force.
+        """Publish a configuration and return its version.
 
-        :param queues: the pool of each path prefix.
+        :param queues: pool by path prefix.
         """
         self._versions += 1
         pools = [*self._plan.pools, "standby"]
@@ -147,7 +147,7 @@
         return self._versions
 
     def publish_wave(self, number: int, machines: list[str], max_count: int) -> None:
-        """Ask for the maintenance of instances."""
+        """Publish a maintenance wave for instances."""
         body = {
             "wave": number,
             "machines": machines,
@@ -157,18 +157,18 @@
         record = (f"{KEY_WAVE_PREFIX}{number}", msgspec.json.encode(body))
         self.store.append(TOPIC_OPERATOR, [record])
 
-    def write_foreign(self, seed: int, worker: str) -> None:
-        """Write records that no worker wrote, one of them in a worker's place."""
+    def write_foreign_records(self, seed: int, worker: str) -> None:
+        """Append invalid records of another writer, one under the worker's key."""
         records = foreign_records(seed, worker)
         self.store.append(TOPIC_WORKERS, records)
         self.store.append(TOPIC_OPERATOR, foreign_records(seed, KEY_CONFIG))
         self.store.append(TOPIC, foreign_records(seed, f"{PREFIX_JOB}{seed:016x}"))
 
     def advance(self, now: float) -> None:
-        """Let time pass: learn of jobs, and bring instances back."""
-        self._learn_jobs()
+        """Advance the simulation: load new jobs, run tasks and restore instances."""
+        self._load_jobs()
         for machine in self._machines.values():
-            if machine.state != INSTANCE_UP and now >= machine.back_at:
+            if machine.state != INSTANCE_UP and now >= machine.available_at:
                 machine.state = INSTANCE_UP
                 self._boot(machine)
         for worker in list(self.workers.values()):
@@ -178,7 +178,7 @@
                 self.crash(worker.id, now)
 
     def list_instances(self) -> list[Instance]:
-        """Return the fleet's list."""
+        """Return the instance list of the fleet."""
         return [
             Instance(
                 machine=machine.name,
@@ -193,7 +193,7 @@
         ]
 
     def move(self, name: str, pool: str, token: int, now: float) -> str:
-        """Move an instance; return the reason of a refusal, or nothing."""
+        """Move an instance; return the reason of a refusal or an empty string."""
         machine = self._machines[name]
         if token < machine.token:
             return REASON_FENCE
@@ -208,7 +208,7 @@
         return ""
 
     def maintain(self, name: str, wave: int, token: int, now: float) -> str:
-        """Maintain an instance; return the reason of a refusal, or nothing."""
+        """Maintain an instance; return the reason of a refusal or an empty string."""
         machine = self._machines[name]
         if token < machine.token:
             return REASON_FENCE
@@ -225,40 +225,40 @@
         return ""
 
     def crash(self, worker_id: str, now: float) -> None:
-        """End a worker without a sign; its instance comes back as another one."""
+        """Crash a worker; its instance returns with a new worker id."""
         for machine in self._machines.values():
             if machine.worker is not None and machine.worker.id == worker_id:
                 self._take_down(machine, "down", now)
 
     def restart(self, worker_id: str, now: float) -> MemoryWorker:
-        """Start a worker's process again, at once and under its id.
+        """Restart a worker's process immediately under the same id.
 
-        It runs nothing, has seen no token, and its clock and counts begin anew.
+        It has no runs and no fencing token, and its clock and counters restart.
         """
         old = self.workers[worker_id]
         worker = MemoryWorker(
             worker_id,
             old.machine,
             old.pool,
-            old.room,
-            self.work_of,
-            born=max(old.born + 1, time.time_ns() // 1_000_000),
+            old.capacity,
+            self.workloads,
+            started_at_ms=max(old.started_at_ms + 1, time.time_ns() // 1_000_000),
             clock_zero_ms=now * 1000 - FIRST_CLOCK_MS,
-            guards=old.guards,
+            enforces_capacity=old.enforces_capacity,
         )
         machine = self._machines[old.machine]
         machine.worker = worker
         self.workers[worker_id] = worker
-        self._announce(machine, worker)
+        self._register_worker(machine, worker)
         return worker
 
     def resize(self, worker_id: str, cores: int) -> None:
-        """Change a worker's room while it runs."""
+        """Change the capacity of a running worker."""
         worker = self.workers[worker_id]
-        worker.room = Room(cpu=cores * 1000, mem_mb=worker.room.mem_mb)
-        self._announce(self._machines[worker.machine], worker)
+        worker.capacity = Room(cpu=cores * 1000, mem_mb=worker.capacity.mem_mb)
+        self._register_worker(self._machines[worker.machine], worker)
 
-    def _add_machines(self) -> None:
+    def _add_planned_machines(self) -> None:
         number = 0
         for pool in self._plan.pools:
             for _ in range(self._plan.instances):
@@ -285,37 +285,37 @@
             machine.name,
             machine.pool,
             room,
-            self.work_of,
-            born=time.time_ns() // 1_000_000,
-            guards=self._plan.guarded,
+            self.workloads,
+            started_at_ms=time.time_ns() // 1_000_000,
+            enforces_capacity=self._plan.enforce_capacity,
         )
         machine.worker = worker
         self.workers[worker_id] = worker
-        self._announce(machine, worker)
+        self._register_worker(machine, worker)
 
-    def _announce(self, machine: _Machine, worker: MemoryWorker) -> None:
-        """Let a worker register itself."""
+    def _register_worker(self, machine: _Machine, worker: MemoryWorker) -> None:
+        """Write the registration of a worker."""
         entry = {
             "service": machine.pool,
             "address": machine.address,
             "zone": "z1",
             "state": "ready",
-            "capacity": worker.room,
+            "capacity": worker.capacity,
             "labels": ["a", machine.rack],
-            "born": worker.born,
+            "born": worker.started_at_ms,
         }
         self.store.append(TOPIC_WORKERS, [(worker.id, msgspec.json.encode(entry))])
 
     def _take_down(self, machine: _Machine, state: str, now: float) -> None:
         machine.state = state
-        machine.back_at = now + DOWN_SECONDS
+        machine.available_at = now + DOWN_SECONDS
         if machine.worker is not None:
             self.workers.pop(machine.worker.id, None)
             self.store.append(TOPIC_WORKERS, [(machine.worker.id, b"")])
             machine.worker = None
 
-    def _learn_jobs(self) -> None:
-        """Know each accepted job's tasks, as the platform does from callers."""
+    def _load_jobs(self) -> None:
+        """Load the workloads of newly accepted jobs from the ledger."""
         for record in self.store.records_from(TOPIC, self._read_upto):
             self._read_upto = record.offset + 1
             if not record.key.startswith(PREFIX_JOB) or not record.value:
@@ -323,11 +323,11 @@
             job = _JOB.decode(record.value)
             for number, step in enumerate(job.steps):
                 key = f"{job.id}.{number}"
-                if key in self.work_of:
+                if key in self.workloads:
                     continue
-                self.work_of[key] = Work(
+                self.workloads[key] = Workload(
                     Room(0 if step.fills else step.cpu, step.mem_mb, step.gpu),
-                    draw_seconds(self._random, step.estimate_ms or 100),
+                    sample_run_seconds(self._random, step.estimate_ms or 100),
                     step.long_running,
                     job.spec == SPEC_FAILS,
                     job.spec == SPEC_CRASHES,
--- a/mustardward/standin/estate/store.py
+++ b/mustardward/standin/estate/store.py
@@ -1,4 +1,4 @@
-"""Play the platform's store in memory: keyed topics, producers, and its failures."""
+"""Simulate the platform's store: keyed topics, producers and failures."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 from ...platform.store import KeyedRecord, NewestPage, Page, Producer
 
 PAGE_ITEMS = 500
-KEPT_APPENDS = 5
+MAX_REMEMBERED_APPENDS = 5
 
 
-class Mood(Enum):
-    """Say how the store treats calls."""
+class StoreMode(Enum):
+    """How the store responds to calls."""
 
     SERVING = "serving"
     REFUSING = "refusing"
     SILENT = "silent"
-    LOSING_ANSWERS = "losing_answers"
+    LOSING_RESPONSES = "losing_answers"
 
 
 @dataclass(slots=True)
 class _ProducerState:
-    """Hold what the log knows of a producer."""
+    """Sequence state of a producer."""
 
     epoch: int
     next_sequence: int | None = None
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class _Topic:
-    """Hold one topic with a single partition."""
+    """A topic with a single partition."""
 
     first: int = 0
     records: list[KeyedRecord] = field(default_factory=list)
@@ -52,24 +52,24 @@
 
 @dataclass(slots=True, eq=False)
 class MemoryStore:
-    """Play the store's calls as the product's client offers them.
+    """In-memory store with the interface of the product's client.
 
-    :param mood: how calls are treated from now on.
+    :param mode: how the store responds to calls.
     """
 
-    mood: Mood = Mood.SERVING
+    mode: StoreMode = StoreMode.SERVING
     appends: int = 0
     reads: int = 0
     _topics: dict[str, _Topic] = field(default_factory=dict)
 
     def topic_end(self, topic: str) -> int:
-        """Return the offset that the next record gets."""
+        """Return the offset of the next record."""
         return self._topic(topic).end
 
     def records_from(self, topic: str, offset: int) -> list[KeyedRecord]:
-        """Return the records that are kept from an offset on, whatever the mood."""
-        held = self._topic(topic)
-        return held.records[max(0, offset - held.first) :]
+        """Return the retained records from an offset on, in any mode."""
+        partition = self._topic(topic)
+        return partition.records[max(0, offset - partition.first) :]
 
     def append(
         self,
@@ -77,29 +77,29 @@
         records: list[tuple[str, bytes]],
         producer: Producer | None = None,
     ) -> int:
-        """Append records and return the end, whatever the mood."""
-        held = self._topic(topic)
+        """Append records and return the end offset, in any mode."""
+        partition = self._topic(topic)
         if producer is not None:
-            repeat = _check(held, producer)
-            if repeat is not None:
-                return repeat
+            first_end = _check_producer(partition, producer)
+            if first_end is not None:
+                return first_end
         for key, value in records:
-            record = KeyedRecord(held.end, key, value)
-            held.records.append(record)
+            record = KeyedRecord(partition.end, key, value)
+            partition.records.append(record)
             if value:
-                held.newest[key] = record
+                partition.newest[key] = record
             else:
-                held.newest.pop(key, None)
+                partition.newest.pop(key, None)
         if producer is not None:
-            _note(held, producer)
-        return held.end
+            _record_append(partition, producer)
+        return partition.end
 
-    def forget(self, topic: str, before: int) -> None:
-        """Drop the records before an offset; the newest of each key stays."""
-        held = self._topic(topic)
-        count = min(max(0, before - held.first), len(held.records))
-        del held.records[:count]
-        held.first += count
+    def drop_before(self, topic: str, before: int) -> None:
+        """Drop the records before an offset, but retain the newest of each key."""
+        partition = self._topic(topic)
+        count = min(max(0, before - partition.first), len(partition.records))
+        del partition.records[:count]
+        partition.first += count
 
     async def async_append(
         self,
@@ -108,14 +108,14 @@
         producer: Producer | None = None,
         timeout_seconds: float = 1.0,
     ) -> int:
-        """Append as a caller sees it."""
+        """Append records according to the mode."""
         self.appends += 1
-        if self.mood is Mood.REFUSING:
+        if self.mode is StoreMode.REFUSING:
             raise CallRefusedError("busy")
-        if self.mood is Mood.SILENT:
+        if self.mode is StoreMode.SILENT:
             raise CallUnknownError("silent")
         end = self.append(topic, list(records), producer)
-        if self.mood is Mood.LOSING_ANSWERS:
+        if self.mode is StoreMode.LOSING_RESPONSES:
             raise CallUnknownError("answer lost")
         return end
 
@@ -123,37 +123,37 @@
         self, topic: str, from_offset: int, wait_ms: int, kilobytes: int = 1024
     ) -> Page:
         """Read without waiting."""
-        self._read()
-        held = self._topic(topic)
-        if from_offset < held.first:
-            raise OffsetGoneError(held.first)
-        records = held.records[from_offset - held.first :]
-        return Page(list(records), held.end, held.end)
+        self._check_readable()
+        partition = self._topic(topic)
+        if from_offset < partition.first:
+            raise OffsetGoneError(partition.first)
+        records = partition.records[from_offset - partition.first :]
+        return Page(list(records), partition.end, partition.end)
 
     async def async_read_newest(self, topic: str, after: str = "") -> NewestPage:
         """Read a page of the newest record of each key."""
-        self._read()
-        held = self._topic(topic)
-        keys = sorted(key for key in held.newest if key > after)
-        page = [held.newest[key] for key in keys[:PAGE_ITEMS]]
-        return NewestPage(page, len(keys) > PAGE_ITEMS, held.end)
+        self._check_readable()
+        partition = self._topic(topic)
+        keys = sorted(key for key in partition.newest if key > after)
+        page = [partition.newest[key] for key in keys[:PAGE_ITEMS]]
+        return NewestPage(page, len(keys) > PAGE_ITEMS, partition.end)
 
-    def _read(self) -> None:
+    def _check_readable(self) -> None:
         self.reads += 1
-        if self.mood in (Mood.REFUSING, Mood.SILENT):
-            raise CallRefusedError(self.mood.value)
+        if self.mode in (StoreMode.REFUSING, StoreMode.SILENT):
+            raise CallRefusedError(self.mode.value)
 
     def _topic(self, topic: str) -> _Topic:
         return self._topics.setdefault(topic, _Topic())
 
 
-def _check(held: _Topic, producer: Producer) -> int | None:
-    """Return the first answer of a repeated append, or None if this one is new.
+def _check_producer(partition: _Topic, producer: Producer) -> int | None:
+    """Return the end offset of a repeated append, or None for a new append.
 
-    :raises FencedError: if a higher epoch was seen.
-    :raises SequenceError: if the number does not follow.
+    :raises FencedError: if the producer has a higher epoch.
+    :raises SequenceError: if the sequence number is not the next one.
     """
-    state = held.producers.get(producer.name)
+    state = partition.producers.get(producer.name)
     if state is None or producer.epoch > state.epoch:
         return None
     if producer.epoch < state.epoch:
@@ -165,12 +165,12 @@
     return None
 
 
-def _note(held: _Topic, producer: Producer) -> None:
-    state = held.producers.get(producer.name)
+def _record_append(partition: _Topic, producer: Producer) -> None:
+    state = partition.producers.get(producer.name)
     if state is None or producer.epoch > state.epoch:
         state = _ProducerState(producer.epoch)
-        held.producers[producer.name] = state
+        partition.producers[producer.name] = state
     state.next_sequence = producer.sequence + 1
-    state.ends[producer.sequence] = held.end
-    for number in sorted(state.ends)[:-KEPT_APPENDS]:
+    state.ends[producer.sequence] = partition.end
+    for number in sorted(state.ends)[:-MAX_REMEMBERED_APPENDS]:
         del state.ends[number]
--- a/mustardward/standin/executions.py
+++ b/mustardward/standin/executions.py
@@ -1,4 +1,4 @@
-"""Record what a stand-in worker ran, for checking histories."""
+"""Record the executions of a stand-in worker, for checks of histories."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from dataclasses import dataclass
 from typing import Final
 
-KEPT_EXECUTIONS: Final = 200_000
+MAX_EXECUTIONS: Final = 200_000
 
 
 @dataclass(slots=True, eq=False)
 class Execution:
-    """Record one request that ran; times are in monotonic seconds, ``end`` 0 if open.
+    """One request that ran; times are in monotonic seconds.
 
-    ``cut`` tells that a reboot interrupted it, ``leaving`` that it began on a worker
-    that was draining.
+    ``end`` is 0 while the request runs. ``cut`` is set if a reboot interrupted it,
+    ``leaving`` if it started on a draining worker.
     """
 
     request_id: str
@@ -32,52 +32,52 @@
     cut: bool = False
 
 
-class ExecutionRecord:
-    """Keep the latest executions and those in progress."""
+class ExecutionLog:
+    """Latest executions, including those in progress."""
 
     def __init__(self) -> None:
-        self._kept: deque[Execution] = deque(maxlen=KEPT_EXECUTIONS)
+        self._executions: deque[Execution] = deque(maxlen=MAX_EXECUTIONS)
         self._running: set[Execution] = set()
         self._refusals: dict[str, int] = {}
 
     @property
     def running(self) -> int:
-        """Return how many requests are in progress."""
+        """Return the number of requests in progress."""
         return len(self._running)
 
     @property
     def refusals(self) -> dict[str, int]:
-        """Return how many requests were refused, by cause."""
+        """Return the number of refused requests by cause."""
         return self._refusals
 
-    def begin(self, execution: Execution) -> None:
-        """Note that a request starts to run."""
-        self._kept.append(execution)
+    def record_start(self, execution: Execution) -> None:
+        """Record the start of a request."""
+        self._executions.append(execution)
         self._running.add(execution)
 
-    def end(self, execution: Execution, now: float, status: int) -> None:
-        """Note that a request ran to its end."""
+    def record_end(self, execution: Execution, now: float, status: int) -> None:
+        """Record the end of a request."""
         if execution in self._running:
             self._running.discard(execution)
             execution.end = now
             execution.status = status
 
-    def cut_all(self, now: float) -> None:
-        """Note that a reboot interrupted all that was in progress."""
+    def interrupt_all(self, now: float) -> None:
+        """Mark all requests in progress as interrupted by a reboot."""
         for execution in self._running:
             execution.cut = True
             execution.end = now
         self._running.clear()
 
-    def refuse(self, cause: str) -> None:
-        """Count a request that was not run."""
+    def record_refusal(self, cause: str) -> None:
+        """Count a refused request."""
         self._refusals[cause] = self._refusals.get(cause, 0) + 1
 
-    def all(self) -> list[Execution]:
-        """Return the executions kept, oldest first."""
-        return list(self._kept)
+    def list_executions(self) -> list[Execution]:
+        """Return the recorded executions, oldest first."""
+        return list(self._executions)
 
     def clear(self) -> None:
-        """Forget the executions that are at their end."""
-        self._kept = deque(self._running, maxlen=KEPT_EXECUTIONS)
+        """Drop the finished executions and the refusal counts."""
+        self._executions = deque(self._running, maxlen=MAX_EXECUTIONS)
         self._refusals = {}
--- a/mustardward/standin/faults.py
+++ b/mustardward/standin/faults.py
@@ -1,4 +1,4 @@
-"""Hold the faults that tests and operators' drills switch on a stand-in."""
+"""Define the faults that tests and drills inject into a stand-in."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 class FaultModel(BaseModel):
-    """Refuse unknown faults and later changes; each default means no fault."""
+    """Base class of faults: immutable, rejects unknown faults; defaults inject none."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 class ServiceFaults(FaultModel):
-    """Hold the faults that every service of the platform can have.
+    """Faults that every service of the platform supports.
 
-    ``lose_answers`` counts down: so many next calls that change something take effect,
-    then their connection is reset without an answer. ``cut_off`` names data centres
-    whose calls are reset without effect.
+    ``lose_answers`` counts down: that many of the next calls that change state take
+    effect, but their connection is reset without a response. ``cut_off`` lists data
+    centres whose calls are reset without effect.
     """
 
     outage: bool = False
@@ -28,10 +28,10 @@
 
 
 class LogFaults(ServiceFaults):
-    """Hold the log's faults.
+    """Faults of the log.
 
-    ``late_appends`` counts down: so many next appends are reset without an answer and
-    take effect only ``late_seconds`` afterwards.
+    ``late_appends`` counts down: that many of the next appends are reset without a
+    response and take effect ``late_seconds`` later.
     """
 
     late_appends: int = Field(default=0, ge=0)
@@ -40,23 +40,23 @@
 
 
 class ListingFaults(ServiceFaults):
-    """Hold the list's faults; ``lag_seconds`` replaces the configured lag."""
+    """Faults of the instance list; ``lag_seconds`` overrides the configured lag."""
 
     lag_seconds: float | None = Field(default=None, ge=0)
 
 
 class PowerFaults(ServiceFaults):
-    """Hold the power service's faults; named instances never come back up."""
+    """Faults of the power service; ``stay_down`` lists instances that fail to boot."""
 
     stay_down: tuple[str, ...] = ()
 
 
 class WorkerFaults(FaultModel):
-    """Hold a worker's faults; they strike every ``every``-th request.
+    """Faults of a worker, injected into every ``every``-th request.
 
-    ``down`` resets connections before anything runs, ``close_without_answer`` after
-    the request ran. ``ignore_drain`` lets a draining worker run new work, so that a
-    later reboot cuts what should not have been sent.
+    ``down`` resets connections before the request runs, ``close_without_answer``
+    after it ran. ``ignore_drain`` makes a draining worker accept new work, which a
+    later reboot interrupts.
     """
 
     every: int = Field(default=1, ge=1)
@@ -72,37 +72,37 @@
     usage_lag_seconds: float = Field(default=2.0, ge=0)
 
 
-F = TypeVar("F", bound=FaultModel)
+FaultsT = TypeVar("FaultsT", bound=FaultModel)
 
 
-class FaultSwitch(Generic[F]):
-    """Hold the faults in force now.
+class FaultSwitch(Generic[FaultsT]):
+    """Active faults of a stand-in.
 
-    :param faults: the faults to begin with.
+    :param faults: the initial faults.
     """
 
-    def __init__(self, faults: F) -> None:
+    def __init__(self, faults: FaultsT) -> None:
         self._faults = faults
 
     @property
-    def now(self) -> F:
-        """Return the faults in force."""
+    def active(self) -> FaultsT:
+        """Return the active faults."""
         return self._faults
 
-    def change(self, **changes: object) -> F:
-        """Change some faults and return all of them.
+    def change(self, **changes: object) -> FaultsT:
+        """Change faults and return all active ones.
 
-        :raises pydantic.ValidationError: for an unknown fault or a wrong value.
+        :raises pydantic.ValidationError: for an unknown fault or an invalid value.
         """
         model = type(self._faults)
         merged = {**self._faults.model_dump(), **changes}
         self._faults = model.model_validate(merged)
         return self._faults
 
-    def take(self, name: str) -> bool:
-        """Use up one of a counted fault; tell whether there was one."""
-        left: int = getattr(self._faults, name)
-        if left <= 0:
+    def consume(self, name: str) -> bool:
+        """Decrement a counted fault; return whether its count was positive."""
+        remaining: int = getattr(self._faults, name)
+        if remaining <= 0:
             return False
-        self.change(**{name: left - 1})
+        self.change(**{name: remaining - 1})
         return True
--- a/mustardward/standin/listing.py
+++ b/mustardward/standin/listing.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's list of live and leaving instances, which lags."""
+"""Simulate the platform's lagging list of live and leaving instances."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from starlette.routing import Route
 
 from ..helpers.timer import TimerService
-from .common import async_body, async_with_faults
+from .common import async_parse_body, async_with_faults
 from .faults import FaultSwitch, ListingFaults
 from .protocol.models import ListedInstance, ListedState
 
 
 class RegisterModel(BaseModel):
-    """Hold an instance that an operator of the stand-in adds to the list."""
+    """Body of the admin call that adds an instance to the list."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -31,17 +31,17 @@
 
 @dataclass(frozen=True, slots=True)
 class _Change:
-    """Hold a change of the list; ``listed`` is empty for an instance that is gone."""
+    """A change of the list; ``listed`` is None for a removed instance."""
 
-    at: float
+    changed_at: float
     instance_id: str
     listed: ListedInstance | None
 
 
 class StandInListing:
-    """Serve the list as it was some seconds ago.
+    """Serve the list with a delay.
 
-    :param lag_seconds: how far the list is behind.
+    :param lag_seconds: delay until a change becomes visible.
     """
 
     def __init__(self, timers: TimerService, lag_seconds: float = 2.0) -> None:
@@ -54,24 +54,26 @@
 
     @property
     def current(self) -> dict[str, ListedInstance]:
-        """Return the instances as they are now."""
+        """Return the current instances, without the lag."""
         return self._current
 
     def put(self, listed: ListedInstance) -> None:
-        """Add or change an instance."""
+        """Add or update an instance."""
         self._current[listed.instance_id] = listed
-        self._note(listed.instance_id, listed)
+        self._record_change(listed.instance_id, listed)
 
     def remove(self, instance_id: str) -> None:
-        """Drop an instance."""
+        """Remove an instance."""
         if self._current.pop(instance_id, None) is not None:
-            self._note(instance_id, None)
-
-    def visible(self) -> tuple[ListedInstance, ...]:
-        """Return the list as callers see it now."""
-        lag = self.faults.now.lag_seconds
-        seen = self._timers.monotonic() - (self._lag_seconds if lag is None else lag)
-        while self._changes and self._changes[0].at <= seen:
+            self._record_change(instance_id, None)
+
+    def list_visible(self) -> tuple[ListedInstance, ...]:
+        """Return the list that callers see, delayed by the lag."""
+        lag = self.faults.active.lag_seconds
+        visible_until = self._timers.monotonic() - (
+            self._lag_seconds if lag is None else lag
+        )
+        while self._changes and self._changes[0].changed_at <= visible_until:
             change = self._changes.popleft()
             if change.listed is None:
                 self._visible.pop(change.instance_id, None)
@@ -80,33 +82,33 @@
         return tuple(self._visible.values())
 
     def routes(self) -> list[Route]:
-        """Return the published route and those that fill the list."""
-        one = "/admin/instances/{instance_id}"
+        """Return the public route and the admin routes."""
+        instance_path = "/admin/instances/{instance_id}"
         return [
             Route("/instances", self._async_get, methods=["GET"]),
             Route("/admin/instances", self._async_register, methods=["POST"]),
-            Route(one, self._async_remove, methods=["DELETE"]),
+            Route(instance_path, self._async_remove, methods=["DELETE"]),
         ]
 
-    def _note(self, instance_id: str, listed: ListedInstance | None) -> None:
+    def _record_change(self, instance_id: str, listed: ListedInstance | None) -> None:
         now = self._timers.monotonic()
         self._changes.append(_Change(now, instance_id, listed))
 
     async def _async_get(self, request: Request) -> Response:
         async def run() -> Response:
-            wanted = request.query_params.get("data_centre", "")
+            data_centre = request.query_params.get("data_centre", "")
             return JSONResponse(
                 [
                     asdict(listed)
-                    for listed in self.visible()
-                    if wanted in ("", listed.data_centre)
+                    for listed in self.list_visible()
+                    if data_centre in ("", listed.data_centre)
                 ]
             )
 
         return await async_with_faults(request, self.faults, self._timers, run)
 
     async def _async_register(self, request: Request) -> Response:
-        model = await async_body(request, RegisterModel)
+        model = await async_parse_body(request, RegisterModel)
         self.put(ListedInstance(**model.model_dump(), state=ListedState.LIVE))
         return JSONResponse({"instance_id": model.instance_id}, status_code=201)
 
--- a/mustardward/standin/log.py
+++ b/mustardward/standin/log.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's append-only log."""
+"""Simulate the platform's append-only log."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from ..helpers.timer import TimerService
 from ..helpers.token_bucket import TokenBucket
 from ..helpers.waiting import async_wait_for
-from .common import NoAnswer, async_with_faults, refusal
+from .common import ConnectionReset, async_with_faults, error_response
 from .faults import FaultSwitch, LogFaults
 from .protocol.models import LogPage
 from .store import LogStore, Retention
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogOptions:
-    """Bound the stand-in log; the rate holds for all streams and callers together."""
+    """Limits of the log; the rate limit is shared by all streams and callers."""
 
     appends_per_second: float = 400.0
     burst: float = 100.0
@@ -34,7 +34,7 @@
 class StandInLog:
     """Serve streams over HTTP.
 
-    :param tasks: group for appends that take effect late.
+    :param tasks: runs the delayed appends.
     """
 
     def __init__(
@@ -45,22 +45,22 @@
         self._options = options
         self._bucket = TokenBucket(options.burst, timers.monotonic())
         self._store = LogStore(timers, options.retention)
-        self._grown: dict[str, anyio.Event] = {}
+        self._append_events: dict[str, anyio.Event] = {}
         self._appends = 0
         self._refused = 0
         self.faults = FaultSwitch(LogFaults())
 
     @property
     def store(self) -> LogStore:
-        """Return the streams, for checks."""
+        """Return the store of the streams, for checks."""
         return self._store
 
     def counts(self) -> dict[str, int]:
-        """Return how many appends took effect and how many were refused."""
+        """Return the numbers of effective and of refused appends."""
         return {"appends": self._appends, "refused": self._refused}
 
     def routes(self) -> list[Route]:
-        """Return the published routes."""
+        """Return the public routes."""
         path = "/log/streams/{stream}"
         return [
             Route(path, self._async_post, methods=["POST"]),
@@ -68,10 +68,10 @@
         ]
 
     def append(self, stream: str, payload: bytes) -> int:
-        """Append past the rate limit and wake the readers."""
+        """Append without rate limit and notify waiting readers."""
         offset = self._store.append(stream, payload)
         self._appends += 1
-        self._grown.pop(stream, anyio.Event()).set()
+        self._append_events.pop(stream, anyio.Event()).set()
         return offset
 
     async def _async_post(self, request: Request) -> Response:
@@ -84,22 +84,22 @@
         return await async_with_faults(request, self.faults, self._timers, run)
 
     def _append(self, stream: str, payload: bytes) -> Response:
-        if self.faults.now.refuse_appends or not self._take_token():
+        if self.faults.active.refuse_appends or not self._try_take_token():
             self._refused += 1
-            return refusal(429, "append-rate-exceeded")
-        if self.faults.take("late_appends"):
+            return error_response(429, "append-rate-exceeded")
+        if self.faults.consume("late_appends"):
             self._tasks.start_soon(self._async_append_late, stream, payload)
-            return NoAnswer()
+            return ConnectionReset()
         return JSONResponse({"offset": self.append(stream, payload)}, status_code=201)
 
-    def _take_token(self) -> bool:
+    def _try_take_token(self) -> bool:
         options = self._options
         now = self._timers.monotonic()
         self._bucket.refill(now, options.appends_per_second, options.burst)
         return self._bucket.try_take()
 
     async def _async_append_late(self, stream: str, payload: bytes) -> None:
-        await self._timers.async_sleep(self.faults.now.late_seconds)
+        await self._timers.async_sleep(self.faults.active.late_seconds)
         self.append(stream, payload)
 
     async def _async_get(self, request: Request) -> Response:
@@ -115,17 +115,17 @@
             limit = int(request.query_params.get("limit", "1000"))
             wait_seconds = float(request.query_params.get("wait", "0"))
         except ValueError:
-            return refusal(422, "query-invalid")
+            return error_response(422, "query-invalid")
         try:
             page = self._store.read(stream, offset, limit)
             if not page.entries and wait_seconds > 0:
-                grown = self._grown.setdefault(stream, anyio.Event())
-                await async_wait_for(grown, self._timers, wait_seconds)
+                appended = self._append_events.setdefault(stream, anyio.Event())
+                await async_wait_for(appended, self._timers, wait_seconds)
                 page = self._store.read(stream, offset, limit)
         except OffsetExpiredError as error:
-            return refusal(410, error.code, oldest=error.oldest)
-        if self.faults.now.outage:
-            return refusal(503, "outage")
+            return error_response(410, error.code, oldest=error.oldest)
+        if self.faults.active.outage:
+            return error_response(503, "outage")
         return Response(_encode(page), media_type="application/msgpack")
 
 
--- a/mustardward/standin/platform.py
+++ b/mustardward/standin/platform.py
@@ -1,4 +1,4 @@
-"""Serve the stand-in log, list and pool service under one address."""
+"""Serve the simulated log, instance list and power service on one address."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from starlette.routing import Route
 
 from ..helpers.timer import TimerService
-from .common import BodyError, async_body, async_body_refusal
+from .common import BodyError, async_handle_body_error, async_parse_body
 from .listing import StandInListing
 from .log import LogOptions, StandInLog
 from .power import StandInPower
@@ -24,7 +24,7 @@
 
 
 class PlatformFaultsModel(BaseModel):
-    """Hold changes of faults by service; each service checks its own."""
+    """Body of a fault change; each service validates its own faults."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformOptions:
-    """Size the stand-in platform."""
+    """Options of the simulated platform."""
 
     log: LogOptions = field(default_factory=LogOptions)
     listing_lag_seconds: float = 2.0
@@ -43,9 +43,9 @@
 
 
 class StandInPlatform:
-    """Hold the three services of the platform.
+    """The three services of the platform.
 
-    :param tasks: group for what goes on after a call was answered.
+    :param tasks: runs work that outlives a call.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         )
 
     def app(self) -> Starlette:
-        """Return the application of all services and the admin calls."""
+        """Return the application that serves all services and the admin calls."""
         routes = [
             *self.log.routes(),
             *self.listing.routes(),
@@ -72,12 +72,12 @@
         ]
         return Starlette(
             routes=routes,
-            exception_handlers={BodyError: async_body_refusal},
+            exception_handlers={BodyError: async_handle_body_error},
         )
 
     async def _async_faults(self, request: Request) -> Response:
         if request.method == "POST":
-            model = await async_body(request, PlatformFaultsModel)
+            model = await async_parse_body(request, PlatformFaultsModel)
             try:
                 self.log.faults.change(**model.log)
                 self.listing.faults.change(**model.listing)
@@ -86,9 +86,9 @@
                 raise BodyError(str(error)) from error
         return JSONResponse(
             {
-                "log": self.log.faults.now.model_dump(),
-                "listing": self.listing.faults.now.model_dump(),
-                "power": self.power.faults.now.model_dump(),
+                "log": self.log.faults.active.model_dump(),
+                "listing": self.listing.faults.active.model_dump(),
+                "power": self.power.faults.active.model_dump(),
             }
         )
 
@@ -98,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunningPlatform:
-    """Hold a platform that is being served at ``url``."""
+    """A platform served at ``url``."""
 
     url: str
     platform: StandInPlatform
@@ -111,7 +111,7 @@
     host: str = "127.0.0.1",
     port: int = 0,
 ) -> AsyncIterator[RunningPlatform]:
-    """Serve a stand-in platform inside the block."""
+    """Serve a simulated platform until the block ends."""
     async with (
         httpx.AsyncClient(trust_env=False) as client,
         anyio.create_task_group() as tasks,
--- a/mustardward/standin/power.py
+++ b/mustardward/standin/power.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's pool service: drain, reboot and return instances."""
+"""Simulate the platform's power service, which drains and reboots instances."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from starlette.routing import Route
 
 from ..helpers.timer import TimerService
-from .common import async_body, async_with_faults, refusal
+from .common import async_parse_body, async_with_faults, error_response
 from .faults import FaultSwitch, PowerFaults
 from .listing import StandInListing
 from .protocol.models import InstancePower, ListedState, PowerState
@@ -23,7 +23,7 @@
 
 
 class PowerCallModel(BaseModel):
-    """Hold the body of a call that changes an instance."""
+    """Body of a call that changes the power state of an instance."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -32,18 +32,18 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Held:
-    """Hold one instance; ``seen`` are the operation ids that took effect."""
+class _InstanceRecord:
+    """Power state of an instance and the ids of its completed operations."""
 
     power: InstancePower
-    seen: set[str] = field(default_factory=set)
+    completed_operations: set[str] = field(default_factory=set)
 
 
 class StandInPower:
-    """Drain, reboot and return the workers on the list.
+    """Drain, reboot and return the listed workers.
 
-    :param client: carries the calls to the workers.
-    :param reboot_seconds: how long a reboot takes.
+    :param client: HTTP client for calls to the workers.
+    :param reboot_seconds: duration of a reboot.
     """
 
     def __init__(
@@ -59,150 +59,165 @@
         self._listing = listing
         self._client = client
         self._reboot_seconds = reboot_seconds
-        self._held: dict[str, _Held] = {}
+        self._records: dict[str, _InstanceRecord] = {}
         self.faults = FaultSwitch(PowerFaults())
 
     def routes(self) -> list[Route]:
-        """Return the published routes."""
-        one = "/power/{instance_id}"
+        """Return the public routes."""
+        instance_path = "/power/{instance_id}"
         return [
-            Route(one, self._async_get, methods=["GET"]),
+            Route(instance_path, self._async_get, methods=["GET"]),
             Route(
-                f"{one}/drain", self._async_call(self._async_drain), methods=["POST"]
+                f"{instance_path}/drain",
+                self._build_endpoint(self._async_drain),
+                methods=["POST"],
             ),
             Route(
-                f"{one}/reboot", self._async_call(self._async_reboot), methods=["POST"]
+                f"{instance_path}/reboot",
+                self._build_endpoint(self._async_reboot),
+                methods=["POST"],
             ),
             Route(
-                f"{one}/return", self._async_call(self._async_return), methods=["POST"]
+                f"{instance_path}/return",
+                self._build_endpoint(self._async_return),
+                methods=["POST"],
             ),
         ]
 
-    def _find(self, instance_id: str) -> _Held | None:
-        held = self._held.get(instance_id)
+    def _get_record(self, instance_id: str) -> _InstanceRecord | None:
+        record = self._records.get(instance_id)
         listed = self._listing.current.get(instance_id)
-        if held is None and listed is not None:
+        if record is None and listed is not None:
             power = InstancePower(instance_id, PowerState.SERVING, listed.boot, 0, 0)
-            held = self._held.setdefault(instance_id, _Held(power))
-        return held
+            record = self._records.setdefault(instance_id, _InstanceRecord(power))
+        return record
 
     async def _async_get(self, request: Request) -> Response:
         async def run() -> Response:
-            held = self._find(request.path_params["instance_id"])
-            if held is None:
-                return refusal(404, "instance-unknown")
-            await self._async_refresh(held)
-            return _answer(held)
+            record = self._get_record(request.path_params["instance_id"])
+            if record is None:
+                return error_response(404, "instance-unknown")
+            await self._async_refresh(record)
+            return _power_response(record)
 
         return await async_with_faults(request, self.faults, self._timers, run)
 
-    def _async_call(
-        self, action: Callable[[_Held], Awaitable[Response]]
+    def _build_endpoint(
+        self, action: Callable[[_InstanceRecord], Awaitable[Response]]
     ) -> Callable[[Request], Awaitable[Response]]:
         async def endpoint(request: Request) -> Response:
-            model = await async_body(request, PowerCallModel)
+            model = await async_parse_body(request, PowerCallModel)
 
             async def run() -> Response:
-                held = self._find(request.path_params["instance_id"])
-                if held is None:
-                    return refusal(404, "instance-unknown")
-                return await self._async_once(held, model, action)
+                record = self._get_record(request.path_params["instance_id"])
+                if record is None:
+                    return error_response(404, "instance-unknown")
+                return await self._async_apply(record, model, action)
 
             return await async_with_faults(request, self.faults, self._timers, run)
 
         return endpoint
 
-    async def _async_once(
+    async def _async_apply(
         self,
-        held: _Held,
+        record: _InstanceRecord,
         model: PowerCallModel,
-        action: Callable[[_Held], Awaitable[Response]],
+        action: Callable[[_InstanceRecord], Awaitable[Response]],
     ) -> Response:
-        if model.generation < held.power.generation:
-            return refusal(409, "stale-generation", seen=held.power.generation)
-        if model.operation_id in held.seen:
-            await self._async_refresh(held)
-            return _answer(held)
-        held.power = replace(held.power, generation=model.generation)
-        answer = await action(held)
-        if answer.status_code < 400:
-            held.seen.add(model.operation_id)
-        return answer
-
-    async def _async_drain(self, held: _Held) -> Response:
-        if held.power.state in (PowerState.DRAINING, PowerState.DRAINED):
-            return _answer(held)
-        if held.power.state is not PowerState.SERVING:
-            return refusal(409, "not-serving", state=held.power.state)
-        if await self._async_tell(held, "drain") is None:
-            return refusal(503, "instance-unreachable")
-        held.power = replace(held.power, state=PowerState.DRAINING)
-        self._list(held, ListedState.LEAVING)
-        await self._async_refresh(held)
-        return _answer(held)
-
-    async def _async_reboot(self, held: _Held) -> Response:
-        await self._async_refresh(held)
-        if held.power.state is not PowerState.DRAINED:
-            return refusal(409, "not-drained", state=held.power.state)
-        held.power = replace(held.power, state=PowerState.REBOOTING)
-        await self._async_tell(held, "reboot")
-        self._tasks.start_soon(self._async_finish_reboot, held)
-        return _answer(held)
-
-    async def _async_return(self, held: _Held) -> Response:
-        if held.power.state is PowerState.SERVING:
-            return _answer(held)
-        if held.power.state not in (PowerState.DRAINING, PowerState.DRAINED):
-            return refusal(409, "not-drained", state=held.power.state)
-        if await self._async_tell(held, "return") is None:
-            return refusal(503, "instance-unreachable")
-        held.power = replace(held.power, state=PowerState.SERVING)
-        self._list(held, ListedState.LIVE)
-        return _answer(held)
-
-    async def _async_finish_reboot(self, held: _Held) -> None:
+        if model.generation < record.power.generation:
+            return error_response(
+                409, "stale-generation", completed_operations=record.power.generation
+            )
+        if model.operation_id in record.completed_operations:
+            await self._async_refresh(record)
+            return _power_response(record)
+        record.power = replace(record.power, generation=model.generation)
+        response = await action(record)
+        if response.status_code < 400:
+            record.completed_operations.add(model.operation_id)
+        return response
+
+    async def _async_drain(self, record: _InstanceRecord) -> Response:
+        if record.power.state in (PowerState.DRAINING, PowerState.DRAINED):
+            return _power_response(record)
+        if record.power.state is not PowerState.SERVING:
+            return error_response(409, "not-serving", state=record.power.state)
+        if await self._async_command_worker(record, "drain") is None:
+            return error_response(503, "instance-unreachable")
+        record.power = replace(record.power, state=PowerState.DRAINING)
+        self._update_listing(record, ListedState.LEAVING)
+        await self._async_refresh(record)
+        return _power_response(record)
+
+    async def _async_reboot(self, record: _InstanceRecord) -> Response:
+        await self._async_refresh(record)
+        if record.power.state is not PowerState.DRAINED:
+            return error_response(409, "not-drained", state=record.power.state)
+        record.power = replace(record.power, state=PowerState.REBOOTING)
+        await self._async_command_worker(record, "reboot")
+        self._tasks.start_soon(self._async_finish_reboot, record)
+        return _power_response(record)
+
+    async def _async_return(self, record: _InstanceRecord) -> Response:
+        if record.power.state is PowerState.SERVING:
+            return _power_response(record)
+        if record.power.state not in (PowerState.DRAINING, PowerState.DRAINED):
+            return error_response(409, "not-drained", state=record.power.state)
+        if await self._async_command_worker(record, "return") is None:
+            return error_response(503, "instance-unreachable")
+        record.power = replace(record.power, state=PowerState.SERVING)
+        self._update_listing(record, ListedState.LIVE)
+        return _power_response(record)
+
+    async def _async_finish_reboot(self, record: _InstanceRecord) -> None:
         await self._timers.async_sleep(self._reboot_seconds)
-        boot = held.power.boot + 1
-        stays = held.power.instance_id in self.faults.now.stay_down
-        up = not stays and await self._async_tell(held, "up", boot) is not None
-        if not up:
-            held.power = replace(held.power, state=PowerState.DOWN, running=0)
-            self._listing.remove(held.power.instance_id)
+        boot = record.power.boot + 1
+        stays_down = record.power.instance_id in self.faults.active.stay_down
+        came_up = (
+            not stays_down
+            and await self._async_command_worker(record, "up", boot) is not None
+        )
+        if not came_up:
+            record.power = replace(record.power, state=PowerState.DOWN, running=0)
+            self._listing.remove(record.power.instance_id)
             return
-        held.power = replace(held.power, state=PowerState.SERVING, boot=boot, running=0)
-        self._list(held, ListedState.LIVE)
+        record.power = replace(
+            record.power, state=PowerState.SERVING, boot=boot, running=0
+        )
+        self._update_listing(record, ListedState.LIVE)
 
-    async def _async_refresh(self, held: _Held) -> None:
-        if held.power.state is not PowerState.DRAINING:
+    async def _async_refresh(self, record: _InstanceRecord) -> None:
+        if record.power.state is not PowerState.DRAINING:
             return
-        running = await self._async_tell(held, "look")
-        if running is None or held.power.state is not PowerState.DRAINING:
+        running = await self._async_command_worker(record, "look")
+        if running is None or record.power.state is not PowerState.DRAINING:
             return
         state = PowerState.DRAINED if running == 0 else PowerState.DRAINING
-        held.power = replace(held.power, state=state, running=running)
+        record.power = replace(record.power, state=state, running=running)
 
-    async def _async_tell(self, held: _Held, action: str, boot: int = 0) -> int | None:
-        listed = self._listing.current.get(held.power.instance_id)
+    async def _async_command_worker(
+        self, record: _InstanceRecord, action: str, boot: int = 0
+    ) -> int | None:
+        listed = self._listing.current.get(record.power.instance_id)
         if listed is None:
             return None
         try:
-            answer = await self._client.post(
+            response = await self._client.post(
                 f"http://{listed.address}/admin/power",
                 json={"action": action, "boot": boot},
                 timeout=WORKER_TIMEOUT_SECONDS,
             )
-            answer.raise_for_status()
+            response.raise_for_status()
         except httpx.HTTPError:
             return None
-        running: int = answer.json()["running"]
+        running: int = response.json()["running"]
         return running
 
-    def _list(self, held: _Held, state: ListedState) -> None:
-        listed = self._listing.current.get(held.power.instance_id)
+    def _update_listing(self, record: _InstanceRecord, state: ListedState) -> None:
+        listed = self._listing.current.get(record.power.instance_id)
         if listed is not None:
-            self._listing.put(replace(listed, state=state, boot=held.power.boot))
+            self._listing.put(replace(listed, state=state, boot=record.power.boot))
 
 
-def _answer(held: _Held) -> Response:
-    return JSONResponse(asdict(held.power))
+def _power_response(record: _InstanceRecord) -> Response:
+    return JSONResponse(asdict(record.power))
--- a/mustardward/standin/protocol/__init__.py
+++ b/mustardward/standin/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Speak the platform's published protocols."""
+"""Clients and data models of the platform's published protocols."""
--- a/mustardward/standin/protocol/http.py
+++ b/mustardward/standin/protocol/http.py
@@ -1,4 +1,4 @@
-"""Call the platform over HTTP and turn what goes wrong into typed failures."""
+"""Call the platform over HTTP and map failures to typed errors."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
     StaleGenerationError,
 )
 
-_NOT_SENT: Final = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
+_CONNECT_ERRORS: Final = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
 
 
 class PlatformHttp:
     """Send calls to one base URL, or to absolute URLs.
 
-    :param client: carries the calls; its owner closes it.
-    :param timeout_seconds: longest wait for an answer.
+    :param client: HTTP client, closed by its owner.
+    :param timeout_seconds: timeout of a response.
     """
 
     def __init__(self, client: httpx.AsyncClient, timeout_seconds: float) -> None:
@@ -32,20 +32,20 @@
     async def async_read(
         self, path: str, extra_seconds: float = 0.0, **params: Any
     ) -> httpx.Response:
-        """Make a call that has no effect.
+        """Make a call without side effects.
 
-        :param extra_seconds: added to the time-out, for a long poll.
-        :raises PlatformUnavailableError: if there was no usable answer.
+        :param extra_seconds: added to the timeout, for a long poll.
+        :raises PlatformUnavailableError: if there was no usable response.
         """
         try:
-            answer = await self._client.get(
+            response = await self._client.get(
                 path, params=params, timeout=self._timeout_seconds + extra_seconds
             )
         except httpx.TransportError as error:
-            raise PlatformUnavailableError(_describe(error)) from error
-        if answer.status_code >= 500 or answer.status_code == 429:
-            raise PlatformUnavailableError(f"status={answer.status_code}")
-        return answer
+            raise PlatformUnavailableError(_format_error(error)) from error
+        if response.status_code >= 500 or response.status_code == 429:
+            raise PlatformUnavailableError(f"status={response.status_code}")
+        return response
 
     async def async_send(
         self,
@@ -55,48 +55,48 @@
         content: bytes | None = None,
         json: Any = None,
     ) -> httpx.Response:
-        """Make a call that may have an effect.
+        """Make a call with side effects.
 
-        :raises PlatformUnavailableError: if it certainly had none.
-        :raises PlatformOutcomeUnknownError: if it was sent and its answer was lost.
+        :raises PlatformUnavailableError: if the call definitely had no effect.
+        :raises PlatformOutcomeUnknownError: if it was sent but its response was lost.
         """
         try:
-            answer = await self._client.request(
+            response = await self._client.request(
                 method,
                 path,
                 content=content,
                 json=json,
                 timeout=self._timeout_seconds,
             )
-        except _NOT_SENT as error:
-            raise PlatformUnavailableError(_describe(error)) from error
+        except _CONNECT_ERRORS as error:
+            raise PlatformUnavailableError(_format_error(error)) from error
         except httpx.TransportError as error:
-            # From here on bytes may have reached the platform. To call this "had no
-            # effect" would let a caller act twice, seen as two entries or two reboots
-            # for one wish.
-            raise PlatformOutcomeUnknownError(_describe(error)) from error
-        if answer.status_code == 503 and HEADER_RAN not in answer.headers:
+            # The request may have reached the platform. If it were reported as without
+            # effect, the caller would repeat it, which could append an entry or reboot
+            # an instance twice.
+            raise PlatformOutcomeUnknownError(_format_error(error)) from error
+        if response.status_code == 503 and HEADER_RAN not in response.headers:
             raise PlatformUnavailableError("status=503")
-        if answer.status_code >= 500 and answer.status_code != 503:
-            raise PlatformOutcomeUnknownError(f"status={answer.status_code}")
-        return answer
+        if response.status_code >= 500 and response.status_code != 503:
+            raise PlatformOutcomeUnknownError(f"status={response.status_code}")
+        return response
 
 
-def refused(answer: httpx.Response) -> MustardwardError:
-    """Return the failure that a refusal names."""
-    code = _code(answer)
+def build_refusal_error(response: httpx.Response) -> MustardwardError:
+    """Return the error for the code in a refusal."""
+    code = _refusal_code(response)
     if code == StaleGenerationError.code:
-        return StaleGenerationError(answer.text)
-    return PlatformRefusedError(f"status={answer.status_code} code={code}")
+        return StaleGenerationError(response.text)
+    return PlatformRefusedError(f"status={response.status_code} code={code}")
 
 
-def _code(answer: httpx.Response) -> str:
+def _refusal_code(response: httpx.Response) -> str:
     try:
-        body = answer.json()
+        body = response.json()
     except ValueError:
         return ""
     return str(body.get("code", "")) if isinstance(body, dict) else ""
 
 
-def _describe(error: httpx.TransportError) -> str:
+def _format_error(error: httpx.TransportError) -> str:
     return f"{type(error).__name__} {error}".strip()
--- a/mustardward/standin/protocol/instances.py
+++ b/mustardward/standin/protocol/instances.py
@@ -1,4 +1,4 @@
-"""Call the platform's list of instances and its pool service."""
+"""Clients of the platform's instance list and power service."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import msgspec
 
 from ...exceptions import PlatformOutcomeUnknownError, PlatformUnavailableError
-from .http import PlatformHttp, refused
+from .http import PlatformHttp, build_refusal_error
 from .models import InstancePower, ListedInstance
 
 
@@ -17,12 +17,14 @@
         self._http = http
 
     async def async_list(self, data_centre: str = "") -> tuple[ListedInstance, ...]:
-        """Return the list, or a part that holds at least one data centre's."""
-        answer = await self._http.async_read("/instances", data_centre=data_centre)
-        if answer.status_code != 200:
-            raise refused(answer)
+        """Return the list, filtered by data centre if the platform supports it."""
+        response = await self._http.async_read("/instances", data_centre=data_centre)
+        if response.status_code != 200:
+            raise build_refusal_error(response)
         try:
-            return msgspec.json.decode(answer.content, type=tuple[ListedInstance, ...])
+            return msgspec.json.decode(
+                response.content, type=tuple[ListedInstance, ...]
+            )
         except msgspec.MsgspecError as error:
             raise PlatformUnavailableError(str(error)) from error
 
@@ -35,45 +37,45 @@
 
     async def async_get(self, instance_id: str) -> InstancePower:
         """Return the state of one instance."""
-        answer = await self._http.async_read(f"/power/{instance_id}")
+        response = await self._http.async_read(f"/power/{instance_id}")
         try:
-            return _power(answer)
+            return _decode_power(response)
         except msgspec.MsgspecError as error:
             raise PlatformUnavailableError(str(error)) from error
 
     async def async_drain(
         self, instance_id: str, operation_id: str, generation: int
     ) -> InstancePower:
-        """Give the instance no new tasks from the platform's side."""
+        """Stop the platform from giving the instance new tasks."""
         return await self._async_change(instance_id, "drain", operation_id, generation)
 
     async def async_reboot(
         self, instance_id: str, operation_id: str, generation: int
     ) -> InstancePower:
-        """Reboot the instance; refused unless it is drained."""
+        """Reboot the instance, which has to be drained."""
         return await self._async_change(instance_id, "reboot", operation_id, generation)
 
     async def async_return(
         self, instance_id: str, operation_id: str, generation: int
     ) -> InstancePower:
-        """Let the instance serve again without a reboot."""
+        """Return the instance to service without a reboot."""
         return await self._async_change(instance_id, "return", operation_id, generation)
 
     async def _async_change(
         self, instance_id: str, action: str, operation_id: str, generation: int
     ) -> InstancePower:
-        answer = await self._http.async_send(
+        response = await self._http.async_send(
             "POST",
             f"/power/{instance_id}/{action}",
             json={"operation_id": operation_id, "generation": generation},
         )
         try:
-            return _power(answer)
+            return _decode_power(response)
         except msgspec.MsgspecError as error:
             raise PlatformOutcomeUnknownError(str(error)) from error
 
 
-def _power(answer: httpx.Response) -> InstancePower:
-    if answer.status_code != 200:
-        raise refused(answer)
-    return msgspec.json.decode(answer.content, type=InstancePower)
+def _decode_power(response: httpx.Response) -> InstancePower:
+    if response.status_code != 200:
+        raise build_refusal_error(response)
+    return msgspec.json.decode(response.content, type=InstancePower)
--- a/mustardward/standin/protocol/log.py
+++ b/mustardward/standin/protocol/log.py
@@ -1,4 +1,4 @@
-"""Call the platform's log."""
+"""Client of the platform's log."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
     PlatformOutcomeUnknownError,
     PlatformUnavailableError,
 )
-from .http import PlatformHttp, refused
+from .http import PlatformHttp, build_refusal_error
 from .models import LogEntry, LogPage
 
 
 class _Page(msgspec.Struct, frozen=True):
-    """Hold a page as the log sends it."""
+    """Wire format of a page of entries."""
 
     entries: list[tuple[int, bytes]]
     oldest: int
@@ -25,13 +25,13 @@
 
 
 class _Appended(msgspec.Struct, frozen=True):
-    """Hold the answer to an append."""
+    """Wire format of the response to an append."""
 
     offset: int
 
 
 class _Expired(msgspec.Struct, frozen=True):
-    """Hold the refusal of an offset that was dropped."""
+    """Wire format of the refusal of an expired offset."""
 
     oldest: int
 
@@ -50,17 +50,17 @@
     async def async_append(self, stream: str, payload: bytes) -> int:
         """Append one entry and return its offset.
 
-        :raises AppendRateError: if the rate limit was reached; nothing was appended.
+        :raises AppendRateError: if the rate limit was exceeded; nothing was appended.
         """
-        answer = await self._http.async_send(
+        response = await self._http.async_send(
             "POST", f"/log/streams/{stream}", content=payload
         )
-        if answer.status_code == 429:
+        if response.status_code == 429:
             raise AppendRateError(f"stream={stream}")
-        if answer.status_code != 201:
-            raise refused(answer)
+        if response.status_code != 201:
+            raise build_refusal_error(response)
         try:
-            appended: _Appended = _APPENDED_DECODER.decode(answer.content)
+            appended: _Appended = _APPENDED_DECODER.decode(response.content)
         except msgspec.MsgspecError as error:
             raise PlatformOutcomeUnknownError(str(error)) from error
         return appended.offset
@@ -68,11 +68,11 @@
     async def async_read(
         self, stream: str, offset: int, limit: int, wait_seconds: float
     ) -> LogPage:
-        """Return entries from ``offset`` on, waiting for a first one if at the tail.
+        """Return entries from ``offset`` on; at the tail, wait for the next one.
 
-        :raises OffsetExpiredError: if ``offset`` is older than retention.
+        :raises OffsetExpiredError: if ``offset`` is older than the retention.
         """
-        answer = await self._http.async_read(
+        response = await self._http.async_read(
             f"/log/streams/{stream}",
             wait_seconds,
             offset=offset,
@@ -80,12 +80,12 @@
             wait=wait_seconds,
         )
         try:
-            if answer.status_code == 410:
-                expired: _Expired = _EXPIRED_DECODER.decode(answer.content)
+            if response.status_code == 410:
+                expired: _Expired = _EXPIRED_DECODER.decode(response.content)
                 raise OffsetExpiredError(expired.oldest)
-            if answer.status_code != 200:
-                raise refused(answer)
-            page: _Page = _PAGE_DECODER.decode(answer.content)
+            if response.status_code != 200:
+                raise build_refusal_error(response)
+            page: _Page = _PAGE_DECODER.decode(response.content)
         except msgspec.MsgspecError as error:
             raise PlatformUnavailableError(str(error)) from error
         entries = tuple(LogEntry(number, payload) for number, payload in page.entries)
--- a/mustardward/standin/protocol/models.py
+++ b/mustardward/standin/protocol/models.py
@@ -1,4 +1,4 @@
-"""Model what the platform's services say."""
+"""Data models of the platform's services."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogEntry:
-    """Hold one entry of a stream."""
+    """An entry of a stream."""
 
     offset: int
     payload: bytes
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogPage:
-    """Hold entries read at once; ``tail`` is the offset the next append will get."""
+    """A page of entries; ``tail`` is the offset of the next append."""
 
     entries: tuple[LogEntry, ...]
     oldest: int
@@ -24,7 +24,7 @@
 
 
 class ListedState(StrEnum):
-    """Say what the platform's lagging list believes of an instance."""
+    """State of an instance in the platform's lagging list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedInstance:
-    """Hold one line of the platform's list; ``kind`` is ``worker`` or ``entry``."""
+    """A row of the platform's list; ``kind`` is ``worker`` or ``entry``."""
 
     instance_id: str
     kind: str
@@ -44,7 +44,7 @@
 
 
 class PowerState(StrEnum):
-    """Say where an instance is on its way through drain and reboot."""
+    """State of an instance during drain and reboot."""
 
     SERVING = "serving"
     DRAINING = "draining"
@@ -55,10 +55,10 @@
 
 @dataclass(frozen=True, slots=True)
 class InstancePower:
-    """Hold an instance as the platform's pool service sees it.
+    """Power state of an instance.
 
-    ``boot`` grows with each boot; ``generation`` is the highest one a call carried;
-    ``running`` counts requests and tasks still in progress there.
+    ``boot`` increases with each boot; ``generation`` is the highest one received in
+    a call; ``running`` counts requests and tasks in progress.
     """
 
     instance_id: str
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerUsage:
-    """Hold what a worker reported of itself, ``age_seconds`` ago."""
+    """Usage that a worker reported ``age_seconds`` ago."""
 
     instance_id: str
     slots_busy: int
@@ -79,7 +79,7 @@
 
 
 class TaskState(StrEnum):
-    """Say how far a task on a worker is."""
+    """State of a task on a worker."""
 
     RUNNING = "running"
     THROTTLED = "throttled"
@@ -91,9 +91,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskOrder:
-    """Ask a worker to run a task under a lease.
+    """Order to run a task under a lease.
 
-    ``generation`` fences: a worker refuses one lower than it has seen for the task.
+    ``generation`` is a fencing token: a worker refuses one that is lower than the
+    highest it received for the task.
     """
 
     task_id: str
@@ -108,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskReport:
-    """Hold a task as its worker reports it; ``progress`` runs from 0 to 1."""
+    """Report of a worker on a task; ``progress`` is between 0 and 1."""
 
     task_id: str
     generation: int
--- a/mustardward/standin/protocol/protocols.py
+++ b/mustardward/standin/protocol/protocols.py
@@ -1,4 +1,4 @@
-"""Define the interfaces to the platform, which small fakes stand in for in tests.
+"""Define the interfaces to the platform.
 
 Every method raises :class:`PlatformUnavailableError` if the call had no effect and
 :class:`PlatformOutcomeUnknownError` if it may have had one.
@@ -24,16 +24,16 @@
     async def async_append(self, stream: str, payload: bytes) -> int:
         """Append one entry and return its offset.
 
-        :raises AppendRateError: if the rate limit was reached; nothing was appended.
+        :raises AppendRateError: if the rate limit was exceeded; nothing was appended.
         """
         ...
 
     async def async_read(
         self, stream: str, offset: int, limit: int, wait_seconds: float
     ) -> LogPage:
-        """Return entries from ``offset`` on, waiting for a first one if at the tail.
+        """Return entries from ``offset`` on; at the tail, wait for the next one.
 
-        :raises OffsetExpiredError: if ``offset`` is older than retention.
+        :raises OffsetExpiredError: if ``offset`` is older than the retention.
         """
         ...
 
@@ -42,9 +42,9 @@
     """Read the platform's list of live and leaving instances; it lags."""
 
     async def async_list(self, data_centre: str = "") -> tuple[ListedInstance, ...]:
-        """Return the list, or more than one data centre's part of it.
+        """Return the list of instances.
 
-        :param data_centre: the part wanted; a platform that cannot filter returns all.
+        :param data_centre: filter; a platform without filtering returns all.
         """
         ...
 
@@ -52,7 +52,7 @@
 class PowerService(Protocol):
     """Drain, reboot and return instances; idempotent by ``operation_id``.
 
-    :raises StaleGenerationError: if a call carries a generation older than one seen.
+    :raises StaleGenerationError: if the generation is older than one received before.
     """
 
     async def async_get(self, instance_id: str) -> InstancePower:
@@ -62,30 +62,30 @@
     async def async_drain(
         self, instance_id: str, operation_id: str, generation: int
     ) -> InstancePower:
-        """Give the instance no new tasks from the platform's side."""
+        """Stop the platform from giving the instance new tasks."""
         ...
 
     async def async_reboot(
         self, instance_id: str, operation_id: str, generation: int
     ) -> InstancePower:
-        """Reboot the instance; refused unless it is drained."""
+        """Reboot the instance, which has to be drained."""
         ...
 
     async def async_return(
         self, instance_id: str, operation_id: str, generation: int
     ) -> InstancePower:
-        """Let the instance serve again without a reboot."""
+        """Return the instance to service without a reboot."""
         ...
 
 
 class WorkerService(Protocol):
-    """Run leased tasks on one worker.
+    """Run leased tasks on workers.
 
-    :raises PlatformRefusedError: if the worker says that it did not run the task.
+    :raises PlatformRefusedError: if the worker reports that it did not run the task.
     """
 
     async def async_start(self, address: str, order: TaskOrder) -> TaskReport:
-        """Start a task, or return the report of the same generation's task."""
+        """Start a task, or return its report if the generation was started before."""
         ...
 
     async def async_report(self, address: str, task_id: str) -> TaskReport:
@@ -95,19 +95,19 @@
     async def async_renew(
         self, address: str, task_id: str, generation: int, lease_seconds: float
     ) -> TaskReport:
-        """Prolong the lease of a task."""
+        """Extend the lease of a task."""
         ...
 
     async def async_checkpoint(
         self, address: str, task_id: str, generation: int
     ) -> TaskReport:
-        """Write a checkpoint and stop there."""
+        """Write a checkpoint and stop the task."""
         ...
 
     async def async_throttle(
         self, address: str, task_id: str, generation: int
     ) -> TaskReport:
-        """Let a task run slowly and free its slot."""
+        """Reduce the speed of a task and free its slot."""
         ...
 
     async def async_stop(
@@ -117,5 +117,5 @@
         ...
 
     async def async_usage(self, address: str) -> WorkerUsage:
-        """Return the worker's lagging report of its usage."""
+        """Return the worker's delayed usage report."""
         ...
--- a/mustardward/standin/serving.py
+++ b/mustardward/standin/serving.py
@@ -1,7 +1,7 @@
 """Serve an ASGI application with hypercorn on the running loop.
 
-The stand-ins misbehave on purpose below HTTP (they reset connections and write bytes
-nobody asked for), so each connection is put into the request's scope.
+Injected faults act below HTTP (they reset connections and write stray bytes), so the
+scope of each request holds its connection.
 """
 
 from __future__ import annotations
@@ -18,25 +18,25 @@
 from ..helpers.connection import HttpConnection
 
 CONNECTION_STATE: Final = "connection"
-GRACE_SECONDS: Final = 0.05
-"""Time for answers on their way; what waits longer, as a long poll does, is cut."""
+SHUTDOWN_GRACE_SECONDS: Final = 0.05
+"""Time for responses in progress; connections still open then are cancelled."""
 
 
 class RawConnection:
-    """Let a fault act on a connection below HTTP.
+    """Connection on which a fault can act below HTTP.
 
-    :param writer: the connection's stream.
+    :param writer: stream of the connection.
     """
 
     def __init__(self, writer: asyncio.StreamWriter) -> None:
         self._writer = writer
 
     def write(self, data: bytes) -> None:
-        """Write bytes that belong to no answer."""
+        """Write bytes outside any response."""
         self._writer.write(data)
 
     def abort(self) -> None:
-        """Reset the connection, whatever is still to be sent."""
+        """Reset the connection and discard unsent data."""
         self._writer.transport.abort()
 
 
@@ -64,7 +64,7 @@
             connection.abort()
 
 
-def connection_of(scope: Any) -> RawConnection | None:
+def get_connection(scope: Any) -> RawConnection | None:
     """Return the connection that a request came by, if this module serves it."""
     connection: RawConnection | None = scope.get("state", {}).get(CONNECTION_STATE)
     return connection
@@ -77,13 +77,13 @@
     port: int = 0,
     connections: Connections | None = None,
 ) -> AsyncIterator[str]:
-    """Serve ``app`` inside the block and yield its ``host:port``.
+    """Serve ``app`` until the block ends and yield its ``host:port``.
 
-    :param port: 0 takes a free one.
+    :param port: 0 selects a free port.
     """
     config = _config()
     context = WorkerContext(None)
-    counted = connections if connections is not None else Connections()
+    open_connections = connections if connections is not None else Connections()
     tasks: set[asyncio.Task[Any]] = set()
 
     async def handle(
@@ -94,7 +94,7 @@
             tasks.add(task)
             task.add_done_callback(tasks.discard)
         connection = RawConnection(writer)
-        counted.add(connection)
+        open_connections.add(connection)
         state = {CONNECTION_STATE: connection}
         try:
             await HttpConnection(app, config, context, reader, writer, state)
@@ -103,7 +103,7 @@
             # and prints a traceback for a cancelled one, so it must end normally.
             connection.abort()
         finally:
-            counted.discard(connection)
+            open_connections.discard(connection)
 
     server = await asyncio.start_server(handle, host, port, backlog=config.backlog)
     bound = server.sockets[0].getsockname()
@@ -113,16 +113,16 @@
         with anyio.CancelScope(shield=True):
             await context.terminated.set()
             server.close()
-            await _async_end(tasks)
+            await _async_finish(tasks)
 
 
-async def _async_end(tasks: set[asyncio.Task[Any]]) -> None:
+async def _async_finish(tasks: set[asyncio.Task[Any]]) -> None:
     if not tasks:
         return
-    _, late = await asyncio.wait(set(tasks), timeout=GRACE_SECONDS)
-    for task in late:
+    _, unfinished = await asyncio.wait(set(tasks), timeout=SHUTDOWN_GRACE_SECONDS)
+    for task in unfinished:
         task.cancel()
-    await asyncio.gather(*late, return_exceptions=True)
+    await asyncio.gather(*unfinished, return_exceptions=True)
 
 
 def _config() -> Config:
--- a/mustardward/standin/store.py
+++ b/mustardward/standin/store.py
@@ -1,4 +1,4 @@
-"""Hold the streams of the stand-in log: offsets, retention and the rate limit."""
+"""Store the streams of the simulated log with offsets and retention."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Retention:
-    """Bound what a stream keeps, by number of entries and by age in seconds."""
+    """Retention limits of a stream: number of entries and age in seconds."""
 
     entries: int = 100_000
     seconds: float = 86_400.0
 
 
 @dataclass(frozen=True, slots=True)
-class _Kept:
-    """Hold one entry with the time of its append."""
+class _StoredEntry:
+    """An entry and the time of its append."""
 
     entry: LogEntry
     appended: float
@@ -28,9 +28,9 @@
 
 @dataclass(slots=True, eq=False)
 class _Stream:
-    """Hold one stream; ``oldest`` is the offset of its first kept entry."""
+    """A stream; ``oldest`` is the offset of its first retained entry."""
 
-    kept: deque[_Kept] = field(default_factory=deque)
+    kept: deque[_StoredEntry] = field(default_factory=deque)
     tail: int = 0
 
     @property
@@ -39,9 +39,9 @@
 
 
 class LogStore:
-    """Keep streams of entries for a limited time.
+    """Store streams of entries with limited retention.
 
-    :param timers: source of the entries' age.
+    :param timers: clock for the age of entries.
     """
 
     def __init__(self, timers: TimerService, retention: Retention) -> None:
@@ -51,34 +51,35 @@
 
     def append(self, stream: str, payload: bytes) -> int:
         """Append an entry and return its offset."""
-        held = self._stream(stream)
-        offset = held.tail
+        state = self._stream(stream)
+        offset = state.tail
         now = self._timers.monotonic()
-        held.kept.append(_Kept(LogEntry(offset, payload), now))
-        held.tail = offset + 1
-        self._expire(held)
+        state.kept.append(_StoredEntry(LogEntry(offset, payload), now))
+        state.tail = offset + 1
+        self._expire(state)
         return offset
 
     def read(self, stream: str, offset: int, limit: int) -> LogPage:
         """Return up to ``limit`` entries from ``offset`` on.
 
-        :raises OffsetExpiredError: if ``offset`` was dropped.
+        :raises OffsetExpiredError: if the entry at ``offset`` has expired.
         """
-        held = self._stream(stream)
-        self._expire(held)
-        if offset < held.oldest:
-            raise OffsetExpiredError(held.oldest)
-        start = offset - held.oldest
-        end = min(len(held.kept), start + limit)
-        entries = tuple(held.kept[index].entry for index in range(start, end))
-        return LogPage(entries, held.oldest, held.tail)
+        state = self._stream(stream)
+        self._expire(state)
+        if offset < state.oldest:
+            raise OffsetExpiredError(state.oldest)
+        start = offset - state.oldest
+        end = min(len(state.kept), start + limit)
+        entries = tuple(state.kept[index].entry for index in range(start, end))
+        return LogPage(entries, state.oldest, state.tail)
 
     def _stream(self, name: str) -> _Stream:
         return self._streams.setdefault(name, _Stream())
 
-    def _expire(self, held: _Stream) -> None:
+    def _expire(self, state: _Stream) -> None:
         earliest = self._timers.monotonic() - self._retention.seconds
-        while held.kept and (
-            len(held.kept) > self._retention.entries or held.kept[0].appended < earliest
+        while state.kept and (
+            len(state.kept) > self._retention.entries
+            or state.kept[0].appended < earliest
         ):
-            held.kept.popleft()
+            state.kept.popleft()
--- a/mustardward/standin/tasks.py
+++ b/mustardward/standin/tasks.py
@@ -1,6 +1,6 @@
-"""Run leased tasks on a stand-in worker: progress, checkpoints, fencing, lapses.
+"""Simulate leased tasks on a worker: progress, checkpoints, fencing, lease expiry.
 
-Pure but for the time that each call is given.
+Reads no clock: callers pass the time.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 
 
 class UnknownTaskError(PlatformRefusedError):
-    """Report a task that the worker never saw, or forgot in a reboot."""
+    """Raised for a task that the worker does not have, for example after a reboot."""
 
     code = "task-unknown"
 
 
 class TaskProgram(msgspec.Struct, frozen=True):
-    """Say what a task does; it is the order's payload in JSON.
+    """Behaviour of a task, decoded from the JSON payload of its order.
 
-    Any other payload runs one second and is done.
+    A task with any other payload succeeds after one second.
     """
 
     run_seconds: float = 1.0
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskRun:
-    """Record one run of a task, for checking histories; times in seconds."""
+    """One run of a task, for checks of histories; times in seconds."""
 
     task_id: str
     generation: int
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Task:
-    """Hold one task; ``advanced`` is when its progress was last worked out."""
+    """A task; ``advanced`` is the time of its latest progress update."""
 
     order: TaskOrder
     program: TaskProgram
@@ -63,46 +63,45 @@
 
 
 class TaskTable:
-    """Hold the tasks of one worker."""
+    """Tasks of one worker."""
 
     def __init__(self) -> None:
         self._tasks: dict[str, _Task] = {}
         self._generations: dict[str, int] = {}
-        self._past: list[TaskRun] = []
+        self._finished_runs: list[TaskRun] = []
 
     def running(self, now: float) -> int:
-        """Return how many tasks hold a slot."""
+        """Return the number of tasks that occupy a slot."""
         self._advance_all(now)
         return sum(t.state is TaskState.RUNNING for t in self._tasks.values())
 
     def active(self, now: float) -> int:
-        """Return how many tasks are not at their end."""
+        """Return the number of unfinished tasks."""
         self._advance_all(now)
         return sum(task.state in _ACTIVE for task in self._tasks.values())
 
-    def holds(self, order: TaskOrder) -> bool:
-        """Tell whether the order's very attempt was started before."""
+    def has_attempt(self, order: TaskOrder) -> bool:
+        """Return whether the same attempt was started before."""
         return self._generations.get(order.task_id) == order.generation
 
     def check(self, task_id: str, generation: int) -> None:
-        """Refuse a call under an older lease.
+        """Reject a call under an older lease.
 
-        :raises StaleGenerationError: if a newer generation was seen.
+        :raises StaleGenerationError: if a newer generation is known.
         """
-        # A holder that was paused comes back believing in its lease. Without the
-        # fence it would stop or renew what now belongs to its successor, which one
-        # would see as a task that ends without its holder's wish.
-        seen = self._generations.get(task_id, 0)
-        if generation < seen:
-            raise StaleGenerationError(f"seen={seen} got={generation}")
+        # A holder that resumes after a pause still assumes that it has the lease.
+        # Without fencing it would stop or renew the task of its successor.
+        newest = self._generations.get(task_id, 0)
+        if generation < newest:
+            raise StaleGenerationError(f"seen={newest} got={generation}")
 
     def start(self, order: TaskOrder, now: float, fails: bool = False) -> TaskReport:
-        """Start a task, or return the report of the attempt that runs already."""
+        """Start a task, or return the report if the same attempt is running."""
         self.check(order.task_id, order.generation)
-        if self.holds(order) and order.task_id in self._tasks:
+        if self.has_attempt(order) and order.task_id in self._tasks:
             return self.report(order.task_id, now)
         self._end(order.task_id, TaskState.STOPPED, now, "superseded")
-        program = _program(order.payload)
+        program = _parse_program(order.payload)
         if fails:
             program = TaskProgram(run_seconds=0.0, fails=True)
         self._generations[order.task_id] = order.generation
@@ -110,7 +109,7 @@
             order=order,
             program=program,
             state=TaskState.RUNNING,
-            progress=_progress(order.checkpoint),
+            progress=_parse_progress(order.checkpoint),
             checkpoint=order.checkpoint,
             started=now,
             advanced=now,
@@ -121,9 +120,9 @@
     def report(self, task_id: str, now: float) -> TaskReport:
         """Return the state of a task.
 
-        :raises UnknownTaskError: if there is none.
+        :raises UnknownTaskError: if there is no such task.
         """
-        task = self._find(task_id)
+        task = self._get_task(task_id)
         self._advance(task, now)
         done = task.state is TaskState.DONE
         return TaskReport(
@@ -139,54 +138,56 @@
     def renew(
         self, task_id: str, generation: int, lease_seconds: float, now: float
     ) -> TaskReport:
-        """Prolong a lease that has not lapsed."""
-        task = self._held(task_id, generation, now)
+        """Extend a lease that has not expired."""
+        task = self._get_leased_task(task_id, generation, now)
         if task.state in _ACTIVE:
             task.lease_end = now + lease_seconds
         return self.report(task_id, now)
 
     def checkpoint(self, task_id: str, generation: int, now: float) -> TaskReport:
-        """Write a checkpoint and stop there."""
-        task = self._held(task_id, generation, now)
+        """Write a checkpoint and stop the task."""
+        task = self._get_leased_task(task_id, generation, now)
         if task.state in _ACTIVE:
             task.checkpoint = f"{task.progress:.9f}"
             self._end(task_id, TaskState.STOPPED, now, "checkpointed")
         return self.report(task_id, now)
 
     def throttle(self, task_id: str, generation: int, now: float) -> TaskReport:
-        """Let a task run slowly without a slot."""
-        task = self._held(task_id, generation, now)
+        """Reduce the speed of a task and free its slot."""
+        task = self._get_leased_task(task_id, generation, now)
         if task.state is TaskState.RUNNING:
             task.state = TaskState.THROTTLED
         return self.report(task_id, now)
 
     def stop(self, task_id: str, generation: int, now: float) -> TaskReport:
         """Stop a task without a checkpoint."""
-        self._held(task_id, generation, now)
+        self._get_leased_task(task_id, generation, now)
         self._end(task_id, TaskState.STOPPED, now, "stopped")
         return self.report(task_id, now)
 
     def reboot(self, now: float) -> None:
-        """Cut and forget every task; the fencing generations stay."""
+        """Interrupt and drop all tasks; the fencing generations persist."""
         self._advance_all(now)
         for task_id in list(self._tasks):
             self._end(task_id, TaskState.LAPSED, now, "cut")
         self._tasks.clear()
 
     def runs(self, now: float) -> list[TaskRun]:
-        """Return all runs, those in progress too."""
+        """Return all runs, including those in progress."""
         self._advance_all(now)
-        current = [_run(t, now) for t in self._tasks.values() if t.state in _ACTIVE]
-        return self._past + current
+        current = [
+            _build_run(t, now) for t in self._tasks.values() if t.state in _ACTIVE
+        ]
+        return self._finished_runs + current
 
-    def _find(self, task_id: str) -> _Task:
+    def _get_task(self, task_id: str) -> _Task:
         task = self._tasks.get(task_id)
         if task is None:
             raise UnknownTaskError(task_id)
         return task
 
-    def _held(self, task_id: str, generation: int, now: float) -> _Task:
-        task = self._find(task_id)
+    def _get_leased_task(self, task_id: str, generation: int, now: float) -> _Task:
+        task = self._get_task(task_id)
         self.check(task_id, generation)
         if generation > task.order.generation:
             raise StaleGenerationError(f"have={task.order.generation}")
@@ -201,33 +202,35 @@
         if task.state not in _ACTIVE:
             return
         speed = 1.0 if task.state is TaskState.RUNNING else THROTTLED_SPEED
-        left = (1.0 - task.progress) * task.program.run_seconds / speed
-        finish = task.advanced + left
-        until = min(now, finish, task.lease_end)
+        remaining = (1.0 - task.progress) * task.program.run_seconds / speed
+        finish = task.advanced + remaining
+        advance_to = min(now, finish, task.lease_end)
         if task.program.run_seconds > 0:
-            gained = (until - task.advanced) * speed / task.program.run_seconds
-            task.progress = min(1.0, task.progress + gained)
-        task.advanced = until
+            progress_gain = (
+                (advance_to - task.advanced) * speed / task.program.run_seconds
+            )
+            task.progress = min(1.0, task.progress + progress_gain)
+        task.advanced = advance_to
         if finish <= min(now, task.lease_end):
             task.progress = 1.0
             state = TaskState.FAILED if task.program.fails else TaskState.DONE
-            self._close(task, state, finish, "failed" if task.program.fails else "")
+            self._finish(task, state, finish, "failed" if task.program.fails else "")
         elif task.lease_end <= now:
-            self._close(task, TaskState.LAPSED, task.lease_end, "lease-lapsed")
+            self._finish(task, TaskState.LAPSED, task.lease_end, "lease-lapsed")
 
     def _end(self, task_id: str, state: TaskState, now: float, reason: str) -> None:
         task = self._tasks.get(task_id)
         if task is not None and task.state in _ACTIVE:
-            self._close(task, state, now, reason)
+            self._finish(task, state, now, reason)
 
-    def _close(self, task: _Task, state: TaskState, ended: float, reason: str) -> None:
+    def _finish(self, task: _Task, state: TaskState, ended: float, reason: str) -> None:
         task.state = state
         task.ended = ended
         task.reason = reason
-        self._past.append(_run(task, ended))
+        self._finished_runs.append(_build_run(task, ended))
 
 
-def _run(task: _Task, end: float) -> TaskRun:
+def _build_run(task: _Task, end: float) -> TaskRun:
     return TaskRun(
         task_id=task.order.task_id,
         generation=task.order.generation,
@@ -238,14 +241,14 @@
     )
 
 
-def _program(payload: bytes) -> TaskProgram:
+def _parse_program(payload: bytes) -> TaskProgram:
     try:
         return msgspec.json.decode(payload, type=TaskProgram)
     except msgspec.MsgspecError:
         return TaskProgram()
 
 
-def _progress(checkpoint: str) -> float:
+def _parse_progress(checkpoint: str) -> float:
     try:
         return min(1.0, max(0.0, float(checkpoint)))
     except ValueError:
--- a/mustardward/standin/usage.py
+++ b/mustardward/standin/usage.py
@@ -1,4 +1,4 @@
-"""Remember a worker's usage, so that it can be reported late."""
+"""Record the usage of a worker, so that it can be reported with a delay."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 from typing import Final
 
-KEPT_SAMPLES: Final = 10_000
+MAX_SAMPLES: Final = 10_000
 
 
 @dataclass(frozen=True, slots=True)
 class UsageSample:
-    """Hold the usage from one moment on."""
+    """Usage since a point in time."""
 
     at: float
     slots_busy: int
@@ -19,13 +19,13 @@
 
 
 class UsageHistory:
-    """Keep the latest changes of a worker's usage."""
+    """Latest changes of a worker's usage."""
 
     def __init__(self) -> None:
-        self._samples: deque[UsageSample] = deque(maxlen=KEPT_SAMPLES)
+        self._samples: deque[UsageSample] = deque(maxlen=MAX_SAMPLES)
 
-    def note(self, now: float, slots_busy: int, connections_open: int) -> None:
-        """Remember the usage from now on, if it changed."""
+    def record(self, now: float, slots_busy: int, connections_open: int) -> None:
+        """Record the current usage if it changed."""
         sample = UsageSample(now, slots_busy, connections_open)
         if self._samples:
             last = self._samples[-1]
@@ -35,9 +35,9 @@
         self._samples.append(sample)
 
     def at(self, moment: float) -> UsageSample:
-        """Return the usage that held at a moment; idle before the first sample."""
-        found = UsageSample(moment, 0, 0)
+        """Return the usage at a point in time; idle before the first sample."""
+        idle = UsageSample(moment, 0, 0)
         for sample in reversed(self._samples):
             if sample.at <= moment:
                 return sample
-        return found
+        return idle
--- a/mustardward/standin/worker.py
+++ b/mustardward/standin/worker.py
@@ -1,4 +1,4 @@
-"""Stand in for a worker: slots, connections, refusals, power and faults."""
+"""Simulate a worker: slots, connections, refusals, power and faults."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Final
 
 from ..helpers.timer import TimerService
-from .executions import Execution, ExecutionRecord
+from .executions import Execution, ExecutionLog
 from .faults import FaultSwitch, WorkerFaults
 from .protocol.models import WorkerUsage
 from .serving import Connections
@@ -18,7 +18,7 @@
 
 
 class WorkerPower(StrEnum):
-    """Say whether the worker serves."""
+    """Power state of a worker."""
 
     SERVING = "serving"
     DRAINING = "draining"
@@ -26,7 +26,7 @@
 
 
 class Refusal(StrEnum):
-    """Name why a worker did not run a request."""
+    """Reason why a worker refused a request."""
 
     BUSY = "busy"
     DRAINING = "draining"
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerOptions:
-    """Size one stand-in worker."""
+    """Identity and size of a simulated worker."""
 
     instance_id: str = "worker-1"
     data_centre: str = "dc-1"
@@ -45,14 +45,14 @@
 
 
 class StandInWorker:
-    """Hold what one worker runs and what it may still take."""
+    """State of a worker: its power, executions, tasks and free slots."""
 
     def __init__(self, timers: TimerService, options: WorkerOptions) -> None:
         self.options = options
         self.timers = timers
         self.faults = FaultSwitch(WorkerFaults())
         self.connections = Connections()
-        self.executions = ExecutionRecord()
+        self.executions = ExecutionLog()
         self.tasks = TaskTable()
         self.power = WorkerPower.SERVING
         self.boot = 1
@@ -63,44 +63,44 @@
 
     @property
     def busy_slots(self) -> int:
-        """Return how many slots requests and tasks hold."""
+        """Return the number of slots that requests and tasks occupy."""
         return self._reserved + self.tasks.running(self.timers.monotonic())
 
     @property
     def in_progress(self) -> int:
-        """Return how many requests and tasks are not at their end."""
+        """Return the number of unfinished requests and tasks."""
         return self._reserved + self.tasks.active(self.timers.monotonic())
 
     @property
     def reachable(self) -> bool:
-        """Tell whether connections get any answer at all."""
-        return self.power is not WorkerPower.DOWN and not self.faults.now.down
+        """Return whether the worker responds to connections."""
+        return self.power is not WorkerPower.DOWN and not self.faults.active.down
 
     def admit(self, pool_generation: int | None) -> Refusal | None:
-        """Take a slot, or say why not."""
-        refusal = self.refusal(pool_generation)
+        """Reserve a slot, or return the reason for refusal."""
+        refusal = self.check_admission(pool_generation)
         if refusal is not None:
-            self.executions.refuse(refusal)
+            self.executions.record_refusal(refusal)
             return refusal
         self._reserved += 1
         self._admitted += 1
-        self.note_usage()
+        self.record_usage()
         return None
 
     def release(self) -> None:
-        """Give a slot back."""
+        """Release a slot."""
         self._reserved -= 1
-        self.note_usage()
+        self.record_usage()
 
-    def refusal(self, pool_generation: int | None) -> Refusal | None:
-        """Say why new work would not be run now."""
-        faults = self.faults.now
+    def check_admission(self, pool_generation: int | None) -> Refusal | None:
+        """Return why new work is refused, or None if it is accepted."""
+        faults = self.faults.active
         if self.power is WorkerPower.DRAINING and not faults.ignore_drain:
             return Refusal.DRAINING
         if pool_generation is not None:
-            # Two entries may believe in different owners of this worker. The newest
-            # generation it saw decides; without this an old owner's work would run
-            # in a pool that no longer has the worker.
+            # Entries may disagree about the pool that owns this worker. Only the
+            # newest known generation is accepted; otherwise work of the previous
+            # owner would run in a pool that no longer has the worker.
             if pool_generation < self._pool_generation:
                 return Refusal.STALE_GENERATION
             self._pool_generation = pool_generation
@@ -110,52 +110,52 @@
             return Refusal.BUSY
         return None
 
-    def struck(self) -> bool:
-        """Tell whether faults strike the request admitted last."""
-        return self._admitted % self.faults.now.every == 0
+    def is_fault_due(self) -> bool:
+        """Return whether faults apply to the most recently admitted request."""
+        return self._admitted % self.faults.active.every == 0
 
-    async def async_thaw(self) -> None:
-        """Wait while the worker is frozen."""
-        while self.faults.now.freeze:
+    async def async_wait_unfrozen(self) -> None:
+        """Wait until the worker is not frozen."""
+        while self.faults.active.freeze:
             await self.timers.async_sleep(FREEZE_POLL_SECONDS)
 
     def change_power(self, action: str, boot: int) -> None:
-        """Follow the platform's pool service."""
+        """Apply an action of the platform's power service."""
         if action == "drain" and self.power is WorkerPower.SERVING:
             self.power = WorkerPower.DRAINING
         elif action == "return" and self.power is WorkerPower.DRAINING:
             self.power = WorkerPower.SERVING
         elif action == "reboot":
-            self._cut()
+            self._interrupt()
         elif action == "up":
             self.power = WorkerPower.SERVING
             self.boot = boot
 
-    def _cut(self) -> None:
+    def _interrupt(self) -> None:
         now = self.timers.monotonic()
         self.power = WorkerPower.DOWN
-        self.executions.cut_all(now)
+        self.executions.interrupt_all(now)
         self.tasks.reboot(now)
         self.connections.abort_all()
 
-    def begin(self, execution: Execution) -> None:
-        """Note that an admitted request starts to run."""
-        self.executions.begin(execution)
+    def record_start(self, execution: Execution) -> None:
+        """Record the start of an admitted request."""
+        self.executions.record_start(execution)
 
-    def note_usage(self) -> None:
-        """Remember the present usage for the lagging report."""
-        self._usage.note(
+    def record_usage(self) -> None:
+        """Record the current usage for the delayed report."""
+        self._usage.record(
             self.timers.monotonic(), self.busy_slots, len(self.connections)
         )
 
     def usage(self) -> WorkerUsage:
-        """Return the usage as it was some seconds ago."""
-        self.note_usage()
+        """Return the usage, delayed by the configured lag."""
+        self.record_usage()
         now = self.timers.monotonic()
-        sample = self._usage.at(now - self.faults.now.usage_lag_seconds)
+        sample = self._usage.at(now - self.faults.active.usage_lag_seconds)
         return WorkerUsage(
             instance_id=self.options.instance_id,
             slots_busy=sample.slots_busy,
             connections_open=sample.connections_open,
-            age_seconds=self.faults.now.usage_lag_seconds,
+            age_seconds=self.faults.active.usage_lag_seconds,
         )
--- a/mustardward/standin/worker_app.py
+++ b/mustardward/standin/worker_app.py
@@ -1,4 +1,4 @@
-"""Serve a stand-in worker over HTTP."""
+"""Serve a simulated worker over HTTP."""
 
 from __future__ import annotations
 
@@ -18,7 +18,13 @@
 from ..const import HEADER_RAN
 from ..exceptions import PlatformRefusedError, StaleGenerationError
 from ..helpers.timer import TimerService
-from .common import BodyError, NoAnswer, async_body, async_body_refusal, refusal
+from .common import (
+    BodyError,
+    ConnectionReset,
+    async_handle_body_error,
+    async_parse_body,
+    error_response,
+)
 from .protocol.models import TaskOrder, TaskReport
 from .serving import async_serve
 from .tasks import UnknownTaskError
@@ -29,7 +35,7 @@
 
 
 class PowerActionModel(BaseModel):
-    """Hold what the platform's pool service tells a worker."""
+    """Body of a call from the platform's power service to a worker."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -38,13 +44,13 @@
 
 
 class FaultChangesModel(BaseModel):
-    """Hold changes of faults; the switch checks them."""
+    """Body of a fault change, validated by the fault switch."""
 
     model_config = ConfigDict(extra="allow")
 
 
 class TaskCallModel(BaseModel):
-    """Hold a call on a task that is held under a lease."""
+    """Body of a call on a leased task."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -53,12 +59,12 @@
 
 
 class WorkerApp:
-    """Route ``/serve`` straight to the worker and the rest through starlette."""
+    """Route ``/serve`` directly to the worker and other paths through starlette."""
 
     def __init__(self, worker: StandInWorker) -> None:
         self._worker = worker
-        self._serve = ServeApp(worker)
-        self._other = Starlette(
+        self._serve_app = ServeApp(worker)
+        self._router = Starlette(
             routes=[
                 Route("/tasks/{task_id}", self._async_task, methods=["GET", "PUT"]),
                 Route("/tasks/{task_id}/{action}", self._async_act, methods=["POST"]),
@@ -72,8 +78,8 @@
                 ),
             ],
             exception_handlers={
-                BodyError: async_body_refusal,
-                PlatformRefusedError: _async_task_refusal,
+                BodyError: async_handle_body_error,
+                PlatformRefusedError: _async_handle_task_error,
             },
         )
 
@@ -81,38 +87,38 @@
         """Serve one request."""
         path = scope.get("path", "")
         if path.startswith("/serve/"):
-            await self._serve(scope, receive, send)
+            await self._serve_app(scope, receive, send)
             return
         if not path.startswith("/admin/"):
-            await self._worker.async_thaw()
+            await self._worker.async_wait_unfrozen()
             if not self._worker.reachable:
-                await NoAnswer()(scope, receive, send)
+                await ConnectionReset()(scope, receive, send)
                 return
-        await self._other(scope, receive, send)
+        await self._router(scope, receive, send)
 
     async def _async_task(self, request: Request) -> Response:
         worker = self._worker
         now = worker.timers.monotonic()
         task_id = request.path_params["task_id"]
         if request.method == "GET":
-            return _report(worker.tasks.report(task_id, now))
-        order = await _async_order(request)
-        if not (worker.tasks.holds(order)):
+            return _report_response(worker.tasks.report(task_id, now))
+        order = await _async_parse_order(request)
+        if not (worker.tasks.has_attempt(order)):
             worker.tasks.check(order.task_id, order.generation)
-            refused = worker.refusal(order.pool_generation)
+            refused = worker.check_admission(order.pool_generation)
             if refused is not None:
-                worker.executions.refuse(refused)
-                return refusal_not_run(refused)
-        report = worker.tasks.start(order, now, worker.faults.now.fail_all)
-        worker.note_usage()
-        return _report(report)
+                worker.executions.record_refusal(refused)
+                return not_run_response(refused)
+        report = worker.tasks.start(order, now, worker.faults.active.fail_all)
+        worker.record_usage()
+        return _report_response(report)
 
     async def _async_act(self, request: Request) -> Response:
         task_id = request.path_params["task_id"]
         action = request.path_params["action"]
         if action not in TASK_ACTIONS:
-            return refusal(404, "action-unknown")
-        model = await async_body(request, TaskCallModel)
+            return error_response(404, "action-unknown")
+        model = await async_parse_body(request, TaskCallModel)
         worker = self._worker
         now = worker.timers.monotonic()
         if action == "renew":
@@ -120,10 +126,12 @@
                 task_id, model.generation, model.lease_seconds, now
             )
         else:
-            act: Callable[[str, int, float], TaskReport] = getattr(worker.tasks, action)
-            report = act(task_id, model.generation, now)
-        worker.note_usage()
-        return _report(report)
+            task_action: Callable[[str, int, float], TaskReport] = getattr(
+                worker.tasks, action
+            )
+            report = task_action(task_id, model.generation, now)
+        worker.record_usage()
+        return _report_response(report)
 
     async def _async_usage(self, request: Request) -> Response:
         return JSONResponse(asdict(self._worker.usage()))
@@ -131,19 +139,19 @@
     async def _async_faults(self, request: Request) -> Response:
         faults = self._worker.faults
         if request.method == "POST":
-            model = await async_body(request, FaultChangesModel)
+            model = await async_parse_body(request, FaultChangesModel)
             try:
                 faults.change(**(model.model_extra or {}))
             except ValueError as error:
                 raise BodyError(str(error)) from error
-        return JSONResponse(faults.now.model_dump())
+        return JSONResponse(faults.active.model_dump())
 
     async def _async_power(self, request: Request) -> Response:
         worker = self._worker
-        model = await async_body(request, PowerActionModel)
-        await worker.async_thaw()
-        if worker.faults.now.down:
-            return NoAnswer()
+        model = await async_parse_body(request, PowerActionModel)
+        await worker.async_wait_unfrozen()
+        if worker.faults.active.down:
+            return ConnectionReset()
         worker.change_power(model.action, model.boot)
         return JSONResponse(
             {
@@ -163,28 +171,30 @@
             {
                 "instance": worker.options.instance_id,
                 "now": now,
-                "requests": [asdict(item) for item in worker.executions.all()],
+                "requests": [
+                    asdict(item) for item in worker.executions.list_executions()
+                ],
                 "tasks": [asdict(run) for run in worker.tasks.runs(now)],
                 "refusals": worker.executions.refusals,
             }
         )
 
 
-def refusal_not_run(cause: str) -> Response:
-    """Return the answer to work that was certainly not run."""
+def not_run_response(cause: str) -> Response:
+    """Return the response to work that was definitely not run."""
     headers = {HEADER_RAN: "no", HEADER_REFUSAL: cause}
     return JSONResponse({"code": cause}, status_code=503, headers=headers)
 
 
-async def _async_task_refusal(request: Request, error: Exception) -> Response:
+async def _async_handle_task_error(request: Request, error: Exception) -> Response:
     if isinstance(error, UnknownTaskError):
-        return refusal(404, error.code)
+        return error_response(404, error.code)
     if isinstance(error, StaleGenerationError):
-        return refusal(409, error.code, detail=error.detail)
-    return refusal(409, PlatformRefusedError.code, detail=str(error))
+        return error_response(409, error.code, detail=error.detail)
+    return error_response(409, PlatformRefusedError.code, detail=str(error))
 
 
-async def _async_order(request: Request) -> TaskOrder:
+async def _async_parse_order(request: Request) -> TaskOrder:
     try:
         order = msgspec.msgpack.decode(await request.body(), type=TaskOrder)
     except msgspec.MsgspecError as error:
@@ -192,14 +202,14 @@
     return replace(order, task_id=request.path_params["task_id"])
 
 
-def _report(report: TaskReport) -> Response:
+def _report_response(report: TaskReport) -> Response:
     body = msgspec.msgpack.encode(report)
     return Response(body, media_type="application/msgpack")
 
 
 @dataclass(frozen=True, slots=True)
 class RunningWorker:
-    """Hold a worker that is being served at ``address``."""
+    """A worker served at ``address``."""
 
     address: str
     worker: StandInWorker
@@ -213,7 +223,7 @@
     host: str = "127.0.0.1",
     port: int = 0,
 ) -> AsyncIterator[RunningWorker]:
-    """Serve a stand-in worker inside the block and put it on the platform's list."""
+    """Serve a simulated worker until the block ends and list it on the platform."""
     worker = StandInWorker(timers, options)
     app = WorkerApp(worker)
     async with async_serve(app, host, port, worker.connections) as address:
@@ -226,7 +236,7 @@
     platform_url: str, options: WorkerOptions, address: str
 ) -> None:
     async with httpx.AsyncClient(trust_env=False) as client:
-        answer = await client.post(
+        response = await client.post(
             f"{platform_url}/admin/instances",
             json={
                 "instance_id": options.instance_id,
@@ -237,4 +247,4 @@
                 "boot": 1,
             },
         )
-        answer.raise_for_status()
+        response.raise_for_status()
--- a/mustardward/standin/worker_serve.py
+++ b/mustardward/standin/worker_serve.py
@@ -1,7 +1,7 @@
-"""Run callers' requests on a stand-in worker.
+"""Run callers' requests on a simulated worker.
 
-The path is plain ASGI, since benches and load go through it: a router would cost more
-than the work it stands in for.
+This is plain ASGI because it is on the hot path of benchmarks and load: a router
+would cost more than the simulated work.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
     HEADER_RAN,
     HEADER_REQUEST_ID,
 )
-from .common import NoAnswer
+from .common import ConnectionReset
 from .executions import Execution
-from .serving import connection_of
+from .serving import get_connection
 from .worker import Refusal, StandInWorker
 
 HEADER_INSTANCE_ID: Final = "mw-instance-id"
@@ -32,14 +32,14 @@
 CHUNK_BYTES: Final = 65_536
 MAXIMUM_SLEEP_SECONDS: Final = 600.0
 MAXIMUM_SIZE_BYTES: Final = 1 << 30
-STRAY_ANSWER: Final = b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nstray"
+STRAY_RESPONSE: Final = b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nstray"
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
-    """Hold what the query asks of the worker.
+class RequestedBehaviour:
+    """Behaviour that the query string requests from the worker.
 
-    ``stream_seconds`` spreads the answer over time; ``chunked`` leaves its length out.
+    ``stream_seconds`` spreads the response over time; ``chunked`` omits its length.
     """
 
     sleep_seconds: float = 0.0
@@ -49,58 +49,58 @@
     chunked: bool = False
 
 
-def parse_wish(query: bytes) -> Wish:
-    """Return what a query asks for; what cannot be read is left out."""
+def parse_behaviour(query: bytes) -> RequestedBehaviour:
+    """Parse the behaviour from a query string; invalid values are ignored."""
     if not query:
-        return Wish()
+        return RequestedBehaviour()
     values = {key: items[-1] for key, items in parse_qs(query.decode("latin1")).items()}
-    return Wish(
-        sleep_seconds=_number(values.get("sleep"), 0.0, MAXIMUM_SLEEP_SECONDS),
-        size=int(_number(values.get("size"), 0.0, MAXIMUM_SIZE_BYTES)),
-        status=int(_number(values.get("status"), 200.0, 599.0)),
-        stream_seconds=_number(values.get("stream"), 0.0, MAXIMUM_SLEEP_SECONDS),
+    return RequestedBehaviour(
+        sleep_seconds=_parse_number(values.get("sleep"), 0.0, MAXIMUM_SLEEP_SECONDS),
+        size=int(_parse_number(values.get("size"), 0.0, MAXIMUM_SIZE_BYTES)),
+        status=int(_parse_number(values.get("status"), 200.0, 599.0)),
+        stream_seconds=_parse_number(values.get("stream"), 0.0, MAXIMUM_SLEEP_SECONDS),
         chunked=values.get("chunked") == "1",
     )
 
 
-def _number(text: str | None, default: float, most: float) -> float:
+def _parse_number(text: str | None, default: float, maximum: float) -> float:
     try:
-        return min(most, max(0.0, float(text))) if text is not None else default
+        return min(maximum, max(0.0, float(text))) if text is not None else default
     except ValueError:
         return default
 
 
-def sized_body(request_id: str, size: int) -> Iterator[bytes]:
-    """Return the chunks of a large answer: lines that repeat the request's id.
+def generate_body(request_id: str, size: int) -> Iterator[bytes]:
+    """Yield the chunks of a large response, whose lines repeat the request id.
 
-    A caller that gets any other line got a piece of someone else's answer.
+    A caller that receives any other line received part of another response.
     """
     line = f"{request_id}\n".encode()
     block = line * max(1, CHUNK_BYTES // len(line))
-    left = size
-    while left > 0:
-        part = block[: min(left, len(block))]
-        left -= len(part)
+    remaining = size
+    while remaining > 0:
+        part = block[: min(remaining, len(block))]
+        remaining -= len(part)
         yield part
 
 
 class ServeApp:
-    """Answer ``/serve/…`` on one worker."""
+    """Handle ``/serve/…`` on one worker."""
 
     def __init__(self, worker: StandInWorker) -> None:
         self._worker = worker
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
-        """Run one request, or refuse it."""
+        """Run or refuse one request."""
         worker = self._worker
-        await worker.async_thaw()
+        await worker.async_wait_unfrozen()
         if not worker.reachable:
-            await NoAnswer()(scope, receive, send)
+            await ConnectionReset()(scope, receive, send)
             return
         headers = {name: value.decode("latin1") for name, value in scope["headers"]}
-        refusal = worker.admit(_generation(headers))
+        refusal = worker.admit(_pool_generation(headers))
         if refusal is not None:
-            await _async_read(receive)
+            await _async_read_body(receive)
             await _async_refuse(send, headers, refusal)
             return
         try:
@@ -112,20 +112,20 @@
         self, scope: Any, headers: dict[bytes, str], receive: Any, send: Any
     ) -> None:
         worker = self._worker
-        struck = worker.struck()
-        body = await _async_read(receive)
+        inject_faults = worker.is_fault_due()
+        body = await _async_read_body(receive)
         if body is None or not worker.reachable:
-            await NoAnswer()(scope, receive, send)
+            await ConnectionReset()(scope, receive, send)
             return
         execution = self._execution(scope, headers)
-        worker.begin(execution)
+        worker.record_start(execution)
         status = 0
         try:
-            status = await self._async_answer(
-                scope, headers, body, execution, send, struck
+            status = await self._async_respond(
+                scope, headers, body, execution, send, inject_faults
             )
         finally:
-            worker.executions.end(execution, worker.timers.monotonic(), status)
+            worker.executions.record_end(execution, worker.timers.monotonic(), status)
 
     def _execution(self, scope: Any, headers: dict[bytes, str]) -> Execution:
         worker = self._worker
@@ -136,45 +136,47 @@
             idempotency_key=headers.get(HEADER_IDEMPOTENCY_KEY.encode(), ""),
             method=scope["method"],
             path=scope["path"],
-            pool_generation=_generation(headers) or 0,
+            pool_generation=_pool_generation(headers) or 0,
             boot=worker.boot,
             leaving=worker.power != "serving",
             start=worker.timers.monotonic(),
         )
 
-    async def _async_answer(
+    async def _async_respond(
         self,
         scope: Any,
         headers: dict[bytes, str],
         body: bytes,
         execution: Execution,
         send: Any,
-        struck: bool,
+        inject_faults: bool,
     ) -> int:
         timers = self._worker.timers
-        faults = self._worker.faults.now
-        wish = parse_wish(scope["query_string"])
-        if struck and faults.fail_all:
-            wish = Wish(status=500)
-        elif wish.sleep_seconds or faults.slow_seconds:
-            slow = faults.slow_seconds if struck else 0.0
-            await timers.async_sleep(wish.sleep_seconds + slow)
-        if execution.cut or (struck and faults.close_without_answer):
-            await NoAnswer()(scope, None, send)
+        faults = self._worker.faults.active
+        behaviour = parse_behaviour(scope["query_string"])
+        if inject_faults and faults.fail_all:
+            behaviour = RequestedBehaviour(status=500)
+        elif behaviour.sleep_seconds or faults.slow_seconds:
+            slow = faults.slow_seconds if inject_faults else 0.0
+            await timers.async_sleep(behaviour.sleep_seconds + slow)
+        if execution.cut or (inject_faults and faults.close_without_answer):
+            await ConnectionReset()(scope, None, send)
             return 0
-        chunks = self._chunks(wish, execution, body)
-        truncate = struck and faults.truncate
-        await self._async_send(wish, headers, chunks, execution, send, truncate)
-        connection = connection_of(scope)
-        if struck and faults.stray_bytes and connection is not None:
-            connection.write(STRAY_ANSWER)
-        return wish.status
-
-    def _chunks(self, wish: Wish, execution: Execution, body: bytes) -> list[bytes]:
-        if wish.status in (204, 304):
+        chunks = self._chunks(behaviour, execution, body)
+        truncate = inject_faults and faults.truncate
+        await self._async_send(behaviour, headers, chunks, execution, send, truncate)
+        connection = get_connection(scope)
+        if inject_faults and faults.stray_bytes and connection is not None:
+            connection.write(STRAY_RESPONSE)
+        return behaviour.status
+
+    def _chunks(
+        self, behaviour: RequestedBehaviour, execution: Execution, body: bytes
+    ) -> list[bytes]:
+        if behaviour.status in (204, 304):
             return []
-        if wish.size:
-            return list(sized_body(execution.request_id, wish.size))
+        if behaviour.size:
+            return list(generate_body(execution.request_id, behaviour.size))
         answer = {
             "instance": self._worker.options.instance_id,
             "request": execution.request_id,
@@ -186,21 +188,23 @@
 
     async def _async_send(
         self,
-        wish: Wish,
+        behaviour: RequestedBehaviour,
         headers: dict[bytes, str],
         chunks: list[bytes],
         execution: Execution,
         send: Any,
         truncate: bool,
     ) -> None:
-        own = [(HEADER_INSTANCE_ID.encode(), self._worker.options.instance_id.encode())]
-        if not wish.chunked and wish.status not in (204, 304):
+        extra_headers = [
+            (HEADER_INSTANCE_ID.encode(), self._worker.options.instance_id.encode())
+        ]
+        if not behaviour.chunked and behaviour.status not in (204, 304):
             length = sum(len(chunk) for chunk in chunks)
-            own.append((b"content-length", str(length).encode()))
-        plain = b"text/plain" if wish.size else b"application/json"
-        own.append((b"content-type", plain))
-        await send(_head(wish.status, headers, own))
-        pause = wish.stream_seconds / len(chunks) if chunks else 0.0
+            extra_headers.append((b"content-length", str(length).encode()))
+        content_type = b"text/plain" if behaviour.size else b"application/json"
+        extra_headers.append((b"content-type", content_type))
+        await send(_response_start(behaviour.status, headers, extra_headers))
+        pause = behaviour.stream_seconds / len(chunks) if chunks else 0.0
         for index, chunk in enumerate(chunks):
             if pause:
                 await self._worker.timers.async_sleep(pause)
@@ -208,46 +212,46 @@
                 return
             last = index == len(chunks) - 1
             if truncate and last:
-                await send(_body(chunk[: len(chunk) // 2], more=True))
+                await send(_response_body(chunk[: len(chunk) // 2], more=True))
                 return
-            await send(_body(chunk, more=True))
-        await send(_body(b"", more=False))
+            await send(_response_body(chunk, more=True))
+        await send(_response_body(b"", more=False))
 
 
-def _generation(headers: dict[bytes, str]) -> int | None:
+def _pool_generation(headers: dict[bytes, str]) -> int | None:
     text = headers.get(HEADER_GENERATION.encode())
     if text is None or not text.isdecimal():
         return None
     return int(text)
 
 
-def _head(
-    status: int, headers: dict[bytes, str], own: list[tuple[bytes, bytes]]
+def _response_start(
+    status: int, headers: dict[bytes, str], extra_headers: list[tuple[bytes, bytes]]
 ) -> dict[str, Any]:
     attempt_id = headers.get(HEADER_ATTEMPT_ID.encode(), "").encode("latin1")
     return {
         "type": "http.response.start",
         "status": status,
-        "headers": [(HEADER_ATTEMPT_ID.encode(), attempt_id), *own],
+        "headers": [(HEADER_ATTEMPT_ID.encode(), attempt_id), *extra_headers],
     }
 
 
-def _body(data: bytes, more: bool) -> dict[str, Any]:
+def _response_body(data: bytes, more: bool) -> dict[str, Any]:
     return {"type": "http.response.body", "body": data, "more_body": more}
 
 
 async def _async_refuse(send: Any, headers: dict[bytes, str], refusal: Refusal) -> None:
-    own = [
+    extra_headers = [
         (HEADER_RAN.encode(), b"no"),
         (HEADER_REFUSAL.encode(), refusal.encode()),
         (b"content-length", b"0"),
     ]
-    await send(_head(503, headers, own))
-    await send(_body(b"", more=False))
+    await send(_response_start(503, headers, extra_headers))
+    await send(_response_body(b"", more=False))
 
 
-async def _async_read(receive: Any) -> bytes | None:
-    """Return the whole body, or nothing if the caller went away before its end."""
+async def _async_read_body(receive: Any) -> bytes | None:
+    """Return the request body, or None if the caller disconnected before its end."""
     parts: list[bytes] = []
     while True:
         message = await receive()
--- a/tests/components/dispatch/test_blocked_loop.py
+++ b/tests/components/dispatch/test_blocked_loop.py
@@ -28,7 +28,7 @@
 from mustardward.platform.models import Room, WorkerEntry
 from mustardward.standin.estate.app import async_run_estate
 from mustardward.standin.estate.estate import Estate, EstatePlan
-from mustardward.standin.estate.worker import Work
+from mustardward.standin.estate.worker import Workload
 
 from ..scheduling.builders import JOB, POOL, a_job, a_step
 
@@ -71,7 +71,7 @@
     async def async_open_sessions(self) -> None:
         for name, worker in self.estate.workers.items():
             address = self.estate.address_of(name)
-            entry = WorkerEntry(POOL, address, capacity=worker.room)
+            entry = WorkerEntry(POOL, address, capacity=worker.capacity)
             self.dispatcher.update_worker(name, entry)
         workers = self.scheduler.state.workers.values()
         await async_until(lambda: all(worker.confirmed for worker in workers))
@@ -102,7 +102,7 @@
         async_elsewhere(async_run_estate(plan, "127.0.0.1")) as estate,
         anyio.create_task_group() as tasks,
     ):
-        estate.work_of[f"{JOB}.0"] = Work(Room(100, 1), 60.0, lasts=True)
+        estate.workloads[f"{JOB}.0"] = Workload(Room(100, 1), 60.0, long_running=True)
         owner = BlockedOwner(estate, tasks)
         await owner.async_open_sessions()
         step = a_step(count=TASKS, cpu=100, mem_mb=1, long_running=True)
--- a/tests/components/dispatch/test_recovery.py
+++ b/tests/components/dispatch/test_recovery.py
@@ -24,7 +24,7 @@
     TaskName,
     WorkerReport,
 )
-from mustardward.standin.estate.worker import STOP_MS, MemoryWorker, Work
+from mustardward.standin.estate.worker import STOP_DURATION_MS, MemoryWorker, Workload
 
 from ...platform.test_entries import GOOD
 from ..scheduling.builders import POOL, a_job, a_step
@@ -46,10 +46,10 @@
     """
     async with anyio.create_task_group() as tasks:
         harness = RestartHarness(tasks)
-        work_of = harness.worker.work_of
-        work_of[f"{PREVIOUS_JOB}.0"] = Work(ROOM, 60.0, lasts=True)
+        workloads = harness.worker.workloads
+        workloads[f"{PREVIOUS_JOB}.0"] = Workload(ROOM, 60.0, long_running=True)
         harness.worker.process = MemoryWorker(
-            WORKER, "m", POOL, ROOM, work_of, born=STARTED_AT_MS
+            WORKER, "m", POOL, ROOM, workloads, started_at_ms=STARTED_AT_MS
         )
         order = StartBody(running, PREVIOUS_RUN, "x", 10**9, 1)
         assert harness.worker.process.start(order, 100_000.0) == ""
@@ -61,7 +61,7 @@
 
 async def async_check_worker_is_used(harness: RestartHarness) -> None:
     """Check that a task of the worker's full size runs once the stop is complete."""
-    await harness.async_advance_time(STOP_MS / 1000 + 1.0)
+    await harness.async_advance_time(STOP_DURATION_MS / 1000 + 1.0)
     harness.worker.process.advance(harness.worker.clock_ms())
     assert not harness.worker.process.runs
     harness.add(FULL_SIZE_STEP)
--- a/tests/components/dispatch/test_recovery_walks.py
+++ b/tests/components/dispatch/test_recovery_walks.py
@@ -34,7 +34,7 @@
     decode_running,
     encode_task,
 )
-from mustardward.standin.estate.worker import MemoryWorker, Work
+from mustardward.standin.estate.worker import MemoryWorker, Workload
 
 from ..scheduling.builders import POOL, a_job, a_step, an_entry
 
@@ -73,12 +73,12 @@
         self.process = self._new_process()
 
     def resize(self, room: Room) -> None:
-        self.room = self.process.room = room
+        self.room = self.process.capacity = room
 
     def _new_process(self) -> MemoryWorker:
-        work_of = self.walk.work_of
+        workloads = self.walk.workloads
         return MemoryWorker(
-            self.name, "m", POOL, self.room, work_of, born=self.started_at_ms
+            self.name, "m", POOL, self.room, workloads, started_at_ms=self.started_at_ms
         )
 
     def _draw_outcome(self) -> str:
@@ -122,14 +122,14 @@
     ) -> WorkerReport:
         outcome = self._draw_outcome()
         until = self.walk.timers.monotonic() + wait_ms / 1000
-        body = self.process.hold(EPOCH, seen_upto, deadline_ms, self.clock_ms())
+        body = self.process.poll(EPOCH, seen_upto, deadline_ms, self.clock_ms())
         process = self.process
-        while not process.has_news(seen_upto):
+        while not process.has_unacknowledged_ends(seen_upto):
             if self.walk.timers.monotonic() >= until:
                 break
             await self.walk.timers.async_sleep(0.02)
             process.advance(self.clock_ms())
-        body = process.hold(EPOCH, seen_upto, deadline_ms, self.clock_ms())
+        body = process.poll(EPOCH, seen_upto, deadline_ms, self.clock_ms())
         if (
             outcome in ("answer-lost", "delayed")
             or process is not self.process
@@ -150,7 +150,7 @@
     def __init__(self, seed: int, tasks: TaskGroup) -> None:
         self.random = random.Random(seed)
         self.timers = DrivenTimerService()
-        self.work_of: dict[str, Work] = {}
+        self.workloads: dict[str, Workload] = {}
         self.scheduler = Scheduler(
             EPOCH, lambda queue: QueuePolicy(service=POOL, max_attempts=50)
         )
@@ -208,7 +208,7 @@
         """Submit a job; return its id."""
         name = f"{self.jobs:016x}"
         self.jobs += 1
-        self.work_of[f"{name}.0"] = Work(room, seconds, lasts=lasts)
+        self.workloads[f"{name}.0"] = Workload(room, seconds, long_running=lasts)
         step = a_step(count=count, cpu=room.cpu, mem_mb=room.mem_mb, long_running=lasts)
         job: LedgerJob = a_job(step, job=name)
         self.scheduler.add_job(job, self.timers.monotonic(), 0.0)
@@ -217,7 +217,9 @@
     def start_orphan_run(self) -> None:
         """Start a run on a worker that no owner requested."""
         name = f"{self.random.choice([self.random.randrange(self.jobs + 1), 99]):016x}"
-        self.work_of.setdefault(f"{name}.0", Work(Room(100, 1), 60.0, lasts=True))
+        self.workloads.setdefault(
+            f"{name}.0", Workload(Room(100, 1), 60.0, long_running=True)
+        )
         worker = self.workers[self.random.choice(NAMES)]
         run = self.random.choice([1, (1 << 20) + 1, (EPOCH << 20) + 1])
         body = StartBody(f"{name}.0.0.0", run, "", 10**12, EPOCH)
--- a/tests/components/dispatch/test_restarts.py
+++ b/tests/components/dispatch/test_restarts.py
@@ -27,7 +27,7 @@
     decode_running,
     encode_task,
 )
-from mustardward.standin.estate.worker import MemoryWorker, Work
+from mustardward.standin.estate.worker import MemoryWorker, Workload
 
 from ..scheduling.builders import JOB, POOL, a_job, a_step, an_entry
 
@@ -48,7 +48,7 @@
     def __init__(self, timers: DrivenTimerService) -> None:
         self._timers = timers
         self._clock_zero = timers.monotonic() - 100.0
-        self.work_of = {f"{JOB}.0": Work(Room(1000, 100), 0.5, lasts=True)}
+        self.workloads = {f"{JOB}.0": Workload(Room(1000, 100), 0.5, long_running=True)}
         self.process = self._new_process(STARTED_AT_MS)
         self.unreachable = False
         self.delay_starts = False
@@ -59,12 +59,14 @@
 
     @property
     def started_at_ms(self) -> int:
-        return self.process.born
+        return self.process.started_at_ms
 
     def restart(self, seconds_later: int = 30) -> None:
         """Replace the process by a new one with a new monotonic clock."""
         self._clock_zero = self._timers.monotonic() - 0.01
-        self.process = self._new_process(self.process.born + 1000 * seconds_later)
+        self.process = self._new_process(
+            self.process.started_at_ms + 1000 * seconds_later
+        )
 
     def execute_delayed_starts(self) -> list[str]:
         """Execute the starts that were kept back; return the reasons of refusal."""
@@ -90,7 +92,7 @@
         if self.unreachable:
             raise CallUnknownError("unreachable")
         self.acknowledged.append(seen_upto)
-        body = self.process.hold(2, seen_upto, deadline_ms, self.clock_ms())
+        body = self.process.poll(2, seen_upto, deadline_ms, self.clock_ms())
         assert body is not None
         return WorkerReport(
             body.clock_ms,
@@ -106,7 +108,9 @@
         return self.process.start(body, self.clock_ms())
 
     def _new_process(self, started_at_ms: int) -> MemoryWorker:
-        return MemoryWorker(WORKER, "m", POOL, ROOM, self.work_of, born=started_at_ms)
+        return MemoryWorker(
+            WORKER, "m", POOL, ROOM, self.workloads, started_at_ms=started_at_ms
+        )
 
     def clock_ms(self) -> float:
         return 1000 * (self._timers.monotonic() - self._clock_zero)
@@ -200,7 +204,7 @@
     as its first. If the next poll acknowledges 58, the worker discards the unread end.
     """
     async with a_harness() as harness:
-        harness.worker.work_of[f"{JOB}.0"] = Work(Room(1000, 100), 0.5)
+        harness.worker.workloads[f"{JOB}.0"] = Workload(Room(1000, 100), 0.5)
         harness.session.received_upto = harness.session.stored_upto = 58
         await harness.async_advance_time(1.0)
         harness.worker.restart()
@@ -208,7 +212,7 @@
             StartBody(f"{JOB}.0.0.0", 7 << 20, "x", 10**9, 2), 10.0
         )
         harness.worker.process.advance(600.0)
-        assert harness.worker.process.has_news(0)
+        assert harness.worker.process.has_unacknowledged_ends(0)
         harness.worker.acknowledged.clear()
         harness.scheduler.state.workers[WORKER].stale = True
         harness.session.wake()
--- a/tests/components/forwarding/test_failover.py
+++ b/tests/components/forwarding/test_failover.py
@@ -24,7 +24,7 @@
 from mustardward.components.ledger.ledger import encode
 from mustardward.components.ledger.models import JobState, OwnerRecord
 from mustardward.components.ledger.unlogged_completions import UnloggedCompletions
-from mustardward.standin.estate.store import Mood
+from mustardward.standin.estate.store import StoreMode
 from tests.components.ledger.builders import async_appending
 
 from ..front.builders import BODY, HOST, JOB, PREFIX, FrontHarness
@@ -99,9 +99,9 @@
         request = Request("POST", HOST, PREFIX + JOB, BODY, deadline)
         return await self.failover.async_answer(request)
 
-    async def async_partition(self, mood: Mood = Mood.REFUSING) -> None:
+    async def async_partition(self, mode: StoreMode = StoreMode.REFUSING) -> None:
         """Make the log fail, long enough to be detected."""
-        self.store.mood = mood
+        self.store.mode = mode
         self.timers.pause(1.0)
         await self.follower.async_catch_up()
         self.timers.pause(1.0)
@@ -142,7 +142,7 @@
         assert reply.status == 503
         assert reply.retry_after is not None
         assert harness.timers.monotonic() == before
-        harness.store.mood = Mood.SERVING
+        harness.store.mode = StoreMode.SERVING
         await harness.timers.async_advance(5.0)
         assert harness.store.topic_end(TOPIC) == 0
 
@@ -156,7 +156,7 @@
 
 async def test_request_whose_append_hangs_is_forwarded_too() -> None:
     async with running_entry() as harness:
-        harness.store.mood = Mood.LOSING_ANSWERS
+        harness.store.mode = StoreMode.LOSING_RESPONSES
         harness.forwarder.outcome = PeerOutcome(PeerReply(200, b"{}"), False)
         with anyio.fail_after(HEDGE_DELAY_SECONDS + 2.0):
             assert (await harness.async_post()).status == 200
@@ -204,7 +204,7 @@
         assert (await harness.failover.async_answer(request)).status == 200
         harness.forwarder.outcome = PeerOutcome(None, False)
         assert (await harness.failover.async_answer(request)).status == 503
-        harness.store.mood = Mood.SERVING
+        harness.store.mode = StoreMode.SERVING
         await harness.async_configure(6)
         assert (await harness.failover.async_answer(request)).status == 200
 
@@ -314,7 +314,7 @@
     async with entry_without_log() as harness:
         harness.forwarder.node_reply = PeerReply(200, b"")
         assert b"done" in await async_get(harness)
-        harness.store.mood = Mood.SERVING
+        harness.store.mode = StoreMode.SERVING
         harness.timers.pause(1.0)
         assert await harness.follower.async_catch_up()
         await async_store_reported(harness)
--- a/tests/components/forwarding/test_keys.py
+++ b/tests/components/forwarding/test_keys.py
@@ -10,7 +10,7 @@
 from mustardward.components.ledger.const import KEY_OWNER, TOPIC
 from mustardward.components.ledger.ledger import encode
 from mustardward.components.ledger.models import OwnerRecord
-from mustardward.standin.estate.store import Mood
+from mustardward.standin.estate.store import StoreMode
 
 from ..front.builders import BODY, HOST, JOB, PREFIX, encode_config
 from .test_failover import FailoverHarness, running_entry
@@ -78,7 +78,7 @@
     """
     async with running_entry() as harness:
         await harness.async_publish(encode_config(2, organisations=KEYS))
-        harness.store.mood = Mood.SILENT
+        harness.store.mode = StoreMode.SILENT
         harness.forwarder.outcome = PeerOutcome(PeerReply(status, b"{}"), False)
         reply = await _async_send(harness, "POST", DAIRY_KEY)
         assert reply.status == 504
--- a/tests/components/front/test_front.py
+++ b/tests/components/front/test_front.py
@@ -10,7 +10,7 @@
 from mustardward.components.ledger.ledger import encode
 from mustardward.components.ledger.models import JobState, Progress
 from mustardward.platform.store import TOPIC_OPERATOR
-from mustardward.standin.estate.store import Mood
+from mustardward.standin.estate.store import StoreMode
 
 from .builders import BODY, JOB, PREFIX, FrontHarness, encode_config, running_front
 
@@ -87,10 +87,10 @@
 
 async def test_unknown_job_gets_503_while_the_log_is_unreachable() -> None:
     async with running_front() as harness:
-        harness.store.mood = Mood.REFUSING
+        harness.store.mode = StoreMode.REFUSING
         harness.timers.pause(3.0)
         assert (await harness.async_request("GET", PREFIX + JOB)).status == 503
-        harness.store.mood = Mood.SERVING
+        harness.store.mode = StoreMode.SERVING
         harness.timers.pause(1.0)
         assert (await harness.async_request("GET", PREFIX + JOB)).status == 410
 
@@ -138,7 +138,7 @@
     """
     assert [retry_after(s) for s in (0.0, 0.9, 2.2, 4.0, 60.0)] == [1, 1, 2, 4, 5]
     async with running_front() as harness:
-        harness.store.mood = Mood.REFUSING
+        harness.store.mode = StoreMode.REFUSING
         harness.timers.pause(1.0)
         await harness.async_request("GET", PREFIX + JOB)
         harness.timers.pause(3.0)
--- a/tests/components/front/test_keys.py
+++ b/tests/components/front/test_keys.py
@@ -9,7 +9,7 @@
 
 from mustardward.components.ledger.const import PREFIX_JOB, TOPIC
 from mustardward.platform.store import TOPIC_OPERATOR
-from mustardward.standin.estate.store import Mood
+from mustardward.standin.estate.store import StoreMode
 
 from .builders import (
     BODY,
@@ -144,7 +144,7 @@
 async def test_unknown_key_gets_503_while_the_log_is_unreachable() -> None:
     async with running_front() as harness:
         await _async_configure(harness, 2, KEYS)
-        harness.store.mood = Mood.REFUSING
+        harness.store.mode = StoreMode.REFUSING
         harness.timers.pause(3.0)
         assert (await harness.async_request("GET", PREFIX, key="new")).status == 503
 
@@ -214,7 +214,7 @@
     async with running_front() as harness:
         await _async_configure(harness, 2, KEYS)
         harness.front.admission.max_key_age_seconds = strict
-        harness.store.mood = Mood.REFUSING
+        harness.store.mode = StoreMode.REFUSING
         harness.timers.pause(4.0)
         assert (await harness.async_request("GET", PREFIX, key=DAIRY_KEY)).status == 200
         harness.timers.pause(2.0)
--- a/tests/components/ledger/test_appender.py
+++ b/tests/components/ledger/test_appender.py
@@ -18,7 +18,7 @@
 )
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.platform.store import Producer
-from mustardward.standin.estate.store import MemoryStore, Mood
+from mustardward.standin.estate.store import MemoryStore, StoreMode
 from tests.components.ledger.builders import async_appending
 
 pytestmark = pytest.mark.anyio
@@ -79,10 +79,10 @@
     sequence number.
     """
     async with _running_harness() as harness:
-        harness.store.mood = Mood.LOSING_ANSWERS
+        harness.store.mode = StoreMode.LOSING_RESPONSES
         outcome = await harness.async_append("a", TIMEOUT_SECONDS)
         assert outcome is Outcome.UNKNOWN
-        harness.store.mood = Mood.SERVING
+        harness.store.mode = StoreMode.SERVING
         await harness.async_advance(1.0)
         assert harness.store.topic_end(TOPIC) == 1
         assert await harness.async_append("b") is Outcome.STORED
@@ -97,7 +97,7 @@
     the first attempt.
     """
     async with _running_harness() as harness:
-        harness.store.mood = Mood.LOSING_ANSWERS
+        harness.store.mode = StoreMode.LOSING_RESPONSES
         outcomes: list[Outcome] = []
 
         async def async_append() -> None:
@@ -106,14 +106,14 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(async_append)
             await anyio.wait_all_tasks_blocked()
-            harness.store.mood = Mood.REFUSING
+            harness.store.mode = StoreMode.REFUSING
             await harness.async_advance(0.05)
         assert outcomes == [Outcome.UNKNOWN]
 
 
 async def test_refused_append_is_never_stored() -> None:
     async with _running_harness() as harness:
-        harness.store.mood = Mood.REFUSING
+        harness.store.mode = StoreMode.REFUSING
         outcomes: list[Outcome] = []
 
         async def async_append() -> None:
@@ -123,7 +123,7 @@
             tasks.start_soon(async_append)
             await anyio.sleep(0.02)
             await harness.async_advance(1.0)
-        harness.store.mood = Mood.SERVING
+        harness.store.mode = StoreMode.SERVING
         await harness.async_advance(5.0)
         assert outcomes[0] is not Outcome.STORED
         assert await harness.async_append("b") is Outcome.STORED
@@ -168,7 +168,7 @@
 
         async def async_refuse_the_second(piece: list[Record], by: Producer) -> int:
             if harness.store.topic_end(TOPIC) == 1:
-                harness.store.mood = Mood.REFUSING
+                harness.store.mode = StoreMode.REFUSING
             return await harness.store.async_append(TOPIC, piece, by)
 
         harness.appender.call = async_refuse_the_second
--- a/tests/components/ledger/test_follower.py
+++ b/tests/components/ledger/test_follower.py
@@ -9,7 +9,7 @@
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.platform.exceptions import CallRefusedError
 from mustardward.platform.store import KeyedRecord, NewestPage, Page
-from mustardward.standin.estate.store import MemoryStore, Mood
+from mustardward.standin.estate.store import MemoryStore, StoreMode
 
 pytestmark = pytest.mark.anyio
 
@@ -80,7 +80,7 @@
     follower, state = build_follower(store)
     await follower.async_catch_up()
     store.append(TOPIC, [("a", b""), ("c", b"1")])
-    store.forget(TOPIC, store.topic_end(TOPIC))
+    store.drop_before(TOPIC, store.topic_end(TOPIC))
     assert not await follower.async_catch_up()
     assert await follower.async_catch_up()
     assert state.values == {"b": b"1", "c": b"1"}
@@ -99,11 +99,11 @@
     follower, _ = build_follower(store)
     assert await follower.async_catch_up()
     up_to_date_at = follower.up_to_date_at
-    store.mood = Mood.REFUSING
+    store.mode = StoreMode.REFUSING
     assert not await follower.async_catch_up()
     assert follower.up_to_date_at == up_to_date_at
     assert follower.failing_since is not None
-    store.mood = Mood.SERVING
+    store.mode = StoreMode.SERVING
     assert await follower.async_catch_up()
     assert follower.failing_since is None
 
@@ -116,7 +116,7 @@
     store = _RecordingStore()
     follower, _ = build_follower(store)
     await follower.async_catch_up()
-    store.mood = Mood.REFUSING
+    store.mode = StoreMode.REFUSING
     waits = store.waits
     waits.clear()
     async with anyio.create_task_group() as tasks:
--- a/tests/components/ownership/test_log_walks.py
+++ b/tests/components/ownership/test_log_walks.py
@@ -25,7 +25,7 @@
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.platform.boot import BootBounds
 from mustardward.platform.http import HttpCaller
-from mustardward.standin.estate.store import MemoryStore, Mood
+from mustardward.standin.estate.store import MemoryStore, StoreMode
 
 from ..scheduling.builders import a_job
 
@@ -104,12 +104,12 @@
 
     def choose_store_mood(self) -> None:
         """Choose how the store handles calls from now on."""
-        self.store.mood = self.random.choice([Mood.SERVING, *Mood])
+        self.store.mode = self.random.choice([StoreMode.SERVING, *StoreMode])
 
     def truncate_history(self) -> None:
         """Truncate the store's history; the newest record of each key stays."""
         end = self.store.topic_end(TOPIC)
-        self.store.forget(TOPIC, self.random.choice([end, max(0, end - 3)]))
+        self.store.drop_before(TOPIC, self.random.choice([end, max(0, end - 3)]))
 
     def release(self) -> None:
         """Let the current owner release the shard."""
@@ -167,7 +167,7 @@
         for _ in range(EVENT_COUNT):
             draw.choice(events)()
             await walk.async_advance_time(draw.choice([0.02, 0.06, 0.2, 0.6]))
-        walk.store.mood = Mood.SERVING
+        walk.store.mode = StoreMode.SERVING
         await walk.async_advance_time(RECOVERY_SECONDS)
         walk.accept()
         await walk.async_advance_time(0.5)
--- a/tests/components/templates/test_integration.py
+++ b/tests/components/templates/test_integration.py
@@ -196,7 +196,7 @@
         await async_drive(bench, lambda: log.counts()["appends"] == expected)
         await bench.timers.async_advance(1.0)
         history = await async_call(bench, api.async_history, first, name="dairy")
-        left = log.faults.now
+        left = log.faults.active
     assert (left.lose_answers, left.late_appends) == (0, 0)
     assert log.counts()["appends"] == expected
     assert [item["revision"] for item in history.body] == [published.body["revision"]]
--- a/tests/embedded/test_estate.py
+++ b/tests/embedded/test_estate.py
@@ -11,7 +11,7 @@
 from mustardward.embedded.estate import EstateFleet, async_run_estate_fleet, async_until
 from mustardward.platform.models import SubmittedStep
 from mustardward.standin.estate.estate import EstatePlan
-from mustardward.standin.estate.store import Mood
+from mustardward.standin.estate.store import StoreMode
 
 pytestmark = pytest.mark.anyio
 
@@ -83,7 +83,9 @@
 async def test_workers_that_have_shrunk_are_not_filled_beyond_their_room() -> None:
     """Guards against starts that bring a worker that guards nothing over its room."""
     with anyio.fail_after(MOST_SECONDS):
-        async with async_run_estate_fleet(EstatePlan(guarded=False), 1) as fleet:
+        async with async_run_estate_fleet(
+            EstatePlan(enforce_capacity=False), 1
+        ) as fleet:
             workers = fleet.estate.workers
             for name in [name for name, w in workers.items() if w.pool == "pool-a"]:
                 fleet.estate.resize(name, cores=2)
@@ -92,9 +94,9 @@
             paths = [await fleet.async_submit(PREFIX, [step]) for _ in range(3)]
             for path in paths:
                 await fleet.async_wait_state(path, "done")
-            assert [worker.overfull for worker in workers.values()] == [0] * len(
-                workers
-            )
+            assert [worker.overcommitted_starts for worker in workers.values()] == [
+                0
+            ] * len(workers)
 
 
 async def test_a_cancelled_job_ends_on_its_workers() -> None:
@@ -128,12 +130,12 @@
 async def test_jobs_are_answered_while_the_store_refuses_for_a_while() -> None:
     with anyio.fail_after(MOST_SECONDS):
         async with async_run_estate_fleet(PLAN, entries=2) as fleet:
-            fleet.estate.store.mood = Mood.REFUSING
+            fleet.estate.store.mode = StoreMode.REFUSING
             async with anyio.create_task_group() as tasks:
 
                 async def async_return() -> None:
                     await anyio.sleep(1.0)
-                    fleet.estate.store.mood = Mood.SERVING
+                    fleet.estate.store.mode = StoreMode.SERVING
 
                 tasks.start_soon(async_return)
                 path = await fleet.async_submit(PREFIX, two_steps())
@@ -163,10 +165,10 @@
     with anyio.fail_after(MOST_SECONDS):
         async with async_run_estate_fleet(PLAN, entries=1) as fleet:
             barred = min(fleet.estate.workers)
-            fleet.estate.write_foreign(seed=3, worker=barred)
+            fleet.estate.write_foreign_records(seed=3, worker=barred)
             path = await fleet.async_submit(PREFIX, two_steps())
             await fleet.async_wait_state(path, "done")
-            fleet.estate.write_foreign(seed=4, worker=barred)
+            fleet.estate.write_foreign_records(seed=4, worker=barred)
             path = await fleet.async_submit(PREFIX, two_steps())
             await fleet.async_wait_state(path, "done")
             assert set(starts_of(fleet).values()) == {1}
@@ -184,7 +186,7 @@
         async with async_run_estate_fleet(PLAN, entries=3) as fleet:
             path = await fleet.async_submit(PREFIX, two_steps())
             await async_until(lambda: len(starts_of(fleet)) >= 3)
-            fleet.estate.store.mood = Mood.REFUSING
+            fleet.estate.store.mode = StoreMode.REFUSING
             owner = fleet.owner()
             assert owner is not None
             teller = next(node for node in fleet.alive() if node is not owner)
@@ -193,7 +195,7 @@
             for worker in [w for w in fleet.estate.workers.values() if w.starts]:
                 fleet.estate.crash(worker.id, time.monotonic())
             owner.kill()
-            fleet.estate.store.mood = Mood.SERVING
+            fleet.estate.store.mode = StoreMode.SERVING
             done = await fleet.async_submit(PREFIX, two_steps())
             await fleet.async_wait_state(done, "done")
             assert fleet.owner() is not owner
--- a/tests/embedded/test_long_list.py
+++ b/tests/embedded/test_long_list.py
@@ -9,12 +9,12 @@
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.platform.fleet import FleetClient
 from mustardward.platform.http import HttpCaller
-from mustardward.standin.estate.app import LISTED_ROWS, async_run_estate
+from mustardward.standin.estate.app import LIST_PAGE_ROWS, async_run_estate
 from mustardward.standin.estate.estate import EstatePlan
 
 pytestmark = pytest.mark.anyio
 
-PLAN = EstatePlan(pools=("pool-a",), instances=2 * LISTED_ROWS, standby=3)
+PLAN = EstatePlan(pools=("pool-a",), instances=2 * LIST_PAGE_ROWS, standby=3)
 
 
 async def test_a_list_of_several_pages_names_each_instance_once() -> None:
--- a/tests/standin/test_log.py
+++ b/tests/standin/test_log.py
@@ -1,4 +1,4 @@
-"""Meet the failures of the platform's log with the product's client."""
+"""Test the log client against failures of the platform's log."""
 
 from __future__ import annotations
 
@@ -44,16 +44,16 @@
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(read)
-            await async_until(lambda: "fleet" in bench.platform.log._grown)
+            await async_until(lambda: "fleet" in bench.platform.log._append_events)
             await bench.log.async_append("fleet", b"new")
     assert pages[0].entries == (LogEntry(0, b"new"),)
 
 
 async def test_the_rate_limit_refuses_without_effect_until_time_passes() -> None:
-    """Keep within the log's budget.
+    """Guard against refused appends that take effect.
 
-    Symptom: appends are refused in a burst. Sequence: more appends at once than the
-    log takes, then a pause. Cause: the log serves several hundred a second for all.
+    A burst exceeds the rate limit, which all callers of the log share; after a pause
+    appends succeed again.
     """
     options = build_options(appends_per_second=100.0, burst=2.0)
     async with async_platform_bench(options) as bench:
@@ -69,12 +69,11 @@
     assert counts == {"appends": 3, "refused": 2}
 
 
-async def test_an_append_whose_answer_is_lost_took_effect() -> None:
-    """Tell a lost answer from a refusal.
+async def test_an_append_with_a_lost_response_took_effect() -> None:
+    """Guard against duplicate records after a lost response.
 
-    Symptom: a record stands twice in the log. Sequence: the append takes effect, the
-    connection is reset, the client appends again. Cause: a lost answer that is
-    reported as "had no effect".
+    An append takes effect, then its connection is reset. Reported as without effect,
+    it would be repeated by the client.
     """
     async with async_platform_bench() as bench:
         bench.platform.log.faults.change(lose_answers=1)
@@ -85,11 +84,10 @@
     assert page.entries == (LogEntry(0, b"once"),)
 
 
-async def test_a_delayed_append_takes_effect_after_its_repetition() -> None:
-    """Let the first copy of an append overtake nothing.
+async def test_a_delayed_append_takes_effect_after_its_retry() -> None:
+    """Reproduce an old record that is appended after newer ones.
 
-    Symptom: an old record lands after newer ones. Sequence: an append is held on its
-    way, its repetition is taken, then the first one lands. Cause: the network.
+    The network delays an append, its retry succeeds, then the delayed append arrives.
     """
     async with async_platform_bench() as bench:
         bench.platform.log.faults.change(late_appends=1, late_seconds=3.0)
@@ -106,23 +104,23 @@
     ("retention", "seconds"),
     [(Retention(entries=2), 0.0), (Retention(seconds=10.0), 11.0)],
 )
-async def test_an_expired_offset_is_said_never_skipped(
+async def test_an_expired_offset_raises_an_error(
     retention: Retention, seconds: float
 ) -> None:
-    """Say that entries are gone.
+    """Guard against diverging states after entries have expired.
 
-    Symptom: two entries fold different states. Sequence: a reader falls behind
-    retention and is given what is left. Cause: a silent jump over dropped entries.
+    A reader falls behind the retention. If the log skipped expired entries without an
+    error, the reader would apply an incomplete sequence.
     """
     async with async_platform_bench(build_options(retention=retention)) as bench:
         for number in range(2):
             await bench.log.async_append("fleet", b"%d" % number)
         await bench.timers.async_advance(seconds)
         await bench.log.async_append("fleet", b"last")
-        with pytest.raises(OffsetExpiredError) as caught:
+        with pytest.raises(OffsetExpiredError) as raised:
             await bench.log.async_read("fleet", 0, 10, 0.0)
-        page = await bench.log.async_read("fleet", caught.value.oldest, 10, 0.0)
-    assert page.entries[0].offset == caught.value.oldest
+        page = await bench.log.async_read("fleet", raised.value.oldest, 10, 0.0)
+    assert page.entries[0].offset == raised.value.oldest
     assert page.entries[-1].payload == b"last"
 
 
@@ -137,7 +135,7 @@
         assert await bench.log.async_append("fleet", b"1") == 0
 
 
-async def test_a_data_centre_that_is_cut_off_reads_nothing() -> None:
+async def test_a_partitioned_data_centre_reads_nothing() -> None:
     async with async_platform_bench() as bench:
         bench.platform.log.faults.change(cut_off=("dc-1",))
         with pytest.raises(PlatformUnavailableError):
@@ -147,11 +145,11 @@
         assert bench.platform.log.counts()["appends"] == 0
 
 
-async def test_a_read_does_not_use_a_lost_answer_up() -> None:
-    """Keep the fault for the call that it is meant for.
+async def test_a_read_does_not_consume_a_lost_response_fault() -> None:
+    """Guard against reads that consume the fault meant for an append.
 
-    Symptom: a test of lost answers passes and shows nothing. Sequence: the fault is
-    switched on, a long poll ends, an append follows. Cause: reads count it down.
+    The fault is activated, a long poll ends, then an append follows. If the poll
+    consumed the fault, tests of lost responses would test nothing.
     """
     async with async_platform_bench() as bench:
         bench.platform.log.faults.change(lose_answers=1)
--- a/tests/standin/test_power.py
+++ b/tests/standin/test_power.py
@@ -1,4 +1,4 @@
-"""Drain, reboot and return workers through the platform."""
+"""Test draining, rebooting and returning workers through the platform."""
 
 from __future__ import annotations
 
@@ -32,17 +32,17 @@
 async def test_an_instance_drains_reboots_and_comes_back_with_a_new_boot() -> None:
     async with (
         async_platform_bench(PlatformOptions(reboot_seconds=5.0)) as bench,
-        async_worker_bench(bench.timers, bench.url) as held,
+        async_worker_bench(bench.timers, bench.url) as worker_bench,
     ):
         drained = await bench.power.async_drain("worker-1", "op-1", 1)
-        refused = await held.client.get("/serve/climate/now")
+        refused = await worker_bench.client.get("/serve/climate/now")
         rebooting = await bench.power.async_reboot("worker-1", "op-2", 1)
         with pytest.raises(httpx.TransportError):
-            await held.client.get("/serve/climate/now")
+            await worker_bench.client.get("/serve/climate/now")
         await bench.timers.async_advance(5.0)
-        await async_until(lambda: held.worker.boot == 2)
+        await async_until(lambda: worker_bench.worker.boot == 2)
         back = await async_power(bench)
-        served = await held.client.get("/serve/climate/now")
+        served = await worker_bench.client.get("/serve/climate/now")
     assert drained.state is PowerState.DRAINED
     assert (refused.status_code, refused.headers["mw-refusal"]) == (503, "draining")
     assert rebooting.state is PowerState.REBOOTING
@@ -51,61 +51,61 @@
 
 
 async def test_an_instance_with_running_work_is_not_rebooted() -> None:
-    """Never cut a request by a planned stop.
+    """Guard against requests interrupted by a planned reboot.
 
-    Symptom: a request ends in the middle. Sequence: drain, reboot at once. Cause: a
-    reboot that does not wait for the work in progress.
+    An instance is drained and rebooted at once, before its requests have finished.
     """
     async with (
         async_platform_bench() as bench,
-        async_worker_bench(bench.timers, bench.url) as held,
+        async_worker_bench(bench.timers, bench.url) as worker_bench,
         anyio.create_task_group() as tasks,
     ):
-        answers: list[httpx.Response] = []
+        responses: list[httpx.Response] = []
 
         async def call() -> None:
-            answers.append(await held.client.get("/serve/climate/now?sleep=60"))
+            responses.append(
+                await worker_bench.client.get("/serve/climate/now?sleep=60")
+            )
 
         tasks.start_soon(call)
-        await async_until(lambda: held.worker.executions.running == 1)
+        await async_until(lambda: worker_bench.worker.executions.running == 1)
         draining = await bench.power.async_drain("worker-1", "op-1", 1)
         with pytest.raises(PlatformRefusedError):
             await bench.power.async_reboot("worker-1", "op-2", 1)
         await bench.timers.async_advance(60.0)
-        await async_until(lambda: bool(answers))
+        await async_until(lambda: bool(responses))
         drained = await async_power(bench)
     assert (draining.state, draining.running) == (PowerState.DRAINING, 1)
     assert drained.state is PowerState.DRAINED
-    assert answers[0].status_code == 200
+    assert responses[0].status_code == 200
 
 
 async def test_a_repeated_operation_takes_effect_once() -> None:
-    """Reboot once for one wish.
+    """Guard against an instance that reboots twice for one operation.
 
-    Symptom: an instance reboots twice. Sequence: the reboot's answer is lost, the
-    executor repeats it after the instance is back and drained anew. Cause: a
-    repetition taken for a new wish.
+    The response to a reboot is lost and the executor repeats the operation after the
+    instance has booted and was drained again.
     """
     async with (
         async_platform_bench(PlatformOptions(reboot_seconds=5.0)) as bench,
-        async_worker_bench(bench.timers, bench.url) as held,
+        async_worker_bench(bench.timers, bench.url) as worker_bench,
     ):
         await bench.power.async_drain("worker-1", "drain-1", 1)
         bench.platform.power.faults.change(lose_answers=1)
         with pytest.raises(PlatformOutcomeUnknownError):
             await bench.power.async_reboot("worker-1", "reboot-1", 1)
         await bench.timers.async_advance(5.0)
-        await async_until(lambda: held.worker.boot == 2)
+        await async_until(lambda: worker_bench.worker.boot == 2)
         await bench.power.async_drain("worker-1", "drain-2", 1)
-        again = await bench.power.async_reboot("worker-1", "reboot-1", 1)
-    assert (again.state, again.boot) == (PowerState.DRAINED, 2)
+        repeated = await bench.power.async_reboot("worker-1", "reboot-1", 1)
+    assert (repeated.state, repeated.boot) == (PowerState.DRAINED, 2)
 
 
 async def test_a_call_under_an_older_generation_is_refused() -> None:
-    """Fence an executor that was paused.
+    """Guard against calls of an outdated executor.
 
-    Symptom: an instance that another executor returned goes away again. Sequence: a
-    paused executor wakes and calls. Cause: a call without regard to generations.
+    An executor resumes after a pause and drains an instance that its successor has
+    returned to service.
     """
     async with (
         async_platform_bench() as bench,
@@ -134,17 +134,17 @@
 async def test_draining_an_unreachable_worker_has_no_effect() -> None:
     async with (
         async_platform_bench() as bench,
-        async_worker_bench(bench.timers, bench.url) as held,
+        async_worker_bench(bench.timers, bench.url) as worker_bench,
     ):
-        held.worker.faults.change(down=True)
+        worker_bench.worker.faults.change(down=True)
         with pytest.raises(PlatformUnavailableError):
             await bench.power.async_drain("worker-1", "op-1", 1)
-        held.worker.faults.change(down=False)
+        worker_bench.worker.faults.change(down=False)
         drained = await bench.power.async_drain("worker-1", "op-1", 1)
     assert drained.state is PowerState.DRAINED
 
 
-async def test_the_list_of_one_data_centre_can_be_asked_for() -> None:
+async def test_the_list_can_be_filtered_by_data_centre() -> None:
     options = PlatformOptions(listing_lag_seconds=0.0)
     async with (
         async_platform_bench(options) as bench,
--- a/tests/standin/test_tasks.py
+++ b/tests/standin/test_tasks.py
@@ -1,4 +1,4 @@
-"""Run leased tasks on a stand-in worker."""
+"""Test leased tasks on a simulated worker."""
 
 from __future__ import annotations
 
@@ -37,11 +37,11 @@
     assert (done.state, done.result) == (TaskState.DONE, b"ripe")
 
 
-def test_a_task_lapses_when_nobody_renews_its_lease() -> None:
-    """Stop the work of a holder that is gone or paused.
+def test_a_task_lapses_when_its_lease_is_not_renewed() -> None:
+    """Guard against a task that runs on two workers.
 
-    Symptom: a task runs on two workers. Sequence: its holder is paused past the lease,
-    another one starts it elsewhere. Cause: a task that outlives its lease.
+    The holder is paused until the lease expires and another holder starts the task on
+    another worker. The first run must end with its lease.
     """
     table = TaskTable()
     table.start(replace(ORDER, lease_seconds=10.0), 0.0)
@@ -54,7 +54,7 @@
     assert renewed.state is TaskState.LAPSED
 
 
-def test_a_checkpoint_is_where_the_next_attempt_goes_on() -> None:
+def test_the_next_attempt_resumes_from_the_checkpoint() -> None:
     table = TaskTable()
     table.start(ORDER, 0.0)
     stopped = table.checkpoint("task-1", 3, 40.0)
@@ -65,7 +65,7 @@
     assert table.report("task-1", 110.0).state is TaskState.DONE
 
 
-def test_a_throttled_task_frees_its_slot_and_goes_on_slowly() -> None:
+def test_a_throttled_task_frees_its_slot_and_continues_slowly() -> None:
     table = TaskTable()
     table.start(ORDER, 0.0)
     table.throttle("task-1", 3, 10.0)
@@ -74,17 +74,17 @@
 
 
 def test_a_holder_with_an_older_generation_changes_nothing() -> None:
-    """Fence the holder that was paused.
+    """Guard against a task that a former holder stops.
 
-    Symptom: a task ends without its holder's wish. Sequence: a holder is paused, the
-    task is leased anew, the first holder wakes and stops it. Cause: no fence.
+    A holder is paused, the task is leased again, then the first holder resumes and
+    stops it. The fencing generation must reject the call.
     """
     table = TaskTable()
     table.start(ORDER, 0.0)
     table.start(replace(ORDER, generation=4), 1.0)
-    for act in (table.stop, table.checkpoint, table.throttle):
+    for call in (table.stop, table.checkpoint, table.throttle):
         with pytest.raises(StaleGenerationError):
-            act("task-1", 3, 2.0)
+            call("task-1", 3, 2.0)
     with pytest.raises(StaleGenerationError):
         table.start(ORDER, 2.0)
     report = table.report("task-1", 2.0)
@@ -94,12 +94,12 @@
 def test_a_repeated_start_of_one_attempt_runs_it_once() -> None:
     table = TaskTable()
     table.start(ORDER, 0.0)
-    again = table.start(ORDER, 50.0)
-    assert again.progress == 0.5
+    repeated = table.start(ORDER, 50.0)
+    assert repeated.progress == 0.5
     assert len(table.runs(50.0)) == 1
 
 
-def test_a_reboot_forgets_the_task_and_keeps_the_fence() -> None:
+def test_a_reboot_drops_the_task_and_keeps_the_fencing_generation() -> None:
     table = TaskTable()
     table.start(ORDER, 0.0)
     table.reboot(10.0)
@@ -111,23 +111,23 @@
 
 
 @pytest.mark.anyio
-async def test_the_client_tells_refusals_from_lost_answers() -> None:
+async def test_the_client_distinguishes_refusals_from_lost_responses() -> None:
     async with (
         async_platform_bench() as bench,
-        async_worker_bench(bench.timers) as held,
+        async_worker_bench(bench.timers) as worker_bench,
     ):
-        started = await bench.workers.async_start(held.address, ORDER)
+        started = await bench.workers.async_start(worker_bench.address, ORDER)
         await bench.timers.async_advance(50.0)
-        report = await bench.workers.async_report(held.address, "task-1")
-        usage = await bench.workers.async_usage(held.address)
-        held.worker.faults.change(busy=True)
+        report = await bench.workers.async_report(worker_bench.address, "task-1")
+        usage = await bench.workers.async_usage(worker_bench.address)
+        worker_bench.worker.faults.change(busy=True)
         with pytest.raises(PlatformRefusedError):
             other = replace(ORDER, task_id="task-2")
-            await bench.workers.async_start(held.address, other)
-        stopped = await bench.workers.async_stop(held.address, "task-1", 3)
-        held.worker.faults.change(down=True)
+            await bench.workers.async_start(worker_bench.address, other)
+        stopped = await bench.workers.async_stop(worker_bench.address, "task-1", 3)
+        worker_bench.worker.faults.change(down=True)
         with pytest.raises(PlatformOutcomeUnknownError):
-            await bench.workers.async_renew(held.address, "task-1", 3, 5.0)
+            await bench.workers.async_renew(worker_bench.address, "task-1", 3, 5.0)
     assert started.state is TaskState.RUNNING
     assert report.progress == 0.5
     assert usage.slots_busy == 1
