--- a/bench/first_tasks.py
+++ b/bench/first_tasks.py
@@ -15,8 +15,8 @@
 
 import anyio
 
-from mustardward.embedded.elsewhere import async_elsewhere
 from mustardward.embedded.estate import HOST, async_run_entries
+from mustardward.embedded.thread_context import async_run_in_thread
 from mustardward.platform.models import SubmittedStep
 from mustardward.standin.estate.app import async_run_estate
 from mustardward.standin.estate.estate import EstatePlan
@@ -33,7 +33,7 @@
     plan = EstatePlan(pools=POOLS, instances=workers // len(POOLS), standby=STANDBY)
     times: list[tuple[str, float]] = []
     done = False
-    async with async_elsewhere(async_run_estate(plan, HOST)) as estate:
+    async with async_run_in_thread(async_run_estate(plan, HOST)) as estate:
         began = time.monotonic()
 
         def note(name: str) -> None:
--- a/bench/owner.py
+++ b/bench/owner.py
@@ -22,13 +22,13 @@
 from mustardward.components.scheduling.commands import Start
 from mustardward.components.scheduling.models import QueuePolicy
 from mustardward.components.scheduling.scheduler import Scheduler
-from mustardward.embedded.elsewhere import async_elsewhere
 from mustardward.embedded.estate import (
     CALLERS_HOST,
     HOST,
     async_run_entries,
     async_until,
 )
+from mustardward.embedded.thread_context import async_run_in_thread
 from mustardward.platform.models import Room, SubmittedStep, WorkerEntry
 from mustardward.platform.workers import EndedTask, WorkerReport
 from mustardward.standin.estate.app import async_run_estate
@@ -118,7 +118,7 @@
     """
     plan = EstatePlan(pools=(POOL,), instances=WORKERS_OF_RUN, standby=0, cores=64)
     async with (
-        async_elsewhere(async_run_estate(plan, HOST)) as estate,
+        async_run_in_thread(async_run_estate(plan, HOST)) as estate,
         async_run_entries(estate, plan, entries=1),
     ):
         began = time.monotonic()
--- a/mustardward/embedded/__init__.py
+++ b/mustardward/embedded/__init__.py
@@ -1,1 +1,1 @@
-"""Run a small fleet in one process, for the demo and for tests."""
+"""Run a small fleet in one process, for the demo and tests."""
--- a/mustardward/embedded/demo.py
+++ b/mustardward/embedded/demo.py
@@ -1,4 +1,4 @@
-"""Run the main job of the product on an embedded fleet and tell what happened."""
+"""Run the product's main functions on an embedded fleet and report each step."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from ..load.runner import LoadRunner
 from ..standin.log import LogOptions
 from ..standin.platform import PlatformOptions
-from .fleet import MakeTimers, async_run_fleet
+from .fleet import TimersFactory, async_run_fleet
 from .models import FleetPlan, RunningFleet
 from .operator import FleetOperator
 
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DemoLine:
-    """Hold what happened in one step."""
+    """Outcome of one step."""
 
     step: str
     outcome: str
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True, eq=False)
 class DemoContext:
-    """Hold what the steps of one run share."""
+    """State shared by the steps of one run."""
 
     fleet: RunningFleet
     operator: FleetOperator
@@ -64,39 +64,41 @@
 
 
 class DemoStepError(MustardwardError):
-    """Report that a step did not end as it has to."""
+    """Raised when the outcome of a step is not the required one."""
 
     code = "demo-step-failed"
 
 
 DemoStep = Callable[[DemoContext], Awaitable[str]]
 DEMO_STEPS: Registry[str, DemoStep] = Registry("demo steps")
-"""Steps in order; each returns what happened, or raises."""
+"""Steps in order; each returns a description of its outcome, or raises."""
 
 
 async def async_run_demo(
-    timers: TimerService, make_timers: MakeTimers | None = None
+    timers: TimerService, timers_factory: TimersFactory | None = None
 ) -> list[DemoLine]:
-    """Return a line for each step; the first failing one is the last.
+    """Run the steps up to the first failure and return a line for each.
 
-    :param make_timers: gives each entry its clock; real time if left out.
+    :param timers_factory: creates the clock of each entry; default real time.
     """
     started = timers.monotonic()
     async with (
-        async_run_fleet(DEMO_PLAN, timers, make_timers) as fleet,
+        async_run_fleet(DEMO_PLAN, timers, timers_factory) as fleet,
         httpx.AsyncClient(trust_env=False) as client,
     ):
         context = DemoContext(fleet, FleetOperator(fleet, client), timers)
-        up = f"{len(fleet.entries)} entries, {len(fleet.workers)} workers, one process"
+        summary = (
+            f"{len(fleet.entries)} entries, {len(fleet.workers)} workers, one process"
+        )
         seconds = timers.monotonic() - started
-        context.lines.append(DemoLine("start", up, seconds, True))
+        context.lines.append(DemoLine("start", summary, seconds, True))
         for name in DEMO_STEPS:
-            if not await _async_step(context, name):
+            if not await _async_run_step(context, name):
                 break
     return context.lines
 
 
-async def _async_step(context: DemoContext, name: str) -> bool:
+async def _async_run_step(context: DemoContext, name: str) -> bool:
     started = context.timers.monotonic()
     try:
         outcome = await DEMO_STEPS[name](context)
@@ -110,9 +112,9 @@
 
 
 def require(condition: bool, detail: str) -> None:
-    """Fail a step unless a condition holds.
+    """Fail the step if a condition is false.
 
-    :raises DemoStepError: if it does not.
+    :raises DemoStepError: if the condition is false.
     """
     if not condition:
         raise DemoStepError(detail)
@@ -127,17 +129,17 @@
 
 @DEMO_STEPS.register("publish")
 async def async_publish(context: DemoContext) -> str:
-    """Publish a template and wait until it is in force everywhere."""
+    """Publish a template and wait until it is in force on all entries."""
     body = {"parameters": TEMPLATE, "base_revision": 0, "wait_seconds": 5}
-    answer = await context.operator.async_call("POST", "/templates/dairy", body)
-    require(answer["in_force"], f"behind={answer['behind']}")
-    context.template_revision = answer["revision"]
+    result = await context.operator.async_call("POST", "/templates/dairy", body)
+    require(result["in_force"], f"behind={result['behind']}")
+    context.template_revision = result["revision"]
     return f"template dairy, in force at {len(context.fleet.entries)} entries"
 
 
 @DEMO_STEPS.register("organisations")
 async def async_organisations(context: DemoContext) -> str:
-    """Create two organisations at two entries."""
+    """Create two organisations through two entries."""
     places = zip(ORGANISATIONS, DEMO_PLAN.data_centres, strict=True)
     for name, data_centre in places:
         body = {"template": "dairy", "wait_seconds": 5}
@@ -148,12 +150,12 @@
 
 @DEMO_STEPS.register("conflict")
 async def async_conflict(context: DemoContext) -> str:
-    """Revise the template, then once more from the base that is gone."""
+    """Revise the template twice from the same base; the second must conflict."""
     base = context.template_revision
     body = {"parameters": {**TEMPLATE, "headroom": 0.1}, "base_revision": base}
     body["wait_seconds"] = 5
     first = await context.operator.async_call("POST", "/templates/dairy", body)
-    second = await context.operator.async_try("POST", "/templates/dairy", body)
+    second = await context.operator.async_request("POST", "/templates/dairy", body)
     require(second.status_code == 409, f"status={second.status_code}")
     return f"revision {first['revision']} in force; a second one got revision-conflict"
 
@@ -166,10 +168,10 @@
 
 @DEMO_STEPS.register("turning order")
 async def async_order(context: DemoContext) -> str:
-    """Send one non-idempotent order twice under one key."""
-    answers = []
+    """Send one non-idempotent request twice with the same idempotency key."""
+    responses = []
     for url in context.operator.caller_urls()[:2]:
-        answers.append(
+        responses.append(
             await context.operator.client.post(
                 f"{url}/{ORGANISATIONS[0]}/climate/turn",
                 content=b"rack 7",
@@ -178,12 +180,12 @@
         )
     ran = [
         item
-        for item in executions(context)
+        for item in list_worker_executions(context)
         if item["idempotency_key"] == "turn-rack-7" or item["path"].endswith("/turn")
     ]
-    statuses = ", ".join(str(answer.status_code) for answer in answers)
+    statuses = ", ".join(str(response.status_code) for response in responses)
     require(len(ran) == 1, f"ran={len(ran)} statuses={statuses}")
-    require(answers[0].status_code == 200, f"{statuses} {answers[0].text}")
+    require(responses[0].status_code == 200, f"{statuses} {responses[0].text}")
     return f"sent twice under one key, answered {statuses}, ran once"
 
 
@@ -208,10 +210,10 @@
 
 @DEMO_STEPS.register("wave")
 async def async_wave(context: DemoContext) -> str:
-    """Reboot half of a pool under load, within every budget."""
+    """Reboot half of a pool under load, within all budgets."""
     instances = [
         planned.instance_id
-        for planned in context.fleet.planned.values()
+        for planned in context.fleet.planned_workers.values()
         if planned.pool == "climate" and planned.rack.endswith("-1")
     ]
     body = {"pools": ["climate"], "instances": instances}
@@ -226,14 +228,14 @@
             break
     require(wave["status"] == "done", f"wave={wave}")
     boots = [context.fleet.workers[name].worker.boot for name in instances]
-    cut = sum(item["cut"] for item in executions(context))
+    cut = sum(item["cut"] for item in list_worker_executions(context))
     require(min(boots) == 2, f"boots={boots}")
     require(cut == 0, f"cut={cut}")
     return f"{len(instances)} workers rebooted, {answered} answered meanwhile, none cut"
 
 
 async def async_load(context: DemoContext, seconds: float) -> LoadResult:
-    """Return what came of a mixed load through all entries."""
+    """Send a mixed load through all entries and return its result."""
     targets = tuple(
         Target(name, service)
         for name in ORGANISATIONS
@@ -245,9 +247,10 @@
 
 
 def describe_load(result: LoadResult) -> str:
-    """Return a load's result in a line.
+    """Return the result of a load as one line.
 
-    :raises DemoStepError: if an answer was another request's, or an entry was gone.
+    :raises DemoStepError: if nothing was answered, a request failed, an entry was
+        unreachable, or a response belonged to another request.
     """
     classes = result.classes.values()
     answered = sum(item.answered for item in classes)
@@ -263,8 +266,8 @@
     )
 
 
-def executions(context: DemoContext) -> list[dict[str, Any]]:
-    """Return what all workers ran."""
+def list_worker_executions(context: DemoContext) -> list[dict[str, Any]]:
+    """Return the executions of all workers."""
     return [
         {
             "idempotency_key": item.idempotency_key,
--- a/mustardward/embedded/estate.py
+++ b/mustardward/embedded/estate.py
@@ -1,4 +1,4 @@
-"""Run entries of the users' platform against its stand-in, in one process."""
+"""Run entries against the simulated platform of the users, in one process."""
 
 from __future__ import annotations
 
@@ -24,22 +24,22 @@
 HOST: Final = "127.0.0.1"
 CALLERS_HOST: Final = "calls.example"
 POLL_SECONDS: Final = 0.05
-MOST_POLLS: Final = 1200
-CALL_SECONDS: Final = 3.0
+MAX_POLLS: Final = 1200
+CALL_TIMEOUT_SECONDS: Final = 3.0
 
 
 class NotReachedError(MustardwardError):
-    """Report that what was waited for did not come about."""
+    """Raised when a condition was not met in time."""
 
     code = "not-reached"
 
 
 async def async_until(condition: Callable[[], bool]) -> None:
-    """Wait until a condition holds.
+    """Wait until a condition is true.
 
-    :raises NotReachedError: if it does not within a minute.
+    :raises NotReachedError: if it is not true within a minute.
     """
-    for _ in range(MOST_POLLS):
+    for _ in range(MAX_POLLS):
         if condition():
             return
         await anyio.sleep(POLL_SECONDS)
@@ -48,25 +48,25 @@
 
 @dataclass(slots=True, eq=False)
 class RunningNode:
-    """Hold one entry and the scope that ends it at once."""
+    """A running entry and the scope that cancels it."""
 
     name: str
-    front: str
+    url: str
     node: Node
     scope: anyio.CancelScope
     alive: bool = True
 
     def kill(self) -> None:
-        """End the entry without any farewell, as a loss of power would."""
+        """Cancel the entry without a graceful shutdown, as on power loss."""
         self.alive = False
         self.scope.cancel()
 
 
 @dataclass(slots=True, eq=False)
 class EstateFleet:
-    """Hold a platform, entries on it, and a caller.
+    """A platform, its entries and an HTTP client for callers.
 
-    :param queues: the pool of each path prefix.
+    :param queues: pool by path prefix.
     """
 
     estate: Estate
@@ -78,15 +78,17 @@
     async def async_add_node(self) -> RunningNode:
         """Start an entry."""
         name = f"entry-{len(self.nodes) + 1}"
-        front, ready, peer = _free_ports(3)
+        front_port, ready_port, peer_port = _free_ports(3)
         boot = BootSettings(
             node=name,
             ip=HOST,
             zone="z1",
-            listen=BootListen(front=f"{HOST}:{front}", ready=f"{HOST}:{ready}"),
+            listen=BootListen(
+                front=f"{HOST}:{front_port}", ready=f"{HOST}:{ready_port}"
+            ),
             platform=BootStore(address=self.estate.address),
             cloud=BootFleet(address=self.estate.address),
-            port_range=(peer, peer),
+            port_range=(peer_port, peer_port),
         )
         started = anyio.Event()
         running: list[RunningNode] = []
@@ -94,8 +96,8 @@
         async def async_run() -> None:
             async with anyio.create_task_group() as tasks:
                 node = Node(boot, tasks)
-                address = f"http://{HOST}:{front}"
-                running.append(RunningNode(name, address, node, tasks.cancel_scope))
+                url = f"http://{HOST}:{front_port}"
+                running.append(RunningNode(name, url, node, tasks.cancel_scope))
                 try:
                     await node.async_start()
                     started.set()
@@ -112,57 +114,57 @@
     async def async_wait_ready(self) -> None:
         """Wait until all entries are ready and one owns the shard."""
         await async_until(
-            lambda: bool(self.owner()) and all(n.node.ready for n in self.alive())
+            lambda: bool(self.owner()) and all(n.node.ready for n in self.alive_nodes())
         )
 
-    def alive(self) -> list[RunningNode]:
-        """Return the entries that run."""
+    def alive_nodes(self) -> list[RunningNode]:
+        """Return the entries that were not killed."""
         return [node for node in self.nodes if node.alive]
 
     def owner(self) -> RunningNode | None:
-        """Return the entry that owns the shard."""
-        return next((node for node in self.alive() if node.node.is_owner), None)
+        """Return the entry that owns the shard, or None."""
+        return next((node for node in self.alive_nodes() if node.node.is_owner), None)
 
     async def async_submit(
         self, prefix: str, steps: list[SubmittedStep], spec: str = "work"
     ) -> str:
-        """Hand a job in at any entry, again until it is accepted; return its path."""
+        """Submit a job through any entry, with retries, and return its path."""
         path = prefix + secrets.token_hex(8)
         body = msgspec.json.encode(SubmittedJob(spec, steps))
         while True:
-            for node in self.alive():
-                answer = await self._async_call("POST", node, path, body)
-                if answer is not None and answer.status_code == 200:
+            for node in self.alive_nodes():
+                response = await self._async_call("POST", node, path, body)
+                if response is not None and response.status_code == 200:
                     return path
             await anyio.sleep(POLL_SECONDS)
 
-    async def async_state(self, path: str) -> str:
-        """Return a job's state as the first entry that answers tells it."""
-        for node in self.alive():
-            answer = await self._async_call("GET", node, path)
-            if answer is not None and answer.status_code == 200:
-                return str(answer.json()["state"])
+    async def async_get_state(self, path: str) -> str:
+        """Return a job's state from the first entry that responds."""
+        for node in self.alive_nodes():
+            response = await self._async_call("GET", node, path)
+            if response is not None and response.status_code == 200:
+                return str(response.json()["state"])
         return ""
 
     async def async_wait_state_at(
         self, node: RunningNode, path: str, state: str
     ) -> None:
-        """Wait until one entry tells that a job is in a state."""
-        for _ in range(MOST_POLLS):
-            answer = await self._async_call("GET", node, path)
-            if answer is not None and answer.json().get("state") == state:
+        """Wait until one entry reports a state of a job."""
+        for _ in range(MAX_POLLS):
+            response = await self._async_call("GET", node, path)
+            if response is not None and response.json().get("state") == state:
                 return
             await anyio.sleep(POLL_SECONDS)
         raise NotReachedError(f"path={path} state={state} node={node.name}")
 
     async def async_cancel(self, path: str) -> None:
         """Cancel a job."""
-        await self._async_call("DELETE", self.alive()[0], path)
+        await self._async_call("DELETE", self.alive_nodes()[0], path)
 
     async def async_wait_state(self, path: str, state: str) -> None:
-        """Wait until a job is told to be in a state."""
-        for _ in range(MOST_POLLS):
-            if await self.async_state(path) == state:
+        """Wait until any entry reports a state of a job."""
+        for _ in range(MAX_POLLS):
+            if await self.async_get_state(path) == state:
                 return
             await anyio.sleep(POLL_SECONDS)
         raise NotReachedError(f"path={path} state={state}")
@@ -173,10 +175,10 @@
         try:
             return await self.client.request(
                 method,
-                node.front + path,
+                node.url + path,
                 content=body,
                 headers={"Host": CALLERS_HOST},
-                timeout=CALL_SECONDS,
+                timeout=CALL_TIMEOUT_SECONDS,
             )
         except httpx.TransportError:
             return None
@@ -186,7 +188,7 @@
 async def async_run_estate_fleet(
     plan: EstatePlan, entries: int
 ) -> AsyncIterator[EstateFleet]:
-    """Run a platform and entries on it until the block ends."""
+    """Run a platform with entries until the block ends."""
     async with (
         async_run_estate(plan, HOST) as estate,
         async_run_entries(estate, plan, entries) as fleet,
@@ -198,7 +200,7 @@
 async def async_run_entries(
     estate: Estate, plan: EstatePlan, entries: int
 ) -> AsyncIterator[EstateFleet]:
-    """Run entries on a platform, which may run in another thread."""
+    """Run entries on a platform, which may be in another thread."""
     queues = {f"/{pool}/": pool for pool in plan.pools}
     async with httpx.AsyncClient() as client, anyio.create_task_group() as tasks:
         estate.publish_config(queues, CALLERS_HOST)
@@ -213,9 +215,9 @@
 def _free_ports(count: int) -> list[int]:
     sockets = [socket.socket() for _ in range(count)]
     try:
-        for held in sockets:
-            held.bind((HOST, 0))
-        return [int(held.getsockname()[1]) for held in sockets]
+        for bound_socket in sockets:
+            bound_socket.bind((HOST, 0))
+        return [int(bound_socket.getsockname()[1]) for bound_socket in sockets]
     finally:
-        for held in sockets:
-            held.close()
+        for bound_socket in sockets:
+            bound_socket.close()
--- a/mustardward/embedded/estate_demo.py
+++ b/mustardward/embedded/estate_demo.py
@@ -1,4 +1,4 @@
-"""Run the main job on the stand-in of the users' platform, and tell what happened."""
+"""Run the main functions on the simulated platform and report each step."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 
 EstateStep = Callable[[EstateFleet], Awaitable[str]]
 ESTATE_STEPS: Registry[str, EstateStep] = Registry("platform demo steps")
-"""Steps in order; each returns what happened, or raises."""
+"""Steps in order; each returns a description of its outcome, or raises."""
 
 
 async def async_run_estate_demo() -> list[DemoLine]:
-    """Return a line for each step; the first failing one is the last."""
+    """Run the steps up to the first failure and return a line for each."""
     lines: list[DemoLine] = []
     started = time.monotonic()
     async with async_run_estate_fleet(PLAN, ENTRIES) as fleet:
-        up = f"{ENTRIES} entries, {len(fleet.estate.workers)} workers, a store"
-        lines.append(DemoLine("platform", up, time.monotonic() - started, True))
+        summary = f"{ENTRIES} entries, {len(fleet.estate.workers)} workers, a store"
+        lines.append(DemoLine("platform", summary, time.monotonic() - started, True))
         for name in ESTATE_STEPS:
             started = time.monotonic()
             try:
@@ -40,8 +40,8 @@
             except (MustardwardError, httpx.HTTPError) as error:
                 outcome = f"{type(error).__name__}: {error}"
                 succeeded = False
-            passed = time.monotonic() - started
-            lines.append(DemoLine(name, outcome, passed, succeeded))
+            elapsed_seconds = time.monotonic() - started
+            lines.append(DemoLine(name, outcome, elapsed_seconds, succeeded))
             if not succeeded:
                 break
     return lines
@@ -54,12 +54,12 @@
     second = SubmittedStep(count=2, cpu=1000, mem_mb=10, estimate_ms=300, after=[0])
     path = await fleet.async_submit(PREFIX, [first, second])
     await fleet.async_wait_state(path, "done")
-    return f"six tasks in two steps, {_starts(fleet)} starts, done"
+    return f"six tasks in two steps, {_count_starts(fleet)} starts, done"
 
 
 @ESTATE_STEPS.register("platform job that crashes its workers")
 async def async_crash(fleet: EstateFleet) -> str:
-    """Hand in a job that ends each worker that starts it."""
+    """Submit a job that crashes each worker that starts it."""
     step = SubmittedStep(count=2, cpu=1000, mem_mb=10, estimate_ms=300)
     path = await fleet.async_submit(PREFIX, [step], spec=SPEC_CRASHES)
     await fleet.async_wait_state(path, "failed")
@@ -70,7 +70,7 @@
 
 @ESTATE_STEPS.register("platform rooms that shrink")
 async def async_shrink(fleet: EstateFleet) -> str:
-    """Shrink the workers of a pool, and run more than they hold at once."""
+    """Reduce the capacity of a pool's workers and run more tasks than fit at once."""
     pool = PREFIX.strip("/")
     workers = [w for w in fleet.estate.workers.values() if w.pool == pool]
     for worker in workers:
@@ -86,13 +86,13 @@
 
 @ESTATE_STEPS.register("platform owner lost")
 async def async_lose_owner(fleet: EstateFleet) -> str:
-    """End the owning entry, and run another job."""
-    lasting = SubmittedStep(
+    """Kill the entry that owns the shard and run another job."""
+    long_running_step = SubmittedStep(
         count=2, cpu=1000, mem_mb=10, estimate_ms=300, long_running=True, may_miss=1
     )
-    path = await fleet.async_submit(PREFIX, [lasting])
+    path = await fleet.async_submit(PREFIX, [long_running_step])
     await fleet.async_wait_state(path, "running")
-    before = _starts(fleet)
+    before = _count_starts(fleet)
     owner = fleet.owner()
     if owner is not None:
         owner.kill()
@@ -101,14 +101,14 @@
         PREFIX, [SubmittedStep(count=2, cpu=1000, mem_mb=10, estimate_ms=300)]
     )
     await fleet.async_wait_state(job, "done")
-    started = _starts(fleet) - before
+    started = _count_starts(fleet) - before
     require(started == 2, f"starts={started}")
     return "another entry took over; two lasting tasks went on, two new ones ran"
 
 
 @ESTATE_STEPS.register("platform wave")
 async def async_wave(fleet: EstateFleet) -> str:
-    """Maintain every instance, two at once."""
+    """Maintain all instances, two at a time."""
     machines = [instance.machine for instance in fleet.estate.list_instances()]
     fleet.estate.publish_wave(1, machines, max_count=2)
     orders = fleet.estate.orders
@@ -120,5 +120,5 @@
     return f"{len(machines)} instances maintained once each"
 
 
-def _starts(fleet: EstateFleet) -> int:
+def _count_starts(fleet: EstateFleet) -> int:
     return sum(len(worker.starts) for worker in fleet.estate.workers.values())
--- a/mustardward/embedded/fleet.py
+++ b/mustardward/embedded/fleet.py
@@ -1,4 +1,4 @@
-"""Start the platform's stand-ins, workers and entries on one loop."""
+"""Run the simulated platform, workers and entries on one event loop."""
 
 from __future__ import annotations
 
@@ -27,21 +27,21 @@
 from ..standin.worker_app import async_run_worker
 from .models import FleetPlan, RunningFleet, plan_workers
 
-MakeTimers = Callable[[TaskGroup], TimerService]
+TimersFactory = Callable[[TaskGroup], TimerService]
 
 READY_SECONDS: Final = 20.0
-_STEP_SECONDS: Final = 0.05
+_POLL_SECONDS: Final = 0.05
 
 
 @asynccontextmanager
 async def async_run_fleet(
-    plan: FleetPlan, timers: TimerService, make_timers: MakeTimers | None = None
+    plan: FleetPlan, timers: TimerService, timers_factory: TimersFactory | None = None
 ) -> AsyncIterator[RunningFleet]:
-    """Run a fleet inside the block; every entry is ready when it begins.
+    """Run a fleet until the block ends, and yield it once all entries are ready.
 
-    :param timers: clock of the stand-ins.
-    :param make_timers: gives each entry its clock; real time if left out.
-    :raises NotReadyError: if the entries do not get ready.
+    :param timers: clock of the simulated platform and workers.
+    :param timers_factory: creates the clock of each entry; default real time.
+    :raises NotReadyError: if the entries are not ready in time.
     """
     async with AsyncExitStack() as stack:
         platform = await stack.enter_async_context(
@@ -52,30 +52,30 @@
             options = WorkerOptions(
                 planned.instance_id, planned.data_centre, planned.rack, plan.slots
             )
-            fleet.planned[planned.instance_id] = planned
+            fleet.planned_workers[planned.instance_id] = planned
             fleet.workers[planned.instance_id] = await stack.enter_async_context(
                 async_run_worker(timers, options, platform.url)
             )
         for data_centre in plan.data_centres:
             for number in range(plan.entries):
                 name = f"{data_centre}-{number + 1}"
-                settings = _settings(fleet, name, data_centre)
+                settings = _build_settings(fleet, name, data_centre)
                 core = await stack.enter_async_context(
-                    async_run_entry(settings, make_timers or loop_timers)
+                    async_run_entry(settings, timers_factory or create_loop_timers)
                 )
                 fleet.entries[name] = core
-                _list(fleet, core)
-        await async_until(timers, lambda: _ready(fleet), READY_SECONDS)
+                _add_to_listing(fleet, core)
+        await async_until(timers, lambda: _is_ready(fleet), READY_SECONDS)
         yield fleet
 
 
 @asynccontextmanager
 async def async_run_entry(
-    settings: Settings, make_timers: MakeTimers
+    settings: Settings, timers_factory: TimersFactory
 ) -> AsyncIterator[Core]:
-    """Run one entry inside the block; it leaves gracefully at its end."""
+    """Run one entry until the block ends, then shut it down gracefully."""
     async with anyio.create_task_group() as tasks:
-        core = Core(settings, make_timers(tasks), tasks)
+        core = Core(settings, timers_factory(tasks), tasks)
         unloads = await async_setup_entry(core)
         try:
             yield core
@@ -86,8 +86,8 @@
             tasks.cancel_scope.cancel()
 
 
-def loop_timers(tasks: TaskGroup) -> TimerService:
-    """Return a clock that keeps real time."""
+def create_loop_timers(tasks: TaskGroup) -> TimerService:
+    """Return a started real-time clock."""
     timers = LoopTimerService(tasks)
     timers.start()
     return timers
@@ -96,39 +96,39 @@
 async def async_until(
     timers: TimerService, condition: Callable[[], bool], seconds: float
 ) -> None:
-    """Wait for a condition.
+    """Wait until a condition is true.
 
-    :raises NotReadyError: if it does not hold within ``seconds``.
+    :raises NotReadyError: if it is not true within ``seconds``.
     """
     deadline = timers.monotonic() + seconds
     while not condition():
         if timers.monotonic() > deadline:
             raise NotReadyError(f"waited_seconds={seconds:g}")
-        await timers.async_sleep(_STEP_SECONDS)
+        await timers.async_sleep(_POLL_SECONDS)
 
 
 def caller_url(core: Core) -> str:
-    """Return where an entry takes callers' requests."""
+    """Return the base URL of an entry for callers' requests."""
     listener = core.get(DRAIN).listener
     return f"http://{listener.host}:{listener.port}"
 
 
 def operator_url(core: Core) -> str:
-    """Return where an entry takes operators' calls."""
+    """Return the base URL of an entry for operators' calls."""
     listener = core.get(API)
     return f"http://{listener.host}:{listener.port}"
 
 
-def _settings(fleet: RunningFleet, name: str, data_centre: str) -> Settings:
+def _build_settings(fleet: RunningFleet, name: str, data_centre: str) -> Settings:
     return Settings(
         entry=EntryIdentity(name=name, data_centre=data_centre, leaving_seconds=0.2),
         callers=Listener(port=0),
-        peers=tuple(_seed(core) for core in fleet.entries.values()),
+        peers=tuple(_build_peer_address(core) for core in fleet.entries.values()),
         platform=PlatformSettings(url=fleet.platform.url),
     )
 
 
-def _list(fleet: RunningFleet, core: Core) -> None:
+def _add_to_listing(fleet: RunningFleet, core: Core) -> None:
     own = core.get(MEMBERSHIP).own
     fleet.platform.platform.listing.put(
         ListedInstance(
@@ -143,7 +143,7 @@
     )
 
 
-def _seed(core: Core) -> PeerAddress:
+def _build_peer_address(core: Core) -> PeerAddress:
     own = core.get(MEMBERSHIP).own
     host, _, port = own.address.rpartition(":")
     return PeerAddress(
@@ -151,7 +151,7 @@
     )
 
 
-def _ready(fleet: RunningFleet) -> bool:
+def _is_ready(fleet: RunningFleet) -> bool:
     return all(
         core.get(FLEET_LOG).ready
         and len(core.get(MEMBERSHIP).live()) == len(fleet.entries)
--- a/mustardward/embedded/models.py
+++ b/mustardward/embedded/models.py
@@ -1,4 +1,4 @@
-"""Model a small fleet that runs in one process."""
+"""Define a small fleet that runs in one process."""
 
 from __future__ import annotations
 
@@ -11,9 +11,12 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetPlan:
-    """Size a fleet: each pool has ``workers`` in each data centre.
+    """Size of a fleet.
 
-    ``rack_size`` workers stand in one rack.
+    :param entries: entries per data centre.
+    :param workers: workers per pool and data centre.
+    :param rack_size: workers per rack.
+    :param slots: slots per worker.
     """
 
     data_centres: tuple[str, ...] = ("flam", "voss")
@@ -27,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedWorker:
-    """Hold a worker of a plan before it runs."""
+    """A worker in a fleet plan."""
 
     instance_id: str
     data_centre: str
@@ -36,7 +39,7 @@
 
 
 def plan_workers(plan: FleetPlan) -> list[PlannedWorker]:
-    """Return all workers of a plan."""
+    """Return all workers of a fleet plan."""
     return [
         PlannedWorker(
             instance_id=f"{data_centre}-{pool}-{number + 1}",
@@ -52,16 +55,16 @@
 
 @dataclass(slots=True, eq=False)
 class RunningFleet:
-    """Hold a fleet that runs: its platform, entries by name, workers by id."""
+    """A running fleet: its platform, entries by name and workers by id."""
 
     plan: FleetPlan
     platform: RunningPlatform
     entries: dict[str, Core] = field(default_factory=dict)
     workers: dict[str, RunningWorker] = field(default_factory=dict)
-    planned: dict[str, PlannedWorker] = field(default_factory=dict)
+    planned_workers: dict[str, PlannedWorker] = field(default_factory=dict)
 
     def first_entry(self, data_centre: str | None = None) -> Core:
-        """Return an entry, of one data centre if so asked."""
+        """Return the first entry, or the first one of a data centre."""
         for core in self.entries.values():
             if data_centre in (None, core.settings.entry.data_centre):
                 return core
--- a/mustardward/embedded/operator.py
+++ b/mustardward/embedded/operator.py
@@ -1,4 +1,4 @@
-"""Act as an operator and as a caller on an embedded fleet."""
+"""Operator and caller client of an embedded fleet."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 class CallRefusedError(MustardwardError):
-    """Report that an operator's call on the embedded fleet was refused."""
+    """Raised when an operator's call to the embedded fleet was refused."""
 
     code = "call-refused"
 
 
 class FleetOperator:
-    """Call the operators' interface of one entry.
+    """Client of the operators' API of an entry.
 
-    :param client: carries the calls; its owner closes it.
+    :param client: HTTP client, closed by its owner.
     """
 
     def __init__(self, fleet: RunningFleet, client: httpx.AsyncClient) -> None:
@@ -29,35 +29,35 @@
 
     @property
     def client(self) -> httpx.AsyncClient:
-        """Return the client, for callers' requests."""
+        """Return the HTTP client, for callers' requests."""
         return self._client
 
     def caller_urls(self) -> tuple[str, ...]:
-        """Return where each entry takes callers' requests."""
+        """Return the base URL of each entry for callers' requests."""
         return tuple(caller_url(core) for core in self._fleet.entries.values())
 
     async def async_call(
         self, method: str, path: str, body: Any = None, data_centre: str | None = None
     ) -> Any:
-        """Return the answer's JSON.
+        """Make a call and return the JSON of the response.
 
-        :raises CallRefusedError: for any answer that says it failed.
+        :raises CallRefusedError: for an error status.
         """
-        answer = await self.async_try(method, path, body, data_centre)
-        if answer.is_error:
-            raise CallRefusedError(f"{method} {path} {answer.text}")
-        return answer.json()
+        response = await self.async_request(method, path, body, data_centre)
+        if response.is_error:
+            raise CallRefusedError(f"{method} {path} {response.text}")
+        return response.json()
 
-    async def async_try(
+    async def async_request(
         self, method: str, path: str, body: Any = None, data_centre: str | None = None
     ) -> httpx.Response:
-        """Return the answer, whatever it says."""
+        """Make a call and return the response with any status."""
         core = self._fleet.first_entry(data_centre)
         url = operator_url(core) + path
         return await self._client.request(method, url, json=body, timeout=30.0)
 
     async def async_register(self) -> int:
-        """Register the pools and workers of the plan; return how many workers."""
+        """Register the plan's pools and workers; return the number of workers."""
         for pool in self._fleet.plan.pools:
             await self.async_call("PUT", f"/pools/{pool}")
         instances = [
@@ -69,9 +69,9 @@
                 "address": self._fleet.workers[planned.instance_id].address,
                 "slots": self._fleet.plan.slots,
             }
-            for planned in self._fleet.planned.values()
+            for planned in self._fleet.planned_workers.values()
         ]
-        answer = await self.async_call("POST", "/instances", {"instances": instances})
-        if answer["refused"]:
-            raise CallRefusedError(f"instances refused={answer['refused']}")
+        response = await self.async_call("POST", "/instances", {"instances": instances})
+        if response["refused"]:
+            raise CallRefusedError(f"instances refused={response['refused']}")
         return len(instances)
--- a/mustardward/embedded/elsewhere.py
+++ b/mustardward/embedded/thread_context.py
@@ -1,4 +1,4 @@
-"""Run a part of a platform in a thread of its own, with a loop of its own."""
+"""Run an asynchronous context in a separate thread with its own event loop."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 from contextlib import AbstractAsyncContextManager, asynccontextmanager
 from typing import TypeVar
 
-T = TypeVar("T")
+ContextT = TypeVar("ContextT")
 
 
 @asynccontextmanager
-async def async_elsewhere(
-    context: AbstractAsyncContextManager[T],
-) -> AsyncIterator[T]:
-    """Enter a context in a thread, which goes on while this loop is held up."""
-    entered: list[T] = []
+async def async_run_in_thread(
+    context: AbstractAsyncContextManager[ContextT],
+) -> AsyncIterator[ContextT]:
+    """Enter a context in another thread, which runs while this loop is blocked."""
+    entered: list[ContextT] = []
     ready = threading.Event()
-    over = threading.Event()
+    stopped = threading.Event()
 
     async def async_run() -> None:
         async with context as value:
             entered.append(value)
             ready.set()
-            await asyncio.to_thread(over.wait)
+            await asyncio.to_thread(stopped.wait)
 
     thread = threading.Thread(target=asyncio.run, args=(async_run(),))
     thread.start()
@@ -32,5 +32,5 @@
     try:
         yield entered[0]
     finally:
-        over.set()
+        stopped.set()
         await asyncio.to_thread(thread.join)
--- a/tests/components/dispatch/test_blocked_loop.py
+++ b/tests/components/dispatch/test_blocked_loop.py
@@ -21,8 +21,8 @@
 from mustardward.components.scheduling.commands import Command, Start, Stop
 from mustardward.components.scheduling.models import Phase, QueuePolicy
 from mustardward.components.scheduling.scheduler import Scheduler
-from mustardward.embedded.elsewhere import async_elsewhere
 from mustardward.embedded.estate import async_until
+from mustardward.embedded.thread_context import async_run_in_thread
 from mustardward.helpers.timer import LoopTimerService
 from mustardward.platform.http import HttpCaller
 from mustardward.platform.models import Room, WorkerEntry
@@ -99,7 +99,7 @@
     """
     plan = EstatePlan(pools=(POOL,), instances=16, standby=0, cores=64)
     async with (
-        async_elsewhere(async_run_estate(plan, "127.0.0.1")) as estate,
+        async_run_in_thread(async_run_estate(plan, "127.0.0.1")) as estate,
         anyio.create_task_group() as tasks,
     ):
         estate.workloads[f"{JOB}.0"] = Workload(Room(100, 1), 60.0, long_running=True)
--- a/tests/embedded/test_demo.py
+++ b/tests/embedded/test_demo.py
@@ -1,4 +1,4 @@
-"""Run the whole demo on a driven clock."""
+"""Test the complete demo on a driven clock."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_the_demo_goes_through_all_its_steps() -> None:
+async def test_the_demo_completes_all_steps() -> None:
     timers = DrivenTimerService()
     lines: list[DemoLine] = []
     async with async_driven(timers, step_seconds=0.02):
--- a/tests/embedded/test_estate.py
+++ b/tests/embedded/test_estate.py
@@ -1,4 +1,4 @@
-"""Run entries against the stand-in of the users' platform, over real connections."""
+"""Test entries against the simulated platform over real connections."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 PREFIX = "/pool-a/"
 PLAN = EstatePlan()
-MOST_SECONDS = 40.0
-SEEN_SECONDS = 0.5
-"""Until an entry of a worker was surely read."""
+TEST_TIMEOUT_SECONDS = 40.0
+ENTRY_READ_SECONDS = 0.5
+"""Time within which the owner reads a changed worker entry."""
 
 
 def two_steps() -> list[SubmittedStep]:
@@ -29,67 +29,67 @@
     return [first, second]
 
 
-def lasting() -> list[SubmittedStep]:
-    """Return two tasks that last, one of which may be missing."""
+def long_running_steps() -> list[SubmittedStep]:
+    """Return a step of two long-running tasks, one of which may be missing."""
     step = SubmittedStep(
         count=2, cpu=1000, mem_mb=10, estimate_ms=150, long_running=True, may_miss=1
     )
     return [step]
 
 
-def starts_of(fleet: EstateFleet) -> Counter[str]:
-    """Return how often each task was started on the workers that live."""
+def count_starts(fleet: EstateFleet) -> Counter[str]:
+    """Return the number of starts of each task on the running workers."""
     return Counter(
         task for worker in fleet.estate.workers.values() for task, _ in worker.starts
     )
 
 
-def maintained(fleet: EstateFleet) -> list[str]:
+def maintained_instances(fleet: EstateFleet) -> list[str]:
     """Return the instances whose maintenance was ordered."""
     return [machine for kind, machine, _ in fleet.estate.orders if kind == "maintain"]
 
 
-async def test_a_job_runs_each_task_once_and_is_told_as_done() -> None:
-    with anyio.fail_after(MOST_SECONDS):
+async def test_a_job_runs_each_task_once_and_is_reported_as_done() -> None:
+    with anyio.fail_after(TEST_TIMEOUT_SECONDS):
         async with async_run_estate_fleet(PLAN, entries=2) as fleet:
             path = await fleet.async_submit(PREFIX, two_steps())
             await fleet.async_wait_state(path, "done")
-            starts = starts_of(fleet)
+            starts = count_starts(fleet)
             assert len(starts) == 5
             assert set(starts.values()) == {1}
 
 
-async def test_a_job_that_always_fails_is_told_as_failed() -> None:
-    with anyio.fail_after(MOST_SECONDS):
+async def test_a_job_that_always_fails_is_reported_as_failed() -> None:
+    with anyio.fail_after(TEST_TIMEOUT_SECONDS):
         async with async_run_estate_fleet(PLAN, entries=1) as fleet:
             step = SubmittedStep(count=1, cpu=1000, mem_mb=10, estimate_ms=50)
             path = await fleet.async_submit(PREFIX, [step], spec="fails")
             await fleet.async_wait_state(path, "failed")
-            assert set(starts_of(fleet).values()) == {3}
+            assert set(count_starts(fleet).values()) == {3}
 
 
-async def test_a_job_that_crashes_its_workers_is_told_as_failed() -> None:
-    """Guards against tasks that are started anew however many workers they crash."""
-    with anyio.fail_after(MOST_SECONDS):
+async def test_a_job_that_crashes_its_workers_is_reported_as_failed() -> None:
+    """Guard against unlimited restarts of a task that crashes its workers."""
+    with anyio.fail_after(TEST_TIMEOUT_SECONDS):
         async with async_run_estate_fleet(PLAN, entries=1) as fleet:
             step = SubmittedStep(count=2, cpu=1000, mem_mb=10, estimate_ms=50)
             path = await fleet.async_submit(PREFIX, [step], spec="crashes")
             await fleet.async_wait_state(path, "failed")
             assert len(fleet.estate.crashed) <= 3
-            beside = await fleet.async_submit(PREFIX, two_steps())
-            await fleet.async_wait_state(beside, "done")
+            other_path = await fleet.async_submit(PREFIX, two_steps())
+            await fleet.async_wait_state(other_path, "done")
 
 
-async def test_workers_that_have_shrunk_are_not_filled_beyond_their_room() -> None:
-    """Guards against starts that bring a worker that guards nothing over its room."""
-    with anyio.fail_after(MOST_SECONDS):
+async def test_resized_workers_are_not_filled_beyond_their_capacity() -> None:
+    """Guard against starts beyond the capacity of a worker that does not check it."""
+    with anyio.fail_after(TEST_TIMEOUT_SECONDS):
         async with async_run_estate_fleet(
             EstatePlan(enforce_capacity=False), 1
         ) as fleet:
             workers = fleet.estate.workers
             for name in [name for name, w in workers.items() if w.pool == "pool-a"]:
                 fleet.estate.resize(name, cores=2)
-            await anyio.sleep(SEEN_SECONDS)
+            await anyio.sleep(ENTRY_READ_SECONDS)
             step = SubmittedStep(count=6, cpu=1000, mem_mb=10, estimate_ms=300)
             paths = [await fleet.async_submit(PREFIX, [step]) for _ in range(3)]
             for path in paths:
@@ -100,9 +100,9 @@
 
 
 async def test_a_cancelled_job_ends_on_its_workers() -> None:
-    with anyio.fail_after(MOST_SECONDS):
+    with anyio.fail_after(TEST_TIMEOUT_SECONDS):
         async with async_run_estate_fleet(PLAN, entries=2) as fleet:
-            path = await fleet.async_submit(PREFIX, lasting())
+            path = await fleet.async_submit(PREFIX, long_running_steps())
             await fleet.async_wait_state(path, "running")
             await fleet.async_cancel(path)
             await fleet.async_wait_state(path, "cancelled")
@@ -110,25 +110,25 @@
             await async_until(lambda: not any(w.runs for w in workers.values()))
 
 
-async def test_another_entry_goes_on_when_the_owner_loses_power() -> None:
-    """What the lost owner had started is adopted, not started again."""
-    with anyio.fail_after(MOST_SECONDS):
+async def test_another_entry_takes_over_when_the_owner_loses_power() -> None:
+    """Guard against a second start of tasks that the previous owner had started."""
+    with anyio.fail_after(TEST_TIMEOUT_SECONDS):
         async with async_run_estate_fleet(PLAN, entries=3) as fleet:
-            path = await fleet.async_submit(PREFIX, lasting())
+            path = await fleet.async_submit(PREFIX, long_running_steps())
             await fleet.async_wait_state(path, "running")
-            before = starts_of(fleet)
+            before = count_starts(fleet)
             owner = fleet.owner()
             assert owner is not None
             owner.kill()
             done = await fleet.async_submit(PREFIX, two_steps())
             await fleet.async_wait_state(done, "done")
-            after = starts_of(fleet)
+            after = count_starts(fleet)
             assert all(after[task] == count for task, count in before.items())
             assert fleet.owner() is not owner
 
 
-async def test_jobs_are_answered_while_the_store_refuses_for_a_while() -> None:
-    with anyio.fail_after(MOST_SECONDS):
+async def test_jobs_are_accepted_after_a_temporary_store_outage() -> None:
+    with anyio.fail_after(TEST_TIMEOUT_SECONDS):
         async with async_run_estate_fleet(PLAN, entries=2) as fleet:
             fleet.estate.store.mode = StoreMode.REFUSING
             async with anyio.create_task_group() as tasks:
@@ -140,58 +140,60 @@
                 tasks.start_soon(async_return)
                 path = await fleet.async_submit(PREFIX, two_steps())
             await fleet.async_wait_state(path, "done")
-            assert set(starts_of(fleet).values()) == {1}
+            assert set(count_starts(fleet).values()) == {1}
 
 
-async def test_a_wave_maintains_each_instance_without_a_lasting_task_lost() -> None:
-    with anyio.fail_after(MOST_SECONDS):
+async def test_a_wave_maintains_each_instance_without_losing_long_running_tasks() -> (
+    None
+):
+    with anyio.fail_after(TEST_TIMEOUT_SECONDS):
         async with async_run_estate_fleet(PLAN, entries=2) as fleet:
-            path = await fleet.async_submit(PREFIX, lasting())
+            path = await fleet.async_submit(PREFIX, long_running_steps())
             await fleet.async_wait_state(path, "running")
             machines = [i.machine for i in fleet.estate.list_instances()]
             fleet.estate.publish_wave(1, machines, max_count=2)
-            await async_until(lambda: len(maintained(fleet)) >= len(machines))
-            assert sorted(maintained(fleet)) == machines
+            await async_until(lambda: len(maintained_instances(fleet)) >= len(machines))
+            assert sorted(maintained_instances(fleet)) == machines
             await fleet.async_wait_state(path, "running")
 
 
-async def test_work_goes_on_beside_records_of_another_writer() -> None:
-    """Serve callers beside records that no worker wrote.
+async def test_jobs_complete_despite_records_of_another_writer() -> None:
+    """Guard against invalid records that stop the owner or its log follower.
 
-    Symptom: the owner ends, or nobody follows the workers any more. Sequence: records
-    of another writer stand between the workers' own, and in the place of one of them.
-    Cause: one of them ends the reading of all.
+    Another writer appends invalid records among those of the workers, one of them
+    under the key of a worker. The remaining records must still be read.
     """
-    with anyio.fail_after(MOST_SECONDS):
+    with anyio.fail_after(TEST_TIMEOUT_SECONDS):
         async with async_run_estate_fleet(PLAN, entries=1) as fleet:
-            barred = min(fleet.estate.workers)
-            fleet.estate.write_foreign_records(seed=3, worker=barred)
+            worker_id = min(fleet.estate.workers)
+            fleet.estate.write_foreign_records(seed=3, worker=worker_id)
             path = await fleet.async_submit(PREFIX, two_steps())
             await fleet.async_wait_state(path, "done")
-            fleet.estate.write_foreign_records(seed=4, worker=barred)
+            fleet.estate.write_foreign_records(seed=4, worker=worker_id)
             path = await fleet.async_submit(PREFIX, two_steps())
             await fleet.async_wait_state(path, "done")
-            assert set(starts_of(fleet).values()) == {1}
+            assert set(count_starts(fleet).values()) == {1}
 
 
-async def test_what_was_told_as_done_never_runs_again() -> None:
-    """Keep a caller's word through the loss of all who knew it but the teller.
+async def test_a_job_reported_as_done_never_runs_again() -> None:
+    """Guard against a job that runs again after it was reported as done.
 
-    Symptom: a job that was shown as done runs once more. Sequence: the store is away, a
-    job ends and is told by an entry that does not own the shard; then the worker that
-    ran it crashes and the owner loses power, before anything could be stored. Cause:
-    the end was known to these two only.
+    While the store is unavailable, a job completes and an entry that does not own the
+    shard reports it as done. Then the worker crashes and the owner is lost before the
+    completion is stored, so that only the reporting entry knows of it.
     """
-    with anyio.fail_after(MOST_SECONDS):
+    with anyio.fail_after(TEST_TIMEOUT_SECONDS):
         async with async_run_estate_fleet(PLAN, entries=3) as fleet:
             path = await fleet.async_submit(PREFIX, two_steps())
-            await async_until(lambda: len(starts_of(fleet)) >= 3)
+            await async_until(lambda: len(count_starts(fleet)) >= 3)
             fleet.estate.store.mode = StoreMode.REFUSING
             owner = fleet.owner()
             assert owner is not None
-            teller = next(node for node in fleet.alive() if node is not owner)
-            await fleet.async_wait_state_at(teller, path, "done")
-            before = starts_of(fleet)
+            reporting_node = next(
+                node for node in fleet.alive_nodes() if node is not owner
+            )
+            await fleet.async_wait_state_at(reporting_node, path, "done")
+            before = count_starts(fleet)
             for worker in [w for w in fleet.estate.workers.values() if w.starts]:
                 fleet.estate.crash(worker.id, time.monotonic())
             owner.kill()
@@ -199,18 +201,21 @@
             done = await fleet.async_submit(PREFIX, two_steps())
             await fleet.async_wait_state(done, "done")
             assert fleet.owner() is not owner
-            assert await fleet.async_state(path) == "done"
+            assert await fleet.async_get_state(path) == "done"
             job = path.rpartition("/")[2]
-            assert all(name.partition(".")[0] != job for name in starts_of(fleet))
+            assert all(name.partition(".")[0] != job for name in count_starts(fleet))
             assert sum(before.values()) == 5
 
 
-async def test_work_is_done_though_its_workers_start_again_under_their_ids() -> None:
-    """Symptom: a job is never done; its worker forgot ends that nobody has read."""
-    with anyio.fail_after(MOST_SECONDS):
+async def test_jobs_complete_when_workers_restart_under_their_ids() -> None:
+    """Guard against a job that never completes.
+
+    A worker restarts under its id and loses ended runs that no owner has read.
+    """
+    with anyio.fail_after(TEST_TIMEOUT_SECONDS):
         async with async_run_estate_fleet(PLAN, entries=2) as fleet:
-            lasts = await fleet.async_submit(PREFIX, lasting())
-            await fleet.async_wait_state(lasts, "running")
+            long_running_path = await fleet.async_submit(PREFIX, long_running_steps())
+            await fleet.async_wait_state(long_running_path, "running")
             paths = []
             for _ in range(3):
                 paths.append(await fleet.async_submit(PREFIX, two_steps()))
--- a/tests/embedded/test_examples.py
+++ b/tests/embedded/test_examples.py
@@ -1,4 +1,4 @@
-"""Load the example deployments and start each of them, small, in one process."""
+"""Test the example deployments and run a small version of each in one process."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @pytest.fixture(params=sorted(DEPLOYMENTS))
 def deployment(request: pytest.FixtureRequest) -> str:
-    """Return the name of each example in turn."""
+    """Return the name of an example deployment."""
     name: str = request.param
     return name
 
@@ -42,7 +42,7 @@
 
 @asynccontextmanager
 async def async_small_fleet(pools: PoolsFile) -> AsyncIterator[RunningFleet]:
-    """Run one entry and one worker of each pool in each data centre."""
+    """Run one entry, and one worker per pool, in each data centre."""
     timers = DrivenTimerService()
     data_centres = tuple(dict.fromkeys(rack.data_centre for rack in pools.racks))
     plan = FleetPlan(
@@ -87,19 +87,20 @@
 
 
 def test_an_example_leaves_a_worker_to_maintain(deployment: str) -> None:
-    """Let waves go on.
+    """Guard against example budgets under which no wave can make progress.
 
-    Symptom: a wave of an example deployment never takes an instance. Sequence: floor,
-    headroom and the largest rack leave nothing over. Cause: shares chosen without
-    regard to the number of workers.
+    Minimum availability, headroom and the reserve for the largest rack can together
+    exceed a small pool, so that no instance can ever be maintained.
     """
     instances = load_pools(deployment).instances()
     template = load_model(EXAMPLES / f"{deployment}-template.yaml", TemplateFile)
     parameters = template.parameters.to_parameters()
     for scope in {(item.data_centre, item.pool) for item in instances}:
-        here = [item for item in instances if (item.data_centre, item.pool) == scope]
-        largest = max(Counter(item.rack for item in here).values())
-        count = ScopeCount(len(here), 0, largest)
+        scope_instances = [
+            item for item in instances if (item.data_centre, item.pool) == scope
+        ]
+        largest = max(Counter(item.rack for item in scope_instances).values())
+        count = ScopeCount(len(scope_instances), 0, largest)
         budget = compute_budget("any", parameters, scope[1], scope[0], count)
         assert budget.margin >= 1
 
@@ -134,21 +135,21 @@
             await operator.async_call("PUT", path, {**body, "wait_seconds": 30})
         urls = [caller_url(core) for core in fleet.entries.values()]
         names = [entry.name for entry in organisations.organisations]
-        statuses = await async_statuses(client, urls, names, services)
+        statuses = await async_count_statuses(client, urls, names, services)
     assert statuses == Counter({200: len(urls) * len(names) * len(services)})
 
 
-async def async_statuses(
+async def async_count_statuses(
     client: httpx.AsyncClient,
     urls: Iterable[str],
     organisations: list[str],
     services: list[str],
 ) -> Counter[int]:
-    """Ask every service of every organisation at every entry once."""
+    """Request each service of each organisation from each entry; count statuses."""
     statuses: Counter[int] = Counter()
     for url in urls:
         for organisation in organisations:
             for service in services:
-                answer = await client.get(f"{url}/{organisation}/{service}/now")
-                statuses[answer.status_code] += 1
+                response = await client.get(f"{url}/{organisation}/{service}/now")
+                statuses[response.status_code] += 1
     return statuses
--- a/tests/embedded/test_long_list.py
+++ b/tests/embedded/test_list_pages.py
@@ -1,4 +1,4 @@
-"""Run an entry on a fleet whose list has several pages, over real connections."""
+"""Test reading of an instance list of several pages over real connections."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
         client = FleetClient(http, estate.address, "entry-1")
         reader = InstanceListReader(client, DrivenTimerService(), reads_per_second=10.0)
         with anyio.fail_after(10.0):
-            read = await reader.async_read()
-        assert read is not None
-        names = [instance.machine for instance in read.instances]
+            listing = await reader.async_read()
+        assert listing is not None
+        names = [instance.machine for instance in listing.instances]
         assert len(set(names)) == len(names) == PLAN.machines
-        # Three pages, of which seven a second may be read.
+        # Three pages at a rate of seven pages per second.
         assert reader.interval(0.1) == pytest.approx(3 / 7)
         await http.async_close()
--- a/tests/platform/test_http.py
+++ b/tests/platform/test_http.py
@@ -13,7 +13,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mustardward.embedded.elsewhere import async_elsewhere
+from mustardward.embedded.thread_context import async_run_in_thread
 from mustardward.platform.exceptions import CallRefusedError, CallUnknownError
 from mustardward.platform.http import HttpCaller, _Host
 
@@ -261,7 +261,7 @@
     their responses arrive in the sockets, and then runs expired timers before it reads
     the responses.
     """
-    async with async_elsewhere(
+    async with async_run_in_thread(
         run_server(respond_with(*[build_response()] * 9))
     ) as server:
         http = HttpCaller()
