--- a/bench/capacity/measures.py
+++ b/bench/capacity/measures.py
@@ -1,4 +1,4 @@
-"""Measure state, router, planner, snapshots, limits, reports and stories."""
+"""Measure state, router, planner, snapshots, limits, reports and histories."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from mustardward.components.entry.models import Ran, RequestFacts, RequestFinished
 from mustardward.components.explain.models import DecisionMade
-from mustardward.components.explain.store import StoryStore
+from mustardward.components.explain.store import HistoryStore
 from mustardward.components.limits.admission import PoolAdmission
 from mustardward.components.limits.latency import LatencyEstimate
 from mustardward.components.limits.models import PoolCapacity, Ticket
@@ -25,7 +25,7 @@
     Vitals,
 )
 from mustardward.components.membership.models import Member, MemberStatus
-from mustardward.components.reports.account import Accounts
+from mustardward.components.reports.request_counters import RequestCounters
 from mustardward.components.routing.index import FleetIndex
 from mustardward.components.routing.services import RouterService
 from mustardward.helpers.timer import DrivenTimerService
@@ -202,27 +202,27 @@
     return best_seconds(work, 3) / count * _MICRO
 
 
-def account_megabytes(organisations: int) -> float:
-    """Return the memory of burn accounts after traffic through three days."""
+def request_counter_megabytes(organisations: int) -> float:
+    """Return the memory of burn counters after traffic through three days."""
 
-    def build() -> Accounts:
-        accounts = Accounts(0.0)
+    def build() -> RequestCounters:
+        counters = RequestCounters(0.0)
         for number in range(organisations):
             event = _finished(f"organisation-{number}")
             for step in range(288):
-                accounts.record(event, 0.5, step * 900.0)
+                counters.record(event, 0.5, step * 900.0)
             for step in range(120):
-                accounts.record(event, 0.5, 259_200.0 + step * 30.0)
-        return accounts
+                counters.record(event, 0.5, 259_200.0 + step * 30.0)
+        return counters
 
     return memory_of(build)
 
 
-def story_megabytes(subjects: int) -> float:
-    """Return the memory of stories with eight lines each."""
+def history_megabytes(subjects: int) -> float:
+    """Return the memory of histories with eight lines each."""
 
-    def build() -> StoryStore:
-        store = StoryStore("entry-1")
+    def build() -> HistoryStore:
+        store = HistoryStore("entry-1")
         for number in range(subjects):
             for line in range(8):
                 inputs = (f"pool=pool-{number}", f"margin={line}", "executor=entry-1")
@@ -363,10 +363,10 @@
         "organisations",
         (2, 4, 8, 16),
         ORGANISATIONS,
-        account_megabytes,
+        request_counter_megabytes,
     ),
     Measure(
-        "stories", "MB", "subjects", (512, 1024, 2048, 4096), 4096, story_megabytes
+        "stories", "MB", "subjects", (512, 1024, 2048, 4096), 4096, history_megabytes
     ),
     Measure("list", "kB", "instances", _FLEETS, WORKERS, list_kilobytes),
     Measure("jobs", "MB", "waiting jobs", _WORK, 10_000, job_megabytes),
--- a/mustardward/cli/explain.py
+++ b/mustardward/cli/explain.py
@@ -47,10 +47,10 @@
 
 def read_logs(logs: Path, job: str) -> dict[str, Any]:
     """Return what all files below a directory tell of a job."""
-    from ..components.explain.log_lines import read_story, waits_of
+    from ..components.explain.log_lines import get_latest_waits, read_history
 
-    story = read_story(_lines(logs), job)
-    waits = [asdict(wait) for wait in waits_of(story)]
+    story = read_history(_lines(logs), job)
+    waits = [asdict(wait) for wait in get_latest_waits(story)]
     return {**asdict(story), "waits": waits}
 
 
--- a/mustardward/cli/report.py
+++ b/mustardward/cli/report.py
@@ -13,7 +13,7 @@
 from .records import FILE_TYPE
 
 if TYPE_CHECKING:
-    from ..components.reports.stories import Day
+    from ..components.reports.day_models import Day
 
 
 @click.group()
@@ -53,44 +53,44 @@
 @click.option("--jobs", default=0, help="List so many of the latest jobs too.")
 def day(log: TextIO, jobs: int) -> None:
     """Say why jobs were late, from the entries' log lines in LOG (- for input)."""
-    from ..components.reports.day import explain
+    from ..components.reports.day import count_delay_causes
     from ..components.reports.day_lines import read_day
 
-    stories = read_day(log)
-    ended = [story for story in stories.jobs.values() if story.state]
+    parsed = read_day(log)
+    ended = [story for story in parsed.jobs.values() if story.state]
     late = sorted(
-        (story for story in ended if story.late and not story.lasting),
-        key=lambda story: story.objective - story.seconds,
+        (story for story in ended if story.late and not story.long_running),
+        key=lambda story: story.objective_seconds - story.seconds,
     )
-    click.echo(f"jobs={len(stories.jobs)} ended={len(ended)} late={len(late)}")
-    if stories.cut_lines:
-        click.echo(f"{stories.cut_lines} lines are cut off and left out")
-    for text in _owner_lines(stories):
+    click.echo(f"jobs={len(parsed.jobs)} ended={len(ended)} late={len(late)}")
+    if parsed.cut_lines:
+        click.echo(f"{parsed.cut_lines} lines are cut off and left out")
+    for text in _owner_lines(parsed):
         click.echo(text)
-    for row in explain(stories):
+    for row in count_delay_causes(parsed):
         click.echo(
             f"{row.jobs:6d} jobs {row.tasks:7d} tasks {row.seconds_late:9.1f} s late"
             f"  {row.cause.value}"
         )
     for story in late[:jobs]:
-        over = story.seconds - story.objective
+        over = story.seconds - story.objective_seconds
         click.echo(f"job={story.job} queue={story.queue} late_seconds={over:.2f}")
 
 
 def _owner_lines(day: Day) -> Iterator[str]:
     """Yield how busy the owners were, and how soon work began."""
-    from ..components.reports.day import first_starts
+    from ..components.reports.day import compute_start_delays
 
     if day.owners:
-        owners = list(dict.fromkeys(look.node for look in day.owners))
+        owners = list(dict.fromkeys(item.node for item in day.owners))
         yield (
             f"owners={','.join(owners)}"
-            f" lag_seconds={max(look.lag for look in day.owners):.3f}"
-            f" calls_under_way={max(look.under_way for look in day.owners)}"
-            f" starts_a_second={max(look.starts for look in day.owners)}"
-            f" ends_a_second={max(look.ends for look in day.owners)}"
+            f" lag_seconds={max(item.max_lag_seconds for item in day.owners):.3f}"
+            f" calls_under_way={max(item.max_calls_in_flight for item in day.owners)}"
+            f" starts_a_second={max(item.max_starts_per_second for item in day.owners)}"
+            f" ends_a_second={max(item.max_ends_per_second for item in day.owners)}"
         )
-    waits = first_starts(day)
+    waits = compute_start_delays(day)
     if waits:
         tail = waits[int(0.95 * (len(waits) - 1))]
         yield (
@@ -106,10 +106,10 @@
 @click.option("--plot", type=FILE_TYPE, help="Draw instances over time here (SVG).")
 def bound(log: TextIO, plot: Path | None) -> None:
     """Compare a day's instances and jobs in time with other planners, from LOG."""
-    from ..components.reports.bound import compare
+    from ..components.reports.bound import compare_planners
     from ..components.reports.day_lines import read_day
 
-    planned = compare(read_day(log))
+    planned = compare_planners(read_day(log))
     click.echo(f"{'planner':<18} {'instance s':>10} {'moves':>6} {'in time':>8}")
     for row in planned:
         click.echo(
--- a/mustardward/components/api/problems.py
+++ b/mustardward/components/api/problems.py
@@ -37,7 +37,7 @@
 ErrorT = TypeVar("ErrorT", bound=type[MustardwardError])
 
 
-def answered_with(status: int) -> Callable[[ErrorT], ErrorT]:
+def problem_status_code(status: int) -> Callable[[ErrorT], ErrorT]:
     """Return a decorator that files the status of a type of failure."""
 
     def decorate(error_type: ErrorT) -> ErrorT:
@@ -47,28 +47,28 @@
     return decorate
 
 
-@answered_with(422)
+@problem_status_code(422)
 class BodyInvalidError(MustardwardError):
     """Report a call's body that does not match the route's model."""
 
     code = "body-invalid"
 
 
-@answered_with(401)
+@problem_status_code(401)
 class TokenInvalidError(MustardwardError):
     """Report a call without the operators' token."""
 
     code = "token-invalid"
 
 
-@answered_with(404)
+@problem_status_code(404)
 class RouteUnknownError(MustardwardError):
     """Report a path or method that no route answers."""
 
     code = "route-unknown"
 
 
-@answered_with(404)
+@problem_status_code(404)
 class NotFoundError(MustardwardError):
     """Report a name that nothing has; for the handlers of routes."""
 
@@ -92,7 +92,7 @@
     (PeerOutcomeUnknownError, 504),
     (TransitionError, 409),
 ):
-    answered_with(_status)(_type)
+    problem_status_code(_status)(_type)
 
 
 def problem_status(error: MustardwardError) -> int:
--- a/mustardward/components/api/routes.py
+++ b/mustardward/components/api/routes.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ApiAnswer:
+class ApiResponse:
     """Hold the answer; ``body`` is anything that JSON can hold."""
 
     body: Any
@@ -35,7 +35,7 @@
     headers: dict[str, str] = field(default_factory=dict)
 
 
-RouteHandler = Callable[[ApiRequest], Awaitable[ApiAnswer]]
+RouteHandler = Callable[[ApiRequest], Awaitable[ApiResponse]]
 
 
 @dataclass(frozen=True, slots=True)
--- a/mustardward/components/explain/api.py
+++ b/mustardward/components/explain/api.py
@@ -1,30 +1,30 @@
-"""Serve stories to operators."""
+"""Serve the histories of subjects to operators."""
 
 from __future__ import annotations
 
 from dataclasses import asdict
 
 from ...exceptions import MustardwardError
-from ..api.routes import ApiAnswer, ApiRequest, api_route
+from ..api.routes import ApiRequest, ApiResponse, api_route
 from ..keys import EXPLAINER
 from .models import SubjectKind
 
 
 class UnknownSubjectKindError(MustardwardError):
-    """Report a kind of subject that has no stories."""
+    """Report a kind of subject that has no history."""
 
     code = "subject-kind-unknown"
 
 
 @api_route("GET", "/explain/{kind}/{subject_id}", "Tell the story of a subject")
-async def async_get_story(request: ApiRequest) -> ApiAnswer:
-    """Return the story with the parts that are missing.
+async def async_get_history(request: ApiRequest) -> ApiResponse:
+    """Return the history, with the entries and data centres that did not respond.
 
-    :raises UnknownSubjectKindError: for any other than the four kinds.
+    :raises UnknownSubjectKindError: if the kind is not a :class:`SubjectKind`.
     """
     kind = request.path["kind"]
     if kind not in set(SubjectKind):
         raise UnknownSubjectKindError(kind)
     explainer = request.core.get(EXPLAINER)
-    story = await explainer.async_tell(kind, request.path["subject_id"])
-    return ApiAnswer(asdict(story))
+    history = await explainer.async_get_history(kind, request.path["subject_id"])
+    return ApiResponse(asdict(history))
--- a/mustardward/components/explain/const.py
+++ b/mustardward/components/explain/const.py
@@ -1,12 +1,12 @@
-"""Bound what the store of stories may hold."""
+"""Define limits of the store of histories."""
 
 from __future__ import annotations
 
 from typing import Final
 
-MAXIMUM_SUBJECTS: Final = 4_096
-MAXIMUM_LINES: Final = 64
-"""Lines kept of one subject; the oldest go first."""
+MAX_SUBJECTS: Final = 4_096
+MAX_LINES: Final = 64
+"""Lines kept per subject; the oldest are dropped first."""
 
 PART_TIMEOUT_SECONDS: Final = 1.0
-"""Longest wait for one entry's part of a story."""
+"""Timeout of the request for one entry's part of a history."""
--- a/mustardward/components/explain/log_lines.py
+++ b/mustardward/components/explain/log_lines.py
@@ -1,4 +1,4 @@
-"""Tell a job's story from entries' log lines, and why it waits; pure."""
+"""Read a job's history, and why it waits, from the log lines of entries; pure."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 from ...helpers.log_pairs import read_pairs
 from ...helpers.logging import format_value
-from .models import Story, StoryLine, SubjectKind
+from .models import HistoryLine, SubjectHistory, SubjectKind
 
 WAITING: Final = "task_waiting"
 STARTED: Final = "runs_started"
 ENDED: Final = "job_ended"
 
-_CAUSES: Final = ("reason", "code", "state", "outcome")
-"""The pairs that name why, the first one that a line has."""
+_CAUSE_FIELDS: Final = ("reason", "code", "state", "outcome")
+"""Log fields that may hold the cause; the first one present in a line is used."""
 
-_LEFT_OUT: Final = frozenset(("time", "level", "event", "part", "node"))
+_OMITTED_FIELDS: Final = frozenset(("time", "level", "event", "part", "node"))
 
 
 @dataclass(frozen=True, slots=True)
-class StepWait:
-    """Hold the last line that told of a step's wait.
+class LatestWait:
+    """Hold the most recently logged wait of a step.
 
-    :param at: of that line, in seconds since 1970.
-    :param seconds: for how long it had waited by then.
-    :param over: whether something of the step started since.
+    :param at: time of the log line, in seconds since 1970.
+    :param seconds: how long the step had waited by then.
+    :param over: whether a run of the step has started since.
     """
 
     step: str
@@ -36,24 +36,24 @@
     over: bool
 
 
-def read_story(lines: Iterable[tuple[str, str]], job: str) -> Story:
-    """Return what lines tell of a job, in the order of their times.
+def read_history(lines: Iterable[tuple[str, str]], job: str) -> SubjectHistory:
+    """Return the log lines that concern a job, in order of time.
 
-    :param lines: each with the name of the entry that wrote it; cut ones are left out.
+    :param lines: pairs of entry name and log line; truncated lines are skipped.
     """
     found = [
-        told
+        parsed
         for entry, line in lines
-        if job in line and (told := _read(entry, line, job)) is not None
+        if job in line and (parsed := _parse_line(entry, line, job)) is not None
     ]
     ordered = sorted(found, key=lambda line: line.at)
-    return Story(SubjectKind.JOB.value, job, tuple(ordered))
+    return SubjectHistory(SubjectKind.JOB.value, job, tuple(ordered))
 
 
-def waits_of(story: Story) -> list[StepWait]:
-    """Return why each step waits, as it was told last; of a job that is over none."""
-    waits: dict[str, StepWait] = {}
-    for line in story.lines:
+def get_latest_waits(history: SubjectHistory) -> list[LatestWait]:
+    """Return the latest wait of each step; none if the job has ended."""
+    waits: dict[str, LatestWait] = {}
+    for line in history.lines:
         pairs = read_pairs(" ".join(line.inputs))
         if "job" in pairs:
             continue
@@ -62,27 +62,27 @@
         if line.happening == WAITING:
             step = pairs.get("step", "")
             seconds = pairs.get("seconds", "")
-            waits[step] = StepWait(step, line.cause, seconds, line.at, over=False)
+            waits[step] = LatestWait(step, line.cause, seconds, line.at, over=False)
         elif line.happening == STARTED:
             for step, wait in waits.items():
                 if f",{step}." in f",{pairs.get('runs', '')}":
-                    waits[step] = StepWait(
+                    waits[step] = LatestWait(
                         step, wait.reason, wait.seconds, wait.at, over=True
                     )
     return list(waits.values())
 
 
-def _read(entry: str, line: str, job: str) -> StoryLine | None:
+def _parse_line(entry: str, line: str, job: str) -> HistoryLine | None:
     try:
         pairs = read_pairs(line)
         at = float(pairs["time"])
         event = pairs["event"]
     except (KeyError, ValueError):
         return None
-    if not _touches(pairs, job):
+    if not _concerns_job(pairs, job):
         return None
-    cause = next((name for name in _CAUSES if name in pairs), "")
-    return StoryLine(
+    cause = next((name for name in _CAUSE_FIELDS if name in pairs), "")
+    return HistoryLine(
         at=at,
         entry=pairs.get("node", entry),
         happening=event,
@@ -90,13 +90,13 @@
         inputs=tuple(
             f"{name}={format_value(value)}"
             for name, value in pairs.items()
-            if name not in _LEFT_OUT and name != cause and value != job
+            if name not in _OMITTED_FIELDS and name != cause and value != job
         ),
     )
 
 
-def _touches(pairs: dict[str, str], job: str) -> bool:
-    """Return whether a line is of a job, or names it or a task of it in a pair."""
+def _concerns_job(pairs: dict[str, str], job: str) -> bool:
+    """Return whether any field of a line names a job or one of its tasks."""
     return any(
         value == job
         or value.startswith(f"{job}.")
--- a/mustardward/components/explain/models.py
+++ b/mustardward/components/explain/models.py
@@ -1,4 +1,4 @@
-"""Model decisions as they are told to operators."""
+"""Define the history of decisions that operators can query."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class SubjectKind(StrEnum):
-    """Name what a story can be asked about."""
+    """Define the kinds of subjects that have a history."""
 
     INSTANCE = "instance"
     WAVE = "wave"
@@ -17,14 +17,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DecisionMade:
-    """Announce on the event bus why this process decided something.
+    """Publish on the event bus a decision of this process and its cause.
 
     :param subject_kind: a value of :class:`SubjectKind`.
-    :param subject_id: the instance, wave, job or organisation decided on.
-    :param decision: what was decided, as an event name (``claim-refused``).
+    :param subject_id: the instance, wave, job or organisation concerned.
+    :param decision: name of the decision, such as ``claim-refused``.
     :param cause: the code or name of the reason.
-    :param inputs: what the decision was made from, as ``key=value`` texts.
-    :param offset: the offset up to which the state was folded, -1 if none counts.
+    :param inputs: inputs of the decision, as ``key=value`` strings.
+    :param offset: offset of the last applied record, -1 if it does not apply.
     """
 
     subject_kind: str
@@ -36,11 +36,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StoryLine:
-    """Hold one line of a subject's story.
+class HistoryLine:
+    """Hold one line of a subject's history.
 
-    ``at`` is in wall-clock seconds of the entry that noted it. ``record_id`` is empty
-    for a decision that wrote no record.
+    ``at`` is the wall-clock time, in seconds, of the entry that recorded it.
+    ``record_id`` is empty for a decision that wrote no record.
     """
 
     at: float
@@ -54,11 +54,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Story:
-    """Hold what is known of a subject, and which entries could not be asked."""
+class SubjectHistory:
+    """Hold a subject's history, and the entries and data centres missing from it."""
 
     subject_kind: str
     subject_id: str
-    lines: tuple[StoryLine, ...]
+    lines: tuple[HistoryLine, ...]
     missing_entries: tuple[str, ...] = ()
     missing_data_centres: tuple[str, ...] = ()
--- a/mustardward/components/explain/store.py
+++ b/mustardward/components/explain/store.py
@@ -1,4 +1,4 @@
-"""Keep a bounded number of stories of bounded length."""
+"""Store a bounded number of histories of bounded length."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from returns.result import Success
 
 from ...state.fold import Acceptance, RecordOutcome
-from .const import MAXIMUM_LINES, MAXIMUM_SUBJECTS
-from .models import DecisionMade, StoryLine
-from .subjects import describe_body, subjects_of, subjects_of_acceptance
+from .const import MAX_LINES, MAX_SUBJECTS
+from .models import DecisionMade, HistoryLine
+from .subjects import describe_body, find_subjects, parse_subjects
 
 
-class StoryStore:
-    """Hold the latest lines of the subjects that changed last.
+class HistoryStore:
+    """Keep the latest lines of the most recently changed subjects.
 
     :param entry: name of this process.
     """
@@ -21,22 +21,24 @@
     def __init__(
         self,
         entry: str,
-        maximum_subjects: int = MAXIMUM_SUBJECTS,
-        maximum_lines: int = MAXIMUM_LINES,
+        max_subjects: int = MAX_SUBJECTS,
+        max_lines: int = MAX_LINES,
     ) -> None:
         self._entry = entry
-        self._maximum_subjects = maximum_subjects
-        self._maximum_lines = maximum_lines
-        self._stories: OrderedDict[tuple[str, str], deque[StoryLine]] = OrderedDict()
+        self._max_subjects = max_subjects
+        self._max_lines = max_lines
+        self._histories: OrderedDict[tuple[str, str], deque[HistoryLine]] = (
+            OrderedDict()
+        )
         self._instance_of_move: dict[str, str] = {}
 
-    def lines(self, subject_kind: str, subject_id: str) -> tuple[StoryLine, ...]:
-        """Return what is kept of one subject, oldest first."""
-        return tuple(self._stories.get((subject_kind, subject_id), ()))
+    def lines(self, subject_kind: str, subject_id: str) -> tuple[HistoryLine, ...]:
+        """Return the stored lines of one subject, oldest first."""
+        return tuple(self._histories.get((subject_kind, subject_id), ()))
 
     def add_decision(self, decision: DecisionMade, at: float) -> None:
-        """Note a decision of this process."""
-        line = StoryLine(
+        """Add a decision of this process."""
+        line = HistoryLine(
             at=at,
             entry=self._entry,
             happening=decision.decision,
@@ -47,19 +49,19 @@
         self._add(decision.subject_kind, decision.subject_id, line)
 
     def add_outcome(self, stream: str, outcome: RecordOutcome, at: float) -> None:
-        """Note what the fold said of a record, for each subject it names."""
+        """Add the outcome of a record to the history of each subject it names."""
         if outcome.duplicate or outcome.body is None:
             return
         envelope = outcome.envelope
-        subjects = subjects_of(outcome.body, self._instance_of_move)
+        subjects = find_subjects(outcome.body, self._instance_of_move)
         if isinstance(outcome.result, Success):
             acceptance: Acceptance = outcome.result.unwrap()
-            subjects += subjects_of_acceptance(acceptance.subjects)
+            subjects += parse_subjects(acceptance.subjects)
         for kind, subject_id in dict.fromkeys(subjects):
-            line = StoryLine(
+            line = HistoryLine(
                 at=at,
                 entry=envelope.actor,
-                happening=f"{envelope.kind} {_verdict(outcome)}",
+                happening=f"{envelope.kind} {_result_name(outcome)}",
                 cause=_cause(outcome),
                 inputs=describe_body(outcome.body, subject_id),
                 stream=stream,
@@ -70,19 +72,19 @@
         if envelope.kind in ("move.transfer", "move.cancel"):
             self._instance_of_move.pop(outcome.body.move_id, None)
 
-    def _add(self, kind: str, subject_id: str, line: StoryLine) -> None:
+    def _add(self, kind: str, subject_id: str, line: HistoryLine) -> None:
         key = (str(kind), subject_id)
-        story = self._stories.get(key)
-        if story is None:
-            story = deque(maxlen=self._maximum_lines)
-            self._stories[key] = story
-        story.append(line)
-        self._stories.move_to_end(key)
-        while len(self._stories) > self._maximum_subjects:
-            self._stories.popitem(last=False)
+        history = self._histories.get(key)
+        if history is None:
+            history = deque(maxlen=self._max_lines)
+            self._histories[key] = history
+        history.append(line)
+        self._histories.move_to_end(key)
+        while len(self._histories) > self._max_subjects:
+            self._histories.popitem(last=False)
 
 
-def _verdict(outcome: RecordOutcome) -> str:
+def _result_name(outcome: RecordOutcome) -> str:
     return "accepted" if isinstance(outcome.result, Success) else "refused"
 
 
--- a/mustardward/components/explain/subjects.py
+++ b/mustardward/components/explain/subjects.py
@@ -1,4 +1,4 @@
-"""Find out which subjects a record tells about, also when it was refused."""
+"""Find the subjects of a record, including those of a refused one."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 _INPUT_LENGTH: Final = 80
 
 
-def subjects_of(body: Any, instance_of_move: dict[str, str]) -> list[Subject]:
+def find_subjects(body: Any, instance_of_move: dict[str, str]) -> list[Subject]:
     """Return the subjects of a record's body.
 
-    :param instance_of_move: instance id by move id; a later record of the move names
-        the move alone, so the request for it is noted here.
+    :param instance_of_move: instance ID by move ID, updated by move requests, because
+        later records of a move contain only its ID.
     """
     if isinstance(body, RequestMove):
         instance_of_move[body.move_id] = body.instance_id
-    return list(dict.fromkeys(_subjects(body, instance_of_move)))
+    return list(dict.fromkeys(_iter_subjects(body, instance_of_move)))
 
 
-def _subjects(body: Any, instance_of_move: dict[str, str]) -> Iterator[Subject]:
+def _iter_subjects(body: Any, instance_of_move: dict[str, str]) -> Iterator[Subject]:
     if isinstance(body, PutOrganisation | RemoveOrganisation):
         yield SubjectKind.ORGANISATION, body.name
     for name, kind in _KIND_BY_FIELD.items():
@@ -48,8 +48,8 @@
         yield SubjectKind.INSTANCE, change.instance_id
 
 
-def subjects_of_acceptance(names: tuple[str, ...]) -> list[Subject]:
-    """Return the subjects that a handler named, as ``kind:id``."""
+def parse_subjects(names: tuple[str, ...]) -> list[Subject]:
+    """Parse the subjects that a handler returned as ``kind:id``."""
     pairs = [name.partition(":") for name in names]
     return [
         (SubjectKind(kind), subject_id)
@@ -59,9 +59,9 @@
 
 
 def describe_body(body: Any, subject_id: str) -> tuple[str, ...]:
-    """Return the fields of a body as ``key=value`` texts.
+    """Return the fields of a body as ``key=value`` strings.
 
-    Payloads are left out, and of a coalesced report only the subject's own change.
+    Payloads are omitted, as are other subjects' changes in a coalesced report.
     """
     if not is_dataclass(body):
         return ()
--- a/mustardward/components/jobs/api.py
+++ b/mustardward/components/jobs/api.py
@@ -16,8 +16,8 @@
     JobStateError,
     JobUnknownError,
 )
-from ..api.problems import answered_with
-from ..api.routes import ApiAnswer, ApiRequest, api_route
+from ..api.problems import problem_status_code
+from ..api.routes import ApiRequest, ApiResponse, api_route
 from ..keys import JOBS, WORK_LOG
 from .errors import (
     JobBindingError,
@@ -45,7 +45,7 @@
     (JobQuotaError, 429),
     (JobStoreFullError, 429),
 ):
-    answered_with(_status)(_error)
+    problem_status_code(_status)(_error)
 
 
 class SubmitModel(BaseModel):
@@ -79,7 +79,7 @@
 
 
 @api_route("POST", "/jobs", "Submit a long job", SubmitModel)
-async def async_submit(request: ApiRequest) -> ApiAnswer:
+async def async_submit(request: ApiRequest) -> ApiResponse:
     """Submit a job and return its view once it is durable."""
     model: SubmitModel = request.model
     submission = Submission(
@@ -96,11 +96,11 @@
     )
     service = request.core.get(JOBS)
     view = _or_raise(await service.async_submit(submission, request.actor))
-    return ApiAnswer(view_to_json(view), status=202)
+    return ApiResponse(view_to_json(view), status=202)
 
 
 @api_route("GET", "/jobs", "List the jobs that wait for an operator, with counts")
-async def async_list(request: ApiRequest) -> ApiAnswer:
+async def async_list(request: ApiRequest) -> ApiResponse:
     """Return the parked and held jobs, and unfinished job counts by organisation."""
     views = request.core.get(JOBS).stuck()
     counts = request.core.get(WORK_LOG).state.open_jobs
@@ -108,52 +108,52 @@
         "stuck": [view_to_json(view) for view in views],
         "unfinished": dict(sorted(counts.items())),
     }
-    return ApiAnswer(body)
+    return ApiResponse(body)
 
 
 @api_route("GET", "/jobs/{job_id}", "Show a job")
-async def async_show(request: ApiRequest) -> ApiAnswer:
+async def async_show(request: ApiRequest) -> ApiResponse:
     """Return a job's status."""
-    return ApiAnswer(view_to_json(_view(request)))
+    return ApiResponse(view_to_json(_view(request)))
 
 
 @api_route("GET", "/jobs/{job_id}/result", "Return a finished job's result")
-async def async_result(request: ApiRequest) -> ApiAnswer:
+async def async_result(request: ApiRequest) -> ApiResponse:
     """Return a job with its result, which is empty until the job is done."""
     view = _view(request)
     body = view_to_json(view)
     body["result_base64"] = base64.b64encode(view.result).decode()
-    return ApiAnswer(body, status=200 if view.status == "done" else 202)
+    return ApiResponse(body, status=200 if view.status == "done" else 202)
 
 
 @api_route("POST", "/jobs/{job_id}/cancel", "Cancel a job")
-async def async_cancel(request: ApiRequest) -> ApiAnswer:
+async def async_cancel(request: ApiRequest) -> ApiResponse:
     """Cancel one job; a running one is stopped asynchronously."""
     view = _view(request)
     service = request.core.get(JOBS)
     _or_raise(
         await service.async_cancel(view.organisation, view.job_id, "", request.actor)
     )
-    return ApiAnswer(view_to_json(_view(request)))
+    return ApiResponse(view_to_json(_view(request)))
 
 
 @api_route("POST", "/job-groups/cancel", "Cancel a group of jobs", CancelGroupModel)
-async def async_cancel_group(request: ApiRequest) -> ApiAnswer:
+async def async_cancel_group(request: ApiRequest) -> ApiResponse:
     """Cancel all unfinished jobs of a group with one log record."""
     model: CancelGroupModel = request.model
     service = request.core.get(JOBS)
     note = _or_raise(
         await service.async_cancel(model.organisation, "", model.group, request.actor)
     )
-    return ApiAnswer({"group": model.group, "note": note})
+    return ApiResponse({"group": model.group, "note": note})
 
 
 @api_route("POST", "/jobs/{job_id}/retry", "Let a parked or held job run again")
-async def async_retry(request: ApiRequest) -> ApiAnswer:
+async def async_retry(request: ApiRequest) -> ApiResponse:
     """Let a parked or held job run again on an operator's decision."""
     service = request.core.get(JOBS)
     view = _or_raise(await service.async_retry(request.path["job_id"], request.actor))
-    return ApiAnswer(view_to_json(view))
+    return ApiResponse(view_to_json(view))
 
 
 def view_to_json(view: JobView) -> dict[str, Any]:
--- a/mustardward/components/maintenance/api.py
+++ b/mustardward/components/maintenance/api.py
@@ -14,7 +14,7 @@
 from ...state.handlers.waves import wave_limit
 from ...state.models.maintenance import ScheduleWave, SignalWave, Wave
 from ...state.records import NO_BASE
-from ..api.routes import ApiAnswer, ApiRequest, api_route
+from ..api.routes import ApiRequest, ApiResponse, api_route
 from ..keys import FLEET_LOG, WORK_LOG
 from .plan_bounds import canary_bound, rollout_bound
 from .plan_inputs import build_plan_input, running_tasks
@@ -60,16 +60,16 @@
 
 
 @api_route("GET", "/waves", "List the waves")
-async def async_list(request: ApiRequest) -> ApiAnswer:
+async def async_list(request: ApiRequest) -> ApiResponse:
     """Return a summary of each wave."""
     state = request.core.get(FLEET_LOG).state
-    return ApiAnswer(
+    return ApiResponse(
         [_summarize(state, wave) for _, wave in sorted(state.waves.items())]
     )
 
 
 @api_route("GET", "/waves/{wave_id}", "Show how far a wave is")
-async def async_show(request: ApiRequest) -> ApiAnswer:
+async def async_show(request: ApiRequest) -> ApiResponse:
     """Return a wave with its claims and the budgets that block it."""
     state = request.core.get(FLEET_LOG).state
     wave = _get_wave(state, request.path["wave_id"])
@@ -90,11 +90,11 @@
         "claims": claims,
         "held_back_by": _binding_budgets(state, wave),
     }
-    return ApiAnswer({**_summarize(state, wave), **details})
+    return ApiResponse({**_summarize(state, wave), **details})
 
 
 @api_route("POST", "/waves/{wave_id}", "Schedule a wave", WaveModel)
-async def async_schedule(request: ApiRequest) -> ApiAnswer:
+async def async_schedule(request: ApiRequest) -> ApiResponse:
     """Propose a wave."""
     model: WaveModel = request.model
     body = ScheduleWave(
@@ -109,7 +109,7 @@
 
 
 @api_route("POST", "/waves/{wave_id}/{signal}", "Steer a wave", SignalModel)
-async def async_signal(request: ApiRequest) -> ApiAnswer:
+async def async_signal(request: ApiRequest) -> ApiResponse:
     """Propose to pause, resume or cancel a wave."""
     signal = request.path["signal"]
     if signal not in OPERATOR_SIGNALS:
@@ -122,7 +122,7 @@
 
 
 @api_route("POST", "/wave-plans", "Plan a wave without scheduling it", WaveModel)
-async def async_plan(request: ApiRequest) -> ApiAnswer:
+async def async_plan(request: ApiRequest) -> ApiResponse:
     """Return the planned steps and the binding budgets."""
     model: WaveModel = request.model
     state = request.core.get(FLEET_LOG).state
@@ -137,7 +137,7 @@
     plan_input = build_plan_input(
         state, pools, due, running_tasks(work.state if work else None), model.canary
     )
-    return ApiAnswer(describe_plan(plan_input, await async_plan_wave(plan_input)))
+    return ApiResponse(describe_plan(plan_input, await async_plan_wave(plan_input)))
 
 
 def describe_plan(plan_input: PlanInput, plan: Plan) -> dict[str, Any]:
@@ -177,7 +177,7 @@
     }
 
 
-async def _async_propose(request: ApiRequest, body: Any, base: int) -> ApiAnswer:
+async def _async_propose(request: ApiRequest, body: Any, base: int) -> ApiResponse:
     result = await request.core.get(FLEET_LOG).async_propose(
         body,
         actor=request.actor,
@@ -187,7 +187,7 @@
     if isinstance(result, Failure):
         raise result.failure()
     acceptance = result.unwrap()
-    return ApiAnswer(
+    return ApiResponse(
         {"revision": acceptance.revision, "subjects": list(acceptance.subjects)},
         status=202,
     )
--- a/mustardward/components/pools/api.py
+++ b/mustardward/components/pools/api.py
@@ -14,7 +14,7 @@
 from ...state.instance_status import instance_status
 from ...state.models.pools import CancelMove, Instance, Move, RequestMove
 from ...state.records import NO_BASE
-from ..api.routes import ApiAnswer, ApiRequest, api_route
+from ..api.routes import ApiRequest, ApiResponse, api_route
 from ..keys import FLEET_LOG, MEMBERSHIP, POOL_PROBER
 from ..maintenance.models import executor_name
 
@@ -55,14 +55,14 @@
 
 
 @api_route("GET", "/pools", "List the pools")
-async def async_list(request: ApiRequest) -> ApiAnswer:
+async def async_list(request: ApiRequest) -> ApiResponse:
     """Return how many instances each pool has, and how many are available."""
     state = request.core.get(FLEET_LOG).state
-    return ApiAnswer([_describe_pool(state, name) for name in sorted(state.pools)])
+    return ApiResponse([_describe_pool(state, name) for name in sorted(state.pools)])
 
 
 @api_route("GET", "/pools/{name}", "Show a pool")
-async def async_show(request: ApiRequest) -> ApiAnswer:
+async def async_show(request: ApiRequest) -> ApiResponse:
     """Return a pool's instances, its moves, and the budgets on it."""
     state = request.core.get(FLEET_LOG).state
     name = request.path["name"]
@@ -93,18 +93,20 @@
         if name in (item.source, item.target)
     ]
     details = {"instances": instances, "moves": moves, "budgets": budgets}
-    return ApiAnswer({**_describe_pool(state, name), **details})
+    return ApiResponse({**_describe_pool(state, name), **details})
 
 
 @api_route("GET", "/moves", "List the moves in progress")
-async def async_moves(request: ApiRequest) -> ApiAnswer:
+async def async_moves(request: ApiRequest) -> ApiResponse:
     """Return each move and the entries whose acknowledgement is missing."""
     state = request.core.get(FLEET_LOG).state
-    return ApiAnswer([_describe_move(move) for _, move in sorted(state.moves.items())])
+    return ApiResponse(
+        [_describe_move(move) for _, move in sorted(state.moves.items())]
+    )
 
 
 @api_route("POST", "/moves", "Move an instance to another pool", MoveModel)
-async def async_move(request: ApiRequest) -> ApiAnswer:
+async def async_move(request: ApiRequest) -> ApiResponse:
     """Propose a move, which every entry of the data centre has to acknowledge."""
     model: MoveModel = request.model
     instance = request.core.get(FLEET_LOG).state.instances.get(model.instance_id)
@@ -132,7 +134,7 @@
 
 
 @api_route("POST", "/moves/{move_id}/cancel", "Cancel a move", CancelModel)
-async def async_cancel(request: ApiRequest) -> ApiAnswer:
+async def async_cancel(request: ApiRequest) -> ApiResponse:
     """Propose to cancel a move; the instance stays in its pool."""
     move_id = request.path["move_id"]
     record_id = request.model.record_id or uuid4().hex
@@ -141,13 +143,13 @@
 
 async def _async_propose(
     request: ApiRequest, body: RequestMove | CancelMove, base: int, record_id: str
-) -> ApiAnswer:
+) -> ApiResponse:
     result = await request.core.get(FLEET_LOG).async_propose(
         body, actor=request.actor, base_revision=base, record_id=record_id
     )
     if isinstance(result, Failure):
         raise result.failure()
-    return ApiAnswer(
+    return ApiResponse(
         {"move": body.move_id, "revision": result.unwrap().revision}, status=202
     )
 
--- a/mustardward/components/reports/__init__.py
+++ b/mustardward/components/reports/__init__.py
@@ -1,4 +1,4 @@
-"""Account for service levels and their burn."""
+"""Measure service levels and report how fast error budgets burn."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 async def async_setup(core: Core) -> Unload:
-    """Count finished requests from now on; return what undoes it."""
+    """Start counting finished requests; return the unload function."""
     from ..entry.models import RequestFinished
     from ..keys import BURN_REPORTER, PEERS
-    from . import api  # noqa: F401 - files the route
-    from .service import AskBurn, BurnReporter
+    from . import api  # noqa: F401 - registers the route
+    from .service import BurnReporter, BurnRequest
 
     reporter = BurnReporter(core)
     undo = [core.events.listen(RequestFinished, reporter.record)]
     peers = core.find(PEERS)
     if peers is not None:
-        undo.append(peers.handle(AskBurn, reporter.async_answer))
+        undo.append(peers.handle(BurnRequest, reporter.async_handle_request))
     core.put(BURN_REPORTER, reporter)
 
     async def async_unload() -> None:
--- a/mustardward/components/reports/bound.py
+++ b/mustardward/components/reports/bound.py
@@ -1,8 +1,9 @@
-"""Compare a day's instances and jobs in time with other planners and a bound; pure.
+"""Compare a day's capacity planning with simple planners and a lower bound; pure.
 
-The bound knows all arrivals and run times beforehand: every task begins as its turn
-comes, and an instance stands only while it is needed, or while to send it off and fetch
-it again would cost more. No planner that has to wait for arrivals gets there.
+The lower bound assumes that all arrivals and run times are known in advance: each task
+starts as soon as its dependencies have finished, and an instance is kept only while it
+is needed, or while removing and adding it again would cost more. A planner that does
+not know future arrivals cannot reach it.
 """
 
 from __future__ import annotations
@@ -12,20 +13,27 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from .played_pool import PlayedPool
-from .replayed import GRID_SECONDS, Account, Work, account_of, cell_of, sample
-from .stories import Amount, Day
-
-BRIDGE_SECONDS: Final = 2.3
-"""Gap in which an instance is kept rather than sent off: a way off and on again costs
+from .day_models import Day, Resources
+from .pool_simulation import PoolSimulation
+from .workload import (
+    GRID_SECONDS,
+    JobTrace,
+    Workload,
+    build_workload,
+    find_cell,
+    sample,
+)
+
+MAX_KEPT_GAP_SECONDS: Final = 2.3
+"""Longest idle gap in which an instance is kept; removing it and adding it again costs
 about as much."""
 
 
 @dataclass(slots=True)
-class Planned:
-    """Hold what a planner came to: instances on the grid, by pool.
+class PlannerResult:
+    """Hold the result of a planner: instance counts per grid cell, by pool.
 
-    :param in_time: jobs done within their objective.
+    :param in_time: jobs completed within their objective.
     """
 
     name: str
@@ -36,115 +44,126 @@
 
     @property
     def instance_seconds(self) -> float:
-        """Return the sum over the pools."""
+        """Return the instance seconds of all pools."""
         return GRID_SECONDS * sum(sum(counts) for counts in self.instances.values())
 
     @property
     def share_in_time(self) -> float:
-        """Return the share of jobs done within their objective."""
+        """Return the share of jobs completed within their objective."""
         return self.in_time / self.jobs if self.jobs else 0.0
 
 
-def compare(day: Day) -> list[Planned]:
-    """Return what the entries, the bound and two simple planners come to."""
-    account = account_of(day)
-    planners = (actual, bound, by_threshold, all_on)
-    return [planner(account) for planner in planners]
+def compare_planners(day: Day) -> list[PlannerResult]:
+    """Return the results of the system, the lower bound and two simple planners."""
+    workload = build_workload(day)
+    planners = (
+        get_actual_result,
+        compute_lower_bound,
+        simulate_threshold,
+        simulate_fixed_size,
+    )
+    return [planner(workload) for planner in planners]
 
 
-def actual(account: Account) -> Planned:
-    """Return what the entries came to, by their own lines."""
-    planned = Planned("as it was", len(account.works), account.actually_in_time)
-    planned.moves = account.moves
-    for service, looks in account.sizes.items():
-        planned.instances[service] = sample(looks, account.cells, 0)
-    return planned
+def get_actual_result(workload: Workload) -> PlannerResult:
+    """Return the actual result of the system, from the logs of its entries."""
+    result = PlannerResult("as it was", len(workload.jobs), workload.actual_in_time)
+    result.moves = workload.moves
+    for service, samples in workload.sizes.items():
+        result.instances[service] = sample(samples, workload.cell_count, 0)
+    return result
 
 
-def bound(account: Account) -> Planned:
-    """Return what a planner that knows all beforehand needs for all jobs in time."""
-    count = len(account.works)
-    planned = Planned("known beforehand", count, count)
+def compute_lower_bound(workload: Workload) -> PlannerResult:
+    """Return the instances needed if all arrivals and run times are known."""
+    count = len(workload.jobs)
+    result = PlannerResult("known beforehand", count, count)
     demand = {
-        service: sample(looks, account.cells, Amount())
-        for service, looks in account.lasting.items()
+        service: sample(samples, workload.cell_count, Resources())
+        for service, samples in workload.long_running.items()
     }
-    for work in account.works:
-        taken = demand.get(work.service, [])
-        for begin, end, room in _spans(work):
-            over = max(cell_of(begin) + 1, cell_of(end))
-            for cell in range(cell_of(begin), min(len(taken), over)):
-                taken[cell] += room
-    for service, taken in demand.items():
-        size = account.room[service]
-        least = sample(account.spread[service], account.cells, 0)
+    for job in workload.jobs:
+        used = demand.get(job.service, [])
+        for start, end, resources in _iter_task_spans(job):
+            end_cell = max(find_cell(start) + 1, find_cell(end))
+            for cell in range(find_cell(start), min(len(used), end_cell)):
+                used[cell] += resources
+    for service, used in demand.items():
+        size = workload.resources[service]
+        min_counts = sample(workload.min_workers[service], workload.cell_count, 0)
         needs = [
-            max(math.ceil(amount.ceil_share(size)), spread)
-            for amount, spread in zip(taken, least, strict=True)
+            max(math.ceil(amount.ceil_share(size)), min_workers)
+            for amount, min_workers in zip(used, min_counts, strict=True)
         ]
-        planned.instances[service], moves = keep_over_gaps(needs)
-        planned.moves += moves
-    return planned
+        result.instances[service], moves = fill_short_gaps(needs)
+        result.moves += moves
+    return result
 
 
-def _spans(work: Work) -> Iterable[tuple[float, float, Amount]]:
-    """Yield begin, end and room of each task that begins as its turn comes."""
+def _iter_task_spans(job: JobTrace) -> Iterable[tuple[float, float, Resources]]:
+    """Yield start, end and resources of each task, started as soon as possible."""
     ends: list[float] = []
-    for piece in work.pieces:
-        begin = max((ends[n] for n in piece.after if n < len(ends)), default=0.0)
-        begin = max(begin, work.submitted_at)
-        for seconds in piece.seconds:
-            yield begin, begin + seconds, piece.room
-        ends.append(begin + max(piece.seconds, default=0.0))
+    for trace in job.steps:
+        start = max((ends[n] for n in trace.after if n < len(ends)), default=0.0)
+        start = max(start, job.submitted_at)
+        for seconds in trace.seconds:
+            yield start, start + seconds, trace.resources
+        ends.append(start + max(trace.seconds, default=0.0))
 
 
-def keep_over_gaps(needs: Sequence[int]) -> tuple[list[int], int]:
-    """Return needs with short gaps filled, and the moves that are left.
+def fill_short_gaps(needs: Sequence[int]) -> tuple[list[int], int]:
+    """Return instance counts with short gaps filled, and the remaining moves.
 
-    Each instance is looked at by itself: the k-th one is needed while k or more are.
+    Instances are treated separately: the k-th is needed while at least k are.
     """
-    gap = round(BRIDGE_SECONDS / GRID_SECONDS)
-    kept = [0] * len(needs)
+    gap = round(MAX_KEPT_GAP_SECONDS / GRID_SECONDS)
+    counts = [0] * len(needs)
     moves = 0
-    for level in range(1, max(needs, default=0) + 1):
+    for ordinal in range(1, max(needs, default=0) + 1):
         last: int | None = None
         for cell, need in enumerate(needs):
-            if need < level:
+            if need < ordinal:
                 continue
             if last is None or cell - last > gap:
                 moves += 2
-                kept[cell] += 1
+                counts[cell] += 1
             else:
-                for between in range(last + 1, cell + 1):
-                    kept[between] += 1
+                for filled in range(last + 1, cell + 1):
+                    counts[filled] += 1
             last = cell
-    return kept, moves
+    return counts, moves
 
 
-def all_on(account: Account) -> Planned:
-    """Return what keeping the most that a pool ever had on all day comes to."""
-    most = {name: max(n for _, n in looks) for name, looks in account.sizes.items()}
-    return _simulate("all kept on", account, most, adapts=False)
+def simulate_fixed_size(workload: Workload) -> PlannerResult:
+    """Return the result of keeping each pool at its peak size all day."""
+    peak = {
+        name: max(n for _, n in samples) for name, samples in workload.sizes.items()
+    }
+    return _simulate("all kept on", workload, peak, autoscales=False)
 
 
-def by_threshold(account: Account) -> Planned:
-    """Return what adding at a threshold and sending off when idle comes to."""
-    first = dict.fromkeys(account.sizes, 2)
-    return _simulate("by threshold", account, first, adapts=True)
+def simulate_threshold(workload: Workload) -> PlannerResult:
+    """Return the result of scaling out at a threshold and in when idle."""
+    initial = dict.fromkeys(workload.sizes, 2)
+    return _simulate("by threshold", workload, initial, autoscales=True)
 
 
 def _simulate(
-    name: str, account: Account, sizes: Mapping[str, int], adapts: bool
-) -> Planned:
-    planned = Planned(name, len(account.works))
+    name: str, workload: Workload, sizes: Mapping[str, int], autoscales: bool
+) -> PlannerResult:
+    result = PlannerResult(name, len(workload.jobs))
     for service, size in sizes.items():
-        own = [work for work in account.works if work.service == service]
-        lasting = sample(account.lasting[service], account.cells, Amount())
-        pool = PlayedPool(own, account.room[service], size, adapts)
-        planned.instances[service] = [
-            pool.step(cell * GRID_SECONDS, lasting[cell])
-            for cell in range(account.cells)
+        service_jobs = [job for job in workload.jobs if job.service == service]
+        long_running = sample(
+            workload.long_running[service], workload.cell_count, Resources()
+        )
+        pool = PoolSimulation(
+            service_jobs, workload.resources[service], size, autoscales
+        )
+        result.instances[service] = [
+            pool.step(cell * GRID_SECONDS, long_running[cell])
+            for cell in range(workload.cell_count)
         ]
-        planned.in_time += pool.in_time
-        planned.moves += pool.moves
-    return planned
+        result.in_time += pool.in_time
+        result.moves += pool.moves
+    return result
--- a/mustardward/components/reports/bound_plot.py
+++ b/mustardward/components/reports/bound_plot.py
@@ -1,4 +1,4 @@
-"""Draw the instances of several planners over a day, one panel a pool."""
+"""Plot the instances of several planners over a day, one panel per pool."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from .bound import Planned
-from .replayed import GRID_SECONDS
+from .bound import PlannerResult
+from .workload import GRID_SECONDS
 
 
-def draw(planned: Sequence[Planned], path: Path) -> None:
-    """Write an SVG; matplotlib is needed, which no entry has."""
-    # Where it has no cache of fonts yet, it tells of making one amid the report's rows.
+def draw(planned: Sequence[PlannerResult], path: Path) -> None:
+    """Write an SVG; requires matplotlib, which is not installed on entries."""
+    # Without a font cache, matplotlib logs that it builds one, amid the report's rows.
     logging.getLogger("matplotlib").setLevel(logging.WARNING)
     import matplotlib
 
--- a/mustardward/components/reports/const.py
+++ b/mustardward/components/reports/const.py
@@ -1,4 +1,4 @@
-"""Hold the windows and bounds of service-level accounts."""
+"""Define the time windows and limits of service-level counts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
     "6h": 21_600.0,
     "3d": 259_200.0,
 }
-"""Windows of burn rates; the longest one is that of the error budget."""
+"""Windows of burn rates; the longest is the window of the error budget."""
 
 BUDGET_WINDOW: Final = "3d"
 FINE_BUCKET_SECONDS: Final = 30.0
@@ -24,5 +24,5 @@
 
 PART_TIMEOUT_SECONDS: Final = 1.0
 DATA_CENTRE_TIMEOUT_SECONDS: Final = 3.0
-DATA_CENTRE_TRIES: Final = 2
-"""Entries of another data centre asked before its part counts as missing."""
+MAX_DATA_CENTRE_ATTEMPTS: Final = 2
+"""Entries of another data centre to try before its counts are reported missing."""
--- a/mustardward/components/reports/day.py
+++ b/mustardward/components/reports/day.py
@@ -1,81 +1,83 @@
-"""Say why a day's jobs were late, by what its log lines tell; pure."""
+"""Determine from a day's log lines why jobs were late; pure."""
 
 from __future__ import annotations
 
 from collections import Counter, defaultdict
 from typing import Final
 
+from .day_models import Cause, CauseRow, Day, JobRecord
 from .outages import Span
-from .stories import Cause, CauseRow, Day, JobStory
 
 SLOW_FACTOR: Final = 1.5
-"""A run that took so many times as long as its owner expected was slow."""
+"""A run is slow if it took more than this multiple of the expected time."""
 
 
-def first_starts(day: Day) -> list[float]:
-    """Return, sorted, the seconds from each job's submission to its first start."""
+def compute_start_delays(day: Day) -> list[float]:
+    """Return the sorted seconds from each job's submission to its first start."""
     return sorted(
-        min(run.started_at for run in story.runs.values()) - story.submitted_at
-        for story in day.jobs.values()
-        if story.runs and story.submitted_at is not None and not story.lasting
+        min(run.started_at for run in record.runs.values()) - record.submitted_at
+        for record in day.jobs.values()
+        if record.runs and record.submitted_at is not None and not record.long_running
     )
 
 
-def explain(day: Day) -> list[CauseRow]:
-    """Return how many jobs each cause made late, the most frequent first."""
+def count_delay_causes(day: Day) -> list[CauseRow]:
+    """Return the number of late jobs by cause, most frequent first."""
     jobs: Counter[Cause] = Counter()
     tasks: Counter[Cause] = Counter()
     seconds: dict[Cause, float] = defaultdict(float)
-    for story in day.jobs.values():
-        if story.lasting or story.state == "cancelled":
+    for record in day.jobs.values():
+        if record.long_running or record.state == "cancelled":
             continue
-        never = not story.state and story.refusals and story.submitted_at is None
-        if not story.late and not never:
+        not_accepted = (
+            not record.state and record.refusals and record.submitted_at is None
+        )
+        if not record.late and not not_accepted:
             continue
-        cause = Cause.NOT_ACCEPTED if never else cause_of(story, day)
+        cause = Cause.NOT_ACCEPTED if not_accepted else find_delay_cause(record, day)
         jobs[cause] += 1
-        tasks[cause] += story.tasks
-        seconds[cause] += max(0.0, story.seconds - story.objective)
+        tasks[cause] += record.tasks
+        seconds[cause] += max(0.0, record.seconds - record.objective_seconds)
     return [
         CauseRow(cause, count, tasks[cause], seconds[cause])
         for cause, count in jobs.most_common()
     ]
 
 
-def cause_of(story: JobStory, day: Day) -> Cause:
-    """Return what took most of a late job's time beyond its work."""
-    if story.given_up:
+def find_delay_cause(record: JobRecord, day: Day) -> Cause:
+    """Return the cause that delayed a late job most."""
+    if record.given_up:
         return Cause.GIVEN_UP
-    end = story.ended_at or 0.0
-    begin = end - story.seconds
-    first_seen = story.submitted_at if story.submitted_at is not None else begin
-    done = [run for run in story.runs.values() if run.how == "done"]
-    again = [run for run in story.runs.values() if run.how not in ("done", "")]
+    end = record.ended_at or 0.0
+    start = end - record.seconds
+    accepted_at = record.submitted_at if record.submitted_at is not None else start
+    done = [run for run in record.runs.values() if run.outcome == "done"]
+    repeated = [run for run in record.runs.values() if run.outcome not in ("done", "")]
     slow = [
-        run.seconds - run.expected
+        run.seconds - run.expected_seconds
         for run in done
-        if run.expected and run.seconds > SLOW_FACTOR * run.expected
+        if run.expected_seconds and run.seconds > SLOW_FACTOR * run.expected_seconds
     ]
-    spent = {
-        Cause.STORE_AWAY: _overlap(day.outages, begin, end),
-        Cause.OWNER_CHANGED: _overlap(day.takeovers, begin, end),
-        Cause.WAITED_FOR_ROOM: _waited(story),
-        Cause.RUN_REPEATED: max((run.seconds for run in again), default=0.0),
+    delays = {
+        Cause.STORE_UNAVAILABLE: _overlap_seconds(day.outages, start, end),
+        Cause.OWNER_CHANGED: _overlap_seconds(day.takeovers, start, end),
+        Cause.WAITED_FOR_ROOM: _wait_seconds(record),
+        Cause.RUN_REPEATED: max((run.seconds for run in repeated), default=0.0),
         Cause.SLOW_RUN: max(slow, default=0.0),
-        Cause.NOT_ACCEPTED: max(0.0, first_seen - begin),
+        Cause.NOT_ACCEPTED: max(0.0, accepted_at - start),
     }
-    cause = max(spent, key=lambda name: spent[name])
-    return cause if spent[cause] > 0 else Cause.OTHER
+    cause = max(delays, key=lambda name: delays[name])
+    return cause if delays[cause] > 0 else Cause.OTHER
 
 
-def _waited(story: JobStory) -> float:
-    """Return the longest wait of each step, added up."""
+def _wait_seconds(record: JobRecord) -> float:
+    """Return the sum of the longest waits of the steps."""
     waits: dict[tuple[int, int], float] = defaultdict(float)
-    for run in story.runs.values():
-        step = run.place[:2]
-        waits[step] = max(waits[step], run.waited)
+    for run in record.runs.values():
+        step = run.position[:2]
+        waits[step] = max(waits[step], run.wait_seconds)
     return sum(waits.values())
 
 
-def _overlap(spans: list[Span], begin: float, end: float) -> float:
-    return sum(max(0.0, min(end, last) - max(begin, first)) for first, last in spans)
+def _overlap_seconds(spans: list[Span], start: float, end: float) -> float:
+    return sum(max(0.0, min(end, last) - max(start, first)) for first, last in spans)
--- a/mustardward/components/reports/models.py
+++ b/mustardward/components/reports/models.py
@@ -1,16 +1,16 @@
-"""Model counts of requests, parts of entries, and the report of burn."""
+"""Define request counts, the parts of entries and the burn report."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field, fields
 
 CAUSES = ("refusal", "wave", "failure", "neighbour", "worker", "other")
-"""What may spend error budget; ``other`` is an error that names no cause."""
+"""Causes that spend error budget; ``other`` is an error without a known cause."""
 
 
 @dataclass(slots=True)
 class Counts:
-    """Count requests of one organisation by what became of them.
+    """Count requests of one organisation by outcome.
 
     ``slow`` counts successes that took longer than the objective's latency.
     """
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrganisationPart:
-    """Hold an organisation's counts by window, and its latencies as a sketch."""
+    """Hold an organisation's counts by window and its encoded latency sketch."""
 
     organisation: str
     windows: dict[str, Counts]
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Coverage:
-    """Say since how many seconds one entry has counted."""
+    """Hold for how many seconds one entry has been counting."""
 
     entry: str
     data_centre: str
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BurnPart:
-    """Hold what one entry, or several merged, counted."""
+    """Hold the counts of one entry, or the merged counts of several."""
 
     coverage: tuple[Coverage, ...] = ()
     organisations: tuple[OrganisationPart, ...] = ()
@@ -68,8 +68,8 @@
 class WindowBurn:
     """Hold one window of the report.
 
-    A rate of 1 spends the budget exactly in the period it is given for. ``covered`` is
-    the share of the window, over all entries asked, that was counted at all.
+    A rate of 1 spends the budget exactly within its period. ``covered`` is the share of
+    the window, over all responding entries, in which requests were counted.
     """
 
     window: str
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrganisationBurn:
-    """Hold an organisation's burn; latencies are in seconds, of the last hour."""
+    """Hold an organisation's burn, with latencies of about the last hour in seconds."""
 
     organisation: str
     success_share: float
@@ -99,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BurnReport:
-    """Hold the report, and which parts it lacks."""
+    """Hold the report and the names of missing parts."""
 
     at: float
     entries: int
--- a/mustardward/components/reports/outages.py
+++ b/mustardward/components/reports/outages.py
@@ -1,7 +1,8 @@
-"""Tell from entries' lines when the store was away for the system; pure.
+"""Determine from the log lines of entries when the store was unavailable; pure.
 
-One entry that loses the store alone costs its callers a moment: its peers answer for
-it. Taken for an outage, it made the store the cause of jobs that had waited for room.
+A store connection lost by a single entry is not an outage: its peers serve its callers
+after a short delay. Counting it as one would attribute the delay of jobs that waited
+for capacity to the store.
 """
 
 from __future__ import annotations
@@ -12,18 +13,18 @@
 
 Span = tuple[float, float]
 
-MOST_SHARE: Final = 0.5
-"""Share of the entries without the store from which on it is away for the system."""
+OUTAGE_ENTRY_SHARE: Final = 0.5
+"""Minimum share of entries without the store that makes an outage of the system."""
 
 
 @dataclass(slots=True)
-class Outages:
-    """Hold who has lost the store, and the spans in which it was away.
+class OutageTracker:
+    """Track which entries have lost the store, and the spans of outages.
 
-    It is away while it is for most entries, or for the one that owns the shard: no job
-    starts or ends in the log meanwhile.
+    An outage lasts while half of the entries, or the entry that owns the shard, have
+    lost the store: no start or end of a job can be logged in the meantime.
 
-    :param spans: in seconds, those that are over.
+    :param spans: start and end of past outages, in seconds.
     """
 
     spans: list[Span] = field(default_factory=list)
@@ -32,40 +33,40 @@
     _owner: str = ""
     _since: float | None = None
 
-    def entry_started(self, node: str, at: float) -> None:
-        """Take in that an entry's process began; it has lost nothing yet."""
+    def record_entry_start(self, node: str, at: float) -> None:
+        """Record that an entry started, without lost topics."""
         self._entries.add(node)
         self._lost.pop(node, None)
-        self._look(at)
+        self._update(at)
 
-    def owner_started(self, node: str, at: float) -> None:
-        """Take in which entry owns the shard from now on.
+    def record_owner_start(self, node: str, at: float) -> None:
+        """Record the new owner of the shard.
 
-        The owner before stops reading what only owners read, and never says that it
-        has it again.
+        The previous owner stops reading topics that only owners read, and never logs
+        that it has regained them.
         """
         if self._owner not in ("", node):
             self._lost.pop(self._owner, None)
         self._owner = node
-        self._look(at)
+        self._update(at)
 
-    def lost(self, node: str, topic: str, at: float) -> None:
-        """Take in that an entry can't read a topic any more."""
+    def record_topic_lost(self, node: str, topic: str, at: float) -> None:
+        """Record that an entry can no longer read a topic."""
         self._entries.add(node)
         self._lost[node].add(topic)
-        self._look(at)
+        self._update(at)
 
-    def regained(self, node: str, topic: str, at: float) -> None:
-        """Take in that an entry reads a topic again."""
+    def record_topic_regained(self, node: str, topic: str, at: float) -> None:
+        """Record that an entry can read a topic again."""
         self._lost[node].discard(topic)
-        self._look(at)
+        self._update(at)
 
-    def _look(self, at: float) -> None:
-        without = {node for node, topics in self._lost.items() if topics}
-        most = len(without) >= MOST_SHARE * len(self._entries) and bool(without)
-        away = most or self._owner in without
-        if away and self._since is None:
+    def _update(self, at: float) -> None:
+        lost = {node for node, topics in self._lost.items() if topics}
+        widespread = len(lost) >= OUTAGE_ENTRY_SHARE * len(self._entries) and bool(lost)
+        unavailable = widespread or self._owner in lost
+        if unavailable and self._since is None:
             self._since = at
-        elif not away and self._since is not None:
+        elif not unavailable and self._since is not None:
             self.spans.append((self._since, at))
             self._since = None
--- a/mustardward/components/reports/page.py
+++ b/mustardward/components/reports/page.py
@@ -1,7 +1,7 @@
-"""Render the report on burn as one HTML page with inline plots.
+"""Render the burn report as one HTML page with inline plots.
 
-The commands render it, not the serving process. Plots are plain SVG that scales with
-the screen; the page loads nothing else, so that it opens from a file on a phone.
+Commands render it, not the serving process. Plots are inline SVG that scales with the
+screen; the page loads no other resources, so it can be opened from a file on a phone.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 
 def render_page(report: dict[str, Any]) -> str:
-    """Return the page for a report as the interface gives it."""
+    """Return the HTML page of a report, given as the body of the API response."""
     key = "".join(
         f'<span><i style="background:{colour}"></i>{cause}</span>'
         for cause, colour in CAUSE_COLOURS.items()
@@ -118,7 +118,7 @@
 
 
 def _render_bar(top: int, window: dict[str, Any]) -> str:
-    """Return the bar of a burn rate, divided by what burnt it."""
+    """Return the bar of a burn rate, divided by cause."""
     length = _scale(window["error_burn_rate"])
     left = float(_LABEL_WIDTH)
     bars = []
--- a/mustardward/components/reports/account.py
+++ b/mustardward/components/reports/request_counters.py
@@ -1,4 +1,4 @@
-"""Count the finished requests of each organisation in windows."""
+"""Count the finished requests of each organisation by time window."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
 
 _SERVER_ERROR: Final = 500
 _UNUSED: Final = -1
-_COLUMNS: Final = {item.name: place for place, item in enumerate(fields(Counts))}
+_COLUMNS: Final = {item.name: slot for slot, item in enumerate(fields(Counts))}
 _FINE_SPAN: Final = max(WINDOW_SECONDS[name] for name in FINE_WINDOWS)
 _COARSE_SPAN: Final = max(WINDOW_SECONDS.values())
 
 
 def failure_cause(event: RequestFinished) -> str:
-    """Return what spent error budget, or nothing if the request succeeded."""
+    """Return the cause of a failed request, or an empty string if it succeeded."""
     if event.cause:
         return event.cause if event.cause in CAUSES else "other"
     return "other" if event.status >= _SERVER_ERROR else ""
 
 
 class BucketRing:
-    """Hold counts in buckets of time, in arrays of fixed size.
+    """Count in time buckets, stored in arrays of fixed size.
 
-    An object for each bucket would cost 77 KB for an organisation, the arrays 16 KB.
+    One object per bucket would take 77 KB per organisation; the arrays take 16 KB.
 
     :param width_seconds: length of a bucket.
-    :param span_seconds: length of the longest window asked for.
+    :param span_seconds: length of the longest window that is queried.
     """
 
     def __init__(self, width_seconds: float, span_seconds: float) -> None:
@@ -46,31 +46,31 @@
         self._counts = array("I", [0]) * (self._size * len(_COLUMNS))
 
     def count(self, now: float, *names: str) -> None:
-        """Add one to some counts of the bucket that a time falls into."""
+        """Increment the named counts in the bucket of a time."""
         index = int(now // self._width_seconds)
-        place = index % self._size
-        start = place * len(_COLUMNS)
-        if self._indexes[place] != index:
-            self._indexes[place] = index
+        slot = index % self._size
+        start = slot * len(_COLUMNS)
+        if self._indexes[slot] != index:
+            self._indexes[slot] = index
             for column in range(start, start + len(_COLUMNS)):
                 self._counts[column] = 0
         for name in names:
             self._counts[start + _COLUMNS[name]] += 1
 
     def total(self, now: float, window_seconds: float) -> Counts:
-        """Return the sum of the buckets that begin within a window."""
+        """Return the sum of the buckets that start within a window."""
         first = int((now - window_seconds) // self._width_seconds) + 1
         sums = [0] * len(_COLUMNS)
-        for place, index in enumerate(self._indexes):
+        for slot, index in enumerate(self._indexes):
             if index >= first:
-                start = place * len(_COLUMNS)
+                start = slot * len(_COLUMNS)
                 row = self._counts[start : start + len(_COLUMNS)]
                 sums = [total + value for total, value in zip(sums, row, strict=True)]
         return Counts(*sums)
 
 
-class OrganisationAccount:
-    """Account for one organisation in one entry."""
+class OrganisationCounters:
+    """Count the requests of one organisation at this entry."""
 
     def __init__(self, now: float) -> None:
         self._fine = BucketRing(FINE_BUCKET_SECONDS, _FINE_SPAN)
@@ -103,32 +103,32 @@
         return OrganisationPart(organisation, windows, self._sketch.encode(now))
 
 
-class Accounts:
-    """Account for every organisation that one entry served."""
+class RequestCounters:
+    """Count the requests of every organisation that this entry served."""
 
     def __init__(self, now: float) -> None:
         self._started = now
-        self._accounts: dict[str, OrganisationAccount] = {}
+        self._counters: dict[str, OrganisationCounters] = {}
 
     def record(
         self, event: RequestFinished, objective_seconds: float, now: float
     ) -> None:
         """Count one finished request of its organisation."""
-        account = self._accounts.get(event.organisation)
-        if account is None:
-            account = self._accounts[event.organisation] = OrganisationAccount(now)
-        account.record(event, objective_seconds, now)
+        counters = self._counters.get(event.organisation)
+        if counters is None:
+            counters = self._counters[event.organisation] = OrganisationCounters(now)
+        counters.record(event, objective_seconds, now)
 
     def covered_seconds(self, now: float) -> float:
-        """Return since how long this entry has counted."""
+        """Return for how long this entry has been counting."""
         return now - self._started
 
     def names(self, organisation: str = "") -> list[str]:
-        """Return one organisation if it is known here, or all of them."""
+        """Return the given organisation if it is known, or all if none is given."""
         if not organisation:
-            return sorted(self._accounts)
-        return [organisation] if organisation in self._accounts else []
+            return sorted(self._counters)
+        return [organisation] if organisation in self._counters else []
 
     def part(self, organisation: str, now: float) -> OrganisationPart:
         """Return the counts of one known organisation."""
-        return self._accounts[organisation].part(organisation, now)
+        return self._counters[organisation].part(organisation, now)
--- a/mustardward/components/reports/service.py
+++ b/mustardward/components/reports/service.py
@@ -1,4 +1,4 @@
-"""Gather the parts of all entries, one data centre at a time."""
+"""Collect the counts of all entries, merged by data centre."""
 
 from __future__ import annotations
 
@@ -14,19 +14,23 @@
 from ..keys import FLEET_LOG, MEMBERSHIP, PEERS
 from ..membership.models import Member, MemberStatus
 from ..peers.protocols import Peers, peer_message
-from .account import Accounts
 from .burn import compute_report, merge_parts
-from .const import DATA_CENTRE_TIMEOUT_SECONDS, DATA_CENTRE_TRIES, PART_TIMEOUT_SECONDS
+from .const import (
+    DATA_CENTRE_TIMEOUT_SECONDS,
+    MAX_DATA_CENTRE_ATTEMPTS,
+    PART_TIMEOUT_SECONDS,
+)
 from .models import BurnPart, BurnReport, Coverage
+from .request_counters import RequestCounters
 
 
 @peer_message("reports.burn", BurnPart)
 @dataclass(frozen=True, slots=True)
-class AskBurn:
-    """Ask for counts; with ``merged`` for those of the whole data centre.
+class BurnRequest:
+    """Request counts; if ``merged`` is set, those of the whole data centre.
 
-    Another data centre sends one merged part, so that a report costs the links
-    between data centres one answer each, however many entries there are.
+    Another data centre sends one merged part, so a report needs one response over
+    each link between data centres, regardless of the number of entries.
     """
 
     organisation: str = ""
@@ -34,40 +38,40 @@
 
 
 @dataclass(slots=True)
-class _Gathered:
-    """Collect parts while calls run side by side."""
+class _Responses:
+    """Collect the parts of concurrent calls."""
 
     parts: list[BurnPart] = field(default_factory=list)
 
 
 class BurnReporter:
-    """Count this entry's requests and report on those of all entries."""
+    """Count this entry's requests, and report on the requests of all entries."""
 
     def __init__(self, core: Core) -> None:
         self._core = core
-        self._accounts = Accounts(core.timers.monotonic())
+        self._counters = RequestCounters(core.timers.monotonic())
 
     def record(self, event: RequestFinished) -> None:
         """Count a finished request."""
         objective = self._objectives(event.organisation).latency_seconds
-        self._accounts.record(event, objective, self._core.timers.monotonic())
+        self._counters.record(event, objective, self._core.timers.monotonic())
 
-    async def async_answer(self, caller: str, message: AskBurn) -> BurnPart:
-        """Answer a peer."""
+    async def async_handle_request(self, caller: str, message: BurnRequest) -> BurnPart:
+        """Return this entry's or this data centre's counts to a peer."""
         if message.merged:
             return await self._async_own_data_centre(message.organisation)
         return await self._async_own_part(message.organisation)
 
     async def async_report(self, organisation: str = "") -> BurnReport:
-        """Return the report on one organisation, or on all."""
-        gathered = _Gathered()
+        """Return the report on one organisation, or on all of them."""
+        responses = _Responses()
         async with anyio.create_task_group() as group:
-            group.start_soon(self._async_gather_own, organisation, gathered)
+            group.start_soon(self._async_gather_own, organisation, responses)
             for data_centre in self._other_data_centres():
                 group.start_soon(
-                    self._async_gather_other, data_centre, organisation, gathered
+                    self._async_gather_other, data_centre, organisation, responses
                 )
-        part = merge_parts(gathered.parts)
+        part = merge_parts(responses.parts)
         goals = self._all_objectives(organisation)
         return compute_report(part, goals, self._core.timers.wall())
 
@@ -75,49 +79,51 @@
         now = self._core.timers.monotonic()
         entry = self._core.settings.entry
         coverage = Coverage(
-            entry.name, entry.data_centre, self._accounts.covered_seconds(now)
+            entry.name, entry.data_centre, self._counters.covered_seconds(now)
         )
         parts = []
-        for name in self._accounts.names(organisation):
-            parts.append(self._accounts.part(name, now))
-            # A millisecond for each of hundreds of organisations would hold up every
-            # request in progress; urgent ones would show it as latency.
+        for name in self._counters.names(organisation):
+            parts.append(self._counters.part(name, now))
+            # Each organisation takes a millisecond; hundreds in a row would delay
+            # urgent requests in progress.
             await anyio.lowlevel.checkpoint()
         return BurnPart((coverage,), tuple(parts))
 
-    async def _async_gather_own(self, organisation: str, gathered: _Gathered) -> None:
-        gathered.parts.append(await self._async_own_data_centre(organisation))
+    async def _async_gather_own(self, organisation: str, responses: _Responses) -> None:
+        responses.parts.append(await self._async_own_data_centre(organisation))
 
     async def _async_own_data_centre(self, organisation: str) -> BurnPart:
-        gathered = _Gathered([await self._async_own_part(organisation)])
+        responses = _Responses([await self._async_own_part(organisation)])
         peers = self._core.find(PEERS)
         if peers is not None:
-            question = AskBurn(organisation)
+            request = BurnRequest(organisation)
             async with anyio.create_task_group() as group:
-                for member in self._neighbours():
-                    group.start_soon(_async_ask, peers, member, question, gathered)
-        return merge_parts(gathered.parts)
+                for member in self._members_of_own_data_centre():
+                    group.start_soon(
+                        _async_request_part, peers, member, request, responses
+                    )
+        return merge_parts(responses.parts)
 
     async def _async_gather_other(
-        self, data_centre: str, organisation: str, gathered: _Gathered
+        self, data_centre: str, organisation: str, responses: _Responses
     ) -> None:
         membership = self._core.find(MEMBERSHIP)
         peers = self._core.find(PEERS)
         members = membership.live(data_centre) if membership is not None else ()
-        for member in members[:DATA_CENTRE_TRIES]:
+        for member in members[:MAX_DATA_CENTRE_ATTEMPTS]:
             if peers is None:
                 break
             try:
                 part: BurnPart = await peers.async_call(
-                    member, AskBurn(organisation, True), DATA_CENTRE_TIMEOUT_SECONDS
+                    member, BurnRequest(organisation, True), DATA_CENTRE_TIMEOUT_SECONDS
                 )
             except PeerError:
                 continue
-            gathered.parts.append(part)
+            responses.parts.append(part)
             return
-        gathered.parts.append(BurnPart(missing_data_centres=(data_centre,)))
+        responses.parts.append(BurnPart(missing_data_centres=(data_centre,)))
 
-    def _neighbours(self) -> list[Member]:
+    def _members_of_own_data_centre(self) -> list[Member]:
         membership = self._core.find(MEMBERSHIP)
         if membership is None:
             return []
@@ -130,9 +136,9 @@
         ]
 
     def _other_data_centres(self) -> list[str]:
-        # A data centre that is cut off may have no member left in our view; the
-        # ownership of its instances still tells that it exists, so that its part is
-        # missed and not taken for an absence of burn.
+        # A disconnected data centre may have no known member left. Its instances in the
+        # fleet state show that it exists, so its part is reported as missing instead of
+        # being counted as no burn.
         known: set[str] = set()
         fleet = self._core.find(FLEET_LOG)
         if fleet is not None:
@@ -158,11 +164,11 @@
         }
 
 
-async def _async_ask(
-    peers: Peers, member: Member, question: AskBurn, gathered: _Gathered
+async def _async_request_part(
+    peers: Peers, member: Member, request: BurnRequest, responses: _Responses
 ) -> None:
     try:
-        part: BurnPart = await peers.async_call(member, question, PART_TIMEOUT_SECONDS)
+        part: BurnPart = await peers.async_call(member, request, PART_TIMEOUT_SECONDS)
     except PeerError:
         part = BurnPart(missing_entries=(member.name,))
-    gathered.parts.append(part)
+    responses.parts.append(part)
--- a/mustardward/components/reports/sketch.py
+++ b/mustardward/components/reports/sketch.py
@@ -1,4 +1,4 @@
-"""Keep the latencies of about the last hour in mergeable sketches."""
+"""Record the latencies of about the last hour in mergeable sketches."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 )
 
 
-def make_sketch() -> HdrHistogram:
-    """Return an empty sketch from 0.1 ms to 10 minutes."""
+def create_sketch() -> HdrHistogram:
+    """Return an empty sketch for latencies from 0.1 ms to 10 minutes."""
     return HdrHistogram(1, LATENCY_HIGHEST_UNITS, LATENCY_DIGITS)
 
 
 def merge_sketches(encoded: Iterable[bytes]) -> HdrHistogram:
     """Return the sum of encoded sketches."""
-    merged = make_sketch()
+    merged = create_sketch()
     for item in encoded:
         if item:
             merged.decode_and_add(item)
@@ -37,24 +37,24 @@
 
 
 class RotatingSketch:
-    """Hold the present half hour's sketch and, encoded, the one before it."""
+    """Hold the sketch of the current half hour and, encoded, the previous one."""
 
     def __init__(self, now: float) -> None:
         self._started = now
-        self._present = make_sketch()
+        self._current = create_sketch()
         self._previous = b""
 
     def record(self, latency_seconds: float, now: float) -> None:
         """Add one latency."""
         self._rotate(now)
         units = round(latency_seconds / LATENCY_UNIT_SECONDS)
-        self._present.record_value(min(max(units, 1), LATENCY_HIGHEST_UNITS))
+        self._current.record_value(min(max(units, 1), LATENCY_HIGHEST_UNITS))
 
     def encode(self, now: float) -> bytes:
         """Return both sketches as one."""
         self._rotate(now)
         merged = merge_sketches([self._previous])
-        merged.add(self._present)
+        merged.add(self._current)
         encoded: bytes = merged.encode()
         return encoded
 
@@ -62,7 +62,7 @@
         age = now - self._started
         if age < SKETCH_ROTATION_SECONDS:
             return
-        kept = age < 2 * SKETCH_ROTATION_SECONDS
-        self._previous = self._present.encode() if kept else b""
-        self._present.reset()
+        is_recent = age < 2 * SKETCH_ROTATION_SECONDS
+        self._previous = self._current.encode() if is_recent else b""
+        self._current.reset()
         self._started = now - age % SKETCH_ROTATION_SECONDS
--- a/mustardward/components/templates/api.py
+++ b/mustardward/components/templates/api.py
@@ -6,7 +6,7 @@
 
 from ...core import Core
 from ...state.models.templates import PublishTemplate, TemplateRevision
-from ..api.routes import ApiAnswer, ApiRequest, api_route
+from ..api.routes import ApiRequest, ApiResponse, api_route
 from .api_models import PublishModel, to_json_value
 from .exceptions import TemplateUnknownError
 from .progress import async_fetch_progress
@@ -19,10 +19,10 @@
 
 
 @api_route("GET", "/templates", "List the templates in force")
-async def async_list(request: ApiRequest) -> ApiAnswer:
+async def async_list(request: ApiRequest) -> ApiResponse:
     """Return the revision in force of each template."""
     templates = require_ready_state(request.core).templates
-    return ApiAnswer(
+    return ApiResponse(
         [
             {"name": name, "revision": revisions[-1].revision}
             for name, revisions in sorted(templates.items())
@@ -32,25 +32,25 @@
 
 
 @api_route("GET", "/templates/{name}", "Show a template's revision in force")
-async def async_show(request: ApiRequest) -> ApiAnswer:
+async def async_show(request: ApiRequest) -> ApiResponse:
     """Return one revision, by default the one in force."""
     revisions = _revisions(request.core, request.path["name"])
     expected = parse_integer(request, "revision", revisions[-1].revision)
     for revision in revisions:
         if revision.revision == expected:
-            return ApiAnswer(to_json_value(revision))
+            return ApiResponse(to_json_value(revision))
     raise TemplateUnknownError(f"{request.path['name']} revision={expected}")
 
 
 @api_route("GET", "/templates/{name}/history", "List the revisions still kept")
-async def async_history(request: ApiRequest) -> ApiAnswer:
+async def async_history(request: ApiRequest) -> ApiResponse:
     """Return the retained revisions, newest first."""
     revisions = _revisions(request.core, request.path["name"])
-    return ApiAnswer([to_json_value(revision) for revision in reversed(revisions)])
+    return ApiResponse([to_json_value(revision) for revision in reversed(revisions)])
 
 
 @api_route("GET", "/templates/{name}/status", "Show where a template is in force")
-async def async_status(request: ApiRequest) -> ApiAnswer:
+async def async_status(request: ApiRequest) -> ApiResponse:
     """Return the revision in force at each entry that is not gone."""
     name = request.path["name"]
     revision = _revisions(request.core, name)[-1].revision
@@ -68,7 +68,7 @@
                 "in_force": item.revision >= expected,
             }
         )
-    return ApiAnswer(
+    return ApiResponse(
         {
             "name": name,
             "revision": expected,
@@ -79,7 +79,7 @@
 
 
 @api_route("POST", "/templates/{name}", "Publish a template's revision", PublishModel)
-async def async_publish(request: ApiRequest) -> ApiAnswer:
+async def async_publish(request: ApiRequest) -> ApiResponse:
     """Propose a revision; an outdated base revision is a conflict."""
     model: PublishModel = request.model
     name = request.path["name"]
--- a/mustardward/components/templates/exceptions.py
+++ b/mustardward/components/templates/exceptions.py
@@ -3,24 +3,24 @@
 from __future__ import annotations
 
 from ...exceptions import MustardwardError
-from ..api.problems import answered_with
+from ..api.problems import problem_status_code
 
 
-@answered_with(404)
+@problem_status_code(404)
 class TemplateUnknownError(MustardwardError):
     """Report a template or a revision that does not exist."""
 
     code = "template-unknown"
 
 
-@answered_with(404)
+@problem_status_code(404)
 class OrganisationUnknownError(MustardwardError):
     """Report an organisation that does not exist."""
 
     code = "organisation-unknown"
 
 
-@answered_with(422)
+@problem_status_code(422)
 class QueryInvalidError(MustardwardError):
     """Report an invalid query parameter."""
 
--- a/mustardward/components/templates/fleet_api.py
+++ b/mustardward/components/templates/fleet_api.py
@@ -8,7 +8,7 @@
 
 from ...exceptions import MustardwardError
 from ...state.models.pools import AddInstance, Instance, PutPool
-from ..api.routes import ApiAnswer, ApiRequest, api_route
+from ..api.routes import ApiRequest, ApiResponse, api_route
 from .api_models import InstancesModel
 from .proposals import async_build_response, async_propose, require_ready_state
 
@@ -16,14 +16,14 @@
 
 
 @api_route("PUT", "/pools/{name}", "Put a pool")
-async def async_put_pool(request: ApiRequest) -> ApiAnswer:
+async def async_put_pool(request: ApiRequest) -> ApiResponse:
     """Propose a pool; an existing one is unchanged."""
     acceptance = await async_propose(request, PutPool(request.path["name"]))
     return await async_build_response(request.core, acceptance, "", 0.0)
 
 
 @api_route("POST", "/instances", "Register instances in pools", InstancesModel)
-async def async_add_instances(request: ApiRequest) -> ApiAnswer:
+async def async_add_instances(request: ApiRequest) -> ApiResponse:
     """Propose instances and return an outcome for each."""
     model: InstancesModel = request.model
     outcomes: dict[str, dict[str, Any]] = {}
@@ -38,7 +38,7 @@
             tasks.start_soon(add, instance.to_record())
     refused = sum("error" in outcome for outcome in outcomes.values())
     body = {"outcomes": [outcomes[key] for key in sorted(outcomes)], "refused": refused}
-    return ApiAnswer(body, status=207 if refused else 200)
+    return ApiResponse(body, status=207 if refused else 200)
 
 
 async def _async_add(request: ApiRequest, record: AddInstance) -> dict[str, Any]:
--- a/mustardward/components/templates/organisations_api.py
+++ b/mustardward/components/templates/organisations_api.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ...state.models.templates import Organisation, PutOrganisation, RemoveOrganisation
-from ..api.routes import ApiAnswer, ApiRequest, api_route
+from ..api.routes import ApiRequest, ApiResponse, api_route
 from .api_models import OrganisationModel, to_json_value
 from .exceptions import OrganisationUnknownError
 from .proposals import (
@@ -15,10 +15,10 @@
 
 
 @api_route("GET", "/organisations", "List the organisations")
-async def async_list(request: ApiRequest) -> ApiAnswer:
+async def async_list(request: ApiRequest) -> ApiResponse:
     """Return each organisation with its template and services."""
     organisations = require_ready_state(request.core).organisations
-    return ApiAnswer(
+    return ApiResponse(
         [
             {
                 "name": name,
@@ -33,13 +33,13 @@
 
 
 @api_route("GET", "/organisations/{name}", "Show an organisation")
-async def async_show(request: ApiRequest) -> ApiAnswer:
+async def async_show(request: ApiRequest) -> ApiResponse:
     """Return an organisation with its overrides and the parameters in force."""
-    return ApiAnswer(to_json_value(_find(request, request.path["name"])))
+    return ApiResponse(to_json_value(_find(request, request.path["name"])))
 
 
 @api_route("PUT", "/organisations/{name}", "Put an organisation", OrganisationModel)
-async def async_put(request: ApiRequest) -> ApiAnswer:
+async def async_put(request: ApiRequest) -> ApiResponse:
     """Propose an organisation, or new overrides based on a revision."""
     model: OrganisationModel = request.model
     record = PutOrganisation(
@@ -54,7 +54,7 @@
 
 
 @api_route("DELETE", "/organisations/{name}", "Remove an organisation")
-async def async_remove(request: ApiRequest) -> ApiAnswer:
+async def async_remove(request: ApiRequest) -> ApiResponse:
     """Propose to remove an organisation at its ``base_revision``."""
     name = request.path["name"]
     found = _find(request, name)
--- a/mustardward/components/templates/proposals.py
+++ b/mustardward/components/templates/proposals.py
@@ -11,7 +11,7 @@
 from ...state.fleet import FleetState
 from ...state.fold import Acceptance
 from ...state.records import NO_BASE
-from ..api.routes import ApiAnswer, ApiRequest
+from ..api.routes import ApiRequest, ApiResponse
 from ..keys import FLEET_LOG
 from .exceptions import QueryInvalidError
 from .progress import async_wait_until_in_force
@@ -58,7 +58,7 @@
 
 async def async_build_response(
     core: Core, acceptance: Acceptance, template: str, wait_seconds: float
-) -> ApiAnswer:
+) -> ApiResponse:
     """Return the response for an accepted change.
 
     :param wait_seconds: longest time to wait until the change is in force everywhere.
@@ -70,13 +70,13 @@
         "subjects": list(acceptance.subjects),
     }
     if wait_seconds <= 0:
-        return ApiAnswer(body)
+        return ApiResponse(body)
     behind = await async_wait_until_in_force(
         core, template, required_offset, wait_seconds
     )
     body["in_force"] = not behind
     body["behind"] = [item.entry for item in behind]
-    return ApiAnswer(body)
+    return ApiResponse(body)
 
 
 def parse_integer(request: ApiRequest, name: str, default: int) -> int:
--- a/tests/cli/test_reports.py
+++ b/tests/cli/test_reports.py
@@ -13,7 +13,7 @@
 
 from mustardward.cli.client import OperatorClient
 from mustardward.cli.main import main
-from mustardward.components.explain.models import Story, StoryLine
+from mustardward.components.explain.models import HistoryLine, SubjectHistory
 from mustardward.components.reports.burn import compute_report
 from mustardward.components.reports.const import WINDOW_SECONDS
 from mustardward.components.reports.models import (
@@ -81,7 +81,7 @@
 
 
 def test_a_story_is_told_line_by_line(monkeypatch: pytest.MonkeyPatch) -> None:
-    line = StoryLine(
+    line = HistoryLine(
         0.0,
         "entry-1",
         "claim.take refused",
@@ -91,7 +91,7 @@
         7,
         "r",
     )
-    story = asdict(Story("instance", "w", (line,), ("entry-2",), ("voss",)))
+    story = asdict(SubjectHistory("instance", "w", (line,), ("entry-2",), ("voss",)))
     asked = answer_with(monkeypatch, story)
     result = CliRunner().invoke(main, ["explain", "instance", "w"])
     assert asked == ["GET /explain/instance/w"]
--- a/tests/components/api/test_server.py
+++ b/tests/components/api/test_server.py
@@ -13,7 +13,7 @@
 from pydantic import BaseModel, ConfigDict
 
 from mustardward.components.api.auth import TokenCheck, read_token
-from mustardward.components.api.routes import ApiAnswer, ApiRequest, ApiRoute
+from mustardward.components.api.routes import ApiRequest, ApiResponse, ApiRoute
 from mustardward.components.api.server import OperatorServer
 from mustardward.components.keys import FLEET_LOG
 from mustardward.core import Core
@@ -42,7 +42,7 @@
     slots: int
 
 
-async def put_rack(request: ApiRequest) -> ApiAnswer:
+async def put_rack(request: ApiRequest) -> ApiResponse:
     failures = {
         "conflict": RevisionConflictError("revision=4"),
         "stale": StaleGenerationError("generation=2"),
@@ -52,7 +52,7 @@
     failure = failures.get(request.path["name"])
     if failure is not None:
         raise failure
-    return ApiAnswer({"actor": request.actor, "slots": request.model.slots}, 201)
+    return ApiResponse({"actor": request.actor, "slots": request.model.slots}, 201)
 
 
 ROUTES = (ApiRoute("PUT", "/racks/{name}", "Put a rack", put_rack, Rack),)
--- a/tests/components/explain/__init__.py
+++ b/tests/components/explain/__init__.py
@@ -1,1 +1,1 @@
-"""Test the stories of decisions."""
+"""Test the histories of subjects."""
--- a/tests/components/explain/test_explain.py
+++ b/tests/components/explain/test_explain.py
@@ -1,4 +1,4 @@
-"""Tell stories of subjects from the parts of several entries."""
+"""Test merging the history of a subject from several entries."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from mustardward.components.api.routes import ApiRequest
 from mustardward.components.explain import api, async_setup
 from mustardward.components.explain.merge import merge_lines
-from mustardward.components.explain.models import DecisionMade, StoryLine, SubjectKind
-from mustardward.components.explain.store import StoryStore
+from mustardward.components.explain.models import DecisionMade, HistoryLine, SubjectKind
+from mustardward.components.explain.store import HistoryStore
 from mustardward.components.keys import EXPLAINER, FLEET_LOG, MEMBERSHIP, PEERS
 from mustardward.core import Core
 from mustardward.state.fleet import FleetState
@@ -44,8 +44,8 @@
     return RecordOutcome(offset, envelope, body, result)
 
 
-def test_a_refused_record_is_told_with_its_cause() -> None:
-    store = StoryStore("entry-1")
+def test_refused_record_has_its_cause() -> None:
+    store = HistoryStore("entry-1")
     claim = TakeClaim("wave-1", "worker-1", "entry-1", 1)
     store.add_outcome("fleet", outcome(claim, 4, refused=True), 10.0)
     for kind, name in (("instance", "worker-1"), ("wave", "wave-1")):
@@ -54,8 +54,8 @@
         assert line.cause == "revision-conflict: seen=1 now=2"
 
 
-def test_of_a_coalesced_report_only_the_own_change_is_told() -> None:
-    store = StoryStore("entry-1")
+def test_coalesced_report_shows_only_the_change_of_the_subject() -> None:
+    store = HistoryStore("entry-1")
     report = ReportAbsences(
         "bergen",
         (
@@ -69,16 +69,16 @@
     assert "boot=9" not in line.inputs
 
 
-def test_a_transfer_that_names_only_the_move_is_told_of_the_instance() -> None:
-    store = StoryStore("entry-1")
+def test_transfer_is_attributed_to_the_instance_of_its_move() -> None:
+    store = HistoryStore("entry-1")
     store.add_outcome("fleet", outcome(RequestMove("m", "worker-1", "casting"), 1), 1.0)
     store.add_outcome("fleet", outcome(Transfer("m"), 2), 2.0)
-    told = [line.happening for line in store.lines("instance", "worker-1")]
-    assert told == ["move.request accepted", "move.transfer accepted"]
+    happenings = [line.happening for line in store.lines("instance", "worker-1")]
+    assert happenings == ["move.request accepted", "move.transfer accepted"]
 
 
-def test_organisations_that_a_template_changes_are_told() -> None:
-    store = StoryStore("entry-1")
+def test_template_change_is_attributed_to_its_organisations() -> None:
+    store = HistoryStore("entry-1")
     template = PublishTemplate("standard", Parameters())
     accepted = Success(Acceptance(("template:standard", "organisation:dairy"), 3))
     record = RecordOutcome(3, build_record(template), template, accepted)
@@ -87,8 +87,8 @@
     assert line.happening == "template.publish accepted"
 
 
-def test_the_store_is_bounded_in_subjects_and_lines() -> None:
-    store = StoryStore("entry-1", maximum_subjects=2, maximum_lines=3)
+def test_store_limits_subjects_and_lines() -> None:
+    store = HistoryStore("entry-1", max_subjects=2, max_lines=3)
     for number in range(5):
         store.add_decision(DecisionMade("job", "a", f"step-{number}", "test"), 1.0)
     for name in ("b", "c"):
@@ -104,34 +104,35 @@
     ]
 
 
-def test_records_keep_the_order_of_the_log_when_clocks_differ() -> None:
-    """Tell the log's order.
+def test_records_keep_log_order_when_clocks_differ() -> None:
+    """Guard against a history that shows the reboot before the drain.
 
-    Symptom: a story shows the reboot before the drain. Sequence: one entry, whose
-    clock is behind, alone kept the later record. Cause: lines sorted by time alone.
+    Sorting by time alone does this when the only entry that kept the later record has
+    a clock that is behind.
     """
-    drain = StoryLine(100.0, "a", "drain", "", stream="fleet", offset=1, record_id="r1")
-    reboot = StoryLine(
+    drain = HistoryLine(
+        100.0, "a", "drain", "", stream="fleet", offset=1, record_id="r1"
+    )
+    reboot = HistoryLine(
         40.0, "b", "reboot", "", stream="fleet", offset=2, record_id="r2"
     )
     merged = merge_lines([[drain], [reboot]])
     assert [line.happening for line in merged] == ["drain", "reboot"]
 
 
-def test_a_record_that_every_entry_folded_is_told_once() -> None:
+def test_record_applied_by_every_entry_is_returned_once() -> None:
     lines = [
-        StoryLine(float(at), "x", "add", "", stream="fleet", offset=0, record_id="r")
+        HistoryLine(float(at), "x", "add", "", stream="fleet", offset=0, record_id="r")
         for at in (3, 2, 5)
     ]
     assert [line.at for line in merge_lines([[line] for line in lines])] == [2.0]
 
 
-async def test_the_story_is_merged_and_says_whose_part_is_missing() -> None:
-    """Say what is not known.
+async def test_history_is_merged_and_names_missing_parts() -> None:
+    """Guard against an incomplete history that looks complete.
 
-    Symptom: an operator takes half a story for the whole one. Sequence: one entry
-    cannot be reached and a data centre has none that answers. Cause: a merge that
-    leaves the missing parts out without a word.
+    One entry is unreachable and one data centre has no entry that responds; a merge
+    that silently omits their parts hides this from the operator.
     """
     network: dict[str, FakePeers] = {}
     members = [build_member(f"entry-{number}") for number in (1, 2, 3)]
@@ -149,33 +150,33 @@
         core.events.publish(
             DecisionMade("instance", "w", f"noted-by-{member.name}", "test")
         )
-    story = await cores[0].get(EXPLAINER).async_tell("instance", "w")
-    assert {line.happening for line in story.lines} == {
+    history = await cores[0].get(EXPLAINER).async_get_history("instance", "w")
+    assert {line.happening for line in history.lines} == {
         "noted-by-entry-1",
         "noted-by-entry-2",
     }
-    assert story.missing_entries == ("entry-3",)
-    assert story.missing_data_centres == ("voss",)
+    assert history.missing_entries == ("entry-3",)
+    assert history.missing_data_centres == ("voss",)
 
 
-async def test_the_route_tells_folded_records_and_refuses_unknown_kinds() -> None:
+async def test_route_returns_applied_records_and_rejects_unknown_kinds() -> None:
     core = build_core()
     log = FakeFleetLog()
     core.put(FLEET_LOG, log)  # type: ignore[arg-type]
     unload = await async_setup(core)
     log.deliver(outcome(AddInstance("w", "bergen", "r", "a", "p"), 0))
     request = ApiRequest(core, "operator", {"kind": "instance", "subject_id": "w"}, {})
-    answer = await api.async_get_story(request)
-    assert answer.body["lines"][0]["happening"] == "instance.add accepted"
+    response = await api.async_get_history(request)
+    assert response.body["lines"][0]["happening"] == "instance.add accepted"
     unknown = ApiRequest(core, "operator", {"kind": "planet", "subject_id": "w"}, {})
     with pytest.raises(api.UnknownSubjectKindError):
-        await api.async_get_story(unknown)
+        await api.async_get_history(unknown)
     await unload()
     log.deliver(outcome(AddInstance("x", "bergen", "r", "a", "p"), 1))
     assert core.find(EXPLAINER) is None
 
 
-def test_every_kind_of_subject_has_its_word() -> None:
+def test_values_of_subject_kinds() -> None:
     assert {str(kind) for kind in SubjectKind} == {
         "instance",
         "wave",
--- a/tests/components/ownership/test_load.py
+++ b/tests/components/ownership/test_load.py
@@ -12,10 +12,10 @@
 from mustardward.components.ownership.const import SELF_CHECK_SECONDS
 from mustardward.components.ownership.load import OwnerLoad
 from mustardward.components.reports.day_lines import read_day
-from mustardward.components.reports.stories import OwnerLook
+from mustardward.components.reports.day_models import OwnerSample
 from mustardward.components.scheduling.run_logger import RunLogger
 
-from ..reports.test_day import a_day, line
+from ..reports.test_day import build_day_lines, format_line
 
 pytestmark = pytest.mark.anyio
 
@@ -44,7 +44,7 @@
 
 def test_day_report_includes_the_owners_maximum_load() -> None:
     lines = [
-        line(
+        format_line(
             at,
             "owner_load",
             node=f"n-{at}",
@@ -57,9 +57,9 @@
         for at, lag in ((1, 0.2), (2, 0.9))
     ]
     day = read_day(lines)
-    assert day.owners[0] == OwnerLook(1.0, "n-1", 0.2, 20, 1, 5)
+    assert day.owners[0] == OwnerSample(1.0, "n-1", 0.2, 20, 1, 5)
     result = CliRunner().invoke(
-        command, ["day", "-"], input="".join([*a_day(), *lines])
+        command, ["day", "-"], input="".join([*build_day_lines(), *lines])
     )
     assert "owners=n-1,n-2 lag_seconds=0.900 calls_under_way=20" in result.output
     assert "submit to first start: half within 0.100 s" in result.output
--- a/tests/components/reports/__init__.py
+++ b/tests/components/reports/__init__.py
@@ -1,1 +1,1 @@
-"""Test the accounts of service levels."""
+"""Test the reports."""
--- a/tests/components/reports/test_bound.py
+++ b/tests/components/reports/test_bound.py
@@ -1,4 +1,4 @@
-"""Test the comparison of a day with a bound and with simple planners."""
+"""Test comparing a day with a lower bound and with simple planners."""
 
 from __future__ import annotations
 
@@ -10,36 +10,40 @@
 
 from mustardward.cli.report import command
 from mustardward.components.reports.bound import (
-    BRIDGE_SECONDS,
-    Planned,
-    compare,
-    keep_over_gaps,
+    MAX_KEPT_GAP_SECONDS,
+    PlannerResult,
+    compare_planners,
+    fill_short_gaps,
 )
 from mustardward.components.reports.day_lines import read_day
-from mustardward.components.reports.replayed import (
+from mustardward.components.reports.day_models import Resources
+from mustardward.components.reports.workload import (
     GRID_SECONDS,
-    StepShape,
-    parse_shape,
+    StepSpec,
+    parse_job_shape,
 )
-from mustardward.components.reports.stories import Amount
 
-from .test_day import line
+from .test_day import format_line
 
-GAP = round(BRIDGE_SECONDS / GRID_SECONDS)
+GAP = round(MAX_KEPT_GAP_SECONDS / GRID_SECONDS)
 
 
-def a_job(name: str, at: float, took: float = 1.0, late: bool = False) -> list[str]:
-    """Return the lines of a job: four tasks of two cores, then one more."""
+def build_job_lines(
+    name: str, at: float, took: float = 1.0, late: bool = False
+) -> list[str]:
+    """Return the log lines of a job: four tasks of two cores, then one more."""
     first = ",".join(f"0.0.{n}:{n}@w+0.0~1.0" for n in range(4))
     ends = ",".join(f"0.0.{n}:{n}@w=done" for n in range(4))
     shape = "4x2x0;1x2x0<0"
     return [
-        line(at, "job_submitted", job=name, service="p", shape=shape, outcome="stored"),
-        line(at, "runs_started", job=name, runs=first),
-        line(at + took, "runs_ended", job=name, runs=ends),
-        line(at + took, "runs_started", job=name, runs="0.1.0:9@w+0.0~1.0"),
-        line(at + 2 * took, "runs_ended", job=name, runs="0.1.0:9@w=done"),
-        line(
+        format_line(
+            at, "job_submitted", job=name, service="p", shape=shape, outcome="stored"
+        ),
+        format_line(at, "runs_started", job=name, runs=first),
+        format_line(at + took, "runs_ended", job=name, runs=ends),
+        format_line(at + took, "runs_started", job=name, runs="0.1.0:9@w+0.0~1.0"),
+        format_line(at + 2 * took, "runs_ended", job=name, runs="0.1.0:9@w=done"),
+        format_line(
             at + 2 * took,
             "job_ended",
             job=name,
@@ -50,57 +54,67 @@
     ]
 
 
-def a_day() -> list[str]:
-    """Return ten seconds of a pool of five instances of four cores."""
-    looks = [
-        line(at, "pool_load", service="p", workers=5, capacity=20000, lasting=1000)
+def build_day_lines() -> list[str]:
+    """Return the log lines of ten seconds of a pool of five four-core instances."""
+    samples = [
+        format_line(
+            at, "pool_load", service="p", workers=5, capacity=20000, lasting=1000
+        )
         for at in range(100, 111)
     ]
-    moved = line(101, "move_begun", machine="m", pool="p")
-    return [*looks, moved, *a_job("a", 102), *a_job("b", 102, late=True)]
+    moved = format_line(101, "move_begun", machine="m", pool="p")
+    return [
+        *samples,
+        moved,
+        *build_job_lines("a", 102),
+        *build_job_lines("b", 102, late=True),
+    ]
 
 
-def by_name(lines: list[str]) -> dict[str, Planned]:
-    return {row.name: row for row in compare(read_day(lines))}
+def compare_by_name(lines: list[str]) -> dict[str, PlannerResult]:
+    return {row.name: row for row in compare_planners(read_day(lines))}
 
 
-def test_shapes_are_read_as_the_front_writes_them() -> None:
-    assert parse_shape("8x9x512;1x2.5x64<0,1") == (
-        StepShape(8, Amount(9.0, 512)),
-        StepShape(1, Amount(2.5, 64), (0, 1)),
+def test_job_shapes_are_parsed() -> None:
+    assert parse_job_shape("8x9x512;1x2.5x64<0,1") == (
+        StepSpec(8, Resources(9.0, 512)),
+        StepSpec(1, Resources(2.5, 64), (0, 1)),
     )
-    assert parse_shape("") == ()
+    assert parse_job_shape("") == ()
 
 
-def test_the_bound_stands_below_what_was_and_serves_all() -> None:
-    planned = by_name(a_day())
-    was, least = planned["as it was"], planned["known beforehand"]
-    assert (was.jobs, was.in_time, was.moves) == (2, 1, 1)
-    assert round(was.instance_seconds, 1) == 50.5
-    assert least.share_in_time == 1.0
-    # One instance for what lasts; five for 16 cores in the first second, two for 4 in
-    # the next.
-    assert max(least.instances["p"]) == 5
-    assert round(least.instance_seconds) == 10 + 4 + 1
+def test_lower_bound_serves_all_jobs_with_fewer_instances() -> None:
+    planned = compare_by_name(build_day_lines())
+    actual, bound = planned["as it was"], planned["known beforehand"]
+    assert (actual.jobs, actual.in_time, actual.moves) == (2, 1, 1)
+    assert round(actual.instance_seconds, 1) == 50.5
+    assert bound.share_in_time == 1.0
+    # One instance for the long-running tasks, plus four for 16 cores in the first
+    # second and one for 4 cores in the next.
+    assert max(bound.instances["p"]) == 5
+    assert round(bound.instance_seconds) == 10 + 4 + 1
 
 
-def test_a_step_that_spreads_keeps_its_workers_in_the_bound_too() -> None:
-    lines = [text.replace("lasting=1000", "lasting=1000 spread=3") for text in a_day()]
-    least = by_name(lines)["known beforehand"]
-    assert min(least.instances["p"]) == 3
+def test_lower_bound_keeps_the_minimum_workers_of_a_step() -> None:
+    lines = [
+        text.replace("lasting=1000", "lasting=1000 spread=3")
+        for text in build_day_lines()
+    ]
+    bound = compare_by_name(lines)["known beforehand"]
+    assert min(bound.instances["p"]) == 3
 
 
-def test_what_is_scarcest_bounds() -> None:
-    """Tasks of a quarter of the cores and all of the memory take an instance each."""
+def test_lower_bound_depends_on_the_scarcest_resource() -> None:
+    """Tasks with a quarter of the cores and all of the memory need an instance each."""
     lines = [
         text.replace("4x2x0", "4x1x100").replace("lasting=", "memory=500 lasting=")
-        for text in a_day()
+        for text in build_day_lines()
     ]
-    assert max(by_name(lines)["known beforehand"].instances["p"]) == 8
+    assert max(compare_by_name(lines)["known beforehand"].instances["p"]) == 8
 
 
-def test_simple_planners_are_played_on_the_same_jobs() -> None:
-    planned = by_name(a_day())
+def test_simple_planners_are_simulated_on_the_same_jobs() -> None:
+    planned = compare_by_name(build_day_lines())
     assert planned["all kept on"].share_in_time == 0.5
     assert planned["all kept on"].instance_seconds > 50
     threshold = planned["by threshold"]
@@ -108,27 +122,27 @@
     assert threshold.moves > 0
 
 
-def test_short_gaps_are_bridged_and_long_ones_are_not() -> None:
+def test_only_short_gaps_are_filled() -> None:
     short = [2, *[0] * (GAP - 1), 1]
     long = [1, *[0] * (GAP + 5), 1]
-    assert keep_over_gaps(short) == ([2, *[1] * (GAP - 1), 1], 4)
-    assert keep_over_gaps(long) == (long, 4)
-    assert keep_over_gaps([]) == ([], 0)
+    assert fill_short_gaps(short) == ([2, *[1] * (GAP - 1), 1], 4)
+    assert fill_short_gaps(long) == (long, 4)
+    assert fill_short_gaps([]) == ([], 0)
 
 
-def test_a_day_without_pools_or_jobs_is_no_failure() -> None:
-    assert [row.instance_seconds for row in compare(read_day([]))] == [0.0] * 4
+def test_day_without_pools_or_jobs_has_empty_results() -> None:
+    assert [row.instance_seconds for row in compare_planners(read_day([]))] == [0.0] * 4
 
 
-def test_the_command_prints_a_row_for_each_planner_and_draws(
+def test_command_prints_a_row_for_each_planner_and_plots(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level(logging.INFO)
     plot = tmp_path / "bound.svg"
     arguments = ["bound", "-", "--plot", str(plot)]
-    result = CliRunner().invoke(command, arguments, input="".join(a_day()))
+    result = CliRunner().invoke(command, arguments, input="".join(build_day_lines()))
     assert result.exit_code == 0, result.output
     assert len(result.output.splitlines()) == 5
-    # Symptom: a sixth line on a machine without a cache of fonts, of the library's own.
+    # Guards against a sixth line, logged by matplotlib if there is no font cache.
     assert not logging.getLogger("matplotlib.font_manager").isEnabledFor(logging.INFO)
     assert plot.read_text().lstrip().startswith("<?xml")
--- a/tests/components/reports/test_burn.py
+++ b/tests/components/reports/test_burn.py
@@ -1,4 +1,4 @@
-"""Account for service levels and merge them over entries."""
+"""Test counting requests and merging the counts of entries."""
 
 from __future__ import annotations
 
@@ -11,9 +11,12 @@
 from mustardward.components.entry.models import Ran, RequestFinished
 from mustardward.components.keys import BURN_REPORTER, FLEET_LOG, MEMBERSHIP, PEERS
 from mustardward.components.reports import api, async_setup
-from mustardward.components.reports.account import Accounts, failure_cause
 from mustardward.components.reports.burn import burn_rate, compute_report, merge_parts
 from mustardward.components.reports.models import BurnPart, Coverage
+from mustardward.components.reports.request_counters import (
+    RequestCounters,
+    failure_cause,
+)
 from mustardward.core import Core
 from mustardward.state.fleet import FleetState
 from mustardward.state.models.pools import Instance
@@ -31,7 +34,7 @@
 DAY = 86_400.0
 
 
-def finished(
+def build_finished(
     status: int = 200, cause: str = "", latency: float = 0.01
 ) -> RequestFinished:
     return RequestFinished(
@@ -39,56 +42,64 @@
     )
 
 
-def part_of(accounts: Accounts, now: float, entry: str = "entry-1") -> BurnPart:
-    coverage = Coverage(entry, "bergen", accounts.covered_seconds(now))
-    parts = tuple(accounts.part(name, now) for name in accounts.names())
+def build_part(
+    counters: RequestCounters, now: float, entry: str = "entry-1"
+) -> BurnPart:
+    coverage = Coverage(entry, "bergen", counters.covered_seconds(now))
+    parts = tuple(counters.part(name, now) for name in counters.names())
     return BurnPart((coverage,), parts)
 
 
-def test_windows_forget_what_is_older_than_they_are() -> None:
-    accounts = Accounts(0.0)
+def test_windows_exclude_older_requests() -> None:
+    counters = RequestCounters(0.0)
     for at in (0.0, DAY - 5000.0, DAY - 400.0, DAY - 10.0):
-        accounts.record(finished(503, "refusal"), 0.5, at)
-    part = accounts.part("dairy", DAY)
+        counters.record(build_finished(503, "refusal"), 0.5, at)
+    part = counters.part("dairy", DAY)
     assert {name: counts.refusal for name, counts in part.windows.items()} == {
         "5m": 1,
         "1h": 2,
         "6h": 3,
         "3d": 4,
     }
-    later = accounts.part("dairy", 5 * DAY)
+    later = counters.part("dairy", 5 * DAY)
     assert all(counts.total == 0 for counts in later.windows.values())
 
 
-def test_causes_are_counted_apart_and_callers_errors_spend_no_budget() -> None:
-    accounts = Accounts(0.0)
+def test_causes_are_counted_separately_and_client_errors_spend_no_budget() -> None:
+    counters = RequestCounters(0.0)
     causes = ("refusal", "wave", "failure", "neighbour", "worker", "")
     for cause in causes:
-        accounts.record(finished(503, cause), 0.5, 1.0)
-    accounts.record(finished(404), 0.5, 1.0)
-    accounts.record(finished(200, latency=0.9), 0.5, 1.0)
-    part = accounts.part("dairy", 2.0)
+        counters.record(build_finished(503, cause), 0.5, 1.0)
+    counters.record(build_finished(404), 0.5, 1.0)
+    counters.record(build_finished(200, latency=0.9), 0.5, 1.0)
+    part = counters.part("dairy", 2.0)
     counts = part.windows["5m"]
     assert (counts.total, counts.failed, counts.slow) == (8, 6, 1)
     assert (counts.wave, counts.neighbour, counts.other) == (1, 1, 1)
-    assert failure_cause(finished(500, "unheard-of")) == "other"
+    assert failure_cause(build_finished(500, "unheard-of")) == "other"
 
 
-def test_a_merge_of_parts_equals_one_account_of_everything() -> None:
-    whole, first, second = Accounts(0.0), Accounts(0.0), Accounts(0.0)
+def test_merged_parts_equal_the_counts_of_one_entry() -> None:
+    whole, first, second = (
+        RequestCounters(0.0),
+        RequestCounters(0.0),
+        RequestCounters(0.0),
+    )
     for number in range(400):
-        event = finished(
+        event = build_finished(
             503 if number % 40 == 0 else 200,
             "wave" if number % 40 == 0 else "",
             0.001 * (number + 1),
         )
-        for accounts in (whole, first if number % 3 else second):
-            accounts.record(event, 0.3, float(number))
-    merged = merge_parts([part_of(first, 400.0), part_of(second, 400.0, "entry-2")])
-    expected = merge_parts([part_of(whole, 400.0)])
-    goals = {"dairy": Objectives(success_share=0.99, latency_seconds=0.3)}
-    burn = compute_report(merged, goals, 0.0)
-    reference = compute_report(expected, goals, 0.0)
+        for counters in (whole, first if number % 3 else second):
+            counters.record(event, 0.3, float(number))
+    merged = merge_parts(
+        [build_part(first, 400.0), build_part(second, 400.0, "entry-2")]
+    )
+    expected = merge_parts([build_part(whole, 400.0)])
+    objectives = {"dairy": Objectives(success_share=0.99, latency_seconds=0.3)}
+    burn = compute_report(merged, objectives, 0.0)
+    reference = compute_report(expected, objectives, 0.0)
     assert burn.organisations == reference.organisations
     assert burn.organisations[0].windows[1].error_burn_rate == pytest.approx(2.5)
     assert burn.organisations[0].median_seconds == pytest.approx(0.2, rel=0.03)
@@ -101,15 +112,16 @@
     assert burn_rate(3, 1000, 1.0) == 3.0
 
 
-def test_a_young_entry_says_how_little_of_a_window_it_covers() -> None:
-    """Show the share of a window that was counted.
+def test_coverage_of_recently_started_entries() -> None:
+    """Guard against a window without counts that looks like one without failures.
 
-    Symptom: the budget looks whole on the day after a bad one. Sequence: every entry
-    is replaced and begins to count anew. Cause: a window without counts that is shown
-    like one without failures.
+    When every entry is replaced, counting restarts, and the error budget appears
+    unspent on the day after a bad one.
     """
-    old = replace(part_of(Accounts(0.0), 3 * DAY), organisations=())
-    young = replace(part_of(Accounts(2.7 * DAY), 3 * DAY, "entry-2"), organisations=())
+    old = replace(build_part(RequestCounters(0.0), 3 * DAY), organisations=())
+    young = replace(
+        build_part(RequestCounters(2.7 * DAY), 3 * DAY, "entry-2"), organisations=()
+    )
     report = compute_report(merge_parts([old, young]), {"dairy": Objectives()}, 0.0)
     covered = {item.window: item.covered for item in report.organisations[0].windows}
     assert covered["6h"] == 1.0
@@ -134,16 +146,15 @@
     others = [item for item in members if item != own]
     core.put(MEMBERSHIP, FakeMembership(own, *others))  # type: ignore[arg-type]
     await async_setup(core)
-    core.events.publish(finished(503, "failure"))
+    core.events.publish(build_finished(503, "failure"))
     return core
 
 
-async def test_the_report_sums_all_data_centres_and_names_the_missing() -> None:
-    """Say whose counts are missing rather than guess.
+async def test_report_sums_all_data_centres_and_names_missing_parts() -> None:
+    """Guard against a report that shows half the burn during a network partition.
 
-    Symptom: a report shows half the burn during a partition. Sequence: a data centre
-    is cut off, another has no entry that is known, one entry is down. Cause: parts
-    that did not come were left out without a word.
+    One data centre is unreachable, another has no known entry, and one entry is down;
+    parts that are silently omitted make the report look complete.
     """
     network: dict[str, FakePeers] = {}
     cores = [
@@ -151,8 +162,8 @@
         await build_entry("voss-1", "voss", network),
         await build_entry("voss-2", "voss", network),
     ]
-    answer = await api.async_get_burn(ApiRequest(cores[0], "operator", {}, {}))
-    body = json.loads(json.dumps(answer.body))
+    response = await api.async_get_burn(ApiRequest(cores[0], "operator", {}, {}))
+    body = json.loads(json.dumps(response.body))
     assert body["missing_entries"] == ["bergen-2"]
     assert body["missing_data_centres"] == ["odda"]
     assert body["complete"] is False
--- a/tests/components/templates/test_directory.py
+++ b/tests/components/templates/test_directory.py
@@ -9,7 +9,7 @@
 from pydantic import ValidationError
 from returns.result import Failure
 
-from mustardward.components.api.routes import ApiAnswer, ApiRequest
+from mustardward.components.api.routes import ApiRequest, ApiResponse
 from mustardward.components.entry.models import Ran
 from mustardward.components.membership.models import MemberStatus
 from mustardward.components.templates import api, fleet_api, organisations_api
@@ -68,7 +68,7 @@
 
 async def async_call_handler(
     log: FakeFleetLog, peers: FakePeers, handler: Any, model: Any = None, **path: str
-) -> ApiAnswer:
+) -> ApiResponse:
     """Call a handler in a cluster of two live entries and a suspect one."""
     members = [
         build_member("entry-1"),
@@ -77,7 +77,7 @@
     ]
     # A task group would wrap an exception of the handler in a group, so it is raised
     # outside the task group.
-    outcome: ApiAnswer | MustardwardError
+    outcome: ApiResponse | MustardwardError
     async with async_directory_core(log, members, peers) as core:
         try:
             outcome = await handler(build_request(core, model, **path))
@@ -88,10 +88,10 @@
     return outcome
 
 
-async def async_start_publishing(core: Core, wait_seconds: float) -> list[ApiAnswer]:
+async def async_start_publishing(core: Core, wait_seconds: float) -> list[ApiResponse]:
     """Start to publish and return the list that receives the response."""
     model = PublishModel(parameters=ParametersModel(), wait_seconds=wait_seconds)
-    answers: list[ApiAnswer] = []
+    answers: list[ApiResponse] = []
 
     async def publish() -> None:
         request = build_request(core, model, name="cellar")
--- a/tests/components/templates/test_integration.py
+++ b/tests/components/templates/test_integration.py
@@ -10,7 +10,7 @@
 import anyio
 import pytest
 
-from mustardward.components.api.routes import ApiAnswer, ApiRequest
+from mustardward.components.api.routes import ApiRequest, ApiResponse
 from mustardward.components.keys import DIRECTORY, FLEET_LOG, MEMBERSHIP
 from mustardward.components.templates import api, fleet_api, organisations_api
 from mustardward.components.templates.api_models import OrganisationModel, PublishModel
@@ -95,13 +95,13 @@
 
 async def async_call(
     bench: PlatformBench,
-    handler: Callable[[ApiRequest], Awaitable[ApiAnswer]],
+    handler: Callable[[ApiRequest], Awaitable[ApiResponse]],
     core: Core,
     model: Any = None,
     **path: str,
-) -> ApiAnswer:
+) -> ApiResponse:
     """Call a handler while the clock advances and return its response."""
-    outcomes: list[ApiAnswer | MustardwardError] = []
+    outcomes: list[ApiResponse | MustardwardError] = []
 
     async def call() -> None:
         try:
@@ -148,7 +148,7 @@
     appended; if an append counts as acceptance, both operators are told of success.
     """
     model = PublishModel.model_validate({"parameters": PARAMETERS})
-    outcomes: list[ApiAnswer | MustardwardError] = []
+    outcomes: list[ApiResponse | MustardwardError] = []
     async with (
         async_platform_bench() as bench,
         async_two_entries(bench) as (first, second),
@@ -167,7 +167,7 @@
         await async_drive(bench, lambda: len(outcomes) == 2)
     conflicts = [item for item in outcomes if isinstance(item, RevisionConflictError)]
     assert len(conflicts) == 1
-    assert sum(isinstance(item, ApiAnswer) for item in outcomes) == 1
+    assert sum(isinstance(item, ApiResponse) for item in outcomes) == 1
 
 
 @pytest.mark.parametrize(
