--- a/tests/fakes/entry.py
+++ b/tests/fakes/entry.py
@@ -41,7 +41,7 @@
 from mustardward.components.keys import FLEET_LOG
 from mustardward.components.membership.models import Member
 from mustardward.components.routing.models import RemoteChoice
-from mustardward.components.templates.protocols import Resolved
+from mustardward.components.templates.protocols import ResolvedService
 from mustardward.core import Core
 from mustardward.helpers.listener import HttpListener, ListenerOptions
 from mustardward.helpers.timer import DrivenTimerService
@@ -91,14 +91,14 @@
 
     def resolve(
         self, organisation: str, service: str
-    ) -> Result[Resolved, RequestRefusal]:
+    ) -> Result[ResolvedService, RequestRefusal]:
         if organisation != "hvelv":
             return Failure(
                 RequestRefusal("organisation-unknown", 404, Ran.NO, organisation)
             )
         for binding in self.parameters.services:
             if binding.service == service:
-                return Success(Resolved(self._organisation(), binding))
+                return Success(ResolvedService(self._organisation(), binding))
         return Failure(RequestRefusal("service-unknown", 404, Ran.NO, service))
 
     def _organisation(self) -> Organisation:
@@ -202,10 +202,10 @@
     refusal: RequestRefusal | None = None
     opened: list[str] = field(default_factory=list)
     closed: list[tuple[str, StoredResponse | None]] = field(default_factory=list)
-    served_keyless: bool = False
+    served_without_key: bool = False
 
     def reportable_ran(self, facts: RequestFacts, ran: Ran) -> Ran:
-        return Ran.UNKNOWN if self.served_keyless else ran
+        return Ran.UNKNOWN if self.served_without_key else ran
 
     async def async_open(
         self, facts: RequestFacts
@@ -237,7 +237,7 @@
 
 
 @dataclass(slots=True)
-class SeenRequest:
+class ReceivedRequest:
     """Hold a request as a worker received it."""
 
     method: str
@@ -251,23 +251,23 @@
         return self.headers["mw-attempt-id"]
 
 
-Script = Callable[["SocketStream", SeenRequest], Awaitable[bool]]
+Script = Callable[["SocketStream", ReceivedRequest], Awaitable[bool]]
 """Responds to a request on its connection; a false result closes the connection."""
 
 
 def build_response(
-    seen: SeenRequest, body: bytes = b"done", status: int = 200, extra: str = ""
+    request: ReceivedRequest, body: bytes = b"done", status: int = 200, extra: str = ""
 ) -> bytes:
     """Return a complete HTTP response as bytes."""
     return (
-        f"HTTP/1.1 {status} X\r\nmw-attempt-id: {seen.attempt_id}\r\n{extra}"
+        f"HTTP/1.1 {status} X\r\nmw-attempt-id: {request.attempt_id}\r\n{extra}"
         f"content-length: {len(body)}\r\n\r\n"
     ).encode() + body
 
 
-async def respond_ok(stream: SocketStream, seen: SeenRequest) -> bool:
+async def respond_ok(stream: SocketStream, request: ReceivedRequest) -> bool:
     """Respond with status 200 and keep the connection open."""
-    await stream.send(build_response(seen))
+    await stream.send(build_response(request))
     return True
 
 
@@ -277,7 +277,7 @@
 
     script: Script = respond_ok
     address: str = ""
-    seen: list[SeenRequest] = field(default_factory=list)
+    requests: list[ReceivedRequest] = field(default_factory=list)
     connections: int = 0
 
     async def async_serve(self, stream: SocketStream) -> None:
@@ -292,14 +292,14 @@
                 return
 
     async def _async_one(self, stream: SocketStream) -> bool:
-        seen = await async_read_request(stream)
-        if seen is None:
+        request = await async_read_request(stream)
+        if request is None:
             return False
-        self.seen.append(seen)
-        return await self.script(stream, seen)
+        self.requests.append(request)
+        return await self.script(stream, request)
 
 
-async def async_read_request(stream: SocketStream) -> SeenRequest | None:
+async def async_read_request(stream: SocketStream) -> ReceivedRequest | None:
     """Return the next request on a connection, or None at its end."""
     connection = h11.Connection(h11.SERVER)
     head: h11.Request | None = None
@@ -318,7 +318,7 @@
         elif isinstance(event, h11.EndOfMessage):
             assert head is not None
             headers = {k.decode(): v.decode("latin-1") for k, v in head.headers}
-            return SeenRequest(
+            return ReceivedRequest(
                 head.method.decode(), head.target.decode(), headers, body
             )
         else:
