--- a/mustardward/components/log/__init__.py
+++ b/mustardward/components/log/__init__.py
@@ -1,4 +1,4 @@
-"""Set up the folded logs of the fleet and of the data centre's work."""
+"""Set up the fleet log and the work log of this data centre."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
     from ...state.fleet import FleetState
     from ...state.log import FoldedLog
 
-DIVERGENCE_SECONDS: Final = 5.0
+DIVERGENCE_CHECK_INTERVAL_SECONDS: Final = 5.0
 
 
 async def async_setup(core: Core) -> Unload:
-    """Follow the logs in the background; readiness comes later."""
+    """Start to follow the logs; they become ready in the background."""
     from ...state.log import FoldedLog
     from ...state.streams import FLEET_SPEC, work_spec
 
-    options = _options(core)
+    options = _build_options(core)
     service = core.get(LOG_SERVICE)
     fleet = FoldedLog(FLEET_SPEC, service, core.timers, options)
     core.put(FLEET_LOG, fleet)
     logs: list[FoldedLog[Any]] = [fleet]
-    if folds_work(core):
+    if follows_work_log(core):
         spec = work_spec(core.settings.entry.data_centre)
         work = FoldedLog(spec, service, core.timers, options)
         core.put(WORK_LOG, work)
         logs.append(work)
-    undo = [_start(core, log) for log in logs]
+    undo = [_start_log(core, log) for log in logs]
     undo.append(_serve_relay(core, logs))
-    undo.append(_watch_divergence(core, fleet))
+    undo.append(_start_divergence_check(core, fleet))
 
     async def async_unload() -> None:
         core.remove(FLEET_LOG)
@@ -43,16 +43,16 @@
     return async_unload
 
 
-def folds_work(core: Core) -> bool:
-    """Tell whether this entry is a home of keys and jobs of its data centre.
+def follows_work_log(core: Core) -> bool:
+    """Return whether this entry follows the work log of its data centre.
 
-    Every entry is one at present. What uses ``WORK_LOG`` finds nothing on an entry
-    that is none, and asks a home instead.
+    Every entry does, and so can own keys and jobs. Users of ``WORK_LOG`` handle its
+    absence by calling an entry that follows the work log.
     """
     return True
 
 
-def _options(core: Core) -> Any:
+def _build_options(core: Core) -> Any:
     from ...state.options import LogOptions
 
     platform = core.settings.platform
@@ -63,14 +63,16 @@
     )
 
 
-def _start(core: Core, log: FoldedLog[Any]) -> Callable[[], None]:
+def _start_log(core: Core, log: FoldedLog[Any]) -> Callable[[], None]:
     from random import Random
 
     from ...state.snapshot_writer import SnapshotWriter
     from .relay import PeerRelay
 
     log.set_relay(PeerRelay(core, Random()))
-    writer = SnapshotWriter(log, core.timers, lambda: _owns(core, log.spec.name))
+    writer = SnapshotWriter(
+        log, core.timers, lambda: _owns_snapshot_duty(core, log.spec.name)
+    )
     unsubscribe = writer.subscribe(core.tasks)
     core.tasks.start_soon(log.async_run)
 
@@ -87,20 +89,24 @@
     return RelayServer(logs).subscribe(core.get(PEERS))
 
 
-def _watch_divergence(core: Core, fleet: FoldedLog[FleetState]) -> Callable[[], None]:
-    from .divergence import DivergenceWatch
+def _start_divergence_check(
+    core: Core, fleet: FoldedLog[FleetState]
+) -> Callable[[], None]:
+    from .divergence import DivergenceDetector
 
-    watch = DivergenceWatch(fleet)
+    detector = DivergenceDetector(fleet)
 
     async def check() -> None:
         membership = core.find(MEMBERSHIP)
         if membership is not None:
-            watch.check(membership.members())
+            detector.check(membership.members())
 
-    return core.timers.subscribe("log.divergence", DIVERGENCE_SECONDS, check)
+    return core.timers.subscribe(
+        "log.divergence", DIVERGENCE_CHECK_INTERVAL_SECONDS, check
+    )
 
 
-def _owns(core: Core, stream: str) -> bool:
+def _owns_snapshot_duty(core: Core, stream: str) -> bool:
     membership = core.find(MEMBERSHIP)
     return membership is None or membership.owns_duty(f"snapshot:{stream}")
 
--- a/mustardward/components/log/divergence.py
+++ b/mustardward/components/log/divergence.py
@@ -1,4 +1,4 @@
-"""Notice entries that folded the same entries to another state."""
+"""Detect entries whose state differs after the same log records."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 _LOGGER = get_logger(__name__)
 
 
-class DivergenceWatch:
-    """Compare the digest that each peer tells of itself with one's own.
+class DivergenceDetector:
+    """Compare the state digests that peers report with that of this entry.
 
-    Two builds that fold a record differently differ for good from its offset on, and
-    nothing else would show it while both read the log.
+    If two builds apply a record differently, their states differ permanently from its
+    offset on, and nothing else reveals that while both follow the log.
 
-    :param log: this entry's folded log.
+    :param log: this entry's fleet log.
     """
 
     def __init__(self, log: FleetLog) -> None:
@@ -25,7 +25,7 @@
         self._reported: set[tuple[str, int]] = set()
 
     def check(self, members: Iterable[Member]) -> list[Member]:
-        """Return the members that newly differ at this entry's own offset."""
+        """Return members newly found to differ at the same offset as this entry."""
         found = [member for member in members if self._differs(member)]
         for member in found:
             self._reported.add((member.name, member.incarnation))
--- a/tests/components/log/test_relay.py
+++ b/tests/components/log/test_relay.py
@@ -1,4 +1,4 @@
-"""Relay over the peers' messages, and set the logs up in one process."""
+"""Test the relay between entries and the setup of the logs."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     WORK_LOG,
 )
 from mustardward.components.log import async_setup, relay
-from mustardward.components.log.divergence import DivergenceWatch
+from mustardward.components.log.divergence import DivergenceDetector
 from mustardward.components.log.relay import PeerRelay, RelayServer
 from mustardward.components.membership.models import Member, MemberStatus
 from mustardward.core import Core
@@ -40,11 +40,11 @@
 pytestmark = pytest.mark.anyio
 
 
-def _member(name: str, offset: int = 0, data_centre: str = "bergen") -> Member:
+def _build_member(name: str, offset: int = 0, data_centre: str = "bergen") -> Member:
     return Member(name, data_centre, name, 1, MemberStatus.ALIVE, fleet_offset=offset)
 
 
-def _core(bench: LogBench, name: str, peers: FakePeers) -> Core:
+def _build_core(bench: LogBench, name: str, peers: FakePeers) -> Core:
     settings = Settings(
         entry=EntryIdentity(name=name, data_centre="bergen"),
         callers=Listener(port=0),
@@ -55,123 +55,124 @@
     return core
 
 
-class Pair:
-    """Hold a leading log with its server, and a relay that asks it."""
+class RelayHarness:
+    """Provide an entry that serves an up-to-date log and a relay that requests it."""
 
     def __init__(self, bench: LogBench) -> None:
         self.bench = bench
         self.network = FakeNetwork()
         self.log = bench.start()
-        self.asking = FakePeers(self.network, "asking", "asking")
-        self.leading = FakePeers(self.network, "leading", "leading")
-        self.core = _core(bench, "asking", self.asking)
+        self.requester = FakePeers(self.network, "asking", "asking")
+        self.leader = FakePeers(self.network, "leading", "leading")
+        self.core = _build_core(bench, "asking", self.requester)
         self.relay = PeerRelay(self.core, Random(1))
-        RelayServer([self.log]).subscribe(self.leading)
+        RelayServer([self.log]).subscribe(self.leader)
 
-    def know(self, *members: Member) -> None:
-        """Let membership know these beside the asking entry."""
-        membership = FakeMembership(_member("asking"), *members)
+    def set_members(self, *members: Member) -> None:
+        """Set the members that the requesting entry knows."""
+        membership = FakeMembership(_build_member("asking"), *members)
         self.core.put(MEMBERSHIP, cast(Any, membership))
 
     async def async_image(self, stream: str = "fleet") -> Any:
-        """Ask for a whole state."""
-        question = RelayRequest(stream, 0, "", RelayRequestKind.IMAGE)
-        return await self.relay.async_image(question)
+        """Request an image of the whole state."""
+        request = RelayRequest(stream, 0, "", RelayRequestKind.IMAGE)
+        return await self.relay.async_image(request)
 
 
 @asynccontextmanager
-async def running_pair() -> AsyncIterator[Pair]:
+async def running_harness() -> AsyncIterator[RelayHarness]:
     async with running_bench() as bench:
-        pair = Pair(bench)
+        harness = RelayHarness(bench)
         await bench.async_settle()
-        await bench.async_fill(pair.log, 3)
-        yield pair
+        await bench.async_fill(harness.log, 3)
+        yield harness
 
 
-async def test_entries_are_asked_of_a_member_that_is_ahead() -> None:
-    async with running_pair() as pair:
-        pair.know(_member("behind", 0), _member("leading", 3))
+async def test_entries_are_requested_from_a_member_that_is_ahead() -> None:
+    async with running_harness() as harness:
+        harness.set_members(_build_member("behind", 0), _build_member("leading", 3))
         for _ in range(10):
-            answer = await pair.relay.async_entries(RelayRequest("fleet", 0, ""))
-            assert answer.status is RelayStatus.ENTRIES
-            assert len(answer.entries) == 3
+            response = await harness.relay.async_entries(RelayRequest("fleet", 0, ""))
+            assert response.status is RelayStatus.ENTRIES
+            assert len(response.entries) == 3
 
 
-async def test_work_is_asked_of_the_own_data_centre_alone() -> None:
-    async with running_pair() as pair:
-        log = pair.bench.start_work("bergen")
-        await pair.bench.async_settle()
-        pair.log.stop()
-        server = FakePeers(pair.network, "near", "near")
+async def test_work_is_requested_in_the_own_data_centre_only() -> None:
+    async with running_harness() as harness:
+        log = harness.bench.start_work("bergen")
+        await harness.bench.async_settle()
+        harness.log.stop()
+        server = FakePeers(harness.network, "near", "near")
         RelayServer([log]).subscribe(server)
-        pair.know(_member("near"), _member("far", 99, "flam"))
-        question = RelayRequest("work.bergen", 0, "")
+        harness.set_members(_build_member("near"), _build_member("far", 99, "flam"))
+        request = RelayRequest("work.bergen", 0, "")
         for _ in range(5):
-            answer = await pair.relay.async_entries(question)
-            assert answer.status is RelayStatus.ENTRIES
+            response = await harness.relay.async_entries(request)
+            assert response.status is RelayStatus.ENTRIES
 
 
-async def test_the_state_is_taken_from_the_furthest_of_several_peers() -> None:
-    """Probe before taking a state.
+async def test_image_is_fetched_from_the_most_advanced_peer() -> None:
+    """Guard against a new entry that serves an outdated configuration.
 
-    Symptom: a fresh entry serves a configuration that others have left behind.
-    Sequence: the log is out, its first peer is stale. Cause: the first answer is
-    taken.
+    While the log is unavailable, a new entry fetches its state from peers, and the
+    first one to respond may be stale.
     """
-    async with running_pair() as pair:
-        client = LogClient(pair.bench.service)
-        stale = pair.bench.start(client)
-        await pair.bench.async_settle()
+    async with running_harness() as harness:
+        client = LogClient(harness.bench.service)
+        stale = harness.bench.start(client)
+        await harness.bench.async_settle()
         client.cut_off = True
-        await pair.bench.async_fill(pair.log, 2)
-        peers = FakePeers(pair.network, "stale", "stale")
+        await harness.bench.async_fill(harness.log, 2)
+        peers = FakePeers(harness.network, "stale", "stale")
         RelayServer([stale]).subscribe(peers)
-        pair.know(_member("stale", 9), _member("leading"), _member("dead"))
-        answer = await pair.async_image()
-        assert answer.next_offset == 5
-        assert answer.image.header.fold_digest == pair.log.digest
-
-
-async def test_nobody_reachable_is_an_unavailable_answer() -> None:
-    async with running_pair() as pair:
-        assert (await pair.async_image()).status is RelayStatus.UNAVAILABLE
-        pair.know(_member("dead"))
-        assert (await pair.async_image()).status is RelayStatus.UNAVAILABLE
-        entries = await pair.relay.async_entries(RelayRequest("fleet", 0, ""))
+        harness.set_members(
+            _build_member("stale", 9), _build_member("leading"), _build_member("dead")
+        )
+        response = await harness.async_image()
+        assert response.next_offset == 5
+        assert response.image.header.fold_digest == harness.log.digest
+
+
+async def test_no_reachable_peer_is_an_unavailable_response() -> None:
+    async with running_harness() as harness:
+        assert (await harness.async_image()).status is RelayStatus.UNAVAILABLE
+        harness.set_members(_build_member("dead"))
+        assert (await harness.async_image()).status is RelayStatus.UNAVAILABLE
+        entries = await harness.relay.async_entries(RelayRequest("fleet", 0, ""))
         assert entries.status is RelayStatus.UNAVAILABLE
-        pair.know(_member("leading"))
-        other = await pair.async_image("work.bergen")
+        harness.set_members(_build_member("leading"))
+        other = await harness.async_image("work.bergen")
         assert other.status is RelayStatus.UNAVAILABLE
 
 
-async def test_a_large_state_goes_in_parts_of_one_image(
+async def test_large_image_is_transferred_in_parts(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(relay, "PART_BYTES", 60)
-    async with running_pair() as pair:
-        pair.know(_member("leading"))
-        answer = await pair.async_image()
-        assert pair.network.calls > 3
+    monkeypatch.setattr(relay, "MAX_PART_BYTES", 60)
+    async with running_harness() as harness:
+        harness.set_members(_build_member("leading"))
+        response = await harness.async_image()
+        assert harness.network.calls > 3
         fold = FLEET_SPEC.new_fold()
-        restore_image(FLEET_SPEC, fold, answer.image)
-        assert fold.digest == pair.log.digest
+        restore_image(FLEET_SPEC, fold, response.image)
+        assert fold.digest == harness.log.digest
 
 
-async def test_a_peer_that_folds_to_another_state_is_reported_once() -> None:
-    async with running_pair() as pair:
-        watch = DivergenceWatch(pair.log)
-        same = replace(_member("same", 3), fleet_digest=pair.log.digest[:8])
-        behind = replace(_member("behind", 2), fleet_digest="00000000")
-        silent = _member("silent", 3)
-        wrong = replace(_member("wrong", 3), fleet_digest="00000000")
-        assert watch.check([same, behind, silent, wrong]) == [wrong]
-        assert watch.check([same, behind, silent, wrong]) == []
+async def test_diverged_peer_is_reported_once() -> None:
+    async with running_harness() as harness:
+        detector = DivergenceDetector(harness.log)
+        same = replace(_build_member("same", 3), fleet_digest=harness.log.digest[:8])
+        behind = replace(_build_member("behind", 2), fleet_digest="00000000")
+        no_digest = _build_member("silent", 3)
+        wrong = replace(_build_member("wrong", 3), fleet_digest="00000000")
+        assert detector.check([same, behind, no_digest, wrong]) == [wrong]
+        assert detector.check([same, behind, no_digest, wrong]) == []
 
 
-async def test_an_entry_sets_its_logs_up_and_takes_them_down() -> None:
+async def test_entry_sets_up_and_unloads_its_logs() -> None:
     async with running_bench() as bench:
         peers = FakePeers(FakeNetwork(), "only", "only")
-        core = _core(bench, "only", peers)
+        core = _build_core(bench, "only", peers)
         core.put(LOG_SERVICE, cast(Any, bench.service))
         unload = await async_setup(core)
         fleet, work = core.get(FLEET_LOG), core.get(WORK_LOG)
