--- a/mustardward/components/peers/__init__.py
+++ b/mustardward/components/peers/__init__.py
@@ -1,18 +1,18 @@
-"""Talk to other entries: digests, relayed records, forwarded requests."""
+"""Exchange messages and forwarded requests with other entries."""
 
 from __future__ import annotations
 
 from ...core import COMPONENTS, ComponentDescription, Core, Unload
 from ..keys import DIRECTORY, ENTRY, MEMBERSHIP, PEERS
-from .const import SWEEP_SECONDS
+from .const import IDLE_CHECK_INTERVAL_SECONDS
 
 
 async def async_setup(core: Core) -> Unload:
-    """Set the component up and return what undoes it."""
+    """Set the component up and return its unload callback."""
     from ..membership.models import FINAL_STATUSES
     from .receiver import ForwardReceiver
     from .services import GrpcPeers
-    from .tls import client_context, server_context
+    from .tls import create_client_context, create_server_context
 
     settings = core.settings
     tls = settings.peer_tls
@@ -32,20 +32,20 @@
         settings.entry.name,
         receiver,
         core.timers.monotonic,
-        client_context(tls) if tls else None,
+        create_client_context(tls) if tls else None,
     )
     listen = settings.peer_listen
     await peers.async_start(
-        listen.host, listen.port, server_context(tls) if tls else None
+        listen.host, listen.port, create_server_context(tls) if tls else None
     )
-    stop_sweep = core.timers.subscribe(
-        "peers.idle", SWEEP_SECONDS, peers.async_close_idle
+    stop_idle_check = core.timers.subscribe(
+        "peers.idle", IDLE_CHECK_INTERVAL_SECONDS, peers.async_close_idle
     )
     core.put(PEERS, peers)
 
     async def async_unload() -> None:
         core.remove(PEERS)
-        stop_sweep()
+        stop_idle_check()
         await peers.async_stop()
 
     return async_unload
--- a/mustardward/components/peers/cancellation.py
+++ b/mustardward/components/peers/cancellation.py
@@ -1,10 +1,10 @@
-"""Take back the cancellations by which grpclib wakes a task.
+"""Revert the cancellations that grpclib leaves pending on a task.
 
-grpclib cancels a task that waits on a stream when the connection is lost, and raises
-its own error in place of the cancellation; but the task goes on counting it. A scope of
-anyio that passes its deadline later in the same task takes its own cancellation for one
-from outside and lets it through: a request would end without an answer, and show as an
-empty 500 without a line in the log.
+When a connection is lost, grpclib cancels the task that waits on a stream and replaces
+the cancellation by an error of its own, but the task's cancellation count stays raised.
+An anyio scope that reaches its deadline later in the same task then takes its own
+cancellation for an external one and propagates it: the request ends without a response,
+as an empty 500 that is not logged.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 
 @contextmanager
-def settled_cancellations() -> Iterator[None]:
-    """Leave the task's count of cancellations as it was, if an error comes out.
+def uncancel_on_error() -> Iterator[None]:
+    """Restore the task's cancellation count if an error is raised.
 
-    A cancellation that comes out as such is somebody else's, and stays.
+    A raised ``CancelledError`` comes from outside and stays in effect.
     """
     task = asyncio.current_task()
     before = task.cancelling() if task is not None else 0
--- a/mustardward/components/peers/client.py
+++ b/mustardward/components/peers/client.py
@@ -1,4 +1,4 @@
-"""Call other entries over grpclib."""
+"""Make unary calls to other entries over grpclib."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from ...helpers.msgpack_codec import MsgpackCodec
 from ...helpers.peer_channels import ChannelPool, Purpose
 from ..membership.models import Member
-from .cancellation import settled_cancellations
+from .cancellation import uncancel_on_error
 from .const import CALL_PATH, METADATA_MESSAGE, METADATA_SENDER
 from .exceptions import PeerMessageError, PeerRefusedError
 from .framing import async_receive_bytes
 from .protocols import describe_message
 
-REFUSING_STATUSES: Final = frozenset(
+NO_EFFECT_STATUSES: Final = frozenset(
     {
         Status.FAILED_PRECONDITION,
         Status.RESOURCE_EXHAUSTED,
         Status.UNIMPLEMENTED,
     }
 )
-"""Statuses that our server gives only before a handler had an effect."""
+"""Statuses that the server returns only if the call had no effect."""
 
 TRANSPORT_ERRORS: Final = (
     OSError,
@@ -38,7 +38,7 @@
 
 
 class PeerClient:
-    """Make unary calls.
+    """Make unary calls to other entries.
 
     :param sender: the name of this entry.
     """
@@ -51,7 +51,7 @@
     async def async_call(
         self, member: Member, message: Any, timeout_seconds: float
     ) -> Any:
-        """Return the reply.
+        """Call a peer and return its reply.
 
         :raises PeerError: if the call certainly had no effect.
         :raises PeerOutcomeUnknownError: if it may have had one.
@@ -59,13 +59,13 @@
         description = describe_message(message)
         lease = await self._channels.async_acquire(member.address, Purpose.CONTROL)
         try:
-            with settled_cancellations(), anyio.fail_after(timeout_seconds):
+            with uncancel_on_error(), anyio.fail_after(timeout_seconds):
                 data = await self._async_exchange(
                     lease.channel, description.name, message
                 )
             return self._codec.decode(data, description.reply_type)
         except GRPCError as error:
-            raise translate_status(error, member) from error
+            raise convert_grpc_error(error, member) from error
         except (*TRANSPORT_ERRORS, msgspec.MsgspecError) as error:
             lease.retire()
             detail = f"peer={member.name} {type(error).__name__}"
@@ -92,11 +92,11 @@
         return data
 
 
-def translate_status(
+def convert_grpc_error(
     error: GRPCError, member: Member
 ) -> PeerRefusedError | PeerOutcomeUnknownError:
-    """Return the failure that a peer's status stands for."""
+    """Return the error that corresponds to a peer's gRPC status."""
     detail = f"peer={member.name} status={error.status.name} code={error.message}"
-    if error.status in REFUSING_STATUSES:
+    if error.status in NO_EFFECT_STATUSES:
         return PeerRefusedError(detail)
     return PeerOutcomeUnknownError(detail)
--- a/mustardward/components/peers/const.py
+++ b/mustardward/components/peers/const.py
@@ -1,4 +1,4 @@
-"""Hold the bounds and names of the protocol between entries."""
+"""Define the names and limits of the protocol between entries."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 METADATA_MESSAGE: Final = "mw-message"
 METADATA_SENDER: Final = "mw-sender"
 
-MAXIMUM_MESSAGE_BYTES: Final = 16 * 1024 * 1024
-"""Largest single message: the image of a state of the size we build towards."""
+MAX_MESSAGE_BYTES: Final = 16 * 1024 * 1024
+"""Largest single message; it has to hold the image of a state of the target size."""
 
-MAXIMUM_CALLS: Final = 512
-"""Calls and forwarded requests that one entry answers for its peers at once."""
+MAX_CONCURRENT_CALLS: Final = 512
+"""Calls and forwarded requests that one entry handles concurrently."""
 
 CHUNK_BYTES: Final = 64 * 1024
-"""Largest piece of a body in one frame."""
+"""Largest part of a body in one frame."""
 
-MAXIMUM_HOPS: Final = 2
-"""Entries that may forward a request: to another data centre, then to a home."""
+MAX_HOPS: Final = 2
+"""Maximum number of forwards: to another data centre, then to the key's owner."""
 
-LAST_FRAMES_SECONDS: Final = 5.0
-"""Time beyond a request's deadline for its answer's end to be taken."""
+END_OF_STREAM_TIMEOUT_SECONDS: Final = 5.0
+"""Time beyond a request's deadline to transfer the end of its response."""
 
-SWEEP_SECONDS: Final = 30.0
+IDLE_CHECK_INTERVAL_SECONDS: Final = 30.0
--- a/mustardward/components/peers/exceptions.py
+++ b/mustardward/components/peers/exceptions.py
@@ -1,4 +1,4 @@
-"""Define the failures of calls between entries."""
+"""Define the errors of calls between entries."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from ...helpers.peer_channels import PeerUnreachableError
 
 __all__ = [
-    "PeerAnswerTruncatedError",
+    "PeerResponseTruncatedError",
     "PeerBodyTruncatedError",
     "PeerMessageError",
     "PeerRefusedError",
@@ -15,27 +15,27 @@
 
 
 class PeerRefusedError(PeerError):
-    """Report that a peer refused a call, which then had no effect.
+    """Report that a peer refused a call, which had no effect.
 
-    A handler raises it only if that is so.
+    A handler may raise it only before it has any effect.
     """
 
     code = "peer-refused"
 
 
 class PeerMessageError(PeerError):
-    """Report a message that does not match its type or its bounds."""
+    """Report a message that does not match its type or exceeds a limit."""
 
     code = "peer-message-invalid"
 
 
-class PeerAnswerTruncatedError(PeerError, TruncatedAnswerError):
-    """Report that a forwarded request's answer ended before it was whole."""
+class PeerResponseTruncatedError(PeerError, TruncatedAnswerError):
+    """Report that the response to a forwarded request is truncated."""
 
     code = "peer-answer-truncated"
 
 
 class PeerBodyTruncatedError(PeerError):
-    """Report that a forwarded request's body ended before it was whole."""
+    """Report that the body of a forwarded request is truncated."""
 
     code = "peer-body-truncated"
--- a/mustardward/components/peers/forward.py
+++ b/mustardward/components/peers/forward.py
@@ -1,4 +1,4 @@
-"""Forward a caller's request to another entry and stream the answer back."""
+"""Forward a caller's request to another entry and stream the response back."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 from ..entry.models import AttemptOutcome, Ran, RequestFacts
 from ..entry.protocols import FailedAttempt, OutgoingRequest, WorkerResponse
 from ..membership.models import Member
-from .answer import STREAM_FAILURES, AnswerChunks, async_close_stream
-from .cancellation import settled_cancellations
-from .client import translate_status
-from .const import CHUNK_BYTES, FORWARD_PATH, MAXIMUM_HOPS, METADATA_SENDER
+from .answer import STREAM_ERRORS, ResponseChunks, async_close_stream
+from .cancellation import uncancel_on_error
+from .client import convert_grpc_error
+from .const import CHUNK_BYTES, FORWARD_PATH, MAX_HOPS, METADATA_SENDER
 from .exceptions import PeerMessageError, PeerRefusedError
 from .models import ForwardHead, ForwardRefusal, RequestFrame
 
 
 class Forwarder:
-    """Open forwarded requests.
+    """Forward requests to other entries.
 
     :param clock: returns monotonic seconds.
     """
@@ -41,34 +41,34 @@
     async def async_forward(
         self, member: Member, facts: RequestFacts, request: OutgoingRequest
     ) -> Result[WorkerResponse, FailedAttempt]:
-        """Let another entry serve a request; return when the answer's head is there."""
-        if facts.hops >= MAXIMUM_HOPS:
-            return _failed(AttemptOutcome.NOT_SENT, "too-many-hops")
+        """Forward a request and return once the response's head has arrived."""
+        if facts.hops >= MAX_HOPS:
+            return _build_failure(AttemptOutcome.NOT_SENT, "too-many-hops")
         remaining = facts.deadline - self._clock()
         if remaining <= 0:
-            return _failed(AttemptOutcome.NOT_SENT, "deadline-exceeded")
+            return _build_failure(AttemptOutcome.NOT_SENT, "deadline-exceeded")
         stack = AsyncExitStack()
         try:
-            with settled_cancellations():
+            with uncancel_on_error():
                 stream = await self._async_open(member, facts.deadline, stack)
         except PeerError as error:
             await async_close_stream(None, stack)
-            return _failed(AttemptOutcome.NOT_SENT, error.code)
-        except STREAM_FAILURES as error:
+            return _build_failure(AttemptOutcome.NOT_SENT, error.code)
+        except STREAM_ERRORS as error:
             await async_close_stream(None, stack)
-            return _failed(AttemptOutcome.NOT_SENT, type(error).__name__)
+            return _build_failure(AttemptOutcome.NOT_SENT, type(error).__name__)
         except BaseException:
             await async_close_stream(None, stack)
             raise
-        chunks = AnswerChunks(stream, stack, facts.deadline, self._clock)
+        chunks = ResponseChunks(stream, stack, facts.deadline, self._clock)
         try:
-            answer = await self._async_exchange(member, chunks, facts, request)
+            response = await self._async_exchange(member, chunks, facts, request)
         except BaseException:
             await chunks.aclose()
             raise
-        if isinstance(answer, Failure):
+        if isinstance(response, Failure):
             await chunks.aclose()
-        return answer
+        return response
 
     async def _async_open(
         self, member: Member, deadline: float, stack: AsyncExitStack
@@ -87,7 +87,7 @@
         try:
             with anyio.fail_after(deadline - self._clock()):
                 await stream.send_request()
-        except STREAM_FAILURES:
+        except STREAM_ERRORS:
             lease.retire()
             raise
         return stream
@@ -95,32 +95,32 @@
     async def _async_exchange(
         self,
         member: Member,
-        chunks: AnswerChunks,
+        chunks: ResponseChunks,
         facts: RequestFacts,
         request: OutgoingRequest,
     ) -> Result[WorkerResponse, FailedAttempt]:
-        # From the first byte of the head on, the peer may have dispatched the request,
-        # whatever becomes of the stream: only the peer's own word makes it "not run".
+        # Once the first byte of the head is sent, the peer may dispatch the request even
+        # if the stream fails: only an explicit refusal of the peer means "not run".
         try:
             remaining = facts.deadline - self._clock()
-            with settled_cancellations(), anyio.fail_after(remaining):
-                await _async_send(
-                    chunks.stream, _head(facts, request, remaining), request.body
+            with uncancel_on_error(), anyio.fail_after(remaining):
+                await _async_send_request(
+                    chunks.stream, _build_head(facts, request, remaining), request.body
                 )
-                frame = await chunks.async_receive()
+                frame = await chunks.async_receive_frame()
         except GRPCError as error:
-            return _failed(*_judge(error, member))
-        except STREAM_FAILURES as error:
-            return _failed(AttemptOutcome.UNKNOWN, type(error).__name__)
+            return _build_failure(*_classify_error(error, member))
+        except STREAM_ERRORS as error:
+            return _build_failure(AttemptOutcome.UNKNOWN, type(error).__name__)
         if frame.refusal is not None:
-            return _refused(frame.refusal)
+            return _convert_refusal(frame.refusal)
         if frame.head is None:
-            return _failed(AttemptOutcome.UNKNOWN, PeerMessageError.code)
-        chunks.put_back(frame)
+            return _build_failure(AttemptOutcome.UNKNOWN, PeerMessageError.code)
+        chunks.push_back(frame)
         return Success(WorkerResponse(frame.head.status, frame.head.headers, chunks))
 
 
-async def _async_send(
+async def _async_send_request(
     stream: Any, head: ForwardHead, body: bytes | AsyncIterator[bytes]
 ) -> None:
     if isinstance(body, bytes) and len(body) <= CHUNK_BYTES:
@@ -128,12 +128,14 @@
         await stream.send_message(frame)
         return
     await stream.send_message(RequestFrame(head=head))
-    async for chunk in _pieces(body):
+    async for chunk in _split_into_chunks(body):
         await stream.send_message(RequestFrame(chunk=chunk))
     await stream.send_message(RequestFrame(last=True))
 
 
-async def _pieces(body: bytes | AsyncIterator[bytes]) -> AsyncIterator[bytes]:
+async def _split_into_chunks(
+    body: bytes | AsyncIterator[bytes],
+) -> AsyncIterator[bytes]:
     if isinstance(body, bytes):
         for start in range(0, len(body), CHUNK_BYTES):
             yield body[start : start + CHUNK_BYTES]
@@ -143,7 +145,7 @@
             yield chunk[start : start + CHUNK_BYTES]
 
 
-def _head(
+def _build_head(
     facts: RequestFacts, request: OutgoingRequest, remaining: float
 ) -> ForwardHead:
     return ForwardHead(
@@ -161,18 +163,18 @@
     )
 
 
-def _judge(error: GRPCError, member: Member) -> tuple[AttemptOutcome, str]:
-    failure = translate_status(error, member)
+def _classify_error(error: GRPCError, member: Member) -> tuple[AttemptOutcome, str]:
+    failure = convert_grpc_error(error, member)
     if isinstance(failure, PeerRefusedError):
         return AttemptOutcome.REFUSED, error.message or failure.code
     return AttemptOutcome.UNKNOWN, failure.code
 
 
-def _refused(refusal: ForwardRefusal) -> Failure[FailedAttempt]:
+def _convert_refusal(refusal: ForwardRefusal) -> Failure[FailedAttempt]:
     if refusal.ran == Ran.NO:
-        return _failed(AttemptOutcome.REFUSED, refusal.code)
-    return _failed(AttemptOutcome.UNKNOWN, refusal.code)
+        return _build_failure(AttemptOutcome.REFUSED, refusal.code)
+    return _build_failure(AttemptOutcome.UNKNOWN, refusal.code)
 
 
-def _failed(outcome: AttemptOutcome, cause: str) -> Failure[FailedAttempt]:
+def _build_failure(outcome: AttemptOutcome, cause: str) -> Failure[FailedAttempt]:
     return Failure(FailedAttempt(outcome, cause))
--- a/mustardward/components/peers/models.py
+++ b/mustardward/components/peers/models.py
@@ -1,4 +1,4 @@
-"""Model what entries send each other when one forwards a caller's request."""
+"""Define the frames of a request that one entry forwards to another."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardHead:
-    """Begin a forwarded request.
+    """Hold the head of a forwarded request.
 
-    The receiver derives the facts anew from organisation and service. Time goes as
-    ``remaining_seconds``, since the sender's clock means nothing to the receiver.
+    The receiver looks up everything else by organisation and service. The deadline is
+    sent as ``remaining_seconds``, since the clocks of two entries are unrelated.
     """
 
     request_id: str
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFrame:
-    """Carry one piece of a forwarded request; only the first has a head."""
+    """Hold one frame of a forwarded request; only the first one has a head."""
 
     head: ForwardHead | None = None
     chunk: bytes = b""
@@ -36,8 +36,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerHead:
-    """Begin the answer to a forwarded request."""
+class ResponseHead:
+    """Hold the head of the response to a forwarded request."""
 
     status: int
     headers: tuple[tuple[bytes, bytes], ...]
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardRefusal:
-    """Say that the receiver answers with a refusal of its own; ``ran`` is its claim."""
+    """Hold the receiver's refusal; ``ran`` is what it knows about execution."""
 
     code: str
     ran: str
@@ -53,13 +53,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerFrame:
-    """Carry one piece of an answer; without a ``last`` one it was cut off.
+class ResponseFrame:
+    """Hold one frame of a response.
 
-    ``cut`` says so at once, where the peer noticed it itself.
+    A response without a ``last`` frame is truncated. ``cut`` reports that at once, if
+    the sender has noticed it.
     """
 
-    head: AnswerHead | None = None
+    head: ResponseHead | None = None
     refusal: ForwardRefusal | None = None
     chunk: bytes = b""
     last: bool = False
--- a/mustardward/components/peers/protocols.py
+++ b/mustardward/components/peers/protocols.py
@@ -1,8 +1,8 @@
 """Define how entries call each other.
 
-A message is a frozen slotted data class filed with :func:`peer_message`; msgspec is the
-codec, grpclib the transport. A handler is filed for each message type by the component
-that owns it.
+A message is a frozen slotted data class registered with :func:`peer_message`; it is
+encoded by msgspec and sent over grpclib. The component that owns a message type
+registers the handler for it.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 def peer_message(name: str, reply_type: type) -> Callable[[MessageT], MessageT]:
-    """Return a decorator that files a data class as the message of a call."""
+    """Return a decorator that registers a data class as the message of a call."""
 
     def decorate(message_type: MessageT) -> MessageT:
         description = PeerMessage(name, message_type, reply_type)
@@ -47,26 +47,26 @@
 
 
 def describe_message(message: Any) -> PeerMessage:
-    """Return the description filed for a message's type."""
+    """Return the description registered for a message's type."""
     return _MESSAGE_BY_TYPE[type(message)]
 
 
 PeerHandler = Callable[[str, Any], Awaitable[Any]]
-"""Take the calling entry's name and the message, and return the reply."""
+"""Handler that takes the calling entry's name and the message; returns the reply."""
 
 
 class Peers(Protocol):
-    """Call other entries and answer them."""
+    """Call other entries and handle their calls."""
 
     @property
     def address(self) -> str:
-        """Return where this entry listens, as ``host:port``."""
+        """Return this entry's listening address as ``host:port``."""
         ...
 
     async def async_call(
         self, member: Member, message: Any, timeout_seconds: float = 1.0
     ) -> Any:
-        """Return the reply.
+        """Call a peer and return its reply.
 
         :raises PeerError: if the call certainly had no effect.
         :raises PeerOutcomeUnknownError: if it may have had one.
@@ -74,11 +74,11 @@
         ...
 
     def handle(self, message_type: type, handler: PeerHandler) -> Callable[[], None]:
-        """Answer a kind of call until unsubscribed."""
+        """Register the handler of a message type; return what unregisters it."""
         ...
 
     async def async_forward(
         self, member: Member, facts: RequestFacts, request: OutgoingRequest
     ) -> Result[WorkerResponse, FailedAttempt]:
-        """Let another entry serve a caller's request, and stream its answer back."""
+        """Forward a caller's request to another entry and return its response."""
         ...
--- a/mustardward/components/peers/receiver.py
+++ b/mustardward/components/peers/receiver.py
@@ -1,4 +1,4 @@
-"""Serve requests that other entries forward here."""
+"""Serve requests that other entries forward to this one."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from ..entry.protocols import OutgoingRequest, WorkerResponse
 from ..entry.response import async_close_response
 from ..templates.protocols import Directory, ResolvedService
-from .const import CHUNK_BYTES, LAST_FRAMES_SECONDS, MAXIMUM_HOPS
+from .const import CHUNK_BYTES, END_OF_STREAM_TIMEOUT_SECONDS, MAX_HOPS
 from .exceptions import PeerBodyTruncatedError, PeerMessageError
 from .framing import async_receive_bytes
 from .models import (
-    AnswerFrame,
-    AnswerHead,
     ForwardHead,
     ForwardRefusal,
     RequestFrame,
+    ResponseFrame,
+    ResponseHead,
 )
 
 _LOGGER = get_logger(__name__)
@@ -35,16 +35,16 @@
     async def async_serve(
         self, facts: RequestFacts, request: OutgoingRequest
     ) -> Result[WorkerResponse, RequestRefusal]:
-        """Return the beginning of the answer, or the refusal."""
+        """Return the response with its body still to be streamed, or the refusal."""
         ...
 
 
 class ForwardReceiver:
-    """Answer the streams of forwarded requests.
+    """Handle the streams of forwarded requests.
 
-    :param find_entry: returns what serves requests, once it is set up.
-    :param find_directory: returns what resolves organisations, once it is set up.
-    :param is_leaving: tells whether this entry takes no new work.
+    :param find_entry: returns the server of requests, or ``None`` before its setup.
+    :param find_directory: returns the directory, or ``None`` before its setup.
+    :param is_leaving: returns whether this entry accepts no new requests.
     :param clock: returns monotonic seconds.
     """
 
@@ -62,28 +62,28 @@
         self._clock = clock
         self._maximum_deadline_seconds = maximum_deadline_seconds
         self._codec = MsgpackCodec()
-        self._running = 0
+        self._active_requests = 0
         self._idle: anyio.Event | None = None
 
     async def async_wait_idle(self) -> None:
-        """Wait until no forwarded request is being served; each has its deadline."""
-        if self._running:
+        """Wait until all forwarded requests are done; each one has a deadline."""
+        if self._active_requests:
             self._idle = anyio.Event()
             await self._idle.wait()
 
     async def async_answer(self, stream: Any) -> None:
-        """Answer one stream."""
-        self._running += 1
+        """Handle the stream of one forwarded request."""
+        self._active_requests += 1
         try:
-            await self._async_answer(stream)
+            await self._async_handle(stream)
         finally:
-            self._running -= 1
-            if self._idle is not None and not self._running:
+            self._active_requests -= 1
+            if self._idle is not None and not self._active_requests:
                 self._idle.set()
 
-    async def _async_answer(self, stream: Any) -> None:
+    async def _async_handle(self, stream: Any) -> None:
         try:
-            first = await self._async_receive(stream)
+            first = await self._async_receive_frame(stream)
         except PeerMessageError as error:
             await self._async_refuse(stream, error.code, Ran.NO, error.detail)
             return
@@ -103,7 +103,7 @@
         if self._is_leaving():
             await self._async_refuse(stream, "leaving", Ran.NO)
             return
-        if head.hops > MAXIMUM_HOPS or not head.remaining_seconds > 0:
+        if head.hops > MAX_HOPS or not head.remaining_seconds > 0:
             await self._async_refuse(stream, "forward-refused", Ran.NO)
             return
         resolved = directory.resolve(head.organisation, head.service)
@@ -111,21 +111,23 @@
             refusal = resolved.failure()
             await self._async_refuse(stream, refusal.code, refusal.ran, refusal.detail)
             return
-        facts = self._facts(head, resolved.unwrap())
+        facts = self._build_facts(head, resolved.unwrap())
         request = OutgoingRequest(
-            head.method, head.target, head.headers, self._body(stream, first)
+            head.method, head.target, head.headers, self._get_body(stream, first)
         )
         result = await entry.async_serve(facts, request)
         if isinstance(result, Failure):
             refusal = result.failure()
             await self._async_refuse(stream, refusal.code, refusal.ran, refusal.detail)
             return
-        await _async_stream(stream, result.unwrap())
-        await _async_wait_taken(stream, facts.deadline - self._clock())
-
-    def _facts(self, head: ForwardHead, resolved: ResolvedService) -> RequestFacts:
-        # The sender may hold an older or newer configuration, and its clocks are its
-        # own: only names and a duration are taken over, the rest is looked up here.
+        await _async_send_response(stream, result.unwrap())
+        await _async_wait_until_received(stream, facts.deadline - self._clock())
+
+    def _build_facts(
+        self, head: ForwardHead, resolved: ResolvedService
+    ) -> RequestFacts:
+        # The sender's configuration may be older or newer and its clocks are unrelated:
+        # only names and a duration are taken from it, the rest is looked up here.
         now = self._clock()
         remaining = min(head.remaining_seconds, self._maximum_deadline_seconds)
         return RequestFacts(
@@ -143,18 +145,20 @@
             hops=head.hops,
         )
 
-    def _body(self, stream: Any, first: RequestFrame) -> bytes | AsyncIterator[bytes]:
+    def _get_body(
+        self, stream: Any, first: RequestFrame
+    ) -> bytes | AsyncIterator[bytes]:
         if first.last:
             return first.chunk
-        return self._async_chunks(stream, first)
+        return self._async_read_chunks(stream, first)
 
-    async def _async_chunks(
+    async def _async_read_chunks(
         self, stream: Any, first: RequestFrame
     ) -> AsyncIterator[bytes]:
         if first.chunk:
             yield first.chunk
         while True:
-            frame = await self._async_receive(stream)
+            frame = await self._async_receive_frame(stream)
             if frame is None:
                 raise PeerBodyTruncatedError()
             if frame.chunk:
@@ -162,7 +166,7 @@
             if frame.last:
                 return
 
-    async def _async_receive(self, stream: Any) -> RequestFrame | None:
+    async def _async_receive_frame(self, stream: Any) -> RequestFrame | None:
         data = await async_receive_bytes(stream._stream)
         if data is None:
             return None
@@ -177,47 +181,47 @@
     ) -> None:
         _LOGGER.info("forwarded_request_refused", code=code, ran=ran)
         refusal = ForwardRefusal(code, ran, detail)
-        await _async_write(stream, AnswerFrame(refusal=refusal, last=True))
-        await _async_wait_taken(stream, 0.0)
+        await _async_send_frame(stream, ResponseFrame(refusal=refusal, last=True))
+        await _async_wait_until_received(stream, 0.0)
 
 
-async def _async_stream(stream: Any, answer: WorkerResponse) -> None:
-    # The last frame is sent only after the worker's body was whole. Otherwise the peer
-    # hears that it is cut off, and its caller gets an error, never a short success.
-    await _async_write(
-        stream, AnswerFrame(head=AnswerHead(answer.status, answer.headers))
+async def _async_send_response(stream: Any, response: WorkerResponse) -> None:
+    # The last frame is sent only after the complete body. Otherwise the peer is told
+    # that the response is truncated, and its caller gets an error, not a short success.
+    await _async_send_frame(
+        stream, ResponseFrame(head=ResponseHead(response.status, response.headers))
     )
     try:
-        whole = await _async_copy(stream, answer.chunks)
+        complete = await _async_send_chunks(stream, response.chunks)
     finally:
-        # A caller that went away ends this stream in the middle; the worker's
-        # connection has to be given up with it, or it stays open till its deadline.
-        await async_close_response(answer)
-    await _async_write(stream, AnswerFrame(last=whole, cut=not whole))
+        # A caller that disconnects ends this stream early. The worker's connection has
+        # to be closed with it, or it stays open until the deadline.
+        await async_close_response(response)
+    await _async_send_frame(stream, ResponseFrame(last=complete, cut=not complete))
 
 
-async def _async_copy(stream: Any, chunks: AsyncIterator[bytes]) -> bool:
+async def _async_send_chunks(stream: Any, chunks: AsyncIterator[bytes]) -> bool:
     while True:
         try:
             chunk = await anext(chunks, None)
         except Exception as error:
-            _LOGGER.warning("forwarded_answer_cut", error=type(error).__name__)
+            _LOGGER.warning("forwarded_response_truncated", error=type(error).__name__)
             return False
         if chunk is None:
             return True
         for start in range(0, len(chunk), CHUNK_BYTES):
-            piece = bytes(chunk[start : start + CHUNK_BYTES])
-            await _async_write(stream, AnswerFrame(chunk=piece))
+            part = bytes(chunk[start : start + CHUNK_BYTES])
+            await _async_send_frame(stream, ResponseFrame(chunk=part))
 
 
-async def _async_wait_taken(stream: Any, remaining: float) -> None:
-    # The peer ends the stream when it has the whole answer. If this entry closed the
-    # connection before, grpclib would throw away what the peer has not read yet, and
-    # a planned stop would cut answers off.
-    with anyio.move_on_after(max(0.0, remaining) + LAST_FRAMES_SECONDS):
+async def _async_wait_until_received(stream: Any, remaining: float) -> None:
+    # The peer ends the stream once it has the complete response. If this entry closed
+    # the connection earlier, grpclib would discard the data that the peer has not read
+    # yet, and a planned stop would truncate responses.
+    with anyio.move_on_after(max(0.0, remaining) + END_OF_STREAM_TIMEOUT_SECONDS):
         while await stream._stream.recv_data(1):
             pass
 
 
-async def _async_write(stream: Any, frame: AnswerFrame) -> None:
+async def _async_send_frame(stream: Any, frame: ResponseFrame) -> None:
     await stream.send_message(msgspec.Raw(msgspec.msgpack.encode(frame)))
--- a/mustardward/components/peers/server.py
+++ b/mustardward/components/peers/server.py
@@ -1,4 +1,4 @@
-"""Answer the calls of other entries over grpclib."""
+"""Handle the calls of other entries over grpclib."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from .const import (
     CALL_PATH,
     FORWARD_PATH,
-    MAXIMUM_CALLS,
+    MAX_CONCURRENT_CALLS,
     METADATA_MESSAGE,
     METADATA_SENDER,
 )
@@ -29,15 +29,15 @@
 
 _LOGGER = get_logger(__name__)
 
-_REFUSALS: Final = (PeerMessageError, PeerRefusedError)
+_REFUSAL_ERRORS: Final = (PeerMessageError, PeerRefusedError)
 StreamHandler = Callable[[Any], Awaitable[None]]
 
 
 class _ClosingServer(Server):
-    """Close accepted connections too when it closes.
+    """Close accepted connections on close, too.
 
-    grpclib only stops listening; a connection that a peer had opened would go on being
-    answered by a component that was unloaded.
+    grpclib's server only stops listening; calls on a connection that a peer has open
+    would still be handled by the unloaded component.
     """
 
     def __init__(self, service: Any, codec: MsgpackCodec) -> None:
@@ -50,7 +50,7 @@
         return protocol
 
     def close(self) -> None:
-        """Stop listening, cancel what runs, and close all connections."""
+        """Stop listening, cancel running calls and close all connections."""
         super().close()
         for protocol in list(self._protocols):
             processor = getattr(protocol, "processor", None)
@@ -59,78 +59,78 @@
 
 
 class PeerServer:
-    """Listen for other entries and hand their messages to the filed handlers.
+    """Listen for other entries and pass their messages to the registered handlers.
 
-    :param handlers: the handler of each message type; read at each call.
-    :param forward: what answers the stream of a forwarded request.
+    :param handlers: the handler of each message type; looked up at each call.
+    :param forward_handler: handles the stream of a forwarded request.
     """
 
     def __init__(
-        self, handlers: dict[type, PeerHandler], forward: StreamHandler
+        self, handlers: dict[type, PeerHandler], forward_handler: StreamHandler
     ) -> None:
         self._handlers = handlers
-        self._forward = forward
+        self._forward = forward_handler
         self._codec = MsgpackCodec()
-        self._running = 0
+        self._active_calls = 0
         self._server: Any = None
         self._port = 0
 
     @property
     def port(self) -> int:
-        """Return the port that is listened on."""
+        """Return the listening port."""
         return self._port
 
     async def async_start(
         self, host: str, port: int, context: ssl.SSLContext | None
     ) -> None:
-        """Begin to listen."""
+        """Start to listen."""
         self._server = _ClosingServer(self, self._codec)
-        listener = _listen(host, port)
+        listener = _create_listener(host, port)
         self._port = listener.getsockname()[1]
         await self._server.start(sock=listener, ssl=context)
 
     async def async_stop(self) -> None:
-        """Stop listening and end what runs."""
+        """Stop listening and cancel running calls."""
         self._server.close()
         await self._server.wait_closed()
 
     def __mapping__(self) -> dict[str, Handler]:
-        """Return the methods for grpclib."""
+        """Return the gRPC methods; part of grpclib's service interface."""
         return {
             CALL_PATH: Handler(
-                self._async_bounded(self._async_answer_call),
+                self._with_call_limit(self._async_handle_call),
                 Cardinality.UNARY_UNARY,
                 msgspec.Raw,
                 msgspec.Raw,
             ),
             FORWARD_PATH: Handler(
-                self._async_bounded(self._forward),
+                self._with_call_limit(self._forward),
                 Cardinality.STREAM_STREAM,
                 msgspec.Raw,
                 msgspec.Raw,
             ),
         }
 
-    def _async_bounded(self, handler: StreamHandler) -> StreamHandler:
-        async def async_answer(stream: Any) -> None:
-            if self._running >= MAXIMUM_CALLS:
+    def _with_call_limit(self, handler: StreamHandler) -> StreamHandler:
+        async def async_handle(stream: Any) -> None:
+            if self._active_calls >= MAX_CONCURRENT_CALLS:
                 raise GRPCError(Status.RESOURCE_EXHAUSTED, "too-many-calls")
-            self._running += 1
+            self._active_calls += 1
             try:
                 await handler(stream)
             finally:
-                self._running -= 1
+                self._active_calls -= 1
 
-        return async_answer
+        return async_handle
 
-    async def _async_answer_call(self, stream: Any) -> None:
+    async def _async_handle_call(self, stream: Any) -> None:
         sender = str(stream.metadata.get(METADATA_SENDER, ""))
         name = str(stream.metadata.get(METADATA_MESSAGE, ""))
         try:
             reply = await self.async_dispatch(
                 sender, name, await async_receive_bytes(stream._stream)
             )
-        except _REFUSALS as error:
+        except _REFUSAL_ERRORS as error:
             _LOGGER.warning(
                 "peer_call_refused", peer=sender, message=name, code=error.code
             )
@@ -147,11 +147,11 @@
         await stream.send_message(msgspec.Raw(reply))
 
     async def async_dispatch(self, sender: str, name: str, data: bytes | None) -> bytes:
-        """Return the encoded reply to one encoded message.
+        """Handle one encoded message and return the encoded reply.
 
-        :raises PeerMessageError: if the message is not understood.
-        :raises PeerRefusedError: if nobody here answers it.
-        :raises MustardwardError: if its handler fails, perhaps after an effect.
+        :raises PeerMessageError: if the message is invalid.
+        :raises PeerRefusedError: if the message is unknown or has no handler.
+        :raises MustardwardError: if its handler fails, possibly after an effect.
         """
         description = PEER_MESSAGES.get(name)
         if description is None:
@@ -165,10 +165,10 @@
         )
 
 
-def _listen(host: str, port: int) -> socket.socket:
-    # asyncio and grpclib switch off Nagle's algorithm only where the socket names its
-    # protocol, which one of socket.create_server() does not. Every reply would wait
-    # some 40 ms for the delayed acknowledgement of its first segment.
+def _create_listener(host: str, port: int) -> socket.socket:
+    # asyncio and grpclib disable Nagle's algorithm only on sockets with an explicit
+    # protocol, which socket.create_server() does not set. Every reply would wait about
+    # 40 ms for the delayed acknowledgement of its first segment.
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     listener = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     try:
--- a/mustardward/components/peers/services.py
+++ b/mustardward/components/peers/services.py
@@ -1,4 +1,4 @@
-"""Tie server, client and forwarding together as the public object."""
+"""Provide the public interface to peers: server, client and forwarding."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class GrpcPeers:
-    """Call other entries and answer them over grpclib.
+    """Call other entries and handle their calls over grpclib.
 
     :param name: the name of this entry.
-    :param client_context: what peers have to show, if TLS is used.
+    :param client_context: TLS context of outgoing connections, ``None`` without TLS.
     """
 
     def __init__(
@@ -44,31 +44,31 @@
 
     @property
     def address(self) -> str:
-        """Return where this entry listens, as ``host:port``."""
+        """Return this entry's listening address as ``host:port``."""
         host = f"[{self._host}]" if ":" in self._host else self._host
         return f"{host}:{self._server.port}"
 
     async def async_start(
         self, host: str, port: int, context: ssl.SSLContext | None
     ) -> None:
-        """Listen for peers."""
+        """Start to listen for peers."""
         self._host = host
         await self._server.async_start(host, port, context)
 
     async def async_stop(self) -> None:
-        """Let forwarded requests get the end of their answers; close connections."""
+        """Wait until forwarded requests are done, then close all connections."""
         await self._receiver.async_wait_idle()
         self._channels.close()
         await self._server.async_stop()
 
     async def async_close_idle(self) -> None:
-        """Close connections that were not used for a while."""
+        """Close idle connections."""
         self._channels.close_idle()
 
     async def async_call(
         self, member: Member, message: Any, timeout_seconds: float = 1.0
     ) -> Any:
-        """Return the reply.
+        """Call a peer and return its reply.
 
         :raises PeerError: if the call certainly had no effect.
         :raises PeerOutcomeUnknownError: if it may have had one.
@@ -76,9 +76,9 @@
         return await self._client.async_call(member, message, timeout_seconds)
 
     def handle(self, message_type: type, handler: PeerHandler) -> Callable[[], None]:
-        """Answer a kind of call until unsubscribed.
+        """Register the handler of a message type; return what unregisters it.
 
-        :raises RegistryError: if the kind is answered already.
+        :raises RegistryError: if the message type has a handler already.
         """
         if message_type in self._handlers:
             raise RegistryError(f"peer handlers: {message_type.__name__}")
@@ -92,5 +92,5 @@
     async def async_forward(
         self, member: Member, facts: RequestFacts, request: OutgoingRequest
     ) -> Result[WorkerResponse, FailedAttempt]:
-        """Let another entry serve a caller's request, and stream its answer back."""
+        """Forward a caller's request to another entry and return its response."""
         return await self._forwarder.async_forward(member, facts, request)
--- a/tests/components/peers/builders.py
+++ b/tests/components/peers/builders.py
@@ -1,4 +1,4 @@
-"""Build peers that talk over loopback."""
+"""Provide builders and fakes for peers connected over loopback."""
 
 from __future__ import annotations
 
@@ -19,7 +19,10 @@
 from mustardward.components.peers.protocols import peer_message
 from mustardward.components.peers.receiver import ForwardReceiver
 from mustardward.components.peers.services import GrpcPeers
-from mustardward.components.peers.tls import client_context, server_context
+from mustardward.components.peers.tls import (
+    create_client_context,
+    create_server_context,
+)
 from mustardward.components.templates.protocols import ResolvedService
 from mustardward.settings.models import TlsSettings
 from mustardward.state.models.templates import (
@@ -30,8 +33,8 @@
     Urgency,
 )
 
-PATIENT = 20.0
-"""Timeout in seconds of calls that are to succeed however busy the machine is."""
+CALL_TIMEOUT_SECONDS = 20.0
+"""Timeout of calls that have to succeed even on a busy machine."""
 
 PARAMETERS = Parameters(
     services=(ServiceBinding("orders", "brass", Urgency.URGENT),),
@@ -41,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EchoReply:
-    """Answer an echo."""
+    """Reply to an echo request."""
 
     sender: str
     text: str
@@ -50,7 +53,7 @@
 @peer_message("test.echo", EchoReply)
 @dataclass(frozen=True, slots=True)
 class Echo:
-    """Ask for the same text back."""
+    """Request the same text in the reply."""
 
     text: str
     size: int = 0
@@ -88,7 +91,7 @@
 
 
 class FixedDirectory:
-    """Know one organisation with one service."""
+    """Resolve one organisation with one service."""
 
     def resolve(
         self, organisation: str, service: str
@@ -101,11 +104,11 @@
 
 @dataclass(eq=False)
 class RecordingEntry:
-    """Serve forwarded requests as told, and note what came."""
+    """Serve forwarded requests with a configured response and record them."""
 
     refusal: RequestRefusal | None = None
     chunks: tuple[bytes, ...] = (b"one", b"two")
-    broken_after: int | None = None
+    fails_after_chunks: int | None = None
     served: list[tuple[RequestFacts, OutgoingRequest, bytes]] = field(
         default_factory=list
     )
@@ -114,15 +117,17 @@
         self, facts: RequestFacts, request: OutgoingRequest
     ) -> Result[WorkerResponse, RequestRefusal]:
         body = request.body
-        whole = body if isinstance(body, bytes) else b"".join([c async for c in body])
-        self.served.append((facts, request, whole))
+        complete = (
+            body if isinstance(body, bytes) else b"".join([c async for c in body])
+        )
+        self.served.append((facts, request, complete))
         if self.refusal is not None:
             return Failure(self.refusal)
         return Success(WorkerResponse(201, ((b"x-a", b"b"),), self._chunks()))
 
     async def _chunks(self) -> AsyncIterator[bytes]:
         for index, chunk in enumerate(self.chunks):
-            if index == self.broken_after:
+            if index == self.fails_after_chunks:
                 raise ConnectionResetError
             yield chunk
 
@@ -137,9 +142,9 @@
     receiver = ForwardReceiver(
         lambda: entry, FixedDirectory, lambda: leaving, time.monotonic, 300.0
     )
-    context = client_context(tls) if tls else None
+    context = create_client_context(tls) if tls else None
     peers = GrpcPeers(name, receiver, time.monotonic, context)
-    await peers.async_start("127.0.0.1", 0, server_context(tls) if tls else None)
+    await peers.async_start("127.0.0.1", 0, create_server_context(tls) if tls else None)
     try:
         yield peers
     finally:
--- a/tests/components/peers/conftest.py
+++ b/tests/components/peers/conftest.py
@@ -1,4 +1,4 @@
-"""Give loopback connections time on a machine that does much besides."""
+"""Extend the connect timeout, so that tests pass on a busy machine."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 
 @pytest.fixture(autouse=True)
-def _patient_connections(monkeypatch: pytest.MonkeyPatch) -> None:
+def _long_connect_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(channels, "CONNECT_TIMEOUT_SECONDS", 20.0)
--- a/tests/components/peers/test_calls.py
+++ b/tests/components/peers/test_calls.py
@@ -1,4 +1,4 @@
-"""Check unary calls between entries over real loopback connections."""
+"""Test unary calls between entries over loopback connections."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 
 from mustardward.components.membership.models import Member
-from mustardward.components.peers.const import MAXIMUM_MESSAGE_BYTES
+from mustardward.components.peers.const import MAX_MESSAGE_BYTES
 from mustardward.components.peers.exceptions import (
     PeerRefusedError,
     PeerUnreachableError,
@@ -19,7 +19,7 @@
 from mustardward.helpers.peer_channels import Purpose
 from mustardward.helpers.registry import RegistryError
 
-from .builders import PATIENT, Echo, EchoReply, build_member, running_peers
+from .builders import CALL_TIMEOUT_SECONDS, Echo, EchoReply, build_member, running_peers
 
 pytestmark = pytest.mark.anyio
 
@@ -28,10 +28,12 @@
     return EchoReply(sender, message.text)
 
 
-async def test_call_answers_with_the_senders_name() -> None:
+async def test_handler_receives_the_senders_name() -> None:
     async with running_peers("a") as a, running_peers("b") as b:
         b.handle(Echo, _async_echo)
-        reply = await a.async_call(build_member("b", b.address), Echo("hello"), PATIENT)
+        reply = await a.async_call(
+            build_member("b", b.address), Echo("hello"), CALL_TIMEOUT_SECONDS
+        )
         assert reply == EchoReply("a", "hello")
 
 
@@ -46,7 +48,7 @@
 
         async def async_one(text: str) -> None:
             reply = await a.async_call(
-                build_member("b", b.address), Echo(text), PATIENT
+                build_member("b", b.address), Echo(text), CALL_TIMEOUT_SECONDS
             )
             replies[text] = reply.text
 
@@ -56,26 +58,32 @@
         assert replies == {str(n): str(n) for n in range(8)}
 
 
-async def test_nobody_listens_means_not_sent() -> None:
+async def test_unreachable_peer_means_not_sent() -> None:
     async with running_peers("a") as a:
         with pytest.raises(PeerUnreachableError):
-            await a.async_call(build_member("b", "127.0.0.1:1"), Echo("hello"), PATIENT)
+            await a.async_call(
+                build_member("b", "127.0.0.1:1"), Echo("hello"), CALL_TIMEOUT_SECONDS
+            )
         with pytest.raises(PeerUnreachableError):
-            await a.async_call(build_member("b", "nonsense"), Echo("hello"), PATIENT)
+            await a.async_call(
+                build_member("b", "nonsense"), Echo("hello"), CALL_TIMEOUT_SECONDS
+            )
 
 
 async def test_call_without_handler_had_no_effect() -> None:
     async with running_peers("a") as a, running_peers("b") as b:
         with pytest.raises(PeerRefusedError):
-            await a.async_call(build_member("b", b.address), Echo("hello"), PATIENT)
+            await a.async_call(
+                build_member("b", b.address), Echo("hello"), CALL_TIMEOUT_SECONDS
+            )
 
 
-async def test_handler_is_withdrawn_and_never_taken_over() -> None:
+async def test_handler_can_be_unregistered_but_not_replaced() -> None:
     async with running_peers("b") as b:
-        withdraw = b.handle(Echo, _async_echo)
+        unregister = b.handle(Echo, _async_echo)
         with pytest.raises(RegistryError):
             b.handle(Echo, _async_echo)
-        withdraw()
+        unregister()
         b.handle(Echo, _async_echo)
 
 
@@ -87,7 +95,9 @@
     async with running_peers("a") as a, running_peers("b") as b:
         b.handle(Echo, async_fail)
         with pytest.raises(PeerOutcomeUnknownError):
-            await a.async_call(build_member("b", b.address), Echo("hello"), PATIENT)
+            await a.async_call(
+                build_member("b", b.address), Echo("hello"), CALL_TIMEOUT_SECONDS
+            )
 
 
 async def test_refusing_handler_had_no_effect() -> None:
@@ -97,15 +107,16 @@
     async with running_peers("a") as a, running_peers("b") as b:
         b.handle(Echo, async_refuse)
         with pytest.raises(PeerRefusedError):
-            await a.async_call(build_member("b", b.address), Echo("hello"), PATIENT)
+            await a.async_call(
+                build_member("b", b.address), Echo("hello"), CALL_TIMEOUT_SECONDS
+            )
 
 
 async def test_timeout_after_sending_leaves_the_outcome_unknown() -> None:
-    """Tell a call that timed out from one that was never sent.
+    """Guard against an effect that happens twice.
 
-    Symptom: an effect happens twice. Sequence: the peer takes the message and is slow;
-    the caller's timeout ends first and it tries elsewhere. Cause: a timeout taken for
-    proof that nothing was done.
+    The peer receives the message and is slow, and the caller times out. If a timeout
+    counted as proof that the call had no effect, the caller would retry elsewhere.
     """
     started = anyio.Event()
 
@@ -126,48 +137,56 @@
         b.handle(Echo, _async_echo)
         member = build_member("b", b.address)
         with pytest.raises(PeerRefusedError):
-            await a.async_call(member, Echo("x" * MAXIMUM_MESSAGE_BYTES), PATIENT)
-        assert (await a.async_call(member, Echo("after"), PATIENT)).text == "after"
+            await a.async_call(
+                member, Echo("x" * MAX_MESSAGE_BYTES), CALL_TIMEOUT_SECONDS
+            )
+        assert (
+            await a.async_call(member, Echo("after"), CALL_TIMEOUT_SECONDS)
+        ).text == "after"
 
 
-async def test_peer_that_restarts_is_called_again() -> None:
+async def test_restarted_peer_is_called_again() -> None:
     async with running_peers("a") as a:
         async with running_peers("b") as b:
             b.handle(Echo, _async_echo)
             address = b.address
-            await a.async_call(build_member("b", address), Echo("first"), PATIENT)
+            await a.async_call(
+                build_member("b", address), Echo("first"), CALL_TIMEOUT_SECONDS
+            )
         with pytest.raises(PeerUnreachableError):
-            await a.async_call(build_member("b", address), Echo("gone"), PATIENT)
+            await a.async_call(
+                build_member("b", address), Echo("gone"), CALL_TIMEOUT_SECONDS
+            )
         async with running_peers("c") as c:
             c.handle(Echo, _async_echo)
             reply = await a.async_call(
-                build_member("c", c.address), Echo("new"), PATIENT
+                build_member("c", c.address), Echo("new"), CALL_TIMEOUT_SECONDS
             )
             assert reply.text == "new"
 
 
 async def test_replies_do_not_wait_for_delayed_acknowledgements() -> None:
-    """Keep Nagle's algorithm off on accepted connections.
+    """Guard against calls that take 45 ms instead of half a millisecond.
 
-    Symptom: each call between entries takes 45 ms instead of half a millisecond.
-    Sequence: the reply's first segment leaves, the next waits for its acknowledgement,
-    which the caller delays. Cause: a listening socket that does not name its protocol,
-    so that neither asyncio nor grpclib sets the option.
+    With Nagle's algorithm, a reply's second segment waits for the acknowledgement of
+    the first one, which the caller delays. asyncio and grpclib disable it only if the
+    listening socket has an explicit protocol.
     """
     async with running_peers("a") as a, running_peers("b") as b:
         b.handle(Echo, _async_echo)
-        await a.async_call(build_member("b", b.address), Echo("hello"), PATIENT)
+        await a.async_call(
+            build_member("b", b.address), Echo("hello"), CALL_TIMEOUT_SECONDS
+        )
         for protocol in b._server._server._protocols:
             accepted = protocol.connection._transport.get_extra_info("socket")
             assert accepted.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
 
-async def test_call_that_timed_out_leaves_its_connection() -> None:
-    """Call anew on a fresh connection after a timeout.
+async def test_call_after_a_timeout_uses_a_new_connection() -> None:
+    """Guard against an entry suspected for minutes after a network partition ended.
 
-    Symptom: an entry stays suspected for minutes after a cut has healed. Sequence: the
-    packets of its connection are dropped, each call times out, the connection is used
-    again. Cause: TCP takes it for open until its retransmissions give up.
+    The packets of its connection are dropped and each call times out. TCP considers
+    the connection open until its retransmissions give up, so it must not be reused.
     """
 
     async def async_slow_first(sender: str, message: Any) -> EchoReply:
@@ -183,20 +202,21 @@
         with pytest.raises(PeerOutcomeUnknownError):
             await a.async_call(member, Echo("slow"), 0.1)
         assert len(a._channels) == 0
-        assert (await a.async_call(member, Echo("quick"), PATIENT)).text == "quick"
+        assert (
+            await a.async_call(member, Echo("quick"), CALL_TIMEOUT_SECONDS)
+        ).text == "quick"
         second = await a._channels.async_acquire(b.address, Purpose.CONTROL)
         second.release()
         assert second.channel is not first.channel
         assert not first.channel._connected
 
 
-async def test_a_lost_connection_leaves_no_cancellation_behind() -> None:
-    """Keep the caller's deadline working after a peer was lost.
+async def test_lost_connection_leaves_no_pending_cancellation() -> None:
+    """Guard against a request that gets an empty 500 at its deadline.
 
-    Symptom: at its deadline a request gets a bare 500 without a body. Sequence: a call
-    is waiting when its peer is killed; the request goes on and reaches its deadline.
-    Cause: the transport cancels the waiting task and never takes that back, so the
-    deadline's scope lets its own cancellation through.
+    A call is waiting when its peer is killed, and the request later reaches its
+    deadline. grpclib cancels the waiting task without reverting the cancellation, so
+    the deadline's scope would propagate its own cancellation.
     """
     started = anyio.Event()
 
--- a/tests/components/peers/test_cancellation.py
+++ b/tests/components/peers/test_cancellation.py
@@ -1,4 +1,4 @@
-"""Keep grpclib's way of waking tasks away from the scopes around a call."""
+"""Test that grpclib's cancellations do not affect the scopes around a call."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 
 from mustardward.components.membership.models import Member
-from mustardward.components.peers.cancellation import settled_cancellations
+from mustardward.components.peers.cancellation import uncancel_on_error
 from mustardward.exceptions import PeerOutcomeUnknownError
 
 from .builders import Echo, EchoReply, build_member, running_peers
@@ -17,14 +17,13 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_a_lost_peer_does_not_break_the_deadline_that_follows() -> None:
-    """Answer at the deadline although a peer was lost on the way.
+async def test_lost_peer_does_not_break_a_later_deadline() -> None:
+    """Guard against a request that ends as an unlogged, empty 500 at its deadline.
 
-    Symptom: a caller gets an empty 500 at its deadline, and the log has no line of its
-    request. Sequence: a keyed request asks a peer, which is killed; it asks the next
-    one, and the deadline passes. Cause: grpclib wakes a waiting task by cancelling it
-    and never takes the cancellation back; the scope of the deadline then held its own
-    cancellation for one from outside, and let it go up to the server.
+    A request with an idempotency key calls a peer that is killed, then the next one,
+    and reaches its deadline. grpclib wakes the waiting task by a cancellation that it
+    never reverts; the deadline's scope would take its own cancellation for an external
+    one and propagate it to the server.
     """
     started = anyio.Event()
 
@@ -33,7 +32,7 @@
         await anyio.sleep(30)
         return EchoReply(sender, message.text)
 
-    async def async_ask(member: Member) -> None:
+    async def async_request(member: Member) -> None:
         with pytest.raises(PeerOutcomeUnknownError):
             await a.async_call(member, Echo("hello"), 20)
         task = asyncio.current_task()
@@ -41,24 +40,24 @@
         with anyio.move_on_after(0) as scope:
             await anyio.sleep(30)
         assert scope.cancelled_caught
-        asked.append(member.name)
+        finished.append(member.name)
 
-    asked: list[str] = []
+    finished: list[str] = []
     async with running_peers("a") as a, anyio.create_task_group() as group:
         async with running_peers("b") as b:
             b.handle(Echo, async_hang)
-            group.start_soon(async_ask, build_member("b", b.address))
+            group.start_soon(async_request, build_member("b", b.address))
             await started.wait()
-    assert asked == ["b"]
+    assert finished == ["b"]
 
 
-async def test_a_cancellation_from_outside_is_kept() -> None:
+async def test_external_cancellation_is_kept() -> None:
     entered = anyio.Event()
     seen: list[str] = []
 
     async def async_wait() -> None:
         try:
-            with settled_cancellations():
+            with uncancel_on_error():
                 entered.set()
                 await anyio.sleep(30)
         except asyncio.CancelledError:
--- a/tests/components/peers/test_forward.py
+++ b/tests/components/peers/test_forward.py
@@ -1,4 +1,4 @@
-"""Check forwarded requests over real loopback connections."""
+"""Test forwarded requests over loopback connections."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
     OutgoingRequest,
     WorkerResponse,
 )
-from mustardward.components.peers.const import MAXIMUM_HOPS
-from mustardward.components.peers.exceptions import PeerAnswerTruncatedError
+from mustardward.components.peers.const import MAX_HOPS
+from mustardward.components.peers.exceptions import PeerResponseTruncatedError
 from mustardward.helpers import peer_channels as channels
 from mustardward.state.models.templates import Urgency
 
@@ -43,30 +43,29 @@
     async with running_peers("a") as a, running_peers("b", entry) as b:
         result = await a.async_forward(build_member("b", b.address), facts, request)
         if isinstance(result, Success):
-            answer = result.unwrap()
-            answer.chunks = _whole([chunk async for chunk in answer.chunks])
+            response = result.unwrap()
+            response.chunks = _iterate([chunk async for chunk in response.chunks])
         return result
 
 
-async def _whole(chunks: list[bytes]) -> AsyncIterator[bytes]:
+async def _iterate(chunks: list[bytes]) -> AsyncIterator[bytes]:
     for chunk in chunks:
         yield chunk
 
 
-async def test_answer_is_streamed_back_whole() -> None:
+async def test_response_is_streamed_back_completely() -> None:
     entry = RecordingEntry(chunks=(b"x" * 200_000, b"", b"end"))
     result = await _async_forward(entry, build_facts(), build_request(b"body"))
-    answer = result.unwrap()
-    assert (answer.status, answer.headers) == (201, ((b"x-a", b"b"),))
-    assert b"".join([c async for c in answer.chunks]) == b"x" * 200_000 + b"end"
+    response = result.unwrap()
+    assert (response.status, response.headers) == (201, ((b"x-a", b"b"),))
+    assert b"".join([c async for c in response.chunks]) == b"x" * 200_000 + b"end"
 
 
-async def test_facts_are_derived_anew_at_the_receiver() -> None:
-    """Serve by the receiver's configuration and clock, never by the sender's.
+async def test_facts_are_resolved_by_the_receiver() -> None:
+    """Guard against a request that runs in a wrong pool or times out at once.
 
-    Symptom: a forwarded request runs in a pool it may no longer use, or times out at
-    once. Sequence: an entry with an older configuration and another boot time forwards
-    it. Cause: pool, parameters and deadline taken over as they came.
+    The sender may have an older configuration and another boot time, so its pool,
+    parameters and absolute deadline do not apply at the receiver.
     """
     entry = RecordingEntry()
     await _async_forward(entry, build_facts(remaining=30.0), build_request(b"body"))
@@ -83,7 +82,7 @@
 
 async def test_body_is_streamed_to_the_receiver() -> None:
     entry = RecordingEntry()
-    body = _whole([b"a" * 100_000, b"", b"b"])
+    body = _iterate([b"a" * 100_000, b"", b"b"])
     result = await _async_forward(entry, build_facts(), build_request(body))
     assert isinstance(result, Success)
     assert entry.served[0][2] == b"a" * 100_000 + b"b"
@@ -97,7 +96,9 @@
         (Ran.YES, AttemptOutcome.UNKNOWN),
     ],
 )
-async def test_refusal_keeps_its_claim(ran: Ran, outcome: AttemptOutcome) -> None:
+async def test_refusal_keeps_its_execution_state(
+    ran: Ran, outcome: AttemptOutcome
+) -> None:
     entry = RecordingEntry(refusal=RequestRefusal("queue-full", 503, ran, "full"))
     result = await _async_forward(entry, build_facts(), build_request())
     assert result == Failure(FailedAttempt(outcome, "queue-full"))
@@ -112,7 +113,7 @@
 
 
 @pytest.mark.parametrize(
-    "facts", [build_facts(hops=MAXIMUM_HOPS), build_facts(remaining=-1.0)]
+    "facts", [build_facts(hops=MAX_HOPS), build_facts(remaining=-1.0)]
 )
 async def test_hops_and_deadline_are_checked_before_sending(
     facts: RequestFacts,
@@ -123,7 +124,7 @@
     assert not entry.served
 
 
-async def test_peer_without_entry_says_not_run() -> None:
+async def test_peer_without_entry_refuses_as_not_run() -> None:
     async with running_peers("a") as a, running_peers("b", None) as b:
         result = await a.async_forward(
             build_member("b", b.address), build_facts(), build_request()
@@ -131,7 +132,7 @@
     assert result == Failure(FailedAttempt(AttemptOutcome.REFUSED, "not-ready"))
 
 
-async def test_leaving_peer_says_not_run() -> None:
+async def test_leaving_peer_refuses_as_not_run() -> None:
     entry = RecordingEntry()
     async with running_peers("a") as a, running_peers("b", entry, leaving=True) as b:
         result = await a.async_forward(
@@ -141,12 +142,11 @@
     assert entry.served == []
 
 
-async def test_unload_lets_an_answer_come_to_its_end() -> None:
-    """Cut no forwarded answer off at a planned stop.
+async def test_unload_waits_for_the_end_of_a_response() -> None:
+    """Guard against responses truncated by a planned stop.
 
-    Symptom: a caller of another data centre gets half an answer during a release.
-    Sequence: the entry has drained and is unloaded while the last frames are written.
-    Cause: the server closed at once.
+    The entry has drained and is unloaded while the last frames of a forwarded response
+    are written; its server must not close before the peer has received them.
     """
 
     class SlowEntry(RecordingEntry):
@@ -156,11 +156,11 @@
             await anyio.sleep(0.1)
             yield b"two"
 
-    async def async_read(answer: WorkerResponse) -> None:
+    async def async_read(response: WorkerResponse) -> None:
         await anyio.sleep(0.2)
-        whole.extend([chunk async for chunk in answer.chunks])
+        received.extend([chunk async for chunk in response.chunks])
 
-    whole: list[bytes] = []
+    received: list[bytes] = []
     stopping = anyio.Event()
     async with running_peers("a") as a:
         async with running_peers("b", SlowEntry()) as b:
@@ -171,27 +171,25 @@
             await reader.__aenter__()
             reader.start_soon(async_read, result.unwrap())
         await reader.__aexit__(None, None, None)
-    assert whole == [b"one", b"two"]
+    assert received == [b"one", b"two"]
 
 
-async def test_answer_cut_off_is_never_a_short_success() -> None:
-    """Raise when the peer's worker ended its answer too early.
+async def test_truncated_response_is_never_a_short_success() -> None:
+    """Guard against a caller that gets half a body with status 201.
 
-    Symptom: a caller gets half a batch record under status 201. Sequence: the worker's
-    connection breaks behind the peer, the peer's stream ends. Cause: the end of the
-    stream taken for the end of the answer.
+    The worker's connection breaks at the peer, and the peer's stream ends. The end of
+    the stream alone does not mean that the response is complete.
     """
-    entry = RecordingEntry(broken_after=1)
-    with pytest.raises(PeerAnswerTruncatedError):
+    entry = RecordingEntry(fails_after_chunks=1)
+    with pytest.raises(PeerResponseTruncatedError):
         await _async_forward(entry, build_facts(), build_request())
 
 
 async def test_peer_lost_after_sending_leaves_the_outcome_unknown() -> None:
-    """Never call a request "not run" whose head has left.
+    """Guard against a request that runs twice.
 
-    Symptom: a turning order runs twice. Sequence: the peer dispatches the request and
-    is killed before it answers; the sender tries elsewhere. Cause: a broken connection
-    taken for "not sent".
+    The peer dispatches the request and is killed before it responds. If the broken
+    connection counted as "not sent", the sender would retry elsewhere.
     """
 
     class HangingEntry(RecordingEntry):
@@ -221,8 +219,8 @@
     assert results[0].failure().outcome is AttemptOutcome.UNKNOWN
 
 
-async def test_deadline_ends_a_silent_peer_with_unknown() -> None:
-    class SilentEntry(RecordingEntry):
+async def test_unresponsive_peer_leaves_the_outcome_unknown() -> None:
+    class UnresponsiveEntry(RecordingEntry):
         async def async_serve(
             self, facts: RequestFacts, request: OutgoingRequest
         ) -> Result[WorkerResponse, RequestRefusal]:
@@ -230,16 +228,15 @@
             return await super().async_serve(facts, request)
 
     facts = build_facts(remaining=1.0)
-    result = await _async_forward(SilentEntry(), facts, build_request())
+    result = await _async_forward(UnresponsiveEntry(), facts, build_request())
     assert result.failure().outcome is AttemptOutcome.UNKNOWN
 
 
-async def test_caller_that_goes_away_ends_the_workers_answer() -> None:
-    """Give the worker's connection up with the caller's.
+async def test_disconnected_caller_ends_the_workers_response() -> None:
+    """Guard against workers that run out of connections.
 
-    Symptom: workers run out of connections. Sequence: a caller of another data centre
-    goes away in the middle of a long answer. Cause: only the stream between the entries
-    ending with it.
+    A caller of another data centre disconnects during a long response. The connection
+    to the worker has to be closed as well as the stream between the entries.
     """
 
     class EndlessEntry(RecordingEntry):
@@ -254,58 +251,56 @@
     ended = anyio.Event()
     async with running_peers("a") as a, running_peers("b", EndlessEntry()) as b:
         member = build_member("b", b.address)
-        answer = (
+        response = (
             await a.async_forward(member, build_facts(), build_request())
         ).unwrap()
-        assert await anext(answer.chunks)
-        await answer.chunks.aclose()  # type: ignore[attr-defined]
+        assert await anext(response.chunks)
+        await response.chunks.aclose()  # type: ignore[attr-defined]
         with anyio.fail_after(30):
             await ended.wait()
 
 
-async def test_answer_closed_in_the_middle_does_not_end_plainly() -> None:
-    """Raise when somebody reads on after a close.
+async def test_reading_after_an_early_close_raises() -> None:
+    """Guard against a truncated response with status 200.
 
-    Symptom: a short answer under status 200. Sequence: a deadline closes the answer
-    while it streams, and the reader asks for the next piece. Cause: the end of
-    iteration meaning both "whole" and "closed".
+    A deadline closes the response while it is streamed, and the reader asks for the
+    next chunk. The end of the iteration must not mean "closed" as well as "complete".
     """
     entry = RecordingEntry()
     async with running_peers("a") as a, running_peers("b", entry) as b:
         member = build_member("b", b.address)
-        answer = (
+        response = (
             await a.async_forward(member, build_facts(), build_request())
         ).unwrap()
-        await answer.chunks.aclose()  # type: ignore[attr-defined]
-        with pytest.raises(PeerAnswerTruncatedError):
-            await anext(answer.chunks)
+        await response.chunks.aclose()  # type: ignore[attr-defined]
+        with pytest.raises(PeerResponseTruncatedError):
+            await anext(response.chunks)
 
 
-async def test_connection_that_leads_nowhere_is_given_up(
+async def test_dead_connection_is_closed_by_keepalive(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Notice a cut by pings instead of by each request's deadline.
+    """Guard against requests to one entry that all time out for minutes.
 
-    Symptom: for minutes every request forwarded to one entry ends as unknown at its
-    deadline. Sequence: a firewall forgets the connection and drops its packets. Cause:
-    TCP takes it for open until its retransmissions give up.
+    A firewall drops the state of the connection and its packets. TCP considers it open
+    until its retransmissions give up, so keepalive pings have to detect it earlier.
     """
     monkeypatch.setattr(channels, "KEEPALIVE_SECONDS", 0.1)
     monkeypatch.setattr(channels, "KEEPALIVE_TIMEOUT_SECONDS", 0.1)
 
-    async def async_swallow(
+    async def async_discard(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         while await reader.read(65536):
             pass
         writer.close()
 
-    hole = await asyncio.start_server(async_swallow, "127.0.0.1", 0)
-    host, port = hole.sockets[0].getsockname()
+    blackhole = await asyncio.start_server(async_discard, "127.0.0.1", 0)
+    host, port = blackhole.sockets[0].getsockname()
     async with running_peers("a") as a:
         member = build_member("b", f"{host}:{port}")
         with anyio.fail_after(30):
             facts = build_facts(remaining=60.0)
             result = await a.async_forward(member, facts, build_request())
-    hole.close()
+    blackhole.close()
     assert result.failure().outcome is AttemptOutcome.UNKNOWN
--- a/tests/components/peers/test_malformed.py
+++ b/tests/components/peers/test_malformed.py
@@ -1,4 +1,4 @@
-"""Feed malformed messages to the handlers of peers."""
+"""Test the handlers of peers with malformed messages."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 )
 from mustardward.components.peers.exceptions import PeerMessageError, PeerRefusedError
 from mustardward.components.peers.framing import async_receive_bytes
-from mustardward.components.peers.models import AnswerFrame
+from mustardward.components.peers.models import ResponseFrame
 from mustardward.components.peers.receiver import ForwardReceiver
 from mustardward.components.peers.server import PeerServer
 from mustardward.exceptions import MustardwardError
@@ -28,7 +28,7 @@
 from tests.fakes.cluster import Cluster
 
 from .builders import (
-    PATIENT,
+    CALL_TIMEOUT_SECONDS,
     Echo,
     EchoReply,
     FixedDirectory,
@@ -42,12 +42,12 @@
 
 
 class BytesStream:
-    """Stand in for grpclib's stream over fixed bytes."""
+    """Fake grpclib's stream with fixed bytes."""
 
     def __init__(self, data: bytes) -> None:
         self._data = BytesIO(data)
         self._stream = self
-        self.sent: list[AnswerFrame] = []
+        self.sent: list[ResponseFrame] = []
 
     async def recv_data(self, size: int) -> bytes:
         data = self._data.read(size)
@@ -56,7 +56,7 @@
         return data
 
     async def send_message(self, message: msgspec.Raw) -> None:
-        self.sent.append(msgspec.msgpack.decode(message, type=AnswerFrame))
+        self.sent.append(msgspec.msgpack.decode(message, type=ResponseFrame))
 
 
 async def _async_nothing(stream: Any) -> None:
@@ -79,7 +79,7 @@
 
 @_FUZZ
 @given(st.sampled_from(_NAMES), st.binary(max_size=64))
-def test_random_bytes_give_typed_errors_and_lose_no_member(
+def test_random_bytes_raise_typed_errors_and_keep_all_members(
     name: str, data: bytes
 ) -> None:
     assert {"v-1-0", "v-1-1"} <= anyio.run(_async_dispatch, name, data)
@@ -117,7 +117,7 @@
 
 @_FUZZ
 @given(_EXCHANGES)
-def test_strange_digests_never_take_this_process_out_of_its_own_table(
+def test_arbitrary_digests_never_remove_the_own_member(
     message: Exchange,
 ) -> None:
     data = MsgpackCodec().encode(message, Exchange)
@@ -160,23 +160,23 @@
         b"\x00\x00",
     ],
 )
-def test_broken_frames_are_typed_errors(data: bytes) -> None:
+def test_invalid_frames_raise_typed_errors(data: bytes) -> None:
     with pytest.raises(PeerMessageError):
         anyio.run(async_receive_bytes, BytesStream(data))
 
 
 @pytest.mark.anyio
 @pytest.mark.parametrize("garbage", [b"GET / HTTP/1.1\r\n\r\n", b"\x00" * 100])
-async def test_garbage_on_the_port_disturbs_nobody(garbage: bytes) -> None:
+async def test_invalid_connection_does_not_affect_others(garbage: bytes) -> None:
     async def async_echo(sender: str, message: Any) -> EchoReply:
         return EchoReply(sender, message.text)
 
     async with running_peers("a") as a, running_peers("b") as b:
         b.handle(Echo, async_echo)
         host, _, port = b.address.rpartition(":")
-        async with await anyio.connect_tcp(host, int(port)) as stranger:
-            await stranger.send(garbage)
+        async with await anyio.connect_tcp(host, int(port)) as client:
+            await client.send(garbage)
             reply = await a.async_call(
-                build_member("b", b.address), Echo("fine"), PATIENT
+                build_member("b", b.address), Echo("fine"), CALL_TIMEOUT_SECONDS
             )
     assert reply.text == "fine"
--- a/tests/components/peers/test_tls.py
+++ b/tests/components/peers/test_tls.py
@@ -1,4 +1,4 @@
-"""Check that entries with mutual TLS refuse whom the authority did not vouch for."""
+"""Test that entries with mutual TLS refuse peers without a valid certificate."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     TlsSettings,
 )
 
-from .builders import PATIENT, Echo, EchoReply, build_member, running_peers
+from .builders import CALL_TIMEOUT_SECONDS, Echo, EchoReply, build_member, running_peers
 
 pytestmark = pytest.mark.anyio
 
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Authority:
-    """Hold a certificate authority of one test."""
+    """Hold the certificate authority of a test."""
 
     key: ec.EllipticCurvePrivateKey
     certificate: x509.Certificate
@@ -108,17 +108,19 @@
 
 
 @pytest.fixture(autouse=True)
-def _forget_served() -> None:
+def _clear_served() -> None:
     served.clear()
 
 
-async def test_two_entries_of_one_authority_talk(tmp_path: Path) -> None:
+async def test_entries_of_one_authority_connect(tmp_path: Path) -> None:
     authority = _build_authority("fleet")
     tls_a = _write_settings(tmp_path, "a", authority, authority)
     tls_b = _write_settings(tmp_path, "b", authority, authority)
     async with running_peers("a", tls=tls_a) as a, running_peers("b", tls=tls_b) as b:
         b.handle(Echo, _async_echo)
-        reply = await a.async_call(build_member("b", b.address), Echo("hello"), PATIENT)
+        reply = await a.async_call(
+            build_member("b", b.address), Echo("hello"), CALL_TIMEOUT_SECONDS
+        )
         assert reply == EchoReply("a", "hello")
 
 
@@ -128,7 +130,9 @@
     async with running_peers("a", tls=tls_a) as a, running_peers("b", tls=tls_b) as b:
         b.handle(Echo, _async_echo)
         with pytest.raises(PeerError):
-            await a.async_call(build_member("b", b.address), Echo("hello"), PATIENT)
+            await a.async_call(
+                build_member("b", b.address), Echo("hello"), CALL_TIMEOUT_SECONDS
+            )
         assert served == []
 
 
@@ -139,25 +143,25 @@
 
 
 async def test_certificate_of_another_authority_is_refused(tmp_path: Path) -> None:
-    """Refuse a caller that trusts us but was not vouched for.
+    """Guard against an untrusted client that sends digests to the fleet.
 
-    Symptom: a stranger on the network feeds digests into the fleet. Sequence: it makes
-    a key pair of its own and accepts any server. Cause: TLS that checks one side only.
+    It uses a self-made key pair and accepts any server, so TLS that verifies the
+    server alone does not keep it out.
     """
     fleet = _build_authority("fleet")
-    stranger = _build_authority("stranger")
-    tls_a = _write_settings(tmp_path, "a", stranger, fleet)
+    other = _build_authority("stranger")
+    tls_a = _write_settings(tmp_path, "a", other, fleet)
     await _async_check_refused(tls_a, _write_settings(tmp_path, "b", fleet, fleet))
 
 
-async def test_server_of_another_authority_is_not_believed(tmp_path: Path) -> None:
+async def test_server_of_another_authority_is_refused(tmp_path: Path) -> None:
     fleet = _build_authority("fleet")
-    stranger = _build_authority("stranger")
+    other = _build_authority("stranger")
     tls_a = _write_settings(tmp_path, "a", fleet, fleet)
-    await _async_check_refused(tls_a, _write_settings(tmp_path, "b", stranger, fleet))
+    await _async_check_refused(tls_a, _write_settings(tmp_path, "b", other, fleet))
 
 
-async def test_settings_switch_mutual_tls_on(tmp_path: Path) -> None:
+async def test_settings_enable_mutual_tls(tmp_path: Path) -> None:
     authority = _build_authority("fleet")
     tls_b = _write_settings(tmp_path, "b", authority, authority)
     settings = Settings(
@@ -172,8 +176,10 @@
     member = build_member("b", core.get(PEERS).address)
     tls_a = _write_settings(tmp_path, "a", authority, authority)
     async with running_peers("a", tls=tls_a) as a, running_peers("c") as c:
-        assert (await a.async_call(member, Echo("hello"), PATIENT)).text == "hello"
+        assert (
+            await a.async_call(member, Echo("hello"), CALL_TIMEOUT_SECONDS)
+        ).text == "hello"
         with pytest.raises(PeerError):
-            await c.async_call(member, Echo("plain"), PATIENT)
+            await c.async_call(member, Echo("plain"), CALL_TIMEOUT_SECONDS)
     await unload()
     assert served == ["hello"]
--- a/tests/components/pools/test_moves.py
+++ b/tests/components/pools/test_moves.py
@@ -35,7 +35,7 @@
         self, member: Member, message: Any, timeout_seconds: float = 1.0
     ) -> Any:
         if member.name in self.unreachable:
-            raise PeerError("no answer")
+            raise PeerError("no reply")
         return await self.entries[member.name].async_answer("entry-1", message)
 
     def handle(self, message_type: type, handler: Any) -> Callable[[], None]:
--- a/tests/components/templates/test_directory.py
+++ b/tests/components/templates/test_directory.py
@@ -91,15 +91,15 @@
 async def async_start_publishing(core: Core, wait_seconds: float) -> list[ApiAnswer]:
     """Start to publish and return the list that receives the response."""
     model = PublishModel(parameters=ParametersModel(), wait_seconds=wait_seconds)
-    answers: list[ApiAnswer] = []
+    responses: list[ApiAnswer] = []
 
     async def publish() -> None:
         request = build_request(core, model, name="cellar")
-        answers.append(await api.async_publish(request))
+        responses.append(await api.async_publish(request))
 
     core.tasks.start_soon(publish)
     await anyio.wait_all_tasks_blocked()
-    return answers
+    return responses
 
 
 def test_service_resolves_to_its_binding() -> None:
@@ -147,7 +147,7 @@
             "record_id": "wish-1",
         }
     )
-    answer = await async_call_handler(
+    response = await async_call_handler(
         log, FakePeers({}), api.async_publish, model, name="cellar"
     )
     [proposal] = log.proposals
@@ -156,7 +156,7 @@
     )
     assert proposal.body == PublishTemplate("cellar", expected)
     assert (proposal.base_revision, proposal.record_id) == (4, "wish-1")
-    assert answer.body["revision"] == 6
+    assert response.body["revision"] == 6
 
 
 async def test_outdated_base_revision_is_a_conflict() -> None:
@@ -183,35 +183,35 @@
     peers = FakePeers({"entry-2": 9, "entry-3": -1})
     members = [build_member("entry-1"), build_member("entry-2")]
     async with async_directory_core(build_log(), members, peers) as core:
-        answers = await async_start_publishing(core, 5.0)
+        responses = await async_start_publishing(core, 5.0)
         await core.timers.async_advance(1.0)  # type: ignore[attr-defined]
-        before = list(answers)
+        before = list(responses)
         peers.offsets["entry-2"] = 10
         await core.timers.async_advance(0.1)  # type: ignore[attr-defined]
         await anyio.wait_all_tasks_blocked()
     assert before == []
-    assert answers[0].body["in_force"] is True
-    assert answers[0].body["behind"] == []
+    assert responses[0].body["in_force"] is True
+    assert responses[0].body["behind"] == []
 
 
 async def test_entry_that_stays_behind_is_named() -> None:
     peers = FakePeers({"entry-2": 9, "entry-3": -1})
     members = [build_member("entry-1"), build_member("entry-2")]
     async with async_directory_core(build_log(), members, peers) as core:
-        answers = await async_start_publishing(core, 0.01)
+        responses = await async_start_publishing(core, 0.01)
         await core.timers.async_advance(1.0)  # type: ignore[attr-defined]
         await anyio.wait_all_tasks_blocked()
-    assert answers[0].body["in_force"] is False
-    assert answers[0].body["behind"] == ["entry-2"]
+    assert responses[0].body["in_force"] is False
+    assert responses[0].body["behind"] == ["entry-2"]
 
 
 async def test_status_names_the_revision_of_each_entry() -> None:
     peers = FakePeers({"entry-2": 9, "entry-3": -1}, {"entry-2": 2})
-    answer = await async_call_handler(
+    response = await async_call_handler(
         build_log(), peers, api.async_status, name="cellar"
     )
-    entries = {item["entry"]: item for item in answer.body["entries"]}
-    assert answer.body["in_force_everywhere"] is False
+    entries = {item["entry"]: item for item in response.body["entries"]}
+    assert response.body["in_force_everywhere"] is False
     assert (entries["entry-1"]["revision"], entries["entry-1"]["in_force"]) == (4, True)
     assert entries["entry-2"]["in_force"] is False
     assert entries["entry-3"]["answered"] is False
@@ -275,11 +275,11 @@
         "pool": "cellar",
     }
     model = InstancesModel.model_validate({"instances": [instance]})
-    answer = await async_call_handler(
+    response = await async_call_handler(
         log, FakePeers({}), fleet_api.async_add_instances, model
     )
-    assert answer.status == 207
-    assert answer.body["outcomes"][0]["error"] == "revision-conflict"
+    assert response.status == 207
+    assert response.body["outcomes"][0]["error"] == "revision-conflict"
     assert log.proposals[0].body == AddInstance(**instance)
 
 
