--- a/bench/membership_wire.py
+++ b/bench/membership_wire.py
@@ -11,8 +11,8 @@
 
 from mustardward.components.membership.messages import Exchange, ExchangeReply, Vitals
 from mustardward.components.membership.models import Member, MemberStatus
+from mustardward.components.peers.grpc_peers import GrpcPeers
 from mustardward.components.peers.receiver import ForwardReceiver
-from mustardward.components.peers.services import GrpcPeers
 from mustardward.helpers.msgpack_codec import MsgpackCodec
 
 _SEGMENT_BYTES: Final = 52
--- a/mustardward/components/peers/__init__.py
+++ b/mustardward/components/peers/__init__.py
@@ -10,8 +10,8 @@
 async def async_setup(core: Core) -> Unload:
     """Set the component up and return its unload callback."""
     from ..membership.models import FINAL_STATUSES
+    from .grpc_peers import GrpcPeers
     from .receiver import ForwardReceiver
-    from .services import GrpcPeers
     from .tls import create_client_context, create_server_context
 
     settings = core.settings
--- a/mustardward/components/peers/forward.py
+++ b/mustardward/components/peers/forwarder.py
@@ -17,12 +17,12 @@
 from ..entry.models import AttemptOutcome, Ran, RequestFacts
 from ..entry.protocols import FailedAttempt, OutgoingRequest, WorkerResponse
 from ..membership.models import Member
-from .answer import STREAM_ERRORS, ResponseChunks, async_close_stream
 from .cancellation import uncancel_on_error
 from .client import convert_grpc_error
 from .const import CHUNK_BYTES, FORWARD_PATH, MAX_HOPS, METADATA_SENDER
 from .exceptions import PeerMessageError, PeerRefusedError
 from .models import ForwardHead, ForwardRefusal, RequestFrame
+from .response import STREAM_ERRORS, ResponseChunks, async_close_stream
 
 
 class Forwarder:
--- a/mustardward/components/peers/services.py
+++ b/mustardward/components/peers/grpc_peers.py
@@ -14,7 +14,7 @@
 from ..entry.protocols import FailedAttempt, OutgoingRequest, WorkerResponse
 from ..membership.models import Member
 from .client import PeerClient
-from .forward import Forwarder
+from .forwarder import Forwarder
 from .protocols import PeerHandler
 from .receiver import ForwardReceiver
 from .server import PeerServer
--- a/tests/components/peers/builders.py
+++ b/tests/components/peers/builders.py
@@ -16,9 +16,9 @@
 )
 from mustardward.components.entry.protocols import OutgoingRequest, WorkerResponse
 from mustardward.components.membership.models import Member, MemberStatus
+from mustardward.components.peers.grpc_peers import GrpcPeers
 from mustardward.components.peers.protocols import peer_message
 from mustardward.components.peers.receiver import ForwardReceiver
-from mustardward.components.peers.services import GrpcPeers
 from mustardward.components.peers.tls import (
     create_client_context,
     create_server_context,
--- a/tests/components/peers/test_calls.py
+++ b/tests/components/peers/test_calls.py
@@ -14,7 +14,7 @@
     PeerRefusedError,
     PeerUnreachableError,
 )
-from mustardward.components.peers.services import GrpcPeers
+from mustardward.components.peers.grpc_peers import GrpcPeers
 from mustardward.exceptions import NotReadyError, PeerOutcomeUnknownError
 from mustardward.helpers.peer_channels import Purpose
 from mustardward.helpers.registry import RegistryError
