--- a/mustardward/components/peers/forwarder.py
+++ b/mustardward/components/peers/forwarder.py
@@ -99,8 +99,8 @@
         facts: RequestFacts,
         request: OutgoingRequest,
     ) -> Result[WorkerResponse, FailedAttempt]:
-        # Once the first byte of the head is sent, the peer may dispatch the request even
-        # if the stream fails: only an explicit refusal of the peer means "not run".
+        # Once the first byte of the head is sent, the peer may dispatch the request,
+        # although the stream fails: only an explicit refusal means "not run".
         try:
             remaining = facts.deadline - self._clock()
             with uncancel_on_error(), anyio.fail_after(remaining):
