--- a/mustardward/components/entry/exchange.py
+++ b/mustardward/components/entry/exchange.py
@@ -107,9 +107,7 @@
         try:
             prepared = await self._async_prepare()
         except TimeoutError:
-            prepared = _refuse(
-                "body-too-slow", 408, "the body was not received before the deadline"
-            )
+            prepared = _refuse("body-too-slow", 408, "the body missed the deadline")
         except BodyTooLargeError as error:
             prepared = _refuse(error.code, 413, error.detail)
         except CallerGoneError:
@@ -272,9 +270,7 @@
 
 def _build_lost_response(code: str) -> RequestRefusal:
     status = 504 if code == "deadline-exceeded" else 502
-    return retryable_refusal(
-        code, status, Ran.UNKNOWN, "the worker's response was lost"
-    )
+    return retryable_refusal(code, status, Ran.UNKNOWN, "the worker's answer was lost")
 
 
 def _is_bodiless(scope: Scope) -> bool:
--- a/mustardward/components/entry/parse.py
+++ b/mustardward/components/entry/parse.py
@@ -85,13 +85,13 @@
     if header_bytes(headers) + len(scope["raw_path"]) > limits.header_bytes:
         return _refuse("headers-too-large", 431, f"limit={limits.header_bytes}")
     if has_injection(headers):
-        return _refuse("header-invalid", 400, "a header contains a line break")
+        return _refuse("header-invalid", 400, "a header holds a line break")
     matched = [item for item in headers if item[0] in _CONTROL_HEADERS]
     control_headers = {
         _CONTROL_HEADERS[name]: value.decode("latin-1") for name, value in matched
     }
     if len(control_headers) != len(matched):
-        return _refuse("header-repeated", 400, "a control header is repeated")
+        return _refuse("header-repeated", 400, "a header that decides came twice")
     refusal = _validate_control_headers(control_headers, limits)
     if refusal is not None:
         return Failure(refusal)
@@ -168,9 +168,7 @@
         return _refusal("idempotent-invalid", 400, "mw-idempotent: yes or no")
     text = control_headers.get(HEADER_DEADLINE)
     if text is not None and not _is_positive_number(text):
-        return _refusal(
-            "deadline-invalid", 400, "expected a positive number of seconds"
-        )
+        return _refusal("deadline-invalid", 400, "seconds above 0 are expected")
     text = control_headers.get(HEADER_IDEMPOTENCY_KEY)
     if text is not None and not _IDEMPOTENCY_KEY.fullmatch(text):
         return _refusal("key-invalid", 400, "1 to 255 visible characters")
@@ -183,7 +181,7 @@
     if text is None:
         return None
     if not (text.isascii() and text.isdigit()):
-        return _refusal("length-invalid", 400, "content-length is not a number")
+        return _refusal("length-invalid", 400, "content-length is no number")
     # Longer than any valid length; Python refuses to convert thousands of digits.
     if len(text) > _MAX_LENGTH_DIGITS or int(text) > limits.body_bytes:
         return _refusal("body-too-large", 413, f"limit={limits.body_bytes}")
--- a/mustardward/components/entry/request_handler.py
+++ b/mustardward/components/entry/request_handler.py
@@ -45,7 +45,7 @@
     TruncatedAnswerError.code: ("answer-truncated", 502),
 }
 _UNCONFIRMED: Final = retryable_refusal(
-    "not-ready", 503, Ran.NO, "the fleet state is unconfirmed after a pause"
+    "not-ready", 503, Ran.NO, "the state was not confirmed since a pause"
 )
 
 
@@ -123,7 +123,7 @@
         if idempotency_guard is None:
             return self._refuse(
                 retryable_refusal(
-                    "key-unavailable", 503, Ran.UNKNOWN, "no log to store intents in"
+                    "key-unavailable", 503, Ran.UNKNOWN, "no log to keep intents in"
                 )
             )
         opened = await idempotency_guard.async_open(self._facts)
--- a/mustardward/components/retries/intent_evaluation.py
+++ b/mustardward/components/retries/intent_evaluation.py
@@ -61,7 +61,7 @@
     # The original request may have run, so only a recorded `no` is reported.
     not_run = intent.closed and intent.ran == "no"
     ran = Ran.NO if not_run else Ran.UNKNOWN
-    return _refuse(MISMATCH_CODE, 422, ran, "the key belongs to another request")
+    return _refuse(MISMATCH_CODE, 422, ran, "key of another request")
 
 
 def _refuse(
@@ -75,33 +75,33 @@
     "idempotency-in-progress",
     409,
     Ran.UNKNOWN,
-    "an earlier request with this key may be running",
+    "an earlier attempt may run",
     True,
 )
 OUTCOME_UNKNOWN: Final = _refuse(
     "idempotency-outcome-unknown",
     409,
     Ran.UNKNOWN,
-    "an earlier request with this key may have run",
+    "an earlier attempt may have run",
 )
 ALREADY_DONE: Final = _refuse(
     "idempotency-already-done",
     409,
     Ran.YES,
-    "the request has run; its response is not stored",
+    "it ran; its answer is not kept",
 )
 OWNER_UNREACHABLE: Final = _refuse(
     "idempotency-home-unreachable",
     503,
     Ran.UNKNOWN,
-    "the data centre that owns this key is unreachable",
+    "another data centre keeps this key",
     True,
 )
 DEADLINE_PASSED: Final = _refuse(
     "deadline-exceeded",
     504,
     Ran.UNKNOWN,
-    "the deadline passed before the intent was recorded",
+    "the deadline passed before the intent",
 )
 
 
@@ -120,6 +120,6 @@
         "idempotency-log-out",
         503,
         ran,
-        "the intent could not be recorded durably",
+        "the intent is not durable",
         True,
     )
