--- a/tests/components/jobs/test_faulty_runs.py
+++ b/tests/components/jobs/test_faulty_runs.py
@@ -29,7 +29,7 @@
     mutant: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for owner, name in (
-        (handlers, "_event_when_not_idempotent"),
+        (handlers, "_event_for_non_idempotent"),
         (attempt_manager, "async_outcome"),
         (attempt_manager.AttemptManager, "_async_verify_lease"),
     ):
--- a/tests/components/scheduling/liveness_mutants.py
+++ b/tests/components/scheduling/liveness_mutants.py
@@ -204,7 +204,7 @@
     "a-task-comes-back-to-no-step": _requeue_unready,
     "an-incarnation-stays-undescribed": _stay_undescribed,
     "a-room-too-large-for-one-step-is-so-for-all": _replace(
-        planner, "_restricted", lambda step: False
+        planner, "_has_constraints", lambda step: False
     ),
 }
 """The mutants by a name of what each one breaks."""
