--- a/mustardward/components/fleet/pool_planner.py
+++ b/mustardward/components/fleet/pool_planner.py
@@ -194,15 +194,15 @@
         load = loads.get(pool, PoolLoad())
         size = sizes.get(pool) or sizes[ALL_POOLS]
         demand = sum(
-            amount.ceil_share(size)
+            amount.share_of(size)
             for amount in (load.long_running, load.running, load.waiting)
         )
         required = (
             demand / TARGET_UTILISATION
-            + load.backlog.ceil_share(size) / BACKLOG_START_SECONDS
+            + load.backlog.share_of(size) / BACKLOG_START_SECONDS
         )
         required = min(required, self._need_at_arrival(load, size, count))
-        upcoming = load.long_running.ceil_share(size) + load.inflow.ceil_share(size)
+        upcoming = load.long_running.share_of(size) + load.inflow.share_of(size)
         required = max(required, upcoming / TARGET_UTILISATION)
         need = max(MIN_POOL_INSTANCES, load.spread_workers, math.ceil(required))
         need += min(load.isolation_workers, MAX_ISOLATED_WORKERS)
@@ -225,10 +225,10 @@
         work was nearly over, and be idle for seconds.
         """
         seconds = self.move_seconds + ORDER_OVERHEAD_SECONDS
-        long_running = load.long_running.ceil_share(size)
-        inflow = load.inflow.ceil_share(size)
+        long_running = load.long_running.share_of(size)
+        inflow = load.inflow.share_of(size)
         done = max(0.0, count - long_running) * seconds
-        left = max(0.0, load.remaining.ceil_share(size) + inflow * seconds - done)
+        left = max(0.0, load.remaining.share_of(size) + inflow * seconds - done)
         return (
             long_running + inflow + left / LATER_BACKLOG_START_SECONDS
         ) / TARGET_UTILISATION
--- a/mustardward/components/reports/bound.py
+++ b/mustardward/components/reports/bound.py
@@ -79,7 +79,7 @@
         size = account.room[service]
         least = sample(account.spread[service], account.cells, 0)
         needs = [
-            max(math.ceil(amount.ceil_share(size)), spread)
+            max(math.ceil(amount.share_of(size)), spread)
             for amount, spread in zip(taken, least, strict=True)
         ]
         planned.instances[service], moves = keep_over_gaps(needs)
--- a/mustardward/components/reports/played_pool.py
+++ b/mustardward/components/reports/played_pool.py
@@ -111,7 +111,7 @@
 
     def _adapt(self, now: float, lasting: Amount) -> None:
         waiting = sum((task.room for task in self._waiting), Amount())
-        asked = (lasting + self._used + waiting).ceil_share(self.size)
+        asked = (lasting + self._used + waiting).share_of(self.size)
         wanted = math.ceil(asked / THRESHOLD)
         missing = wanted - self.on - len(self._coming)
         for _ in range(missing):
--- a/mustardward/components/reports/stories.py
+++ b/mustardward/components/reports/stories.py
@@ -64,7 +64,7 @@
         """Return whether it has its place in a room."""
         return self.cores <= room.cores and self.memory <= room.memory
 
-    def ceil_share(self, size: Amount) -> float:
+    def share_of(self, size: Amount) -> float:
         """Return how many of a size it takes, by what is scarcest there."""
         memory = self.memory / size.memory if size.memory else 0.0
         return max(self.cores / max(size.cores, 1e-9), memory)
--- a/mustardward/components/scheduling/inflow.py
+++ b/mustardward/components/scheduling/inflow.py
@@ -59,7 +59,7 @@
         self.mem_mb += other.mem_mb * times
         self.gpu += other.gpu * times
 
-    def ceil_share(self, room: Room) -> float:
+    def share_of(self, room: Room) -> float:
         """Return this amount as a multiple of a room, by the scarcest resource."""
         return max(
             self.cpu / max(1, room.cpu),
