--- a/mustardward/components/entry/exchange.py
+++ b/mustardward/components/entry/exchange.py
@@ -16,7 +16,7 @@
 from ...helpers.timer import TimerService
 from ...settings.models import RequestLimits
 from ...state.models.templates import Urgency
-from ..templates.protocols import Directory, Resolved
+from ..templates.protocols import Directory, ResolvedService
 from .attribution import WORKER, BudgetAttributor
 from .body import BodyReader, StreamedBody
 from .const import MAX_KEYED_BODY_BYTES, MAX_RETRY_BUFFER_BYTES
@@ -140,7 +140,7 @@
         return await self._async_read(request, resolved.unwrap())
 
     async def _async_read(
-        self, request: CallerRequest, resolved: Resolved
+        self, request: CallerRequest, resolved: ResolvedService
     ) -> Result[OutgoingRequest, RequestRefusal]:
         facts = build_facts(
             request, resolved, self._dependencies.limits, self._received_at
