--- a/mustardward/components/membership/protocols.py
+++ b/mustardward/components/membership/protocols.py
@@ -26,7 +26,8 @@
     def owns_duty(self, duty: str, holders: int = 1) -> bool:
         """Return whether a duty is assigned to this process.
 
-        The assignment is no lock: a duty must tolerate more holders than ``holders``.
+        The assignment only divides work and is no lock: it must do no harm if more
+        processes than ``holders`` hold the duty at once.
         """
         ...
 
--- a/mustardward/components/retries/intent_recorder.py
+++ b/mustardward/components/retries/intent_recorder.py
@@ -44,7 +44,8 @@
     """Propose intents for this entry node and for those of other data centres.
 
     :param identity: the name of this incarnation, see ``incarnation_name``.
-    :param is_live: returns whether the incarnation that opened an intent is alive.
+    :param is_live: returns whether the incarnation that opened an intent is alive, so
+        that it may still close it.
     """
 
     log: WorkLog
--- a/mustardward/components/retries/key_locator.py
+++ b/mustardward/components/retries/key_locator.py
@@ -43,7 +43,11 @@
         return rendezvous_owner(name, candidates) or self._data_centre
 
     def is_live(self, holder: str) -> bool:
-        """Return whether the incarnation that opened an intent is alive."""
+        """Return whether the incarnation that opened an intent is alive.
+
+        Only then a close of the intent can be expected. Without membership it is
+        assumed to be alive.
+        """
         if self._membership is None:
             return True
         members = self._membership.live()
--- a/mustardward/helpers/backoff.py
+++ b/mustardward/helpers/backoff.py
@@ -6,7 +6,7 @@
 
 
 class Backoff:
-    """Exponential backoff with jitter.
+    """Exponential backoff with jitter; the upper bound doubles with each delay.
 
     :param initial_seconds: upper bound of the first delay.
     :param maximum_seconds: upper bound of all delays.
--- a/mustardward/helpers/connection.py
+++ b/mustardward/helpers/connection.py
@@ -39,7 +39,7 @@
 
     async def _read_data(self) -> None:
         # hypercorn closes a connection only when its idle timer expires, even if the
-        # client closed it before. Such sockets stay in CLOSE-WAIT and accumulate
-        # until no more connections can be opened.
+        # client closed it before. Until then its socket stays in CLOSE-WAIT, one for
+        # each connection of the last minutes, until no more can be opened.
         await super()._read_data()
         await self.idle_task.stop()
--- a/mustardward/helpers/duty_cycle.py
+++ b/mustardward/helpers/duty_cycle.py
@@ -17,8 +17,9 @@
 
     :param min_pause_seconds: minimum pause, however short a run is.
     :param share: maximum share of this process's time.
-    :param max_pause_seconds: maximum pause. The measured duration of a run includes
-        the time in which the process was suspended, which was not spent on work.
+    :param max_pause_seconds: maximum pause. A run during which the process was
+        suspended seems long though that time was not spent on work, so it must not
+        cause an equally long pause.
     """
 
     min_pause_seconds: float
--- a/mustardward/helpers/http_connection.py
+++ b/mustardward/helpers/http_connection.py
@@ -126,7 +126,8 @@
         """Parse received bytes."""
         self._last_byte_at = self._loop.time()
         if self._waiter is None:
-            # The bytes belong to no exchange or to an abandoned one.
+            # No exchange is in progress: the server is closing the connection, or
+            # responds to an abandoned request.
             self.close()
             return
         self._response_started = True
--- a/mustardward/helpers/timer.py
+++ b/mustardward/helpers/timer.py
@@ -134,9 +134,10 @@
             await _async_call(subscription)
 
     async def _async_watch_pauses(self) -> None:
-        # A suspended process has stale leases and a stale view of the fleet when it
-        # resumes. The suspension is detected by a sleep that takes far longer than
-        # requested; subscribers then read the log's tail before they act.
+        # A process doesn't notice its suspension: when it resumes, its leases and its
+        # view of the fleet are stale, although all variables are unchanged. The sign
+        # is a sleep that takes far longer than requested; subscribers then read the
+        # log's tail before they act.
         last = time.monotonic()
         while True:
             await anyio.sleep(_PAUSE_CHECK_SECONDS)
@@ -225,7 +226,7 @@
 
 async def _async_call(subscription: _Subscription) -> None:
     # A failing callback must not stop the other timers: all periodic work would end
-    # with a single traceback.
+    # at once, with a single traceback long before as the only sign of the cause.
     try:
         await subscription.callback()
     except Exception as error:
--- a/mustardward/platform/entries.py
+++ b/mustardward/platform/entries.py
@@ -4,7 +4,7 @@
 an unknown state, an impossible capacity or an invalid address. Used unchecked, it would
 terminate the owner's loop (an address that is no URL, an id that is invalid in a
 header) or place work beyond a worker's capacity. A record is therefore used only if
-all of its known fields are valid.
+all of its known fields are valid; otherwise it names no usable worker.
 """
 
 from __future__ import annotations
--- a/mustardward/platform/store.py
+++ b/mustardward/platform/store.py
@@ -44,7 +44,8 @@
 _HEAD: Final = struct.Struct(">QQ")
 CALL_TIMEOUT_SECONDS: Final = 0.7
 """A response takes about 6 ms, so a store that is 60 times slower still responds in
-time. A call sent during an outage blocks its caller for this long."""
+time. A call sent during an outage can block its caller for this long after the outage
+has ended."""
 
 LONG_POLL_SLACK_SECONDS: Final = 0.5
 """Timeout of a long poll, in addition to the requested wait."""
--- a/mustardward/state/handlers/waves.py
+++ b/mustardward/state/handlers/waves.py
@@ -153,7 +153,8 @@
 def pause_if_failing(context: FoldContext, wave: Wave) -> None:
     """Pause a running wave whose failures reached the maximum.
 
-    Until the canary has come back, a single failure pauses the wave.
+    Until the canary has come back, a single failure pauses the wave, since the canary
+    serves to detect a bad image on few instances.
     """
     new_failures = len(wave.failed) - wave.forgiven
     maximum = wave.maximum_failures if len(wave.done) >= wave.canary else 1
