--- a/mustardward/components/pools/move_executor.py
+++ b/mustardward/components/pools/move_executor.py
@@ -29,6 +29,7 @@
 class _Progress:
     """Hold what this process has observed of a move.
 
+    ``sequence`` is unique within the process and makes operation ids unique.
     ``acknowledged`` names the entries that have stopped using the instance, including
     entries that joined after the request. ``drained`` is set once the worker was empty
     after that. ``refused_offset`` is the log offset at which the transfer was refused.
--- a/mustardward/components/templates/__init__.py
+++ b/mustardward/components/templates/__init__.py
@@ -7,9 +7,9 @@
 
 async def async_setup(core: Core) -> Unload:
     """Set the component up and return its unload callback."""
-    from .setup import async_set_up_templates
+    from .setup import async_setup_templates
 
-    return await async_set_up_templates(core)
+    return await async_setup_templates(core)
 
 
 COMPONENTS.register("templates")(
--- a/mustardward/components/templates/setup.py
+++ b/mustardward/components/templates/setup.py
@@ -13,7 +13,7 @@
 """Modules that register the operators' routes on import."""
 
 
-async def async_set_up_templates(core: Core) -> Unload:
+async def async_setup_templates(core: Core) -> Unload:
     """Register the directory and the peer handler; return the unload callback."""
     log = core.find(FLEET_LOG)
     if log is not None:
