--- a/tests/components/dispatch/test_restarts.py
+++ b/tests/components/dispatch/test_restarts.py
@@ -345,7 +345,7 @@
 
 
 async def test_worker_may_restart_with_another_pool_and_capacity() -> None:
-    """Guard against a worker that stays absent after a restart in another pool."""
+    """Guard against a worker that is never used again after it changed its pool."""
     async with a_harness() as harness:
         harness.worker.restart()
         room = Room(4000, 2000)
--- a/tests/components/dispatch/test_session.py
+++ b/tests/components/dispatch/test_session.py
@@ -106,12 +106,13 @@
 
 
 async def test_new_owner_waits_for_leases_that_the_previous_one_may_renew() -> None:
-    """Guard against long-running tasks that run twice, half a second in both places.
+    """Guard against long-running tasks that run twice for half a second.
 
-    A network partition separates the owner and some workers from the store, and another
-    entry takes over. The previous owner keeps renewing those workers' leases until its
-    authority ends. If a session opened at takeover waits only for one lease, it ignores
-    that time, and the tasks start elsewhere too soon.
+    They run both in a disconnected data centre and outside of it. A network partition
+    separates the owner and some workers from the store, and another entry takes over.
+    The previous owner keeps renewing those workers' leases until its authority ends. If
+    a session opened at takeover waits only for one lease, it ignores that time, and the
+    tasks start elsewhere too soon.
     """
     async with a_harness() as harness:
         takeover_hold_until = latest_lease_end(harness.timers.monotonic()) + 4.0
--- a/tests/components/entry/test_failures.py
+++ b/tests/components/entry/test_failures.py
@@ -205,9 +205,10 @@
 
 
 async def test_response_after_the_deadline_is_dropped() -> None:
-    """Guard against forwarding a response after the deadline.
+    """Guard against a caller that acts on a response to a request that was refused.
 
-    The worker responds after the deadline has passed; the caller was already refused.
+    The worker responds after the deadline has passed, when the caller has already got
+    the refusal, so the response must not be forwarded.
     """
     async with running_entry(respond_ok) as (entry, (worker,)):
 
--- a/tests/components/fleet/test_pool_planner.py
+++ b/tests/components/fleet/test_pool_planner.py
@@ -38,7 +38,10 @@
 
 
 def test_a_demand_peak_takes_the_whole_surplus() -> None:
-    """Load pattern: one pool needs four times its instances, the other one is idle."""
+    """Check that a demand of five times a pool gets what other pools do not need.
+
+    Load pattern: one pool needs four times its instances, the other one is idle.
+    """
     planner = PoolPlanner(MOVE_SECONDS)
     view = a_view(two_pools_of_four(), {f"i-0{n}": Load(0, 5) for n in range(4)})
     load = a_load(cores=32.0, waiting=60.0, seconds=60.0)
@@ -137,7 +140,7 @@
 
 
 def test_maintained_instances_are_moved_and_others_go_to_standby() -> None:
-    """Guard against instances that are due for maintenance but busy."""
+    """Guard against a wave whose remaining instances are mostly busy."""
     planner = PoolPlanner(MOVE_SECONDS)
     standby = [an_instance(n, STANDBY) for n in range(4)]
     on = [an_instance(n, POOL) for n in range(4, 8)]
--- a/tests/components/fleet/test_wave_planner.py
+++ b/tests/components/fleet/test_wave_planner.py
@@ -55,8 +55,8 @@
 def test_an_instance_counts_as_down_until_a_later_list_shows_it_restarted() -> None:
     """Guard against exceeding the wave's limit because the list lags.
 
-    After maintenance has started, the list still shows the instance as up. That must
-    not count as up again.
+    After maintenance has started, the list still shows the instance as up. If that
+    counted as up again, too many instances would be down, such as three instead of two.
     """
     planner = a_planner(["m-00", "m-04"], max_count=1)
     fleet = eight_instances()
@@ -78,7 +78,7 @@
 
     A new owner starts without orders of its own. It must count the instances that the
     list shows in maintenance, and those that the previous owner's last renewal names as
-    ordered.
+    ordered. Otherwise too many are down, such as six instead of five.
     """
     planner = a_planner(["m-00", "m-01", "m-02", "m-03"], max_count=2)
     fleet = eight_instances()
@@ -143,9 +143,10 @@
 
 
 def test_a_wave_waits_for_a_moving_instance() -> None:
-    """Guard against a wave that is reported as done before its last instances.
+    """Guard against a wave that is reported as done before its last instances start.
 
-    Instances that move to another pool must not count as gone.
+    Instances that move to another pool are still to be maintained, and must not count
+    as gone.
     """
     planner = a_planner(["m-00"])
     moving = frozenset({"m-00"})
@@ -160,7 +161,7 @@
 
 
 def test_instances_with_long_running_tasks_do_not_go_last() -> None:
-    """Guard against a wave that is late by its last instances.
+    """Guard against a wave that is late by its last three instances.
 
     Standby and idle instances are maintained many at once, but those with long-running
     tasks only a few at a time, so the latter must start while the former are processed.
@@ -227,7 +228,7 @@
     """Guard against spreading the remaining instances over the whole duration again.
 
     After a change of owner 5 s before the end of a wave, that would process one
-    instance at a time and end the wave late.
+    instance at a time and end the wave late by its last two instances.
     """
     wave = a_wave([f"m-{n:02d}" for n in range(8)], 8, duration_s=20.0).wave
     stored = WaveRecord(["m-00"], False, seen_at=1000.0)
@@ -269,7 +270,7 @@
 
 
 def test_a_wave_is_not_done_if_one_list_lacks_its_last_instance() -> None:
-    """Guard against a wave that is reported as done before its last instance."""
+    """Guard against a wave that is done before its last instance is maintained."""
     planner = a_planner(["m-00"])
     busy = {"i-00": Load(1, 0)}
     planner.decide(a_view(eight_instances(), busy), 0.0)
--- a/tests/components/front/test_keys.py
+++ b/tests/components/front/test_keys.py
@@ -210,7 +210,10 @@
 async def test_maximum_key_age_limits_service_during_an_outage(
     strict: float | None, status: int
 ) -> None:
-    """A node that can't learn of a revocation either continues, or refuses after it."""
+    """Check a node that can't learn of revocations.
+
+    It continues to serve, or refuses callers after the maximum key age if one is set.
+    """
     async with running_front() as harness:
         await _async_configure(harness, 2, KEYS)
         harness.front.admission.max_key_age_seconds = strict
--- a/tests/components/ledger/test_append_watcher.py
+++ b/tests/components/ledger/test_append_watcher.py
@@ -114,7 +114,8 @@
         harness.silent = False
         await harness.async_advance(0.4)
         assert harness.outcomes == {"j/1": Outcome.STORED}
-        # Attempts that the log does not show end early, so that four fit in.
+        # Attempts that the log does not show end early: two more fit in, four in all,
+        # each under the same sequence number.
         assert harness.sequences == [0, 0, 0, 0]
         assert harness.store.topic_end(TOPIC) == 1
 
--- a/tests/components/ledger/test_follower.py
+++ b/tests/components/ledger/test_follower.py
@@ -146,8 +146,8 @@
 async def test_outage_counts_from_when_the_failed_call_was_sent() -> None:
     """Guard against callers that stay with a partitioned data centre for 4 s.
 
-    The partition silences a long poll. Counted from the poll's timeout, the entry node
-    would stay ready for callers meanwhile.
+    The partition silences a long poll. If the outage counted from the poll's timeout,
+    the entry node would stay ready for callers meanwhile.
     """
     timers = DrivenTimerService()
     follower, _ = build_follower(_SilentStore(timers), timers)
--- a/tests/components/limits/test_admission.py
+++ b/tests/components/limits/test_admission.py
@@ -295,7 +295,7 @@
 
 
 def test_unused_share_gives_temporary_credit() -> None:
-    """Guard against queueing of an organisation that uses less than its share.
+    """Guard against queueing of an organisation that uses four fifths of its share.
 
     Its requests come in bursts. If the share left unused between bursts did not count,
     a burst would drain no faster than a flood.
--- a/tests/components/maintenance/test_reporters.py
+++ b/tests/components/maintenance/test_reporters.py
@@ -88,7 +88,8 @@
     """Guard against thousands of absence records per day for one instance.
 
     The platform lists the instance as serving, but no entry node reaches it. It is
-    reported returned, its work fails, and it is reported absent again.
+    reported returned, its work fails, and it is reported absent again. Each round has
+    to take longer than the one before.
     """
     harness = MaintenanceHarness()
     reporter = AbsenceReporter(harness.dependencies(), None)
--- a/tests/components/ownership/test_authority.py
+++ b/tests/components/ownership/test_authority.py
@@ -30,7 +30,10 @@
 
 
 def test_renewal_counts_from_its_send_time() -> None:
-    """Check that the wait of a new owner covers the authority of the previous one."""
+    """Guard against authority that outlasts the wait of the next owner.
+
+    Both count from when the renewal was sent, not from its response.
+    """
     clock = _FakeClock()
     authority = Authority(clock)
     clock.now += 3.0
--- a/tests/components/ownership/test_takeover.py
+++ b/tests/components/ownership/test_takeover.py
@@ -98,7 +98,7 @@
     A data centre is disconnected together with the owner, which keeps renewing leases
     there for 4 s. A slow entry claims the shard and hands over to a faster one a second
     later. If that one waits only for a lease, it ignores that the first owner may still
-    send commands.
+    send commands, and all its long-running tasks there (15 in one case) run twice.
     """
     state = SchedulerBench().scheduler.state
     hold_previous_runs(state, OwnerRecord(2, "c", "", 5, settled=False), NOW)
@@ -135,7 +135,11 @@
 
 
 def test_data_centre_without_reports_is_not_reconciled() -> None:
-    """Check for workers that expired from entries and list and are disconnected."""
+    """Guard against starting tasks again whose runs continue in a network partition.
+
+    A disconnected worker may have expired from both entries and list, and still run
+    the tasks of the previous owner.
+    """
     harness = a_takeover_of_two_zones({"w1": "z1"})
     del harness.state.workers["w2"]
     harness.unconfirmed_workers = []
--- a/tests/components/scheduling/test_crashes.py
+++ b/tests/components/scheduling/test_crashes.py
@@ -153,7 +153,10 @@
 
 
 def test_a_task_that_crashes_its_workers_late_is_given_up() -> None:
-    """Guards against clearing a long task, not a long-running one, by its run time."""
+    """Guards against restarting a long task without end because it ran for a while.
+
+    Run time clears long-running tasks only.
+    """
     bench = SchedulerBench()
     bench.add(a_job(a_step(count=1, estimate_ms=20_000)))
     crashed = 0
@@ -349,7 +352,10 @@
 
 
 def test_two_jobs_that_crash_their_workers_at_once_are_both_given_up() -> None:
-    """Guards against taking two crashing jobs for a common cause of each other."""
+    """Guards against two crashing jobs that are each started once more.
+
+    Crashes at the same time must not pass for a common cause that excuses both.
+    """
     bench = SchedulerBench()
     add_suspected_job(bench)
     other = a_job(a_step(count=1), job=OTHER)
--- a/tests/components/scheduling/test_liveness.py
+++ b/tests/components/scheduling/test_liveness.py
@@ -148,7 +148,10 @@
 
 
 def test_step_requests_advice_again_once_its_allowed_workers_are_gone() -> None:
-    """Guards against valid tickets for removed workers that delay the next request."""
+    """Guards against a step that waits until tickets for removed workers expire.
+
+    It must request advice on other workers while those tickets are still valid.
+    """
     bench = SchedulerBench(policy=QueuePolicy(POOL, advice=True))
     bench.worker("w1")
     bench.add(a_job())
--- a/tests/components/scheduling/test_planning.py
+++ b/tests/components/scheduling/test_planning.py
@@ -186,7 +186,8 @@
 
     The entries of a partitioned data centre expire and are back once it heals. Its
     worker must be used again: a step that allows one task per worker may have no other,
-    and its long-running task would not run though there is room for it.
+    and its long-running task would not run, for 11 s in one case, though there is room
+    for it twice over.
     """
     bench = SchedulerBench()
     bench.worker("w1")
--- a/tests/components/scheduling/test_takeover.py
+++ b/tests/components/scheduling/test_takeover.py
@@ -42,7 +42,8 @@
 
     A data centre with the owner and some workers is partitioned, and jobs are accepted
     for 1.5 s until the takeover. If the next owner holds them until the leases of the
-    unreachable workers expire 5.5 s later, they are late while half their pool is idle.
+    unreachable workers expire 5.5 s later, they are late (48 in one case) while half
+    their pool is idle.
     """
     bench = a_successor()
     bench.worker("w1")
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -1,8 +1,8 @@
 """Test the decoding of entries, lists and pages that contain invalid records.
 
 Guards against an owner that terminates, or assigns work to a worker that does not
-exist. A record of a invalid_key writer is stored beside valid ones, and fails its whole
-page or is used unchecked.
+exist. A record of another writer is stored beside valid ones, and fails its whole page
+or is used unchecked.
 """
 
 from __future__ import annotations
