--- a/tests/components/entry/test_failures.py
+++ b/tests/components/entry/test_failures.py
@@ -354,10 +354,10 @@
 
 
 async def test_hop_by_hop_and_reserved_headers_are_not_forwarded() -> None:
-    """Guard against forged attempt ids and headers leaked across hops.
+    """Guard against forged attempt ids, and cookies that reach another caller.
 
     Headers are forwarded both ways; hop-by-hop headers and those with mustardward's own
-    prefix must not be.
+    prefix must not be, and a response's cookie must not be sent with later requests.
     """
 
     async def respond_with_headers(
--- a/tests/components/forwarding/test_failover.py
+++ b/tests/components/forwarding/test_failover.py
@@ -195,7 +195,7 @@
 
     The store refuses an entry node, and a peer answers for it by a newer configuration.
     Then the store refuses all nodes, no peer answers, and the node falls back to the
-    old configuration that it read itself.
+    old configuration that it read itself, unless it remembers its peers' versions.
     """
     async with running_entry() as harness:
         await harness.async_partition()
--- a/tests/components/routing/test_router.py
+++ b/tests/components/routing/test_router.py
@@ -232,7 +232,7 @@
     """Guard against quarantines during an overload, which make it worse.
 
     Requests leave the queue with little time left, and their callers give up while
-    healthy workers process them.
+    healthy workers process them. That must not count against these workers.
     """
     harness = RouterHarness(build_state(6))
     harness.run_many("request", 100, NO_EXCLUSIONS)
--- a/tests/components/scheduling/test_planning.py
+++ b/tests/components/scheduling/test_planning.py
@@ -116,7 +116,7 @@
 
 
 def test_a_gang_whose_member_was_refused_is_stopped() -> None:
-    """Guards against members of a gang that wait for a rejected one until they fail."""
+    """Guards against gang members that wait for a rejected one and then end alone."""
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=2, gang=True)))
