--- a/tests/components/entry/test_failures.py
+++ b/tests/components/entry/test_failures.py
@@ -205,9 +205,10 @@
 
 
 async def test_response_after_the_deadline_is_dropped() -> None:
-    """Guard against forwarding a response after the deadline.
+    """Guard against a caller that acts on a response to a request that was refused.
 
-    The worker responds after the deadline has passed; the caller was already refused.
+    The worker responds after the deadline has passed, when the caller has already got
+    the refusal, so the response must not be forwarded.
     """
     async with running_entry(respond_ok) as (entry, (worker,)):
 
@@ -353,10 +354,10 @@
 
 
 async def test_hop_by_hop_and_reserved_headers_are_not_forwarded() -> None:
-    """Guard against forged attempt ids and headers leaked across hops.
+    """Guard against forged attempt ids, and cookies that reach another caller.
 
     Headers are forwarded both ways; hop-by-hop headers and those with mustardward's own
-    prefix must not be.
+    prefix must not be, and a response's cookie must not be sent with later requests.
     """
 
     async def respond_with_headers(
