--- a/mustardward/components/reports/bound.py
+++ b/mustardward/components/reports/bound.py
@@ -92,7 +92,7 @@
         size = workload.resources[service]
         min_counts = sample(workload.min_workers[service], workload.cell_count, 0)
         needs = [
-            max(math.ceil(amount.ceil_share(size)), min_workers)
+            max(math.ceil(amount.share_of(size)), min_workers)
             for amount, min_workers in zip(used, min_counts, strict=True)
         ]
         result.instances[service], moves = fill_short_gaps(needs)
--- a/mustardward/components/reports/day_models.py
+++ b/mustardward/components/reports/day_models.py
@@ -64,7 +64,7 @@
         """Return whether it fits into a capacity."""
         return self.cores <= capacity.cores and self.memory <= capacity.memory
 
-    def ceil_share(self, size: Resources) -> float:
+    def share_of(self, size: Resources) -> float:
         """Return how many units of a size it needs, by the scarcest resource."""
         memory = self.memory / size.memory if size.memory else 0.0
         return max(self.cores / max(size.cores, 1e-9), memory)
--- a/mustardward/components/reports/pool_simulation.py
+++ b/mustardward/components/reports/pool_simulation.py
@@ -117,7 +117,7 @@
 
     def _autoscale(self, now: float, long_running: Resources) -> None:
         waiting = sum((task.resources for task in self._waiting), Resources())
-        required = (long_running + self._used + waiting).ceil_share(self.size)
+        required = (long_running + self._used + waiting).share_of(self.size)
         target = math.ceil(required / UTILISATION_THRESHOLD)
         missing = target - self.instance_count - len(self._starting)
         for _ in range(missing):
