--- a/mustardward/state/handlers/intents.py
+++ b/mustardward/state/handlers/intents.py
@@ -19,7 +19,7 @@
 """Keys stored in one data centre; the least recently changed one is dropped."""
 
 MAX_STORED_RESPONSES: Final = 2_048
-"""Keys whose response is stored too; for further ones only the outcome is."""
+"""Keys whose response is stored too; the oldest ones beyond keep only the outcome."""
 
 MAX_STORED_RESPONSE_BYTES: Final = 4_096
 """Largest response body that is stored with an intent."""
--- a/mustardward/state/handlers/jobs.py
+++ b/mustardward/state/handlers/jobs.py
@@ -42,8 +42,8 @@
 """Distinct healthy workers on which a job has to fail before it is parked."""
 
 PARK_AFTER_FAILURES: Final = 8
-"""Failures, or lost attempts, after which a job is parked even if it failed on fewer
-distinct workers, since few may be left."""
+"""Failures, or lost attempts, after which a job is parked even if too few workers are
+left to reach ``PARK_AFTER_WORKERS``."""
 
 Outcome = Result[Acceptance, MustardwardError]
 
