--- a/mustardward/components/jobs/api.py
+++ b/mustardward/components/jobs/api.py
@@ -49,10 +49,7 @@
 
 
 class SubmitModel(BaseModel):
-    """Validate a job submission.
-
-    ``payload`` is text, or base64 data if ``base64`` is set.
-    """
+    """Validate a submission; ``payload`` is text, or base64 if ``base64`` says so."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -70,7 +67,7 @@
 
 
 class CancelGroupModel(BaseModel):
-    """Validate a request to cancel the jobs of a group."""
+    """Validate the name of a group whose jobs are cancelled."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
--- a/mustardward/components/templates/api_models.py
+++ b/mustardward/components/templates/api_models.py
@@ -61,7 +61,7 @@
 
 
 class QuotaModel(StrictModel):
-    """Hold the quota of an organisation in one data centre."""
+    """Hold what an organisation may use in one data centre."""
 
     concurrency: int = Field(default=64, ge=1, le=100_000)
     queue: int = Field(default=256, ge=0, le=100_000)
@@ -78,7 +78,7 @@
 
 
 class ObjectivesModel(StrictModel):
-    """Hold the service level objectives."""
+    """Hold the promised service level."""
 
     success_share: float = Field(default=0.999, gt=0, lt=1)
     latency_seconds: float = Field(default=0.5, gt=0, le=3600)
@@ -86,10 +86,9 @@
 
 
 class ParametersModel(StrictModel):
-    """Hold parameters as an operator writes them, all of them optional.
+    """Hold parameters as an operator writes them; what is left out stays as it was.
 
-    A parameter that is left out has its default in a template, and the template's
-    value in an organisation.
+    For a template that is the default, for an organisation the template's value.
     """
 
     services: tuple[ServiceModel, ...] | None = None
@@ -118,8 +117,8 @@
 class PublishModel(StrictModel):
     """Propose a template's revision.
 
-    ``base_revision`` is the revision that the change is based on, 0 for a new
-    template. ``record_id`` is the same in each retry of one request.
+    ``base_revision`` is the one its author saw, 0 for a new template. ``record_id``
+    stays the same over the repetitions of one wish.
     """
 
     parameters: ParametersModel
@@ -129,7 +128,7 @@
 
 
 class OrganisationModel(StrictModel):
-    """Propose an organisation or new overrides for it."""
+    """Propose an organisation or its new overrides."""
 
     template: Name
     overrides: ParametersModel = ParametersModel()
@@ -139,7 +138,7 @@
 
 
 class InstanceModel(StrictModel):
-    """Hold an instance to register in a pool."""
+    """Hold one instance that a pool is to own."""
 
     instance_id: Identifier
     data_centre: Name
@@ -158,7 +157,7 @@
 
 
 class InstancesModel(StrictModel):
-    """Hold the instances to register in one call."""
+    """Hold instances to register."""
 
     instances: tuple[InstanceModel, ...] = Field(max_length=MAX_INSTANCES)
 
--- a/mustardward/state/models/templates.py
+++ b/mustardward/state/models/templates.py
@@ -9,7 +9,7 @@
 
 
 class Urgency(StrEnum):
-    """Name how soon work has to start."""
+    """Say how soon work has to start."""
 
     URGENT = "urgent"
     NORMAL = "normal"
