--- a/mustardward/components/peers/framing.py
+++ b/mustardward/components/peers/framing.py
@@ -29,7 +29,7 @@
             raise PeerMessageError(f"compressed={compressed} size={size}")
         data: bytes = await stream.recv_data(size)
     except AssertionError as error:
-        raise PeerMessageError("message is truncated") from error
+        raise PeerMessageError("message was cut off") from error
     if len(data) != size:
-        raise PeerMessageError("message is truncated")
+        raise PeerMessageError("message was cut off")
     return data
--- a/mustardward/components/templates/directory.py
+++ b/mustardward/components/templates/directory.py
@@ -30,7 +30,7 @@
                 "not-ready",
                 503,
                 Ran.NO,
-                "the log has not been read yet",
+                "no state folded yet",
                 RETRY_AFTER_SECONDS,
             )
             return Failure(refusal)
--- a/mustardward/components/templates/proposals.py
+++ b/mustardward/components/templates/proposals.py
@@ -29,7 +29,7 @@
     # as if the one in force had been reverted.
     log = core.get(FLEET_LOG)
     if not log.ready:
-        raise NotReadyError("the log has not been read to its end yet")
+        raise NotReadyError("still reading the log")
     return log.state
 
 
@@ -88,5 +88,5 @@
     if not text:
         return default
     if not text.isdecimal():
-        raise QueryInvalidError(f"{name}={text} is not a non-negative integer")
+        raise QueryInvalidError(f"{name}={text} is not a whole number")
     return int(text)
