--- a/mustardward/components/api/__init__.py
+++ b/mustardward/components/api/__init__.py
@@ -1,4 +1,4 @@
-"""Offer operators a JSON interface."""
+"""Provide the operators' JSON API."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 async def async_setup(core: Core) -> Unload:
-    """Set the component up and return what undoes it."""
+    """Set up the component; return the unload function."""
     from .setup import async_setup_api
 
     return await async_setup_api(core)
--- a/mustardward/components/api/openapi.py
+++ b/mustardward/components/api/openapi.py
@@ -1,4 +1,4 @@
-"""Describe the routes as an OpenAPI document and as a small page."""
+"""Build the OpenAPI document and an HTML overview of the routes."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 }
 
 
-def openapi_document(routes: Iterable[ApiRoute]) -> dict[str, Any]:
+def build_openapi_document(routes: Iterable[ApiRoute]) -> dict[str, Any]:
     """Return the OpenAPI 3.1 document of the routes."""
     paths: dict[str, dict[str, Any]] = {}
     schemas: dict[str, Any] = {"Problem": _PROBLEM}
     for route in routes:
-        operation = _operation(route, schemas)
+        operation = _build_operation(route, schemas)
         paths.setdefault(route.path, {})[route.method.lower()] = operation
     return {
         "openapi": "3.1.0",
@@ -43,8 +43,8 @@
     }
 
 
-def openapi_page(routes: Iterable[ApiRoute]) -> str:
-    """Return a page that lists the routes for people."""
+def build_openapi_page(routes: Iterable[ApiRoute]) -> str:
+    """Return an HTML page that lists the routes."""
     rows = "".join(
         f"<tr><td>{html.escape(route.method)}</td>"
         f"<td><code>{html.escape(route.path)}</code></td>"
@@ -59,7 +59,7 @@
     )
 
 
-def _operation(route: ApiRoute, schemas: dict[str, Any]) -> dict[str, Any]:
+def _build_operation(route: ApiRoute, schemas: dict[str, Any]) -> dict[str, Any]:
     operation: dict[str, Any] = {
         "summary": route.summary,
         "parameters": [
@@ -79,11 +79,11 @@
         },
     }
     if route.body_model is not None:
-        operation["requestBody"] = _body(route, schemas)
+        operation["requestBody"] = _build_request_body(route, schemas)
     return operation
 
 
-def _body(route: ApiRoute, schemas: dict[str, Any]) -> dict[str, Any]:
+def _build_request_body(route: ApiRoute, schemas: dict[str, Any]) -> dict[str, Any]:
     assert route.body_model is not None
     schema = route.body_model.model_json_schema(
         ref_template="#/components/schemas/{model}"
--- a/mustardward/components/api/problems.py
+++ b/mustardward/components/api/problems.py
@@ -1,4 +1,4 @@
-"""Map failures to statuses and write them as ``application/problem+json``."""
+"""Map errors to HTTP statuses and ``application/problem+json`` responses."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 from ..entry.const import PROBLEM_TYPE_PREFIX
 
 PROBLEM_STATUSES: Registry[type[MustardwardError], int] = Registry("problem statuses")
-"""Status by type of failure; a type without one takes that of its nearest base."""
+"""HTTP status by error type; a type without one has that of its nearest base."""
 
-_SURELY_WITHOUT_EFFECT: Final = (PlatformUnavailableError, NotReadyError, PeerError)
-_UNKNOWN_EFFECT: Final = (PlatformOutcomeUnknownError, PeerOutcomeUnknownError)
+_NO_EFFECT_ERRORS: Final = (PlatformUnavailableError, NotReadyError, PeerError)
+_UNKNOWN_EFFECT_ERRORS: Final = (PlatformOutcomeUnknownError, PeerOutcomeUnknownError)
 
 
 ErrorT = TypeVar("ErrorT", bound=type[MustardwardError])
 
 
 def problem_status_code(status: int) -> Callable[[ErrorT], ErrorT]:
-    """Return a decorator that files the status of a type of failure."""
+    """Return a decorator that registers the HTTP status of an error type."""
 
     def decorate(error_type: ErrorT) -> ErrorT:
         PROBLEM_STATUSES.register(error_type)(status)
@@ -49,28 +49,28 @@
 
 @problem_status_code(422)
 class BodyInvalidError(MustardwardError):
-    """Report a call's body that does not match the route's model."""
+    """Report a request body that does not match the route's model."""
 
     code = "body-invalid"
 
 
 @problem_status_code(401)
 class TokenInvalidError(MustardwardError):
-    """Report a call without the operators' token."""
+    """Report a request without a valid operator token."""
 
     code = "token-invalid"
 
 
 @problem_status_code(404)
 class RouteUnknownError(MustardwardError):
-    """Report a path or method that no route answers."""
+    """Report a path or method without a route."""
 
     code = "route-unknown"
 
 
 @problem_status_code(404)
 class NotFoundError(MustardwardError):
-    """Report a name that nothing has; for the handlers of routes."""
+    """Report a name that does not exist; raised by route handlers."""
 
     code = "not-found"
 
@@ -96,7 +96,7 @@
 
 
 def problem_status(error: MustardwardError) -> int:
-    """Return the status of a failure's type or its nearest base."""
+    """Return the HTTP status of an error's type or its nearest base."""
     for base in type(error).__mro__:
         if base in PROBLEM_STATUSES:
             return PROBLEM_STATUSES[base]
@@ -106,21 +106,21 @@
 def problem_response(
     error: MustardwardError,
     status: int | None = None,
-    more: Mapping[str, Any] | None = None,
+    extra_fields: Mapping[str, Any] | None = None,
 ) -> JSONResponse:
-    """Return the answer to a call that failed.
+    """Return the response to a failed request.
 
-    ``ran`` says whether the call may have had an effect all the same.
+    ``ran`` states whether the request may have taken effect despite the error.
     """
     status = problem_status(error) if status is None else status
-    ran = "no" if _had_no_effect(error, status) else "unknown"
+    ran = "no" if _has_no_effect(error, status) else "unknown"
     document = {
         "type": PROBLEM_TYPE_PREFIX + error.code,
         "title": error.code.replace("-", " "),
         "status": status,
         "detail": error.detail,
         "ran": ran,
-        **(more or {}),
+        **(extra_fields or {}),
     }
     headers = {HEADER_RAN: ran}
     if status == 401:
@@ -130,7 +130,7 @@
     )
 
 
-def _had_no_effect(error: MustardwardError, status: int) -> bool:
-    if isinstance(error, _UNKNOWN_EFFECT):
+def _has_no_effect(error: MustardwardError, status: int) -> bool:
+    if isinstance(error, _UNKNOWN_EFFECT_ERRORS):
         return False
-    return status < 500 or isinstance(error, _SURELY_WITHOUT_EFFECT)
+    return status < 500 or isinstance(error, _NO_EFFECT_ERRORS)
--- a/mustardward/components/api/routes.py
+++ b/mustardward/components/api/routes.py
@@ -1,6 +1,6 @@
-"""Collect the routes of the operators' interface.
+"""Collect the routes of the operators' API.
 
-A component files its routes in a module ``api`` of its own; ``components/api`` serves
+Each component registers its routes in its own ``api`` module; ``components/api`` serves
 them and describes them in OpenAPI.
 """
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ApiRequest:
-    """Hold an operator's call; ``model`` is the validated body, if one was asked."""
+    """Hold an operator's request; ``model`` is the validated body, if any."""
 
     core: Core
     actor: str
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ApiResponse:
-    """Hold the answer; ``body`` is anything that JSON can hold."""
+    """Hold the response; ``body`` is any JSON-serialisable value."""
 
     body: Any
     status: int = 200
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ApiRoute:
-    """Describe one route; ``path`` has parameters in braces."""
+    """Describe a route; ``path`` has its parameters in braces."""
 
     method: str
     path: str
@@ -58,10 +58,10 @@
     summary: str,
     body_model: type[BaseModel] | None = None,
 ) -> Callable[[RouteHandler], RouteHandler]:
-    """Return a decorator that files a handler under a method and path.
+    """Return a decorator that registers a handler for a method and path.
 
-    A handler raises a :class:`MustardwardError` to refuse; the server turns it into
-    ``application/problem+json``.
+    A handler raises a :class:`MustardwardError` to reject the request; the server
+    converts it to ``application/problem+json``.
     """
 
     def decorate(handler: RouteHandler) -> RouteHandler:
--- a/mustardward/components/api/server.py
+++ b/mustardward/components/api/server.py
@@ -17,27 +17,27 @@
 from ...helpers.logging import get_logger
 from ..keys import DRAIN, FLEET_LOG
 from .auth import TokenCheck, read_actor
-from .openapi import openapi_document, openapi_page
+from .openapi import build_openapi_document, build_openapi_page
 from .problems import BodyInvalidError, RouteUnknownError, problem_response
 from .routes import ApiRequest, ApiRoute
 
 _LOGGER = get_logger(__name__)
 
-BODY_BYTES: Final = 1_048_576
+MAX_BODY_BYTES: Final = 1_048_576
 
 Endpoint = Callable[[Request], Awaitable[Response]]
 
 
 class InternalError(MustardwardError):
-    """Report a defect of ours; its detail stands in the log alone."""
+    """Report an unexpected exception; its details are only logged."""
 
     code = "internal-error"
 
 
 class OperatorServer:
-    """Answer operators' calls.
+    """Serve operators' requests.
 
-    :param routes: the routes that the components filed.
+    :param routes: routes registered by the components.
     """
 
     def __init__(
@@ -54,8 +54,8 @@
             for route in self._routes
         ]
         served += [
-            Route("/openapi.json", self._guarded(self._async_openapi)),
-            Route("/", self._guarded(self._async_page)),
+            Route("/openapi.json", self._authenticate_and_log(self._async_openapi)),
+            Route("/", self._authenticate_and_log(self._async_page)),
             Route("/-/{probe}", self._async_probe),
         ]
         handlers: dict[Any, Any] = {HTTPException: _async_http_error}
@@ -72,21 +72,21 @@
                 query=dict(request.query_params),
                 model=model,
             )
-            answer = await route.handler(call)
-            return JSONResponse(answer.body, answer.status, answer.headers)
+            response = await route.handler(call)
+            return JSONResponse(response.body, response.status, response.headers)
 
-        return self._guarded(async_handle)
+        return self._authenticate_and_log(async_handle)
 
     def _check_ready(self) -> None:
-        # An entry that starts anew folds the log from a snapshot or its beginning. An
-        # answer from the middle shows a revision that was replaced long ago, and looks
-        # as if an accepted configuration had been taken back.
+        # A restarted entry replays the log from a snapshot or from its beginning. Until
+        # it has caught up, a response would show an outdated revision, as if an
+        # accepted configuration had been reverted.
         log = self._core.find(FLEET_LOG)
         if log is not None and not log.ready:
             raise NotReadyError("the state is still being read")
 
-    def _guarded(self, endpoint: Endpoint) -> Endpoint:
-        """Check the token first, turn failures into problems, and log one line."""
+    def _authenticate_and_log(self, endpoint: Endpoint) -> Endpoint:
+        """Check the token, convert errors to problem responses, and log the request."""
 
         async def async_call(request: Request) -> Response:
             started = self._core.timers.monotonic()
@@ -96,10 +96,10 @@
                 response = await endpoint(request)
             except MustardwardError as error:
                 code = error.code
-                response = _problem_of(error)
+                response = _build_problem_response(error)
             except Exception as error:
                 code = InternalError.code
-                response = _defect_of(request, error)
+                response = _log_and_build_internal_error(request, error)
             _LOGGER.info(
                 "operator_call",
                 method=request.method,
@@ -114,10 +114,10 @@
         return async_call
 
     async def _async_openapi(self, request: Request) -> Response:
-        return JSONResponse(openapi_document(self._routes))
+        return JSONResponse(build_openapi_document(self._routes))
 
     async def _async_page(self, request: Request) -> Response:
-        return HTMLResponse(openapi_page(self._routes))
+        return HTMLResponse(build_openapi_page(self._routes))
 
     async def _async_probe(self, request: Request) -> Response:
         drain = self._core.find(DRAIN)
@@ -128,10 +128,10 @@
         return JSONResponse(document, status)
 
 
-class BodyFaultsError(BodyInvalidError):
-    """Report each fault of a body.
+class BodyValidationError(BodyInvalidError):
+    """Report the validation errors of a body.
 
-    :param faults: key and expectation of each.
+    :param faults: key and expected value of each error.
     """
 
     def __init__(self, faults: list[dict[str, str]]) -> None:
@@ -140,7 +140,7 @@
 
     @property
     def faults(self) -> list[dict[str, str]]:
-        """Return the faults."""
+        """Return the validation errors."""
         return self._faults
 
 
@@ -152,22 +152,22 @@
     body = b""
     async for chunk in request.stream():
         body += chunk
-        if len(body) > BODY_BYTES:
-            raise BodyInvalidError(f"limit={BODY_BYTES} bytes")
+        if len(body) > MAX_BODY_BYTES:
+            raise BodyInvalidError(f"limit={MAX_BODY_BYTES} bytes")
     try:
         return body_model.model_validate_json(body)
     except ValidationError as error:
-        # The value itself stays out: it may be a secret put into the wrong field.
+        # Values are omitted: one may be a secret in the wrong field.
         faults = [
             {"key": ".".join(map(str, item["loc"])), "expected": item["msg"]}
             for item in error.errors(include_input=False, include_url=False)
         ]
-        raise BodyFaultsError(faults) from error
+        raise BodyValidationError(faults) from error
 
 
-def _problem_of(error: MustardwardError) -> Response:
-    if isinstance(error, BodyFaultsError):
-        return problem_response(error, more={"faults": error.faults})
+def _build_problem_response(error: MustardwardError) -> Response:
+    if isinstance(error, BodyValidationError):
+        return problem_response(error, extra_fields={"faults": error.faults})
     return problem_response(error)
 
 
@@ -176,7 +176,7 @@
     return problem_response(unknown, status=error.status_code)
 
 
-def _defect_of(request: Request, error: Exception) -> Response:
+def _log_and_build_internal_error(request: Request, error: Exception) -> Response:
     _LOGGER.error(
         "operator_call_failed",
         path=request.url.path,
--- a/mustardward/components/api/setup.py
+++ b/mustardward/components/api/setup.py
@@ -1,4 +1,4 @@
-"""Listen for operators."""
+"""Set up the operators' listener."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 async def async_setup_api(core: Core) -> Unload:
-    """Serve the routes filed so far on the operators' listener."""
+    """Serve the routes registered so far on the operators' listener."""
     settings = core.settings.operators
     token = read_token(settings.token_file)
     server = OperatorServer(core, tuple(API_ROUTES), TokenCheck(token))
--- a/tests/components/api/test_server.py
+++ b/tests/components/api/test_server.py
@@ -1,4 +1,4 @@
-"""Call the operators' interface."""
+"""Test the operators' API."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
     path: str,
     token: str | None = TOKEN,
     log: FleetLog | None = None,
-    **more: object,
+    **options: object,
 ) -> httpx.Response:
     async with anyio.create_task_group() as tasks:
         core = Core(build_settings(), DrivenTimerService(), tasks)
@@ -72,34 +72,34 @@
         server = OperatorServer(core, ROUTES, TokenCheck(token))
         transport = httpx.ASGITransport(server.application())
         async with httpx.AsyncClient(transport=transport, base_url="http://o") as http:
-            return await http.request(method, path, **more)  # type: ignore[arg-type]
+            return await http.request(method, path, **options)  # type: ignore[arg-type]
 
 
-async def test_a_call_reaches_its_handler_with_model_and_actor() -> None:
+async def test_handler_receives_model_and_actor() -> None:
     headers = {**BEARER, "mw-actor": "dawn-shift"}
-    answer = await call(
+    response = await call(
         "PUT", "/racks/north", json={"name": "north", "slots": 8}, headers=headers
     )
-    assert (answer.status_code, answer.json()) == (
+    assert (response.status_code, response.json()) == (
         201,
         {"actor": "dawn-shift", "slots": 8},
     )
 
 
 @pytest.mark.parametrize("authorization", [None, "Bearer wrong", TOKEN, "Bearer "])
-async def test_a_wrong_token_opens_nothing(authorization: str | None) -> None:
-    """Let in nobody without the token.
+async def test_every_route_rejects_an_invalid_token(authorization: str | None) -> None:
+    """Guard against unauthorised changes.
 
-    Symptom: a stranger revises templates. Sequence: a call comes without the token, or
-    with part of it. Cause: the check is missing on some route or compares too little.
+    These happen if a route lacks the token check, or if the check accepts a missing
+    token or part of one.
     """
     headers = {} if authorization is None else {"authorization": authorization}
     for path in ("/racks/north", "/openapi.json", "/"):
         method = "PUT" if path.startswith("/racks") else "GET"
-        answer = await call(method, path, headers=headers)
-        assert answer.status_code == 401
-        assert answer.json()["type"] == "urn:mustardward:problem:token-invalid"
-        assert answer.headers["www-authenticate"] == "Bearer"
+        response = await call(method, path, headers=headers)
+        assert response.status_code == 401
+        assert response.json()["type"] == "urn:mustardward:problem:token-invalid"
+        assert response.headers["www-authenticate"] == "Bearer"
 
 
 @pytest.mark.parametrize(
@@ -111,27 +111,27 @@
         ("defect", 500, "internal-error", "unknown"),
     ],
 )
-async def test_failures_become_problems_with_their_code(
+async def test_errors_become_problems_with_their_code(
     name: str, status: int, code: str, ran: str
 ) -> None:
     body = {"name": name, "slots": 1}
-    answer = await call("PUT", f"/racks/{name}", json=body, headers=BEARER)
-    document = answer.json()
-    assert (answer.status_code, document["ran"]) == (status, ran)
+    response = await call("PUT", f"/racks/{name}", json=body, headers=BEARER)
+    document = response.json()
+    assert (response.status_code, document["ran"]) == (status, ran)
     assert document["type"].endswith(":" + code)
-    assert "inner text" not in answer.text
+    assert "inner text" not in response.text
 
 
-async def test_a_wrong_body_lists_every_fault_without_its_values() -> None:
+async def test_invalid_body_lists_every_fault_without_its_values() -> None:
     body = {"name": 4, "slots": "secret", "colour": "red"}
-    answer = await call("PUT", "/racks/north", json=body, headers=BEARER)
-    assert answer.status_code == 422
-    assert [fault["key"] for fault in answer.json()["faults"]] == [
+    response = await call("PUT", "/racks/north", json=body, headers=BEARER)
+    assert response.status_code == 422
+    assert [fault["key"] for fault in response.json()["faults"]] == [
         "name",
         "slots",
         "colour",
     ]
-    assert "secret" not in answer.text
+    assert "secret" not in response.text
 
 
 async def test_routes_are_described_and_unknown_ones_are_problems() -> None:
@@ -148,17 +148,17 @@
     assert (await call("GET", "/racks/north", headers=BEARER)).status_code == 405
 
 
-async def test_callers_never_reach_the_operators_interface() -> None:
+async def test_caller_listener_does_not_serve_operator_routes() -> None:
     async with running_entry(respond_ok) as (entry, (worker,)):
         async with httpx.AsyncClient(base_url=entry.url) as http:
             for path in ("/openapi.json", "/racks/north", "/"):
-                answer = await http.put(path, headers=BEARER)
-                assert answer.json()["ran"] == "no"
-                assert answer.status_code == 404
+                response = await http.put(path, headers=BEARER)
+                assert response.json()["ran"] == "no"
+                assert response.status_code == 404
     assert worker.requests == []
 
 
-async def test_no_secret_is_logged(caplog: pytest.LogCaptureFixture) -> None:
+async def test_tokens_are_not_logged(caplog: pytest.LogCaptureFixture) -> None:
     absl_logging.set_verbosity(absl_logging.INFO)
     with caplog.at_level("INFO"):
         await call("PUT", "/racks/x", json={}, headers=BEARER)
@@ -168,7 +168,7 @@
     assert "bad!" not in caplog.text
 
 
-def test_a_short_or_missing_token_file_is_refused(tmp_path: Path) -> None:
+def test_short_or_missing_token_file_is_rejected(tmp_path: Path) -> None:
     short = tmp_path / "token"
     short.write_text("short\n")
     for path in (short, tmp_path / "missing"):
@@ -178,19 +178,18 @@
     assert read_token(short) == TOKEN
 
 
-async def test_a_state_that_is_still_being_read_is_not_shown() -> None:
-    """Answer operators from a whole state only.
+async def test_requests_are_rejected_until_the_log_is_replayed() -> None:
+    """Guard against a response from a partly replayed log.
 
-    Symptom: an entry that was replaced shows revision 21 in force, seconds after its
-    predecessor showed 40. Sequence: it starts, folds the log's first entries, and is
-    asked before it reaches the tail. Cause: the operators' interface answered from
-    whatever was folded, while the callers' port already refused.
+    A restarted entry that has not reached the end of the log would report a revision
+    in force that is older than the one reported before the restart. The callers'
+    listener already rejects requests in this state.
     """
     log = cast(FleetLog, SimpleNamespace(ready=False))
     body = {"name": "north", "slots": 8}
-    answer = await call("PUT", "/racks/north", log=log, json=body, headers=BEARER)
-    assert answer.status_code == 503
-    assert answer.json()["type"].endswith(":not-ready")
+    response = await call("PUT", "/racks/north", log=log, json=body, headers=BEARER)
+    assert response.status_code == 503
+    assert response.json()["type"].endswith(":not-ready")
     log = cast(FleetLog, SimpleNamespace(ready=True))
-    answer = await call("PUT", "/racks/north", log=log, json=body, headers=BEARER)
-    assert answer.status_code == 201
+    response = await call("PUT", "/racks/north", log=log, json=body, headers=BEARER)
+    assert response.status_code == 201
--- a/tests/components/api/test_tls.py
+++ b/tests/components/api/test_tls.py
@@ -1,4 +1,4 @@
-"""Reach the operators' listener over mutual TLS."""
+"""Test mutual TLS on the operators' listener."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 Key = ec.EllipticCurvePrivateKey
 
 
-def make_certificate(
+def create_certificate(
     folder: Path, name: str, issuer: tuple[x509.Certificate, Key] | None
 ) -> tuple[x509.Certificate, Key]:
-    """Write NAME.crt and NAME.key; without an issuer they are the authority's."""
+    """Write NAME.crt and NAME.key; without an issuer, those of an authority."""
     key = ec.generate_private_key(ec.SECP256R1())
     subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
     now = datetime.now(UTC)
@@ -63,15 +63,14 @@
     return certificate, key
 
 
-async def test_a_caller_without_a_certificate_is_not_let_in(tmp_path: Path) -> None:
-    """Ask for a certificate of the operators' authority.
+async def test_client_without_a_certificate_is_rejected(tmp_path: Path) -> None:
+    """Guard against a listener that does not require a client certificate.
 
-    Symptom: anybody on the network reads the fleet. Sequence: a client connects
-    without a certificate. Cause: the listener only shows its own.
+    Anyone on the network could then read the state of the fleet.
     """
-    authority = make_certificate(tmp_path, "authority", None)
+    authority = create_certificate(tmp_path, "authority", None)
     for name in ("server", "client"):
-        make_certificate(tmp_path, name, authority)
+        create_certificate(tmp_path, name, authority)
     tls = TlsSettings(
         certificate=tmp_path / "server.crt",
         key=tmp_path / "server.key",
@@ -91,12 +90,12 @@
                     await client.get(url)
             trust.load_cert_chain(tmp_path / "client.crt", tmp_path / "client.key")
             async with httpx.AsyncClient(verify=trust) as client:
-                answer = await client.get(url)
+                response = await client.get(url)
             await unload()
-    assert answer.status_code == 200
+    assert response.status_code == 200
 
 
-def test_a_certificate_that_cannot_be_read_is_a_settings_error(tmp_path: Path) -> None:
+def test_unreadable_certificate_is_a_settings_error(tmp_path: Path) -> None:
     tls = TlsSettings(
         certificate=tmp_path / "a", key=tmp_path / "b", authority=tmp_path / "c"
     )
--- a/tests/components/templates/test_directory.py
+++ b/tests/components/templates/test_directory.py
@@ -9,7 +9,7 @@
 from pydantic import ValidationError
 from returns.result import Failure
 
-from mustardward.components.api.routes import ApiResponse, ApiRequest
+from mustardward.components.api.routes import ApiRequest, ApiResponse
 from mustardward.components.entry.models import Ran
 from mustardward.components.membership.models import MemberStatus
 from mustardward.components.templates import api, fleet_api, organisations_api
