--- a/tests/components/scheduling/test_planning.py
+++ b/tests/components/scheduling/test_planning.py
@@ -116,7 +116,7 @@
 
 
 def test_a_gang_whose_member_was_refused_is_stopped() -> None:
-    """Guards against members of a gang that wait for a rejected one until they fail."""
+    """Guards against gang members that wait for a rejected one and then end alone."""
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=2, gang=True)))
@@ -186,7 +186,8 @@
 
     The entries of a partitioned data centre expire and are back once it heals. Its
     worker must be used again: a step that allows one task per worker may have no other,
-    and its long-running task would not run though there is room for it.
+    and its long-running task would not run, for 11 s in one case, though there is room
+    for it twice over.
     """
     bench = SchedulerBench()
     bench.worker("w1")
