--- a/mustardward/standin/estate/estate.py
+++ b/mustardward/standin/estate/estate.py
@@ -279,12 +279,12 @@
             return
         machine.incarnation += 1
         worker_id = f"i-{machine.name}-{machine.incarnation}"
-        room = Room(cpu=self._plan.cores * 1000, mem_mb=65536)
+        capacity = Room(cpu=self._plan.cores * 1000, mem_mb=65536)
         worker = MemoryWorker(
             worker_id,
             machine.name,
             machine.pool,
-            room,
+            capacity,
             self.workloads,
             started_at_ms=time.time_ns() // 1_000_000,
             enforces_capacity=self._plan.enforce_capacity,
--- a/mustardward/standin/estate/store.py
+++ b/mustardward/standin/estate/store.py
@@ -23,7 +23,7 @@
 
     SERVING = "serving"
     REFUSING = "refusing"
-    SILENT = "silent"
+    UNRESPONSIVE = "silent"
     LOSING_RESPONSES = "losing_answers"
 
 
@@ -112,7 +112,7 @@
         self.appends += 1
         if self.mode is StoreMode.REFUSING:
             raise CallRefusedError("busy")
-        if self.mode is StoreMode.SILENT:
+        if self.mode is StoreMode.UNRESPONSIVE:
             raise CallUnknownError("silent")
         end = self.append(topic, list(records), producer)
         if self.mode is StoreMode.LOSING_RESPONSES:
@@ -140,7 +140,7 @@
 
     def _check_readable(self) -> None:
         self.reads += 1
-        if self.mode in (StoreMode.REFUSING, StoreMode.SILENT):
+        if self.mode in (StoreMode.REFUSING, StoreMode.UNRESPONSIVE):
             raise CallRefusedError(self.mode.value)
 
     def _topic(self, topic: str) -> _Topic:
--- a/tests/components/forwarding/test_keys.py
+++ b/tests/components/forwarding/test_keys.py
@@ -78,7 +78,7 @@
     """
     async with running_entry() as harness:
         await harness.async_publish(encode_config(2, organisations=KEYS))
-        harness.store.mode = StoreMode.SILENT
+        harness.store.mode = StoreMode.UNRESPONSIVE
         harness.forwarder.outcome = PeerOutcome(PeerReply(status, b"{}"), False)
         reply = await _async_send(harness, "POST", DAIRY_KEY)
         assert reply.status == 504
