--- a/mustardward/standin/estate/worker.py
+++ b/mustardward/standin/estate/worker.py
@@ -50,7 +50,7 @@
 
     task: str
     number: int
-    work: Workload
+    workload: Workload
     started_ms: float
     stops_at_ms: float | None = None
 
@@ -99,15 +99,15 @@
             return REFUSED_OLD
         if order.deadline_ms <= now_ms:
             return REFUSED_LATE
-        work = self._work(order.task)
-        if not self._fits(work.resources):
+        workload = self._get_workload(order.task)
+        if not self._fits(workload.resources):
             if self.enforces_capacity:
                 return REFUSED_ROOM
             self.overcommitted_starts += 1
         self._extend_lease(order.deadline_ms, now_ms)
-        self.runs[order.task] = Run(order.task, order.run, work, now_ms)
+        self.runs[order.task] = Run(order.task, order.run, workload, now_ms)
         self.starts.append((order.task, order.run))
-        self.crashing = self.crashing or work.crashes
+        self.crashing = self.crashing or workload.crashes
         return ""
 
     def stop(self, task: str, run: int, token: int, now_ms: float) -> str:
@@ -154,8 +154,8 @@
         for run in list(self.runs.values()):
             if run.stops_at_ms is not None and now_ms >= run.stops_at_ms:
                 self._end(run, ENDED_STOPPED)
-            elif not run.work.long_running and self._percent(run, now_ms) >= 100:
-                self._end(run, ENDED_FAILED if run.work.fails else ENDED_DONE)
+            elif not run.workload.long_running and self._percent(run, now_ms) >= 100:
+                self._end(run, ENDED_FAILED if run.workload.fails else ENDED_DONE)
 
     def has_unacknowledged_ends(self, received_upto: int) -> bool:
         """Return whether there are ended runs after ``received_upto``."""
@@ -165,9 +165,9 @@
 
     def _percent(self, run: Run, now_ms: float) -> float:
         elapsed_ms = now_ms - run.started_ms
-        if run.work.long_running:
+        if run.workload.long_running:
             return 100.0 if elapsed_ms >= START_UP_MS else 0.0
-        return min(100.0, 100.0 * elapsed_ms / (1000 * run.work.seconds))
+        return min(100.0, 100.0 * elapsed_ms / (1000 * run.workload.seconds))
 
     def _accept_token(self, token: int) -> bool:
         self._highest_token = max(self._highest_token, token)
@@ -178,14 +178,14 @@
         self._lease_end_ms = max(self._lease_end_ms, bounded)
 
     def _fits(self, resources: Room) -> bool:
-        cpu = sum(run.work.resources.cpu for run in self.runs.values())
-        memory_mb = sum(run.work.resources.mem_mb for run in self.runs.values())
+        cpu = sum(run.workload.resources.cpu for run in self.runs.values())
+        memory_mb = sum(run.workload.resources.mem_mb for run in self.runs.values())
         return (
             cpu + resources.cpu <= self.capacity.cpu
             and memory_mb + resources.mem_mb <= self.capacity.mem_mb
         )
 
-    def _work(self, task: str) -> Workload:
+    def _get_workload(self, task: str) -> Workload:
         name: TaskName = decode_task(task)
         return self.workloads.get(f"{name.job}.{name.step}", Workload(Room(), 0.1))
 
--- a/mustardward/standin/store.py
+++ b/mustardward/standin/store.py
@@ -30,12 +30,12 @@
 class _Stream:
     """A stream; ``oldest`` is the offset of its first retained entry."""
 
-    kept: deque[_StoredEntry] = field(default_factory=deque)
+    entries: deque[_StoredEntry] = field(default_factory=deque)
     tail: int = 0
 
     @property
     def oldest(self) -> int:
-        return self.kept[0].entry.offset if self.kept else self.tail
+        return self.entries[0].entry.offset if self.entries else self.tail
 
 
 class LogStore:
@@ -54,7 +54,7 @@
         state = self._stream(stream)
         offset = state.tail
         now = self._timers.monotonic()
-        state.kept.append(_StoredEntry(LogEntry(offset, payload), now))
+        state.entries.append(_StoredEntry(LogEntry(offset, payload), now))
         state.tail = offset + 1
         self._expire(state)
         return offset
@@ -69,8 +69,8 @@
         if offset < state.oldest:
             raise OffsetExpiredError(state.oldest)
         start = offset - state.oldest
-        end = min(len(state.kept), start + limit)
-        entries = tuple(state.kept[index].entry for index in range(start, end))
+        end = min(len(state.entries), start + limit)
+        entries = tuple(state.entries[index].entry for index in range(start, end))
         return LogPage(entries, state.oldest, state.tail)
 
     def _stream(self, name: str) -> _Stream:
@@ -78,8 +78,8 @@
 
     def _expire(self, state: _Stream) -> None:
         earliest = self._timers.monotonic() - self._retention.seconds
-        while state.kept and (
-            len(state.kept) > self._retention.entries
-            or state.kept[0].appended < earliest
+        while state.entries and (
+            len(state.entries) > self._retention.entries
+            or state.entries[0].appended < earliest
         ):
-            state.kept.popleft()
+            state.entries.popleft()
