--- a/mustardward/cli/__init__.py
+++ b/mustardward/cli/__init__.py
@@ -1,4 +1,4 @@
-"""Offer the command line."""
+"""Provide the command line."""
 
 from __future__ import annotations
 
--- a/mustardward/cli/client.py
+++ b/mustardward/cli/client.py
@@ -1,4 +1,4 @@
-"""Call the operators' interface of an entry."""
+"""Call the operators' API of an entry."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 FunctionT = TypeVar("FunctionT", bound=Callable[..., Any])
 
 _TIMEOUT_SECONDS = 75.0
-"""Longer than the longest wait that a call can ask for."""
+"""Longer than the longest wait that a request may ask for."""
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorClient:
-    """Reach one entry as an operator.
+    """Send operator requests to one entry.
 
-    :param url: base URL of the operators' interface.
-    :param token: bearer token, empty if the entry asks for none.
-    :param authority: file of the authority that signed the entry's certificate.
+    :param url: base URL of the operators' API.
+    :param token: bearer token, empty if the entry requires none.
+    :param authority: CA certificate file to verify the entry's certificate.
     """
 
     url: str
@@ -39,11 +39,11 @@
         query: dict[str, str] | None = None,
         body: Any = None,
     ) -> Any:
-        """Return the answer's JSON.
+        """Send a request and return the JSON body of the response.
 
-        :raises RefusedError: with the problem's code and text.
-        :raises UnreachableError: if nobody could take the call.
-        :raises OutcomeUnknownError: if the call may have had an effect all the same.
+        :raises RefusedError: with the problem's code and detail.
+        :raises UnreachableError: if the request was not processed.
+        :raises OutcomeUnknownError: if the request may have taken effect nevertheless.
         """
         import httpx
 
@@ -52,28 +52,30 @@
             with httpx.Client(
                 base_url=self.url,
                 timeout=_TIMEOUT_SECONDS,
-                verify=self._verification(),
+                verify=self._build_tls_context(),
                 trust_env=False,
             ) as client:
-                answer = client.request(
+                response = client.request(
                     method, path, params=query, json=body, headers=headers
                 )
         except httpx.HTTPError as error:
-            raise self._unanswered(method, error) from error
-        if answer.is_error:
-            raise _problem(answer.status_code, answer.text)
-        return answer.json()
-
-    def _unanswered(self, method: str, error: Exception) -> click.ClickException:
+            raise self._build_transport_error(method, error) from error
+        if response.is_error:
+            raise _build_problem_error(response.status_code, response.text)
+        return response.json()
+
+    def _build_transport_error(
+        self, method: str, error: Exception
+    ) -> click.ClickException:
         import httpx
 
         text = f"{self.url}: {type(error).__name__} {error}"
-        never_sent = isinstance(error, (httpx.ConnectError, httpx.ConnectTimeout))
-        if never_sent or method == "GET":
+        not_sent = isinstance(error, (httpx.ConnectError, httpx.ConnectTimeout))
+        if not_sent or method == "GET":
             return UnreachableError(f"unreachable {text}")
         return OutcomeUnknownError(f"no answer from {text}")
 
-    def _verification(self) -> Any:
+    def _build_tls_context(self) -> Any:
         if not self.url.startswith("https"):
             return False
         import ssl
@@ -81,7 +83,7 @@
         return ssl.create_default_context(cafile=self.authority or None)
 
 
-def _problem(status: int, text: str) -> click.ClickException:
+def _build_problem_error(status: int, text: str) -> click.ClickException:
     import json
 
     try:
@@ -100,23 +102,27 @@
 
 
 def with_client(function: Callable[..., Any]) -> Callable[..., Any]:
-    """Add the shared options; the command gets the client they describe."""
+    """Add the shared options, and pass the client they define as ``client``."""
 
     @wraps(function)
     def run(
-        *args: Any, server: str, token_file: Path | None, authority: str, **others: Any
+        *args: Any,
+        server: str,
+        token_file: Path | None,
+        authority: str,
+        **arguments: Any,
     ) -> Any:
-        client = make_client(server, token_file, authority)
-        return function(*args, client=client, **others)
+        client = create_client(server, token_file, authority)
+        return function(*args, client=client, **arguments)
 
     return operator_options(run)
 
 
 def operator_options(function: FunctionT) -> FunctionT:
-    """Add the options that every operator's command shares.
+    """Add the options that all operator commands share.
 
-    The command gets them as ``server``, ``token_file`` and ``authority``; pass them
-    to :func:`make_client`.
+    The command receives ``server``, ``token_file`` and ``authority``, the arguments of
+    :func:`create_client`.
     """
     for option in (
         click.option(
@@ -143,7 +149,9 @@
     return function
 
 
-def make_client(server: str, token_file: Path | None, authority: str) -> OperatorClient:
-    """Return the client that the shared options describe."""
+def create_client(
+    server: str, token_file: Path | None, authority: str
+) -> OperatorClient:
+    """Return the client that the shared options define."""
     token = token_file.read_text(encoding="utf-8").strip() if token_file else ""
     return OperatorClient(server, token, authority)
--- a/mustardward/cli/demo.py
+++ b/mustardward/cli/demo.py
@@ -1,4 +1,4 @@
-"""Run the main job on an embedded fleet."""
+"""Run a demonstration on an embedded fleet."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from ..embedded.demo import DemoLine
 
-MOST_SECONDS: Final = 55.0
+MAX_SECONDS: Final = 55.0
 
 
 @click.command()
@@ -49,12 +49,12 @@
     from ..helpers.timer import LoopTimerService
 
     lines: list[DemoLine] = []
-    with anyio.move_on_after(MOST_SECONDS) as scope:
+    with anyio.move_on_after(MAX_SECONDS) as scope:
         async with anyio.create_task_group() as tasks:
             lines = await async_run_demo(LoopTimerService(tasks))
             if all(line.succeeded for line in lines):
                 lines.extend(await async_run_estate_demo())
             tasks.cancel_scope.cancel()
     if scope.cancelled_caught:
-        lines.append(DemoLine("end", "took too long", MOST_SECONDS, False))
+        lines.append(DemoLine("end", "took too long", MAX_SECONDS, False))
     return lines
--- a/mustardward/cli/exit_codes.py
+++ b/mustardward/cli/exit_codes.py
@@ -1,6 +1,6 @@
-"""Say by the exit code what happened to a change.
+"""Define exit codes that state what happened to a change.
 
-``docs/operators/exit-codes.md`` tells operators what to do after each.
+``docs/operators/exit-codes.md`` describes what to do after each of them.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 
 
 class RefusedError(click.ClickException):
-    """End because the call was refused; nothing changed."""
+    """Exit because the request was refused; nothing changed."""
 
     exit_code = REFUSED
 
 
 class UnreachableError(click.ClickException):
-    """End because nobody could take the call; nothing changed."""
+    """Exit because the request was not processed; nothing changed."""
 
     exit_code = UNREACHABLE
 
 
 class OutcomeUnknownError(click.ClickException):
-    """End although the change may have taken effect."""
+    """Exit without knowing whether the change took effect."""
 
     exit_code = OUTCOME_UNKNOWN
--- a/mustardward/cli/explain.py
+++ b/mustardward/cli/explain.py
@@ -1,4 +1,4 @@
-"""Tell the story of an instance, wave, job or organisation."""
+"""Print the history of an instance, wave, job or organisation."""
 
 from __future__ import annotations
 
@@ -35,23 +35,23 @@
     if logs is not None and kind != "job":
         raise click.UsageError("--logs tells of jobs only")
     if logs is not None:
-        story = read_logs(logs, subject_id)
+        history = read_logs(logs, subject_id)
     else:
-        story = client.call("GET", f"/explain/{kind}/{subject_id}")
+        history = client.call("GET", f"/explain/{kind}/{subject_id}")
     if output == "json":
-        print_data(story, output)
+        print_data(history, output)
         return
-    for line in format_story(story):
+    for line in format_history(history):
         click.echo(line)
 
 
 def read_logs(logs: Path, job: str) -> dict[str, Any]:
-    """Return what all files below a directory tell of a job."""
+    """Return a job's history from all log files below a directory."""
     from ..components.explain.log_lines import get_latest_waits, read_history
 
-    story = read_history(_lines(logs), job)
-    waits = [asdict(wait) for wait in get_latest_waits(story)]
-    return {**asdict(story), "waits": waits}
+    history = read_history(_lines(logs), job)
+    waits = [asdict(wait) for wait in get_latest_waits(history)]
+    return {**asdict(history), "waits": waits}
 
 
 def _lines(logs: Path) -> Iterator[tuple[str, str]]:
@@ -61,24 +61,24 @@
                 yield path.stem, line
 
 
-def format_story(story: dict[str, Any]) -> Iterator[str]:
-    """Yield one line for each happening, then what is missing."""
-    if not story["lines"]:
-        yield f"nothing known of {story['subject_kind']} {story['subject_id']}"
-    for line in story["lines"]:
+def format_history(history: dict[str, Any]) -> Iterator[str]:
+    """Yield one line per event and wait, then one per missing part."""
+    if not history["lines"]:
+        yield f"nothing known of {history['subject_kind']} {history['subject_id']}"
+    for line in history["lines"]:
         yield _format_line(line)
-    for wait in story.get("waits", ()):
+    for wait in history.get("waits", ()):
         yield _format_wait(wait)
-    for name in story["missing_entries"]:
+    for name in history["missing_entries"]:
         yield f"missing entry={name}"
-    for name in story["missing_data_centres"]:
+    for name in history["missing_data_centres"]:
         yield f"missing data_centre={name}"
 
 
 def _format_wait(wait: dict[str, Any]) -> str:
-    begun = "waited" if wait["over"] else "waits"
+    state_word = "waited" if wait["over"] else "waits"
     return (
-        f"{begun} step={wait['step']} reason={wait['reason']}"
+        f"{state_word} step={wait['step']} reason={wait['reason']}"
         f" seconds={wait['seconds']} told_at={_format_time(wait['at'])}"
     )
 
--- a/mustardward/cli/files.py
+++ b/mustardward/cli/files.py
@@ -1,4 +1,4 @@
-"""Read the YAML files that operators write."""
+"""Read operators' YAML files."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 )
 from ..settings.loader import SettingsFaultsError, load_model
 
-M = TypeVar("M", bound=BaseModel)
+ModelT = TypeVar("ModelT", bound=BaseModel)
 
 
 class TemplateFile(StrictModel):
-    """Hold a template; ``base_revision`` is the one its author saw."""
+    """Hold a template; ``base_revision`` is the revision that it is based on."""
 
     name: Name
     parameters: ParametersModel
@@ -44,7 +44,7 @@
 
 
 class WorkerSize(StrictModel):
-    """Hold what all workers of a file have alike."""
+    """Hold the size that all workers of a file have."""
 
     cores: int = 32
     memory_gigabytes: int = 128
@@ -54,7 +54,7 @@
 
 
 class RackEntry(StrictModel):
-    """Hold the workers of one rack; they are named after the rack and counted."""
+    """Hold the workers of one rack, named after the rack with a number."""
 
     data_centre: Name
     rack: Identifier
@@ -63,7 +63,7 @@
 
 
 class PoolsFile(StrictModel):
-    """Hold pools and the workers they own at first."""
+    """Hold pools and their initial workers."""
 
     pools: tuple[Name, ...]
     worker: WorkerSize = WorkerSize()
@@ -86,8 +86,8 @@
         ]
 
 
-def read_file(path: Path, model: type[M]) -> M:
-    """Return a file's content.
+def read_file(path: Path, model: type[ModelT]) -> ModelT:
+    """Return the validated content of a file.
 
     :raises click.UsageError: with a line for each fault.
     """
--- a/mustardward/cli/job.py
+++ b/mustardward/cli/job.py
@@ -20,10 +20,10 @@
     """Submit, watch, cancel and retry long jobs."""
 
 
-def _print_outcome(answer: dict[str, Any], output: str, line: str) -> None:
-    """Print an answer as JSON, or the line that sums it up."""
+def _print_outcome(response: dict[str, Any], output: str, line: str) -> None:
+    """Print a response as JSON, or its one-line summary."""
     if output == "json":
-        print_data(answer, output)
+        print_data(response, output)
         return
     click.echo(line)
 
@@ -72,8 +72,8 @@
 ) -> None:
     """Submit a job for a SERVICE of an ORGANISATION; print its id once accepted."""
     content = payload.read_bytes() if payload else b""
-    # The id is drawn before the first try, so that a repetition after a lost answer
-    # is the same job and not a second one.
+    # The ID is generated before the first attempt, so a repetition after a lost
+    # response submits the same job, not a second one.
     identity = job_id or secrets.token_hex(16)
     body = {
         "organisation": organisation,
@@ -89,13 +89,13 @@
         "declared_seconds": seconds,
     }
     try:
-        answer = client.call("POST", "/jobs", body=body)
+        response = client.call("POST", "/jobs", body=body)
     except OutcomeUnknownError as error:
         raise OutcomeUnknownError(
             f"{error.message}\nrepeat with --id {identity}"
         ) from error
-    line = f"job={answer['job_id']} status={answer['status']}"
-    _print_outcome(answer, output, line)
+    line = f"job={response['job_id']} status={response['status']}"
+    _print_outcome(response, output, line)
 
 
 @command.command()
@@ -117,10 +117,10 @@
     client: OperatorClient,
 ) -> None:
     """Print the result of the job JOB_ID, once it is done."""
-    answer = client.call("GET", f"/jobs/{job_id}/result")
-    if answer["status"] != "done":
-        raise click.ClickException(f"job={job_id} status={answer['status']}")
-    content = base64.b64decode(answer["result_base64"])
+    response = client.call("GET", f"/jobs/{job_id}/result")
+    if response["status"] != "done":
+        raise click.ClickException(f"job={job_id} status={response['status']}")
+    content = base64.b64decode(response["result_base64"])
     if output_file:
         output_file.write_bytes(content)
     else:
@@ -142,14 +142,14 @@
 ) -> None:
     """Cancel the job JOB_ID, or a whole group of an organisation."""
     if job_id and not group:
-        answer = client.call("POST", f"/jobs/{job_id}/cancel")
-        _print_outcome(answer, output, f"job={job_id} status={answer['status']}")
+        response = client.call("POST", f"/jobs/{job_id}/cancel")
+        _print_outcome(response, output, f"job={job_id} status={response['status']}")
         return
     if job_id or not (group and organisation):
         raise click.UsageError("give JOB_ID, or --organisation and --group")
     body = {"organisation": organisation, "group": group}
-    answer = client.call("POST", "/job-groups/cancel", body=body)
-    _print_outcome(answer, output, f"group={group} {answer['note']}")
+    response = client.call("POST", "/job-groups/cancel", body=body)
+    _print_outcome(response, output, f"group={group} {response['note']}")
 
 
 @command.command()
@@ -162,8 +162,8 @@
     A held job may have run. Make sure that it did not, or that a second run does no
     harm, before you retry it.
     """
-    answer = client.call("POST", f"/jobs/{job_id}/retry")
-    _print_outcome(answer, output, f"job={job_id} status={answer['status']}")
+    response = client.call("POST", f"/jobs/{job_id}/retry")
+    _print_outcome(response, output, f"job={job_id} status={response['status']}")
 
 
 @command.command(name="list")
@@ -171,7 +171,7 @@
 @with_client
 def list_jobs(output: str, client: OperatorClient) -> None:
     """List the parked and held jobs, which wait for an operator."""
-    answer = client.call("GET", "/jobs")
+    response = client.call("GET", "/jobs")
     names = ("job_id", "status", "attempts", "failed_workers", "reason")
-    rows = [{name: job[name] for name in names} for job in answer["stuck"]]
-    print_data(answer, output, rows)
+    rows = [{name: job[name] for name in names} for job in response["stuck"]]
+    print_data(response, output, rows)
--- a/mustardward/cli/load.py
+++ b/mustardward/cli/load.py
@@ -1,4 +1,4 @@
-"""Put a bounded load on entries."""
+"""Generate a bounded load on entries."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from ..load.models import LoadPlan, Target
 from .output import output_option, print_data
 
-MOST_SECONDS = 600.0
-MOST_RATE = 5000.0
+MAX_SECONDS = 600.0
+MAX_RATE = 5000.0
 
 
 @click.command()
@@ -24,13 +24,13 @@
     help="organisation/service; give several for a mix",
 )
 @click.option(
-    "--rate", default=50.0, show_default=True, type=click.FloatRange(0.1, MOST_RATE)
+    "--rate", default=50.0, show_default=True, type=click.FloatRange(0.1, MAX_RATE)
 )
 @click.option(
     "--seconds",
     default=10.0,
     show_default=True,
-    type=click.FloatRange(0.1, MOST_SECONDS),
+    type=click.FloatRange(0.1, MAX_SECONDS),
 )
 @click.option(
     "--urgent-share", default=0.7, show_default=True, type=click.FloatRange(0, 1)
@@ -71,7 +71,7 @@
 
 
 def parse_target(text: str) -> Target:
-    """Return the service that ``organisation/service`` names.
+    """Parse ``organisation/service``.
 
     :raises click.BadParameter: if it is not of that form.
     """
--- a/mustardward/cli/main.py
+++ b/mustardward/cli/main.py
@@ -1,4 +1,4 @@
-"""Gather the commands; each loads its module only when it is called."""
+"""Define the command group, which loads the module of a command on first use."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 
 
 class LazyGroup(click.Group):
-    """Import a command's module at its first use.
+    """Import the module of a command on first use.
 
-    An entry process then never holds the memory of commands it does not run.
+    This keeps the modules of other commands out of the memory of an entry process.
     """
 
     def list_commands(self, ctx: click.Context) -> list[str]:
@@ -38,7 +38,7 @@
         return sorted(COMMANDS)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Return one command, or nothing for an unknown name."""
+        """Return a command, or ``None`` if the name is unknown."""
         module = COMMANDS.get(cmd_name)
         if module is None:
             return None
--- a/mustardward/cli/organisation.py
+++ b/mustardward/cli/organisation.py
@@ -36,10 +36,10 @@
     client: OperatorClient,
 ) -> None:
     """Create the organisation NAME from --template, or all of --file."""
-    entries = _entries(name, template, file)
+    entries = _read_entries(name, template, file)
     if record_id is not None and len(entries) != 1:
         raise click.UsageError("--record-id belongs to one organisation")
-    answers = []
+    responses = []
     for entry in entries:
         body = {
             "template": entry.template,
@@ -47,11 +47,11 @@
             "base_revision": base,
         }
         path = f"/organisations/{entry.name}"
-        answer = send_change(client, "PUT", path, body, wait, record_id)
-        answers.append({"name": entry.name, **answer})
-    print_data(answers, output)
-    for answer in answers:
-        check_in_force(answer, wait)
+        response = send_change(client, "PUT", path, body, wait, record_id)
+        responses.append({"name": entry.name, **response})
+    print_data(responses, output)
+    for response in responses:
+        check_in_force(response, wait)
 
 
 @command.command()
@@ -60,11 +60,11 @@
 @with_client
 def show(name: str, output: str, client: OperatorClient) -> None:
     """Show the organisation NAME with the parameters in force."""
-    found = client.call("GET", f"/organisations/{name}")
+    response = client.call("GET", f"/organisations/{name}")
     names = ("name", "template", "template_revision", "revision")
-    shown = {key: found[key] for key in names} | found["parameters"]
+    shown = {key: response[key] for key in names} | response["parameters"]
     rows = [{"key": key, "value": value} for key, value in shown.items()]
-    print_data(found, output, rows)
+    print_data(response, output, rows)
 
 
 @command.command("list")
@@ -91,7 +91,7 @@
     print_data(client.call("DELETE", f"/organisations/{name}", query=query), output)
 
 
-def _entries(
+def _read_entries(
     name: str | None, template: str | None, file: Path | None
 ) -> tuple[OrganisationEntry, ...]:
     if file is not None and name is None and template is None:
--- a/mustardward/cli/output.py
+++ b/mustardward/cli/output.py
@@ -12,7 +12,7 @@
 
 
 def output_option(function: FunctionT) -> FunctionT:
-    """Add ``--output``; the command gets it as ``output``."""
+    """Add ``--output``, passed as ``output``."""
     return click.option(
         "--output",
         type=click.Choice(["table", "json"]),
@@ -38,7 +38,7 @@
     if not rows:
         return ["(none)"]
     names = list(rows[0])
-    cells = [names, *([_text(row.get(name)) for name in names] for row in rows)]
+    cells = [names, *([_format_cell(row.get(name)) for name in names] for row in rows)]
     widths = [max(len(line[index]) for line in cells) for index in range(len(names))]
     return [
         "  ".join(
@@ -54,7 +54,7 @@
     return [item if isinstance(item, dict) else {"value": item} for item in data]
 
 
-def _text(value: Any) -> str:
+def _format_cell(value: Any) -> str:
     if isinstance(value, bool):
         return "yes" if value else "no"
     if value is None or value == [] or value == ():
--- a/mustardward/cli/platform.py
+++ b/mustardward/cli/platform.py
@@ -1,4 +1,4 @@
-"""Run the stand-in platform alone."""
+"""Run the stand-in platform as a separate process."""
 
 from __future__ import annotations
 
@@ -41,10 +41,10 @@
     )
 
     async def async_main(
-        timers: LoopTimerService, tasks: TaskGroup, ended: anyio.Event
+        timers: LoopTimerService, tasks: TaskGroup, stop_requested: anyio.Event
     ) -> None:
         async with async_run_platform(timers, options, host, port) as running:
             click.echo(f"platform url={running.url}")
-            await ended.wait()
+            await stop_requested.wait()
 
     run_until_signal(async_main)
--- a/mustardward/cli/pool.py
+++ b/mustardward/cli/pool.py
@@ -1,4 +1,4 @@
-"""Look at pools and move instances between them."""
+"""Show pools and move instances between them."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
 @with_client
 def show(name: str, output: str, client: OperatorClient) -> None:
     """Show the pool NAME with its budgets, moves and instances."""
-    found = client.call("GET", f"/pools/{name}")
-    print_sections(found, output, ("budgets", "moves", "instances"))
+    response = client.call("GET", f"/pools/{name}")
+    print_sections(response, output, ("budgets", "moves", "instances"))
 
 
 @command.command()
--- a/mustardward/cli/records.py
+++ b/mustardward/cli/records.py
@@ -1,4 +1,4 @@
-"""Send changes under a record id that an operator can repeat."""
+"""Send changes with a record ID, which makes them safe to repeat."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def record_option(function: FunctionT) -> FunctionT:
-    """Add ``--record-id``, given as ``record_id``."""
+    """Add ``--record-id``, passed as ``record_id``."""
     return click.option(
         "--record-id",
         help="Id of an earlier try of the same change, whose fate is unknown.",
@@ -24,7 +24,7 @@
 
 
 def change_options(function: FunctionT) -> FunctionT:
-    """Add ``--wait`` and ``--record-id``, given as ``wait`` and ``record_id``."""
+    """Add ``--wait`` and ``--record-id``, passed as ``wait`` and ``record_id``."""
     return click.option(
         "--wait",
         default=5.0,
@@ -42,9 +42,9 @@
     wait: float,
     record_id: str | None,
 ) -> Any:
-    """Return the answer to a change, waiting until it is in force.
+    """Send a change, wait until it is in force, and return the response.
 
-    :raises OutcomeUnknownError: naming the record id to repeat the change under.
+    :raises OutcomeUnknownError: with the record ID to repeat the change with.
     """
     return send_record(client, method, path, {**body, "wait_seconds": wait}, record_id)
 
@@ -56,29 +56,29 @@
     body: dict[str, Any],
     record_id: str | None,
 ) -> Any:
-    """Return the answer to a change that needs no waiting for.
+    """Send a change without waiting for it to take effect, and return the response.
 
-    :raises OutcomeUnknownError: naming the record id to repeat the change under.
+    :raises OutcomeUnknownError: with the record ID to repeat the change with.
     """
-    # The id is drawn before the first try. A repetition under a new id would be a
-    # second wish, and meet the first one as a conflict with oneself.
+    # The ID is generated before the first attempt. A repetition with a new ID would be
+    # a separate change, and conflict with the first one.
     identity = record_id or secrets.token_hex(16)
     full = {**body, "record_id": identity}
     try:
-        answer = client.call(method, path, body=full)
+        response = client.call(method, path, body=full)
     except OutcomeUnknownError as error:
         hint = f"repeat with --record-id {identity}"
         raise OutcomeUnknownError(f"{error.message}\n{hint}") from error
-    return answer
+    return response
 
 
-def check_in_force(answer: dict[str, Any], wait: float) -> None:
-    """End with "outcome unknown" if entries were still behind after the wait.
+def check_in_force(response: dict[str, Any], wait: float) -> None:
+    """Check that a change is in force at every entry after waiting.
 
-    :raises OutcomeUnknownError: naming them.
+    :raises OutcomeUnknownError: with the entries where it is not.
     """
-    if wait > 0 and not answer.get("in_force"):
-        behind = ", ".join(answer.get("behind", []))
+    if wait > 0 and not response.get("in_force"):
+        behind = ", ".join(response.get("behind", []))
         raise OutcomeUnknownError(f"accepted, not yet in force at: {behind}")
 
 
--- a/mustardward/cli/registration.py
+++ b/mustardward/cli/registration.py
@@ -1,4 +1,4 @@
-"""Register pools and the workers that they own at first."""
+"""Register pools and their initial workers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from .output import output_option, print_data
 from .records import FILE_TYPE
 
-INSTANCES_A_CALL = 1000
+INSTANCES_PER_REQUEST = 1000
 
 
 @click.command()
@@ -31,12 +31,12 @@
 
 
 def register_pools(client: OperatorClient, content: PoolsFile) -> list[dict[str, Any]]:
-    """Return the outcome of each instance."""
+    """Register the pools and instances; return the outcome of each instance."""
     for pool in content.pools:
         client.call("PUT", f"/pools/{pool}")
     instances = [item.model_dump() for item in content.instances()]
     outcomes: list[dict[str, Any]] = []
-    for start in range(0, len(instances), INSTANCES_A_CALL):
-        body = {"instances": instances[start : start + INSTANCES_A_CALL]}
+    for start in range(0, len(instances), INSTANCES_PER_REQUEST):
+        body = {"instances": instances[start : start + INSTANCES_PER_REQUEST]}
         outcomes += client.call("POST", "/instances", body=body)["outcomes"]
     return outcomes
--- a/mustardward/cli/report.py
+++ b/mustardward/cli/report.py
@@ -1,4 +1,4 @@
-"""Report on the fleet."""
+"""Report on service levels and late jobs."""
 
 from __future__ import annotations
 
@@ -56,29 +56,31 @@
     from ..components.reports.day import count_delay_causes
     from ..components.reports.day_lines import read_day
 
-    parsed = read_day(log)
-    ended = [story for story in parsed.jobs.values() if story.state]
+    parsed_day = read_day(log)
+    ended = [record for record in parsed_day.jobs.values() if record.state]
     late = sorted(
-        (story for story in ended if story.late and not story.long_running),
-        key=lambda story: story.objective_seconds - story.seconds,
+        (record for record in ended if record.late and not record.long_running),
+        key=lambda record: record.objective_seconds - record.seconds,
     )
-    click.echo(f"jobs={len(parsed.jobs)} ended={len(ended)} late={len(late)}")
-    if parsed.cut_lines:
-        click.echo(f"{parsed.cut_lines} lines are cut off and left out")
-    for text in _owner_lines(parsed):
+    click.echo(f"jobs={len(parsed_day.jobs)} ended={len(ended)} late={len(late)}")
+    if parsed_day.cut_lines:
+        click.echo(f"{parsed_day.cut_lines} lines are cut off and left out")
+    for text in _owner_lines(parsed_day):
         click.echo(text)
-    for row in count_delay_causes(parsed):
+    for row in count_delay_causes(parsed_day):
         click.echo(
             f"{row.jobs:6d} jobs {row.tasks:7d} tasks {row.seconds_late:9.1f} s late"
             f"  {row.cause.value}"
         )
-    for story in late[:jobs]:
-        over = story.seconds - story.objective_seconds
-        click.echo(f"job={story.job} queue={story.queue} late_seconds={over:.2f}")
+    for record in late[:jobs]:
+        late_seconds = record.seconds - record.objective_seconds
+        click.echo(
+            f"job={record.job} queue={record.queue} late_seconds={late_seconds:.2f}"
+        )
 
 
 def _owner_lines(day: Day) -> Iterator[str]:
-    """Yield how busy the owners were, and how soon work began."""
+    """Yield lines on the load of owners, start delays and takeovers."""
     from ..components.reports.day import compute_start_delays
 
     if day.owners:
@@ -109,9 +111,9 @@
     from ..components.reports.bound import compare_planners
     from ..components.reports.day_lines import read_day
 
-    planned = compare_planners(read_day(log))
+    results = compare_planners(read_day(log))
     click.echo(f"{'planner':<18} {'instance s':>10} {'moves':>6} {'in time':>8}")
-    for row in planned:
+    for row in results:
         click.echo(
             f"{row.name:<18} {row.instance_seconds:10.0f} {row.moves:6d}"
             f" {row.share_in_time:8.3f}"
@@ -119,11 +121,11 @@
     if plot is not None:
         from ..components.reports.bound_plot import draw
 
-        draw(planned, plot)
+        draw(results, plot)
 
 
 def render(report: dict[str, Any], output_format: str) -> str:
-    """Return the report as JSON, as a page, or as a table."""
+    """Return the report as JSON, as an HTML page, or as a table."""
     if output_format == "json":
         return json.dumps(report, indent=2)
     if output_format == "html":
@@ -134,7 +136,7 @@
 
 
 def format_table(report: dict[str, Any]) -> Iterator[str]:
-    """Yield a table with one line for each organisation and window."""
+    """Yield the lines of a table, one per organisation and window."""
     yield (
         f"{'organisation':<20} {'window':>6} {'covered':>8} {'requests':>9} "
         f"{'failed':>7} {'slow':>6} {'burn':>8} {'slow burn':>9} causes"
--- a/mustardward/cli/running.py
+++ b/mustardward/cli/running.py
@@ -1,4 +1,4 @@
-"""Run a long-lived command until it is told to end."""
+"""Run a long-running command until a signal stops it."""
 
 from __future__ import annotations
 
@@ -15,28 +15,28 @@
 def run_until_signal(
     main: Callable[[LoopTimerService, TaskGroup, anyio.Event], Awaitable[None]],
 ) -> None:
-    """Run ``main`` on one loop; its event is set by SIGTERM or SIGINT."""
+    """Run ``main`` in an event loop; SIGTERM or SIGINT sets its event."""
 
     async def async_run() -> None:
-        ended = anyio.Event()
+        stop_requested = anyio.Event()
         async with anyio.create_task_group() as tasks:
             timers = LoopTimerService(tasks)
             timers.start()
-            tasks.start_soon(_async_watch, ended)
-            await main(timers, tasks, ended)
+            tasks.start_soon(_async_wait_for_signal, stop_requested)
+            await main(timers, tasks, stop_requested)
             tasks.cancel_scope.cancel()
 
     anyio.run(async_run, backend="asyncio")
 
 
-async def _async_watch(ended: anyio.Event) -> None:
+async def _async_wait_for_signal(stop_requested: anyio.Event) -> None:
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
-            ended.set()
+            stop_requested.set()
 
 
 def parse_listen(text: str) -> tuple[str, int]:
-    """Return host and port of ``host:port``.
+    """Parse ``host:port``.
 
     :raises click.BadParameter: if it is not of that form.
     """
--- a/mustardward/cli/serve.py
+++ b/mustardward/cli/serve.py
@@ -1,4 +1,4 @@
-"""Run one entry process."""
+"""Run an entry process."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 
 EXIT_FAILED: Final = 1
 
-GARBAGE_THRESHOLDS: Final = (10_000, 20, 100)
-"""Allocations, young rounds and middle rounds before the next round of each age."""
+GC_THRESHOLDS: Final = (10_000, 20, 100)
+"""Thresholds of the three garbage collector generations."""
 
 Setup = Callable[[Core], Awaitable[list[Unload]]]
 
@@ -52,24 +52,24 @@
     try:
         anyio.run(partial(async_serve, settings), backend="asyncio")
     except* (MustardwardError, OSError) as failed:
-        for failure in leaves(failed):
+        for failure in iter_errors(failed):
             _LOGGER.error(
                 "entry_failed", error=error_code(failure), detail=str(failure)
             )
         sys.exit(EXIT_FAILED)
 
 
-def leaves(group: BaseExceptionGroup[Exception]) -> Iterator[Exception]:
-    """Yield the failures within a group and the groups in it."""
+def iter_errors(group: BaseExceptionGroup[Exception]) -> Iterator[Exception]:
+    """Yield the errors in a group, including those in nested groups."""
     for error in group.exceptions:
         if isinstance(error, BaseExceptionGroup):
-            yield from leaves(error)
+            yield from iter_errors(error)
         else:
             yield error
 
 
 def error_code(error: Exception) -> str:
-    """Return the stable code of a failure, or the name of its type."""
+    """Return the stable code of an error, or the name of its type."""
     if isinstance(error, MustardwardError):
         return error.code
     return type(error).__name__
@@ -78,9 +78,9 @@
 async def async_serve(
     settings: Settings, async_setup: Setup = async_setup_entry
 ) -> None:
-    """Run an entry until a signal asks it to leave.
+    """Run an entry until SIGTERM or SIGINT.
 
-    :param async_setup: sets the components up and returns their unloads in order.
+    :param async_setup: sets up the components; returns their unload functions in order.
     """
     async with anyio.create_task_group() as tasks:
         timers = LoopTimerService(tasks)
@@ -91,7 +91,7 @@
         timers.subscribe("metrics", FLUSH_SECONDS, metrics.async_flush)
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             unloads = await async_setup(core)
-            settle_garbage()
+            freeze_startup_objects()
             _LOGGER.info(
                 "entry_started",
                 entry=settings.entry.name,
@@ -99,27 +99,27 @@
             )
             received = await anext(aiter(signals))
             _LOGGER.info("entry_leaving", signal=received.name)
-            await async_leave(core)
+            await async_drain(core)
             for unload in unloads:
                 await unload()
         tasks.cancel_scope.cancel()
     _LOGGER.info("entry_stopped", entry=settings.entry.name)
 
 
-def settle_garbage() -> None:
-    """Take what was set up out of the collector's rounds.
+def freeze_startup_objects() -> None:
+    """Exclude the objects created during setup from garbage collection.
 
-    A full round walks every object that the process holds, most of them modules that
-    stay for ever. It stops the loop for tens of milliseconds, which shows as a p99
-    far above the median at an even load.
+    A full collection traverses every object of the process, most of which belong to
+    modules and are never freed. It blocks the event loop for tens of milliseconds,
+    which raises the p99 latency far above the median even under steady load.
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(*GARBAGE_THRESHOLDS)
+    gc.set_threshold(*GC_THRESHOLDS)
 
 
-async def async_leave(core: Core) -> None:
-    """Drain the entry while operators can still watch it."""
+async def async_drain(core: Core) -> None:
+    """Drain the entry while the operators' API is still available."""
     drain = core.find(DRAIN)
     if drain is not None:
         await drain.async_run()
--- a/mustardward/cli/template.py
+++ b/mustardward/cli/template.py
@@ -1,4 +1,4 @@
-"""Publish, revise and look at templates."""
+"""Publish, revise and show templates."""
 
 from __future__ import annotations
 
@@ -55,10 +55,10 @@
     accepted since, the command is refused with revision-conflict.
     """
     content = read_file(file, TemplateFile)
-    seen = content.base_revision if base is None else base
-    if seen is None:
+    base_revision = content.base_revision if base is None else base
+    if base_revision is None:
         raise click.UsageError("give --base or a base_revision in FILE")
-    _publish(client, content, seen, wait, record_id, output)
+    _publish(client, content, base_revision, wait, record_id, output)
 
 
 @command.command()
@@ -74,9 +74,9 @@
 ) -> None:
     """Show a revision of the template NAME."""
     query = {} if revision is None else {"revision": str(revision)}
-    found = client.call("GET", f"/templates/{name}", query=query)
-    rows = _rows({key: found[key] for key in ("name", "revision", "offset")})
-    print_data(found, output, [*rows, *_rows(found["parameters"])])
+    response = client.call("GET", f"/templates/{name}", query=query)
+    rows = _rows({key: response[key] for key in ("name", "revision", "offset")})
+    print_data(response, output, [*rows, *_rows(response["parameters"])])
 
 
 @command.command()
@@ -85,16 +85,16 @@
 @with_client
 def history(name: str, output: str, client: OperatorClient) -> None:
     """List the kept revisions of the template NAME, newest first."""
-    found = client.call("GET", f"/templates/{name}/history")
+    response = client.call("GET", f"/templates/{name}/history")
     rows = [
         {
             "revision": item["revision"],
             "offset": item["offset"],
             "services": [one["service"] for one in item["parameters"]["services"]],
         }
-        for item in found
+        for item in response
     ]
-    print_data(found, output, rows)
+    print_data(response, output, rows)
 
 
 @command.command()
@@ -103,8 +103,8 @@
 @with_client
 def status(name: str, output: str, client: OperatorClient) -> None:
     """Show at which entries the template NAME is in force."""
-    found = client.call("GET", f"/templates/{name}/status")
-    print_data(found, output, found["entries"])
+    response = client.call("GET", f"/templates/{name}/status")
+    print_data(response, output, response["entries"])
 
 
 def _publish(
@@ -120,9 +120,9 @@
         "base_revision": base,
     }
     path = f"/templates/{content.name}"
-    answer = send_change(client, "POST", path, body, wait, record_id)
-    print_data(answer, output)
-    check_in_force(answer, wait)
+    response = send_change(client, "POST", path, body, wait, record_id)
+    print_data(response, output)
+    check_in_force(response, wait)
 
 
 def _rows(values: dict[str, Any]) -> list[dict[str, Any]]:
--- a/mustardward/cli/wave.py
+++ b/mustardward/cli/wave.py
@@ -1,4 +1,4 @@
-"""Plan, schedule, watch and steer maintenance waves."""
+"""Plan, schedule, monitor and control maintenance waves."""
 
 from __future__ import annotations
 
@@ -66,8 +66,8 @@
         "maximum_failures": maximum_failures,
         "not_before": not_before,
     }
-    answer = send_record(client, "POST", f"/waves/{wave_id}", body, record_id)
-    print_data(answer, output)
+    response = send_record(client, "POST", f"/waves/{wave_id}", body, record_id)
+    print_data(response, output)
 
 
 @command.command()
@@ -83,8 +83,8 @@
 ) -> None:
     """Print what a wave would take when, and which budgets bind; changes nothing."""
     body = {"pools": pools, "instances": instances, "canary": canary}
-    found = client.call("POST", "/wave-plans", body=body)
-    print_sections(found, output, ("steps", "binding", "never"))
+    response = client.call("POST", "/wave-plans", body=body)
+    print_sections(response, output, ("steps", "binding", "never"))
 
 
 @command.command()
@@ -100,8 +100,8 @@
     if wave_id is None:
         print_data(client.call("GET", "/waves"), output)
         return
-    found = client.call("GET", f"/waves/{wave_id}")
-    print_sections(found, output, ("claims", "held_back_by"))
+    response = client.call("GET", f"/waves/{wave_id}")
+    print_sections(response, output, ("claims", "held_back_by"))
 
 
 def _signal_command(signal: str, summary: str) -> None:
@@ -131,15 +131,15 @@
 
 
 def print_sections(
-    found: dict[str, Any], output: str, sections: tuple[str, ...]
+    response: dict[str, Any], output: str, sections: tuple[str, ...]
 ) -> None:
-    """Print an answer: a table of its plain values, then one for each section."""
+    """Print a response as a table of its plain values and one table per section."""
     if output == "json":
-        print_data(found, output)
+        print_data(response, output)
         return
-    plain = {key: value for key, value in found.items() if key not in sections}
+    plain = {key: value for key, value in response.items() if key not in sections}
     print_data(plain, output)
     for name in sections:
-        if found[name]:
+        if response[name]:
             click.echo(f"\n{name}")
-            print_data(found[name], output)
+            print_data(response[name], output)
--- a/mustardward/cli/worker.py
+++ b/mustardward/cli/worker.py
@@ -1,4 +1,4 @@
-"""Run one stand-in worker."""
+"""Run a stand-in worker."""
 
 from __future__ import annotations
 
@@ -35,12 +35,12 @@
     options = WorkerOptions(instance_id, data_centre, rack, slots, connections)
 
     async def async_main(
-        timers: LoopTimerService, tasks: TaskGroup, ended: anyio.Event
+        timers: LoopTimerService, tasks: TaskGroup, stop_requested: anyio.Event
     ) -> None:
         async with async_run_worker(
             timers, options, platform_url, host, port
         ) as running:
             click.echo(f"worker instance={instance_id} address={running.address}")
-            await ended.wait()
+            await stop_requested.wait()
 
     run_until_signal(async_main)
--- a/tests/cli/test_job.py
+++ b/tests/cli/test_job.py
@@ -1,4 +1,4 @@
-"""Drive long jobs from the command line through the operators' routes."""
+"""Test the job commands against the operators' routes."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 @pytest.fixture
 def world(monkeypatch: pytest.MonkeyPatch) -> JobsWorld:
-    """Return a world that the commands reach without a network."""
+    """Return a fake environment that the commands reach without a network."""
     world = JobsWorld()
     entry = world.add_entry("a")
     found = {JOBS: entry.service, WORK_LOG: entry.log}
     core: Any = SimpleNamespace(get=found.__getitem__)
 
-    def call(self: OperatorClient, method: str, path: str, **more: Any) -> Any:
-        return anyio.run(async_route, core, method, path, more.get("body"))
+    def call(self: OperatorClient, method: str, path: str, **options: Any) -> Any:
+        return anyio.run(async_route, core, method, path, options.get("body"))
 
     monkeypatch.setattr(OperatorClient, "call", call)
     return world
@@ -42,7 +42,7 @@
     return CliRunner().invoke(main, ["job", *arguments])
 
 
-def test_a_job_goes_from_submission_to_its_result(
+def test_job_is_submitted_and_its_result_fetched(
     world: JobsWorld, tmp_path: Path
 ) -> None:
     payload = tmp_path / "plan.bin"
@@ -69,7 +69,7 @@
     assert run("retry", "derwent.plan-1").output.endswith("status=waiting\n")
 
 
-def test_a_job_and_a_group_are_cancelled(world: JobsWorld) -> None:
+def test_job_and_group_are_cancelled(world: JobsWorld) -> None:
     for number in range(3):
         run("submit", "derwent", "plans", "--id", f"p{number}", "--group", "spring")
     assert run("cancel", "derwent.p0").output == "job=derwent.p0 status=cancelled\n"
@@ -78,7 +78,7 @@
     assert run("cancel").exit_code == 2
 
 
-def test_programs_read_every_answer_as_json(world: JobsWorld) -> None:
+def test_responses_are_printed_as_json(world: JobsWorld) -> None:
     submitted = run("submit", "derwent", "plans", "--id", "p1", "--output", "json")
     assert json.loads(submitted.output)["job_id"] == "derwent.p1"
     cancelled = run("cancel", "derwent.p1", "--output", "json")
@@ -89,6 +89,6 @@
     assert json.loads(group.output)["note"] == "jobs=0"
 
 
-def test_refusals_have_statuses_of_their_own() -> None:
+def test_refusals_have_distinct_statuses() -> None:
     errors: tuple[MustardwardError, ...] = (JobUnknownError(), JobQuotaError())
     assert [problem_status(error) for error in errors] == [404, 429]
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -1,4 +1,4 @@
-"""Find every command."""
+"""Test the command group."""
 
 from __future__ import annotations
 
@@ -9,17 +9,16 @@
 
 
 @pytest.mark.parametrize("name", sorted(COMMANDS))
-def test_each_command_explains_itself(name: str) -> None:
+def test_each_command_has_help(name: str) -> None:
     result = CliRunner().invoke(main, [name, "--help"])
     assert result.exit_code == 0
     assert f"main {name}" in result.output
 
 
-def test_pools_are_registered_under_pool() -> None:
-    """Reach the registration from the command line.
+def test_register_is_a_pool_command() -> None:
+    """Guard against an unreachable ``pool register``.
 
-    Symptom: `pool register` is an unknown command. Sequence: follow the first pages.
-    Cause: two modules wrote the command and its group, and none joined them.
+    The command and its group are defined in different modules.
     """
     result = CliRunner().invoke(main, ["pool", "--help"])
     assert "register" in result.output
--- a/tests/cli/test_operator_commands.py
+++ b/tests/cli/test_operator_commands.py
@@ -1,4 +1,4 @@
-"""Use the operators' commands against an entry that runs in another thread."""
+"""Test the operator commands against an entry in another thread."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 @pytest.fixture(scope="module")
 def server() -> Iterator[str]:
-    """Run one entry for all tests of this module."""
+    """Run one entry for all tests in this module."""
     with (
         anyio.from_thread.start_blocking_portal("asyncio") as portal,
         portal.wrap_async_context_manager(async_entry()) as url,
@@ -56,7 +56,7 @@
 
 @pytest.fixture
 def files(tmp_path: Path) -> Path:
-    """Write the files that an operator has."""
+    """Write an operator's files."""
     (tmp_path / "dairy.yaml").write_text(TEMPLATE)
     (tmp_path / "pools.yaml").write_text(POOLS)
     return tmp_path
@@ -66,21 +66,21 @@
     return CliRunner().invoke(main, [*arguments, "--server", server])
 
 
-def data_of(result: Result) -> Any:
+def parse_output(result: Result) -> Any:
     assert result.exit_code == 0, result.output
     return json.loads(result.stdout)
 
 
-def test_a_fleet_is_described_published_and_shown(server: str, files: Path) -> None:
-    """Go the way of docs/operators/first-organisation.md."""
+def test_fleet_is_registered_published_and_shown(server: str, files: Path) -> None:
+    """Follow docs/operators/first-organisation.md."""
     arguments = [str(files / "pools.yaml"), "--output", "json", "--server", server]
-    first = data_of(CliRunner().invoke(register, arguments))
-    again = data_of(CliRunner().invoke(register, arguments))
+    first = parse_output(CliRunner().invoke(register, arguments))
+    again = parse_output(CliRunner().invoke(register, arguments))
     template = str(files / "dairy.yaml")
-    published = data_of(
+    published = parse_output(
         run(server, "template", "publish", template, "--output", "json")
     )
-    created = data_of(
+    created = parse_output(
         run(
             server, "organisation", "create", "vik", "--template", "dairy",
             "--output", "json",
@@ -98,23 +98,25 @@
     assert status.stdout.splitlines()[1].startswith("flam-1")
 
 
-def test_a_revision_needs_the_base_that_is_in_force(server: str, files: Path) -> None:
-    """Refuse the later of two operators.
+def test_revision_requires_the_current_base(server: str, files: Path) -> None:
+    """Guard against a lost revision.
 
-    Symptom: a revision vanishes. Sequence: two operators revise the same base. Cause:
-    a command that takes whatever is in force as its base.
+    If a command used the current revision as its base, the later of two operators who
+    revise the same base would overwrite the other's change.
     """
     path = files / "attic.yaml"
     path.write_text(TEMPLATE.replace("dairy", "attic"))
     CliRunner().invoke(register, [str(files / "pools.yaml"), "--server", server])
-    revision = data_of(
+    revision = parse_output(
         run(server, "template", "publish", str(path), "--output", "json")
     )["revision"]
     base = ("--base", str(revision))
     without = run(server, "template", "revise", str(path))
     revised = run(server, "template", "revise", str(path), *base)
     late = run(server, "template", "revise", str(path), *base)
-    history = data_of(run(server, "template", "history", "attic", "--output", "json"))
+    history = parse_output(
+        run(server, "template", "history", "attic", "--output", "json")
+    )
     assert without.exit_code == 2
     assert revised.exit_code == 0
     assert late.exit_code == 1
@@ -122,16 +124,18 @@
     assert len(history) == 2
 
 
-def test_a_repeated_record_id_takes_effect_once(server: str, files: Path) -> None:
+def test_repeated_record_id_takes_effect_once(server: str, files: Path) -> None:
     path = files / "cave.yaml"
     path.write_text(TEMPLATE.replace("dairy", "cave"))
     CliRunner().invoke(register, [str(files / "pools.yaml"), "--server", server])
-    wish = ("template", "publish", str(path), "--record-id", "wish-1")
-    first = data_of(run(server, *wish, "--output", "json"))
-    second = run(server, *wish, "--output", "json")
-    history = data_of(run(server, "template", "history", "cave", "--output", "json"))
+    arguments = ("template", "publish", str(path), "--record-id", "wish-1")
+    first = parse_output(run(server, *arguments, "--output", "json"))
+    second = run(server, *arguments, "--output", "json")
+    history = parse_output(
+        run(server, "template", "history", "cave", "--output", "json")
+    )
     assert [item["revision"] for item in history] == [first["revision"]]
-    assert data_of(second)["revision"] == first["revision"]
+    assert parse_output(second)["revision"] == first["revision"]
 
 
 @pytest.mark.parametrize(
@@ -142,7 +146,7 @@
         ("name: [dairy\n", "valid YAML"),
     ],
 )
-def test_a_bad_file_is_named_with_its_line(
+def test_invalid_file_is_reported_with_its_line(
     tmp_path: Path, text: str, expected: str
 ) -> None:
     path = tmp_path / "bad.yaml"
@@ -153,7 +157,7 @@
     assert expected in result.stderr
 
 
-def test_an_unknown_pool_is_refused(server: str, files: Path) -> None:
+def test_unknown_pool_is_refused(server: str, files: Path) -> None:
     path = files / "moon.yaml"
     path.write_text(
         TEMPLATE.replace("dairy", "moon").replace("pool: climate", "pool: moon")
--- a/tests/cli/test_reports.py
+++ b/tests/cli/test_reports.py
@@ -1,4 +1,4 @@
-"""Render stories and reports for operators."""
+"""Test printing histories and reports."""
 
 from __future__ import annotations
 
@@ -33,38 +33,38 @@
         missing_data_centres=missing,
     )
     report = compute_report(part, {"dairy <b>": Objectives()}, 0.0)
-    answer: dict[str, Any] = json.loads(json.dumps(asdict(report)))
-    return answer
+    body: dict[str, Any] = json.loads(json.dumps(asdict(report)))
+    return body
 
 
-def answer_with(monkeypatch: pytest.MonkeyPatch, body: Any) -> list[str]:
-    asked: list[str] = []
+def fake_response(monkeypatch: pytest.MonkeyPatch, body: Any) -> list[str]:
+    requests: list[str] = []
 
     def call(self: OperatorClient, method: str, path: str, **_: Any) -> Any:
-        asked.append(f"{method} {path}")
+        requests.append(f"{method} {path}")
         return body
 
     monkeypatch.setattr(OperatorClient, "call", call)
-    return asked
+    return requests
 
 
-def test_the_table_shows_rates_causes_and_missing_parts(
+def test_table_shows_rates_causes_and_missing_parts(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    asked = answer_with(monkeypatch, build_report(("voss",)))
+    requests = fake_response(monkeypatch, build_report(("voss",)))
     result = CliRunner().invoke(main, ["report", "burn"])
     assert result.exit_code == 0, result.output
-    assert asked == ["GET /reports/burn"]
+    assert requests == ["GET /reports/burn"]
     assert "5.00" in result.output and "wave=3 worker=2" in result.output
     assert "error_budget_left=-400.0%" in result.output
     assert "complete=false" in result.output
     assert "missing data_centre=voss" in result.output
 
 
-def test_the_page_is_well_formed_and_escapes_names(
+def test_page_is_well_formed_and_escapes_names(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
-    answer_with(monkeypatch, build_report(("voss",)))
+    fake_response(monkeypatch, build_report(("voss",)))
     target = tmp_path / "burn.html"
     arguments = ["report", "burn", "--output", "html", "--output-file", str(target)]
     assert CliRunner().invoke(main, arguments).exit_code == 0
@@ -80,7 +80,7 @@
     assert "width=device-width" in page and "http" not in page
 
 
-def test_a_story_is_told_line_by_line(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_history_is_printed_line_by_line(monkeypatch: pytest.MonkeyPatch) -> None:
     line = HistoryLine(
         0.0,
         "entry-1",
@@ -91,17 +91,17 @@
         7,
         "r",
     )
-    story = asdict(SubjectHistory("instance", "w", (line,), ("entry-2",), ("voss",)))
-    asked = answer_with(monkeypatch, story)
+    history = asdict(SubjectHistory("instance", "w", (line,), ("entry-2",), ("voss",)))
+    requests = fake_response(monkeypatch, history)
     result = CliRunner().invoke(main, ["explain", "instance", "w"])
-    assert asked == ["GET /explain/instance/w"]
-    told, *missing = result.output.splitlines()
-    assert told.startswith("1970-01-01 00:00:00 claim.take refused")
-    assert told.endswith("by=entry-1 cause=budget offset=7 pool=casting")
+    assert requests == ["GET /explain/instance/w"]
+    event, *missing = result.output.splitlines()
+    assert event.startswith("1970-01-01 00:00:00 claim.take refused")
+    assert event.endswith("by=entry-1 cause=budget offset=7 pool=casting")
     assert missing == ["missing entry=entry-2", "missing data_centre=voss"]
 
 
-def test_an_unreachable_entry_is_named() -> None:
+def test_unreachable_entry_is_reported() -> None:
     arguments = ["explain", "job", "j", "--server", "http://127.0.0.1:9"]
     result = CliRunner().invoke(main, arguments)
     assert result.exit_code == 3
--- a/tests/cli/test_serve.py
+++ b/tests/cli/test_serve.py
@@ -1,4 +1,4 @@
-"""Stop real entry processes while callers use them."""
+"""Test stopping entry processes under load."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 ENTRY_PORTS = re.compile(
     rb"callers_listening.* port=(\d+)\n(?:.*\n)*.*operators_listening.* port=(\d+)"
 )
-STREAM_PIECES = 40
-PIECE_SECONDS = 0.06
+STREAM_CHUNKS = 40
+CHUNK_INTERVAL_SECONDS = 0.06
 
 
 @dataclass(slots=True)
@@ -46,48 +46,48 @@
 
     @property
     def url(self) -> str:
-        """Return where its callers reach it."""
+        """Return the URL for callers."""
         return f"http://127.0.0.1:{self.port}"
 
     @property
     def operators_url(self) -> str:
-        """Return where its operators reach it."""
+        """Return the URL for operators."""
         return f"http://127.0.0.1:{self.operators_port}"
 
 
 @dataclass(slots=True)
-class History:
-    """Hold what callers saw."""
+class RequestLog:
+    """Record the outcomes of callers' requests."""
 
     answered: list[str] = field(default_factory=list)
-    cut: list[str] = field(default_factory=list)
+    disconnected: list[str] = field(default_factory=list)
     refused: list[str] = field(default_factory=list)
     waiting: dict[int, anyio.Event] = field(default_factory=dict)
 
-    def answer(self, name: str) -> None:
-        """Take an answer in."""
+    def record_response(self, name: str) -> None:
+        """Record a response."""
         self.answered.append(name)
         if (event := self.waiting.get(len(self.answered))) is not None:
             event.set()
 
-    async def async_more(self, count: int) -> None:
-        """Wait for as many more answers."""
+    async def async_wait_for_responses(self, count: int) -> None:
+        """Wait for a number of further responses."""
         event = self.waiting[len(self.answered) + count] = anyio.Event()
         await event.wait()
 
 
-async def echo(stream: SocketStream, seen: ReceivedRequest) -> bool:
-    if seen.target.endswith("/slow"):
-        return await stream_slowly(stream, seen)
-    await stream.send(build_response(seen, seen.body))
+async def echo(stream: SocketStream, request: ReceivedRequest) -> bool:
+    if request.target.endswith("/slow"):
+        return await stream_slowly(stream, request)
+    await stream.send(build_response(request, request.body))
     return True
 
 
-async def stream_slowly(stream: SocketStream, seen: ReceivedRequest) -> bool:
-    head = f"HTTP/1.1 200 X\r\nmw-attempt-id: {seen.attempt_id}\r\n"
+async def stream_slowly(stream: SocketStream, request: ReceivedRequest) -> bool:
+    head = f"HTTP/1.1 200 X\r\nmw-attempt-id: {request.attempt_id}\r\n"
     await stream.send(head.encode() + b"transfer-encoding: chunked\r\n\r\n")
-    for _ in range(STREAM_PIECES):
-        await anyio.sleep(PIECE_SECONDS)
+    for _ in range(STREAM_CHUNKS):
+        await anyio.sleep(CHUNK_INTERVAL_SECONDS)
         await stream.send(b"4\r\nturn\r\n")
     await stream.send(b"0\r\n\r\n")
     return True
@@ -97,7 +97,7 @@
 async def running_entries(
     count: int, folder: Path
 ) -> AsyncIterator[tuple[list[Entry], RawWorker]]:
-    """Run a stand-in platform and entries as an operator would, and one worker."""
+    """Run processes of a stand-in platform and of entries, and one worker."""
     async with anyio.create_task_group() as tasks:
         worker = await async_start_worker(tasks, echo)
         processes: list[Process] = []
@@ -112,7 +112,7 @@
                 command = ["serve", str(file)]
                 found = await async_start(command, processes, tasks, ENTRY_PORTS)
                 entries.append(Entry(processes[-1], int(found[1]), int(found[2])))
-            await async_enlist(int(platform[1]), worker.address)
+            await async_add_instance(int(platform[1]), worker.address)
             await async_publish(entries, worker.address)
             yield entries, worker
         finally:
@@ -138,9 +138,9 @@
     command: list[str],
     processes: list[Process],
     tasks: TaskGroup,
-    wanted: re.Pattern[bytes],
+    pattern: re.Pattern[bytes],
 ) -> re.Match[bytes]:
-    """Start a command, and return what it says once it listens."""
+    """Start a command, and return the match of its output once it listens."""
     process = await anyio.open_process(
         [sys.executable, "-m", "mustardward", *command],
         stdout=subprocess.PIPE,
@@ -148,29 +148,29 @@
     )
     processes.append(process)
     assert process.stdout is not None
-    seen = b""
-    while (found := wanted.search(seen)) is None:
-        seen += await process.stdout.receive()
+    output = b""
+    while (found := pattern.search(output)) is None:
+        output += await process.stdout.receive()
     tasks.start_soon(async_drop_log, process)
     return found
 
 
-async def async_enlist(platform_port: int, worker: str) -> None:
-    """Let the platform know the worker's instance.
+async def async_add_instance(platform_port: int, worker: str) -> None:
+    """Add the worker's instance to the platform.
 
-    An instance that is in no list of the platform is looked up after some seconds, and
-    reported as failed for good, since it will not come back by itself. On a busy
-    machine the stop came only after that, and no order was answered any more.
+    An instance missing from the platform's list is reported as permanently failed after
+    some seconds. On a busy machine that happens before the entry is stopped, so that no
+    order is served any more.
     """
     instance = {"instance_id": "worker-1", "data_centre": "dc-a", "address": worker}
     url = f"http://127.0.0.1:{platform_port}/admin/instances"
     async with httpx.AsyncClient(timeout=10.0) as client:
-        answer = await client.post(url, json=instance)
-    assert answer.status_code < 300, answer.text
+        response = await client.post(url, json=instance)
+    assert response.status_code < 300, response.text
 
 
 async def async_publish(entries: list[Entry], worker: str) -> None:
-    """Bring a pool with one worker, a template and an organisation into force."""
+    """Create a pool with one worker, a template and an organisation."""
     instance = {
         "instance_id": "worker-1",
         "data_centre": "dc-a",
@@ -181,7 +181,7 @@
     template = {"services": [{"service": "turn", "pool": "racks"}]}
     async with httpx.AsyncClient(timeout=10.0) as client:
         for entry in entries:
-            await async_until_good(client, f"{entry.url}/-/ready")
+            await async_wait_until_ok(client, f"{entry.url}/-/ready")
         operators = entries[0].operators_url
         calls = [
             ("PUT", "/pools/racks", {}),
@@ -190,13 +190,13 @@
             ("PUT", "/organisations/hvelv", {"template": "small", "base_revision": 0}),
         ]
         for method, path, body in calls:
-            answer = await client.request(method, operators + path, json=body)
-            assert answer.status_code < 300, answer.text
+            response = await client.request(method, operators + path, json=body)
+            assert response.status_code < 300, response.text
         for entry in entries:
-            await async_until_good(client, f"{entry.url}/hvelv/turn/")
+            await async_wait_until_ok(client, f"{entry.url}/hvelv/turn/")
 
 
-async def async_until_good(client: httpx.AsyncClient, url: str) -> None:
+async def async_wait_until_ok(client: httpx.AsyncClient, url: str) -> None:
     while True:
         if (await client.get(url)).status_code == 200:
             return
@@ -204,7 +204,7 @@
 
 
 async def async_drop_log(process: Process) -> None:
-    # A full pipe would stop the process at its next log line.
+    # A full pipe would block the process at its next log line.
     assert process.stdout is not None
     with suppress(anyio.ClosedResourceError):
         async for _ in process.stdout:
@@ -212,23 +212,23 @@
 
 
 async def async_probe(entries: list[Entry], done: anyio.Event) -> None:
-    """Look at the entries' readiness as a balancer does."""
+    """Poll the readiness of entries, as a load balancer does."""
     async with httpx.AsyncClient() as client:
         while not done.is_set():
             for entry in entries:
                 try:
-                    answer = await client.get(f"{entry.url}/-/ready")
-                    entry.ready = answer.status_code == 200
+                    response = await client.get(f"{entry.url}/-/ready")
+                    entry.ready = response.status_code == 200
                 except httpx.TransportError:
                     entry.ready = False
             await anyio.sleep(0.05)
 
 
-async def async_call_in_turn(
-    entries: list[Entry], caller: int, history: History, done: anyio.Event
+async def async_send_orders(
+    entries: list[Entry], caller: int, request_log: RequestLog, done: anyio.Event
 ) -> None:
-    """Place orders through the entries in turn, each order once."""
-    turn = caller
+    """Place orders through the entries round-robin, each order once."""
+    index = caller
     limits = httpx.Limits(max_connections=1, max_keepalive_connections=1)
     clients = [httpx.AsyncClient(limits=limits, verify=False) for _ in entries]
     number = 0
@@ -236,68 +236,69 @@
         name = f"order-{caller}-{number}"
         number += 1
         while True:
-            turn = (turn + 1) % len(entries)
-            if not entries[turn].ready:
+            index = (index + 1) % len(entries)
+            if not entries[index].ready:
                 await anyio.sleep(0.001)
                 continue
-            url = f"{entries[turn].url}/hvelv/turn/orders"
-            if await async_order(clients[turn], url, name, history):
+            url = f"{entries[index].url}/hvelv/turn/orders"
+            if await async_place_order(clients[index], url, name, request_log):
                 break
     for client in clients:
         await client.aclose()
 
 
-async def async_order(
-    client: httpx.AsyncClient, url: str, name: str, history: History
+async def async_place_order(
+    client: httpx.AsyncClient, url: str, name: str, request_log: RequestLog
 ) -> bool:
     """Place one order; return false if another entry may be tried."""
     try:
-        answer = await client.post(url, content=name.encode())
+        response = await client.post(url, content=name.encode())
     except httpx.ConnectError:
         return False
     except httpx.TransportError as error:
-        history.cut.append(f"{name}:{type(error).__name__}")
+        request_log.disconnected.append(f"{name}:{type(error).__name__}")
         return True
-    if answer.status_code == 503 and answer.headers.get("mw-ran") == "no":
+    if response.status_code == 503 and response.headers.get("mw-ran") == "no":
         return False
-    if answer.content == name.encode():
-        history.answer(name)
+    if response.content == name.encode():
+        request_log.record_response(name)
     else:
-        history.refused.append(f"{name}:{answer.text}")
+        request_log.refused.append(f"{name}:{response.text}")
     return True
 
 
-async def async_read_stream(url: str, pieces: list[bytes]) -> None:
+async def async_read_stream(url: str, chunks: list[bytes]) -> None:
     async with httpx.AsyncClient() as client:
-        async with client.stream("GET", f"{url}/hvelv/turn/slow") as answer:
-            async for piece in answer.aiter_raw():
-                pieces.append(piece)
+        async with client.stream("GET", f"{url}/hvelv/turn/slow") as response:
+            async for chunk in response.aiter_raw():
+                chunks.append(chunk)
 
 
-async def test_a_stop_under_load_cuts_no_request(tmp_path: Path) -> None:
-    """Stop one of three entries while orders and a stream go through it.
+async def test_stop_under_load_interrupts_no_request(tmp_path: Path) -> None:
+    """Guard against orders that are interrupted or placed twice at a roll-out.
 
-    Symptom: orders are cut or placed twice at every roll-out. Sequence: SIGTERM comes
-    in the middle of requests. Cause: the listener or its connections end before the
-    callers have gone elsewhere, or before their answers are whole.
+    This happens if, after SIGTERM, the listener or its connections close before callers
+    use another entry, or before their responses are complete.
     """
-    history, pieces, done = History(), list[bytes](), anyio.Event()
+    request_log, chunks, done = RequestLog(), list[bytes](), anyio.Event()
     with anyio.fail_after(60):
         async with running_entries(3, tmp_path) as (entries, worker):
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(async_probe, entries, done)
                 for caller in range(CALLERS):
-                    tasks.start_soon(async_call_in_turn, entries, caller, history, done)
-                tasks.start_soon(async_read_stream, entries[0].url, pieces)
-                await history.async_more(100)
+                    tasks.start_soon(
+                        async_send_orders, entries, caller, request_log, done
+                    )
+                tasks.start_soon(async_read_stream, entries[0].url, chunks)
+                await request_log.async_wait_for_responses(100)
                 entries[0].process.send_signal(signal.SIGTERM)
                 code = await entries[0].process.wait()
-                await history.async_more(100)
+                await request_log.async_wait_for_responses(100)
                 done.set()
     assert code == 0
-    assert (history.cut, history.refused) == ([], [])
-    assert b"".join(pieces) == b"turn" * STREAM_PIECES
+    assert (request_log.disconnected, request_log.refused) == ([], [])
+    assert b"".join(chunks) == b"turn" * STREAM_CHUNKS
     runs = Counter(item.body for item in worker.requests if item.body)
     assert set(runs.values()) == {1}
-    assert len(runs) == len(history.answered)
-    assert len(history.answered) >= 200
+    assert len(runs) == len(request_log.answered)
+    assert len(request_log.answered) >= 200
--- a/tests/cli/test_serve_start.py
+++ b/tests/cli/test_serve_start.py
@@ -1,4 +1,4 @@
-"""Start an entry that can't start."""
+"""Test the exit code of an entry that can't start."""
 
 from __future__ import annotations
 
@@ -18,18 +18,17 @@
 """
 
 
-def test_a_missing_token_file_ends_the_start_with_a_code(tmp_path: Path) -> None:
-    """Never run an operators' interface without the guard that was asked for.
+def test_missing_token_file_fails_the_start(tmp_path: Path) -> None:
+    """Guard against an unprotected operators' API if the token file is missing.
 
-    Symptom: anybody revises templates. Sequence: the token's file is missing at start.
-    Cause: the entry goes on as if no token had been named.
+    Anyone could then revise templates.
     """
     file = tmp_path / "entry.yaml"
     file.write_text(SETTINGS.format(port=0, token=tmp_path / "none"))
     assert CliRunner().invoke(main, ["serve", str(file)]).exit_code == 1
 
 
-def test_an_address_in_use_ends_the_start_with_a_code(tmp_path: Path) -> None:
+def test_address_in_use_fails_the_start(tmp_path: Path) -> None:
     token = tmp_path / "token"
     token.write_text("a-token-of-good-length")
     with socket.create_server(("127.0.0.1", 0)) as taken:
@@ -39,7 +38,7 @@
 
 
 @pytest.mark.parametrize("text", ["entry: [", "entry: 4"])
-def test_bad_settings_end_the_start_with_a_code(tmp_path: Path, text: str) -> None:
+def test_invalid_settings_fail_the_start(tmp_path: Path, text: str) -> None:
     file = tmp_path / "entry.yaml"
     file.write_text(text)
     started = CliRunner().invoke(main, ["serve", str(file)])
--- a/tests/cli/test_stand_in_commands.py
+++ b/tests/cli/test_stand_in_commands.py
@@ -1,4 +1,4 @@
-"""Run the stand-ins' commands as processes."""
+"""Test the stand-in commands as processes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @contextmanager
 def running(*arguments: str) -> Iterator[tuple[subprocess.Popen[str], str]]:
-    """Run a command until the block ends, and yield the line it printed."""
+    """Run a command until the block ends; yield its process and its first line."""
     process = subprocess.Popen(
         [sys.executable, "-m", "mustardward", *arguments],
         stdout=subprocess.PIPE,
@@ -35,14 +35,14 @@
         process.stdout.close()
 
 
-def end(process: subprocess.Popen[str]) -> int:
+def stop(process: subprocess.Popen[str]) -> int:
     process.send_signal(signal.SIGTERM)
     return process.wait(WAIT_SECONDS)
 
 
-def test_a_worker_joins_the_platform_and_both_end_on_sigterm() -> None:
-    with running("platform", "--listing-lag-seconds", "0") as (platform, up):
-        url = up.removeprefix("platform url=")
+def test_worker_joins_the_platform_and_both_stop_on_sigterm() -> None:
+    with running("platform", "--listing-lag-seconds", "0") as (platform, platform_line):
+        url = platform_line.removeprefix("platform url=")
         with running(
             "worker",
             "--instance-id",
@@ -51,18 +51,18 @@
             "flam",
             "--platform-url",
             url,
-        ) as (worker, told):
-            address = told.rpartition("address=")[2]
-            answer = httpx.get(f"http://{address}/serve/climate/now", trust_env=False)
+        ) as (worker, worker_line):
+            address = worker_line.rpartition("address=")[2]
+            response = httpx.get(f"http://{address}/serve/climate/now", trust_env=False)
             listed = httpx.get(f"{url}/instances", trust_env=False).json()
-            worker_code = end(worker)
-        platform_code = end(platform)
-    assert answer.json()["instance"] == "worker-1"
+            worker_code = stop(worker)
+        platform_code = stop(platform)
+    assert response.json()["instance"] == "worker-1"
     assert [item["address"] for item in listed] == [address]
     assert (worker_code, platform_code) == (0, 0)
 
 
-def test_a_wrong_address_is_a_usage_error() -> None:
+def test_invalid_address_is_a_usage_error() -> None:
     result = subprocess.run(
         [sys.executable, "-m", "mustardward", "platform", "--listen", "nowhere"],
         capture_output=True,
--- a/tests/cli/test_waves.py
+++ b/tests/cli/test_waves.py
@@ -1,4 +1,4 @@
-"""Plan and steer waves and moves from the command line."""
+"""Test the wave and pool commands against the operators' routes."""
 
 from __future__ import annotations
 
@@ -24,25 +24,29 @@
 
 
 @pytest.fixture
-def site(monkeypatch: pytest.MonkeyPatch) -> MaintenanceHarness:
+def harness(monkeypatch: pytest.MonkeyPatch) -> MaintenanceHarness:
     """Return a data centre that the commands reach without a network."""
-    site = MaintenanceHarness(minimum_available=0.6)
-    look = SimpleNamespace(async_probe=site.async_probe)
-    found = {FLEET_LOG: site.log, MEMBERSHIP: site.membership, POOL_PROBER: look}
+    harness = MaintenanceHarness(minimum_available=0.6)
+    prober = SimpleNamespace(async_probe=harness.async_probe)
+    found = {
+        FLEET_LOG: harness.log,
+        MEMBERSHIP: harness.membership,
+        POOL_PROBER: prober,
+    }
     core: Any = SimpleNamespace(get=found.__getitem__, find=found.get)
 
-    def call(self: OperatorClient, method: str, path: str, **more: Any) -> Any:
-        return anyio.run(async_route, core, method, path, more.get("body"))
+    def call(self: OperatorClient, method: str, path: str, **options: Any) -> Any:
+        return anyio.run(async_route, core, method, path, options.get("body"))
 
     monkeypatch.setattr(OperatorClient, "call", call)
-    return site
+    return harness
 
 
 def run(*arguments: str) -> Result:
     return CliRunner().invoke(main, arguments)
 
 
-def test_a_plan_lists_turns_and_what_binds(site: MaintenanceHarness) -> None:
+def test_plan_lists_steps_and_binding_budgets(harness: MaintenanceHarness) -> None:
     shown = run("wave", "plan", "--pool", "etching")
     assert shown.exit_code == 0, shown.output
     assert shown.output.count("dc1-etching-") == 8
@@ -51,53 +55,53 @@
     assert len(json.loads(as_json.output)["steps"]) == 8
 
 
-def test_a_wave_is_scheduled_paused_and_listed(site: MaintenanceHarness) -> None:
+def test_wave_is_scheduled_paused_and_listed(harness: MaintenanceHarness) -> None:
     scheduled = run("wave", "schedule", "w1", "--pool", "etching", "--canary", "2")
     assert scheduled.exit_code == 0, scheduled.output
-    site.signal("start")
+    harness.signal("start")
     paused = run("wave", "pause", "w1", "--reason", "storm")
     assert paused.exit_code == 0, paused.output
-    assert site.status() == "paused"
+    assert harness.status() == "paused"
     assert "storm" in run("wave", "status", "w1").output
     assert "paused" in run("wave", "status").output
 
 
-def test_an_instance_is_moved_and_the_move_cancelled(site: MaintenanceHarness) -> None:
-    site.driver.state.pools["casting"] = Pool("casting", 1)
+def test_instance_is_moved_and_the_move_cancelled(harness: MaintenanceHarness) -> None:
+    harness.driver.state.pools["casting"] = Pool("casting", 1)
     moved = run("pool", "move", FIRST, "casting", "--output", "json")
     assert moved.exit_code == 0, moved.output
     move = json.loads(moved.output)["move"]
     shown = run("pool", "show", "etching")
-    assert move in shown.output and executor_name(site.membership.own) in shown.output
+    assert (
+        move in shown.output and executor_name(harness.membership.own) in shown.output
+    )
     assert run("pool", "cancel-move", move).exit_code == 0
-    assert site.driver.state.moves == {}
+    assert harness.driver.state.moves == {}
     assert "casting" in run("pool", "list").output
 
 
-def test_a_move_is_refused_beside_workers_that_nobody_missed(
-    site: MaintenanceHarness,
+def test_move_is_refused_if_unreported_failures_exceed_the_budget(
+    harness: MaintenanceHarness,
 ) -> None:
-    """Look at the pool before one of its instances moves away.
+    """Guard against a move that takes a pool below its minimum of available workers.
 
-    Symptom: a move takes a pool below a floor while two workers have long been down.
-    Sequence: a rack fails in a pool without traffic; an operator moves an instance.
-    Cause: only waves looked at the pool first.
+    In a pool without traffic, failed workers stay unreported unless the pool is probed
+    before the move.
     """
-    site.driver.state.pools["casting"] = Pool("casting", 1)
-    site.unreported = ["dc1-etching-005", "dc1-etching-006", "dc1-etching-007"]
+    harness.driver.state.pools["casting"] = Pool("casting", 1)
+    harness.unreported = ["dc1-etching-005", "dc1-etching-006", "dc1-etching-007"]
     refused = run("pool", "move", FIRST, "casting")
     assert isinstance(refused.exception, BudgetExceededError)
-    assert site.driver.state.moves == {}
+    assert harness.driver.state.moves == {}
 
 
-def test_a_move_is_refused_where_no_entry_is_known(site: MaintenanceHarness) -> None:
-    """Refuse a move that nobody could acknowledge.
+def test_move_is_refused_without_a_known_entry(harness: MaintenanceHarness) -> None:
+    """Guard against an instance that changes its pool while entries send it work.
 
-    Symptom: an instance changes its pool while entries still send it work.
-    Sequence: an entry that knows no member of the instance's data centre takes the
-    call. Cause: a record that names nobody waits for nobody.
+    An entry that knows no member of the instance's data centre would record a move that
+    waits for no acknowledgement.
     """
-    site.driver.state.instances[FIRST].data_centre = "dc9"
+    harness.driver.state.instances[FIRST].data_centre = "dc9"
     refused = run("pool", "move", FIRST, "casting")
     assert isinstance(refused.exception, EntriesUnknownError)
-    assert site.log.proposed == []
+    assert harness.log.proposed == []
