--- a/mustardward/components/peers/models.py
+++ b/mustardward/components/peers/models.py
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardRefusal:
-    """Hold the receiver's refusal; ``ran`` is what it knows about execution."""
+    """Hold the receiver's own refusal; ``ran`` is its claim about execution."""
 
     code: str
     ran: str
--- a/mustardward/components/peers/receiver.py
+++ b/mustardward/components/peers/receiver.py
@@ -186,7 +186,7 @@
 
 
 async def _async_send_response(stream: Any, response: WorkerResponse) -> None:
-    # The last frame is sent only after the complete body. Otherwise the peer is told
+    # ``last`` is set only after the worker's complete body. Otherwise the peer is told
     # that the response is truncated, and its caller gets an error, not a short success.
     await _async_send_frame(
         stream, ResponseFrame(head=ResponseHead(response.status, response.headers))
--- a/mustardward/components/pools/move_executor.py
+++ b/mustardward/components/pools/move_executor.py
@@ -96,7 +96,7 @@
             _LOGGER.warning("move_postponed", move=move.move_id, cause=error.code)
 
     async def _async_collect_acknowledgements(self, move: Move) -> None:
-        """Ask all entries for acknowledgement and record the result in the log."""
+        """Ask each entry that is not gone for acknowledgement; log the result."""
         acknowledged = self._progress[move.move_id].acknowledged
         async with anyio.create_task_group() as group:
             for member in self._get_members():
--- a/mustardward/components/templates/api.py
+++ b/mustardward/components/templates/api.py
@@ -51,7 +51,7 @@
 
 @api_route("GET", "/templates/{name}/status", "Show where a template is in force")
 async def async_status(request: ApiRequest) -> ApiResponse:
-    """Return the revision in force at each entry that is not gone."""
+    """Return the log offset and the revision of each entry that is not gone."""
     name = request.path["name"]
     revision = _revisions(request.core, name)[-1].revision
     expected = parse_integer(request, "revision", revision)
--- a/mustardward/components/templates/exceptions.py
+++ b/mustardward/components/templates/exceptions.py
@@ -8,7 +8,7 @@
 
 @problem_status_code(404)
 class TemplateUnknownError(MustardwardError):
-    """Report a template or a revision that does not exist."""
+    """Report a template, or a revision of one, that was never accepted."""
 
     code = "template-unknown"
 
--- a/mustardward/embedded/estate.py
+++ b/mustardward/embedded/estate.py
@@ -128,7 +128,7 @@
     async def async_submit(
         self, prefix: str, steps: list[SubmittedStep], spec: str = "work"
     ) -> str:
-        """Submit a job through any entry, with retries, and return its path."""
+        """Submit a job at any entry, retry until accepted, and return its path."""
         path = prefix + secrets.token_hex(8)
         body = msgspec.json.encode(SubmittedJob(spec, steps))
         while True:
--- a/mustardward/settings/loader.py
+++ b/mustardward/settings/loader.py
@@ -127,7 +127,7 @@
         return self._lines[path]
 
     def duplicates(self, name: str) -> list[SettingsFault]:
-        """Return a fault for each duplicate key, which YAML silently overwrites."""
+        """Return a fault for each duplicate key; YAML would drop the first value."""
         return [
             SettingsFault(name, line, _format_path(path), "each key once")
             for path, line in self._duplicates
