--- a/mustardward/cli/serve.py
+++ b/mustardward/cli/serve.py
@@ -29,7 +29,12 @@
 EXIT_FAILED: Final = 1
 
 GC_THRESHOLDS: Final = (10_000, 20, 100)
-"""Thresholds of the three garbage collector generations."""
+"""Thresholds of the three garbage collector generations.
+
+In this order: the allocations that trigger a collection of the young generation, the
+young collections before one of the middle generation, and the middle collections before
+one of the oldest generation.
+"""
 
 Setup = Callable[[Core], Awaitable[list[Unload]]]
 
--- a/mustardward/components/api/server.py
+++ b/mustardward/components/api/server.py
@@ -86,7 +86,10 @@
             raise NotReadyError("the state is still being read")
 
     def _authenticate_and_log(self, endpoint: Endpoint) -> Endpoint:
-        """Check the token, convert errors to problem responses, and log the request."""
+        """Check the token, convert errors to problem responses, and log the request.
+
+        The token is checked before anything else is done with the request.
+        """
 
         async def async_call(request: Request) -> Response:
             started = self._core.timers.monotonic()
--- a/mustardward/components/reports/bound.py
+++ b/mustardward/components/reports/bound.py
@@ -75,7 +75,10 @@
 
 
 def compute_lower_bound(workload: Workload) -> PlannerResult:
-    """Return the instances needed if all arrivals and run times are known."""
+    """Return the instances needed to complete all jobs in time.
+
+    All arrivals and run times are assumed to be known in advance.
+    """
     count = len(workload.jobs)
     result = PlannerResult("known beforehand", count, count)
     demand = {
--- a/mustardward/components/reports/day.py
+++ b/mustardward/components/reports/day.py
@@ -45,7 +45,7 @@
 
 
 def find_delay_cause(record: JobRecord, day: Day) -> Cause:
-    """Return the cause that delayed a late job most."""
+    """Return the cause of most of a late job's time beyond its work."""
     if record.given_up:
         return Cause.GIVEN_UP
     end = record.ended_at or 0.0
--- a/mustardward/components/reports/day_models.py
+++ b/mustardward/components/reports/day_models.py
@@ -131,6 +131,8 @@
 class Day:
     """Hold the jobs and load of a day, and the spans of outages and takeovers.
 
+    No decision could be made during these spans.
+
     :param cut_lines: number of truncated lines, which were skipped.
     """
 
@@ -149,7 +151,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CauseRow:
-    """Hold the number of jobs that a cause made late, their tasks and total delay."""
+    """Hold the number of jobs that a cause made late, their tasks and total delay.
+
+    The delay is the time beyond the objectives, in seconds.
+    """
 
     cause: Cause
     jobs: int
--- a/mustardward/components/reports/service.py
+++ b/mustardward/components/reports/service.py
@@ -84,8 +84,8 @@
         parts = []
         for name in self._counters.names(organisation):
             parts.append(self._counters.part(name, now))
-            # Each organisation takes a millisecond; hundreds in a row would delay
-            # urgent requests in progress.
+            # Each organisation takes a millisecond; hundreds in a row would delay every
+            # request in progress, which shows as latency of urgent ones.
             await anyio.lowlevel.checkpoint()
         return BurnPart((coverage,), tuple(parts))
 
--- a/mustardward/standin/common.py
+++ b/mustardward/standin/common.py
@@ -68,8 +68,9 @@
     if faults.outage:
         return error_response(503, "outage")
     response = await run()
-    # Only calls that change state consume the fault. Long polls would otherwise use
-    # it up before the intended call, and tests of lost responses would test nothing.
+    # Only calls that change state consume the fault: a read has no effect to hide.
+    # Long polls would otherwise use it up before the intended call, and tests of lost
+    # responses would test nothing.
     changed = request.method != "GET" and response.status_code < 400
     if changed and switch.consume("lose_answers"):
         return ConnectionReset()
--- a/mustardward/standin/estate/app.py
+++ b/mustardward/standin/estate/app.py
@@ -170,7 +170,8 @@
             await anyio.sleep(TICK_SECONDS)
             worker.advance(_clock_ms(worker))
         if self._estate.workers.get(worker.id) is not worker:
-            # The process restarted during the poll: the connection ends.
+            # The process restarted during the poll: the call is kept open
+            # like one to an unresponsive worker.
             raise CallUnknownError("restarted")
         report = worker.poll(call.fence, call.seen_upto, None, _clock_ms(worker))
         if report is None:
--- a/mustardward/standin/log.py
+++ b/mustardward/standin/log.py
@@ -24,7 +24,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LogOptions:
-    """Limits of the log; the rate limit is shared by all streams and callers."""
+    """Limits of the log.
+
+    The rate limit is shared by all streams and callers: the platform's log accepts
+    several hundred appends a second in total.
+    """
 
     appends_per_second: float = 400.0
     burst: float = 100.0
--- a/mustardward/standin/protocol/instances.py
+++ b/mustardward/standin/protocol/instances.py
@@ -17,7 +17,10 @@
         self._http = http
 
     async def async_list(self, data_centre: str = "") -> tuple[ListedInstance, ...]:
-        """Return the list, filtered by data centre if the platform supports it."""
+        """Return the list, filtered by data centre if the platform supports it.
+
+        The result holds at least the instances of ``data_centre`` and may hold others.
+        """
         response = await self._http.async_read("/instances", data_centre=data_centre)
         if response.status_code != 200:
             raise build_refusal_error(response)
--- a/mustardward/standin/protocol/protocols.py
+++ b/mustardward/standin/protocol/protocols.py
@@ -1,4 +1,4 @@
-"""Define the interfaces to the platform.
+"""Define the interfaces to the platform, which tests implement by small fakes.
 
 Every method raises :class:`PlatformUnavailableError` if the call had no effect and
 :class:`PlatformOutcomeUnknownError` if it may have had one.
@@ -44,7 +44,8 @@
     async def async_list(self, data_centre: str = "") -> tuple[ListedInstance, ...]:
         """Return the list of instances.
 
-        :param data_centre: filter; a platform without filtering returns all.
+        :param data_centre: filter; the result may hold instances of other data centres
+            too, and a platform without filtering returns all.
         """
         ...
 
--- a/mustardward/standin/serving.py
+++ b/mustardward/standin/serving.py
@@ -19,7 +19,7 @@
 
 CONNECTION_STATE: Final = "connection"
 SHUTDOWN_GRACE_SECONDS: Final = 0.05
-"""Time for responses in progress; connections still open then are cancelled."""
+"""Time for responses in progress; longer ones, such as long polls, are cut."""
 
 
 class RawConnection:
--- a/mustardward/standin/tasks.py
+++ b/mustardward/standin/tasks.py
@@ -90,7 +90,8 @@
         :raises StaleGenerationError: if a newer generation is known.
         """
         # A holder that resumes after a pause still assumes that it has the lease.
-        # Without fencing it would stop or renew the task of its successor.
+        # Without fencing it would stop or renew the task of its successor,
+        # which shows as a task that ends although its holder did not stop it.
         newest = self._generations.get(task_id, 0)
         if generation < newest:
             raise StaleGenerationError(f"seen={newest} got={generation}")
--- a/tests/standin/test_log.py
+++ b/tests/standin/test_log.py
@@ -52,8 +52,8 @@
 async def test_the_rate_limit_refuses_without_effect_until_time_passes() -> None:
     """Guard against refused appends that take effect.
 
-    A burst exceeds the rate limit, which all callers of the log share; after a pause
-    appends succeed again.
+    A burst exceeds the rate limit, which all callers of the log share: it serves
+    several hundred appends a second in total. After a pause appends succeed again.
     """
     options = build_options(appends_per_second=100.0, burst=2.0)
     async with async_platform_bench(options) as bench:
