--- a/mustardward/components/fleet/__init__.py
+++ b/mustardward/components/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Move and maintain instances, in the name of the shard's owner."""
+"""Move and maintain instances on behalf of the shard's owner."""
--- a/mustardward/components/fleet/budget.py
+++ b/mustardward/components/fleet/budget.py
@@ -1,8 +1,8 @@
-"""Bound the orders for instances by what the platform takes a second; pure.
+"""Limit the rate of move orders to what the platform accepts per second; pure.
 
-Load pattern: a turn ends in a large fleet, and a thousand instances may go off at once.
-Ordered at once they wait for each other's connections until their time is out, most are
-refused, and each announcement in the log names all of them.
+Load pattern: when a demand peak ends in a large fleet, a thousand instances may go to
+standby at once. Ordered together, the calls wait for each other's connections until
+they time out, most are refused, and each announcement in the log names all of them.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 
 from ...helpers.token_bucket import TokenBucket
 
-ORDERS_SHARE: Final = 0.8
-"""Share of the orders that an owner gives to moves: the rest is for maintenance, and
-for the orders of one that was deposed a moment ago."""
+MOVES_SHARE: Final = 0.8
+"""Share of the order rate that moves may use: the rest is left for maintenance and for
+the orders of an owner that was deposed a moment ago."""
 
 
 @dataclass(slots=True)
 class OrderBudget:
-    """Hold how many orders may be given now.
+    """Limit the rate of move orders.
 
-    :param orders_per_second: what the platform takes of all entries together.
+    :param orders_per_second: what the platform accepts from all entry nodes together.
     """
 
     orders_per_second: float = math.inf
@@ -30,14 +30,14 @@
         default_factory=lambda: TokenBucket(math.inf, -math.inf)
     )
 
-    def left(self, now: float) -> int | None:
-        """Return how many orders may be given, or None if there is no bound."""
-        rate = self.orders_per_second * ORDERS_SHARE
+    def available(self, now: float) -> int | None:
+        """Return how many orders may be issued now, or None if there is no limit."""
+        rate = self.orders_per_second * MOVES_SHARE
         if math.isinf(rate):
             return None
         self._bucket.fill(now, rate, max(1.0, rate))
         return int(self._bucket.left)
 
-    def spend(self, orders: int) -> None:
-        """Take in that orders were given."""
+    def consume(self, orders: int) -> None:
+        """Deduct orders that are issued."""
         self._bucket.left -= orders
--- a/mustardward/components/fleet/const.py
+++ b/mustardward/components/fleet/const.py
@@ -1,83 +1,83 @@
-"""Hold the figures of fleet work."""
+"""Define the timings and limits of fleet management."""
 
 from __future__ import annotations
 
 from typing import Final
 
 TICK_SECONDS: Final = 0.1
-LIST_SECONDS: Final = 2.0
-"""Interval of reading the list while nothing is under way."""
+LIST_INTERVAL_SECONDS: Final = 2.0
+"""Poll interval of the instance list while no wave, move or loss is in progress."""
 
-TELL_SECONDS: Final = 1.0
-"""Interval of the lines that tell how far waves are."""
+PROGRESS_LOG_SECONDS: Final = 1.0
+"""Interval of the log lines with the progress of maintenance waves."""
 
-NAMED_INSTANCES: Final = 3
-"""Instances that such a line names: those that a wave still waits for."""
+MAX_LOGGED_INSTANCES: Final = 3
+"""Most instances that a progress line names of those that a wave still waits for."""
 
-BUSY_LIST_SECONDS: Final = 0.4
-"""Interval of reading the list while instances are down or to be taken."""
+ACTIVE_LIST_INTERVAL_SECONDS: Final = 0.4
+"""Poll interval of the instance list while instances are maintained, moved or lost."""
 
-CYCLE_SECONDS: Final = 4.5
-"""Typical time from choosing an instance until it is up again: emptying, maintenance,
-and seeing it."""
+MAINTENANCE_CYCLE_SECONDS: Final = 4.5
+"""Typical time from choosing an instance until it is up again: draining, maintenance,
+and the next poll of the list."""
 
-POOL_SHARE: Final = 0.25
-"""Most of a pool that is emptied or down for maintenance at once."""
+MAX_DRAINED_POOL_SHARE: Final = 0.25
+"""Largest share of a pool that a wave drains or maintains at once."""
 
-HURRY_FACTOR: Final = 1.5
-"""A wave takes so many times as many instances at once as its time asks for, so that
-it has slack for what it finds."""
+PACE_FACTOR: Final = 1.5
+"""Factor by which a wave exceeds the concurrency that its remaining time requires, so
+that it has slack for instances that take longer."""
 
-LEAST_AT_ONCE: Final = 2
-"""Instances of a wave that are taken at once if its limit allows: a last one that can't
-be emptied yet must not keep another from it."""
+MIN_CONCURRENT_INSTANCES: Final = 2
+"""Instances that a wave processes at once if its limit allows: one that can't be
+drained yet must not block the next one."""
 
-REPEATED_SECONDS: Final = 3.0
-"""Time beyond a maintenance after which an instance that a list shows as the same
-incarnation had it before; lists lag by up to a second."""
+UNCHANGED_INCARNATION_SECONDS: Final = 3.0
+"""Time after an order's maintenance at which an instance that is still listed with the
+same incarnation counts as maintained earlier; the list lags by up to a second."""
 
-MISSED_SECONDS: Final = 3.0
-"""Time after which an instance that no list names, as one whose row can't be read, is
-no longer emptied: its worker would do nothing until it can be."""
+UNLISTED_TIMEOUT_SECONDS: Final = 3.0
+"""Time after which an instance missing from the list, for example because its row is
+unreadable, is no longer drained: its worker would stay idle until the row is back."""
 
-RETRY_SECONDS: Final = 0.3
-"""Pause before an order of unknown outcome is repeated; it is idempotent."""
+ORDER_RETRY_SECONDS: Final = 0.3
+"""Delay before an order of unknown outcome is repeated; orders are idempotent."""
 
-TARGET_SHARE: Final = 0.85
-"""Share of a pool's processors that its work may take before it wants an instance
-more: a move takes seconds, and demand rises to five times its mean within one."""
+TARGET_UTILISATION: Final = 0.85
+"""Share of a pool's capacity that its work may use before it requests another instance:
+a move takes seconds, and demand rises to five times its mean within one."""
 
-CLEAR_SECONDS: Final = 2.0
-"""Time in which waiting work should be begun; a quick job's objective is about 2 s."""
+BACKLOG_START_SECONDS: Final = 2.0
+"""Time in which waiting work should start; a quick job's objective is about 2 s."""
 
-ORDER_SECONDS: Final = 0.4
-"""From an order to an instance's first task, beyond the move itself: the announcement,
-the tick, and its worker's first answer."""
+ORDER_OVERHEAD_SECONDS: Final = 0.4
+"""Time from an order to an instance's first task in addition to the move itself: the
+announcement, the tick, and the first response of its worker."""
 
-THEN_CLEAR_SECONDS: Final = 1.0
-"""Time in which what is left then should be begun."""
+LATER_BACKLOG_START_SECONDS: Final = 1.0
+"""Time in which work that still waits once an instance has arrived should start."""
 
-LEAST_INSTANCES: Final = 2
-"""Instances that a pool keeps without any work, on two racks if it can: a first task
-is never kept waiting for a move, nor lost with one rack."""
+MIN_POOL_INSTANCES: Final = 2
+"""Instances that a pool keeps without any work, on two racks if possible: a first task
+must not wait for a move, and the loss of a rack must not leave the pool empty."""
 
-MOST_WORKERS_APART: Final = 4
-"""Most instances that a pool asks for so that suspected jobs run apart."""
+MAX_ISOLATED_WORKERS: Final = 4
+"""Most instances that a pool requests to run suspected jobs in isolation."""
 
-SILENT_SECONDS: Final = 1.5
-"""Silence after which a worker does not count for its pool: an instance comes in as
-long, and single answers are lost for less."""
+UNRESPONSIVE_SECONDS: Final = 1.5
+"""Time without a response after which a worker no longer counts for its pool: a
+replacement takes as long to arrive, and single lost responses cause shorter gaps."""
 
-UNHEARD_SECONDS: Final = 3.0
-"""Time in which a worker that came, or that the owner before had, is heard of."""
+FIRST_CONTACT_SECONDS: Final = 3.0
+"""Time that a new worker, or one of the previous owner, has for its first response."""
 
-HEARING_SECONDS_EACH: Final = 0.006
-"""What each worker adds to it: a new owner asks them in turn, and one behind a cut
-holds one of 96 places for 0.6 s."""
+FIRST_CONTACT_SECONDS_PER_WORKER: Final = 0.006
+"""Additional time for each worker: a new owner polls them in turn, and an unreachable
+worker holds one of 96 concurrent calls for 0.6 s."""
 
-IDLE_SECONDS: Final = 2.5
-"""Idle time after which an instance goes off: off and on again costs about as much as
-keeping it on for 2.3 s."""
+IDLE_TIMEOUT_SECONDS: Final = 2.5
+"""Idle time after which an instance goes to standby: switching it off and on again
+costs about as much as keeping it on for 2.3 s."""
 
-MOVE_LOST_SECONDS: Final = 6.0
-"""Time after which an accepted move that no list shows counts as over."""
+MOVE_TIMEOUT_SECONDS: Final = 6.0
+"""Time after which an accepted move that the list doesn't show counts as finished."""
--- a/mustardward/components/fleet/hosts.py
+++ b/mustardward/components/fleet/hosts.py
@@ -1,4 +1,4 @@
-"""Remember where workers ran, and tell why one is no longer listed."""
+"""Track the instances of workers, and derive why a worker is no longer listed."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 @dataclass(slots=True, eq=False)
-class Hosts:
-    """Hold the instance of each worker that was listed and may be alive."""
+class WorkerHosts:
+    """Hold the machine of each worker that was listed and may be alive."""
 
     _machines: dict[str, str] = field(default_factory=dict)
 
-    def read(self, instances: Mapping[str, Instance], alive: Container[str]) -> None:
-        """Take in a list.
+    def update(self, instances: Mapping[str, Instance], alive: Container[str]) -> None:
+        """Record the machines of an instance list.
 
         :param alive: workers that are not known to be gone, listed or not.
         """
@@ -32,13 +32,13 @@
             if instance.id:
                 self._machines[instance.id] = machine
 
-    def why_unlisted(
+    def loss_cause(
         self,
         worker_id: str,
         instances: Mapping[str, Instance],
         ordered: Container[str],
     ) -> LossCause:
-        """Return why a worker that was listed is no longer.
+        """Return why a worker is no longer listed.
 
         :param ordered: machines that an owner may have had moved or maintained.
         """
--- a/mustardward/components/fleet/leaving.py
+++ b/mustardward/components/fleet/leaving.py
@@ -1,4 +1,8 @@
-"""Say which workers the fleet is about to take; pure."""
+"""Determine which workers are cordoned; pure.
+
+A cordoned worker gets no new tasks, because its instance is about to be moved or
+maintained.
+"""
 
 from __future__ import annotations
 
@@ -8,24 +12,26 @@
 from ..scheduling.worker_state import WorkerState
 from .models import MoveOrder, WaveRun
 
-Leaving = dict[str, int]
-"""When each worker that leaves had started, or 0 for whichever runs under its id."""
+CordonedWorkers = dict[str, int]
+"""Start time of each cordoned worker in milliseconds, or 0 for any incarnation."""
 
 
-def find_leaving(runs: Iterable[WaveRun], moves: Iterable[MoveOrder]) -> Leaving:
-    """Return what is being emptied, and what was ordered and was not seen again."""
-    leaving: Leaving = {}
-    for order in moves:
-        leaving[order.worker] = order.born
+def find_cordoned(
+    runs: Iterable[WaveRun], moves: Iterable[MoveOrder]
+) -> CordonedWorkers:
+    """Return the workers that are being drained or have an unfinished order."""
+    cordoned: CordonedWorkers = {}
+    for move in moves:
+        cordoned[move.worker_id] = move.started_at_ms
     for run in runs:
-        for given in run.orders.values():
-            leaving[given.old_id or ""] = given.old_born
-        for worker_id in run.emptying.values():
-            leaving[worker_id] = 0
-    return leaving
+        for order in run.orders.values():
+            cordoned[order.worker_id or ""] = order.started_at_ms
+        for worker_id in run.draining.values():
+            cordoned[worker_id] = 0
+    return cordoned
 
 
-def is_leaving(worker: WorkerState, leaving: Leaving) -> bool:
-    """Return whether a worker leaves; one that came since under its id does not."""
-    born = leaving.get(worker.id)
-    return born is not None and not is_other(worker.born, born)
+def is_cordoned(worker: WorkerState, cordoned: CordonedWorkers) -> bool:
+    """Return whether a worker is cordoned; a later incarnation of its id is not."""
+    started_at_ms = cordoned.get(worker.id)
+    return started_at_ms is not None and not is_other(worker.born, started_at_ms)
--- a/mustardward/components/fleet/lending.py
+++ b/mustardward/components/fleet/lending.py
@@ -1,4 +1,4 @@
-"""Say what a pool can do without, and which of its instances go first; pure."""
+"""Select which idle instances a pool can give away, and in which order; pure."""
 
 from __future__ import annotations
 
@@ -6,66 +6,67 @@
 
 from ...helpers.policies import switchable
 from ...platform.models import Instance
-from .const import IDLE_SECONDS
+from .const import IDLE_TIMEOUT_SECONDS
 from .models import FleetView
 
 
-def _wait_for_nothing() -> float:
+def _no_idle_timeout() -> float:
     return 0.0
 
 
 @switchable(
     "idle-time",
-    "an idle instance stays for a while before it goes off",
-    without=_wait_for_nothing,
+    "an idle instance stays on for a while before it goes to standby",
+    without=_no_idle_timeout,
 )
-def idle_seconds() -> float:
-    """Return how long an instance stands idle before it goes off."""
-    return IDLE_SECONDS
+def idle_timeout_seconds() -> float:
+    """Return how long an instance stays idle before it goes to standby."""
+    return IDLE_TIMEOUT_SECONDS
 
 
-def _spare_nothing(have: int, need: int) -> int:
+def _no_surplus(count: int, need: int) -> int:
     return 0
 
 
 @switchable(
     "lending",
-    "a full pool takes idle instances of others before standby ones",
-    without=_spare_nothing,
+    "a full pool takes idle instances of other pools before standby ones",
+    without=_no_surplus,
 )
-def spare(have: int, need: int) -> int:
-    """Return how many of its idle instances a pool can lend."""
-    return max(0, have - need)
+def surplus(count: int, need: int) -> int:
+    """Return how many of its idle instances a pool can give to other pools."""
+    return max(0, count - need)
 
 
-def _keep_order(instances: list[Instance]) -> None:
+def _sort_by_machine(instances: list[Instance]) -> None:
     instances.sort(key=lambda i: i.machine)
 
 
 @switchable(
     "racks-apart",
-    "a pool's last instances stand on several racks",
-    without=_keep_order,
+    "the instances that a pool keeps are spread over several racks",
+    without=_sort_by_machine,
 )
-def keep_racks_apart(instances: list[Instance]) -> None:
-    """Order instances so that those of the fullest rack are lent first."""
+def sort_by_rack_load(instances: list[Instance]) -> None:
+    """Sort instances so that those of the rack with the most are given away first."""
     racks = Counter(_rack(instance) for instance in instances)
     instances.sort(key=lambda i: (-racks[_rack(i)], _rack(i), i.machine))
 
 
-def unheard_zones(view: FleetView) -> set[str]:
-    """Return the data centres whose workers can all run nothing.
+def unreachable_zones(view: FleetView) -> set[str]:
+    """Return the data centres in which no worker is usable.
 
-    An instance from there may be as far out of reach as the one that it is taken for.
+    Another instance of such a data centre may be just as unreachable as the one that it
+    would replace.
     """
     unusable: set[str] = set()
-    heard: set[str] = set()
+    reachable: set[str] = set()
     for machine, instance in view.instances.items():
         if (instance.id or machine) in view.unusable:
             unusable.add(instance.zone)
         elif instance.id in view.loads:
-            heard.add(instance.zone)
-    return unusable - heard
+            reachable.add(instance.zone)
+    return unusable - reachable
 
 
 def _rack(instance: Instance) -> str:
--- a/mustardward/components/fleet/listing.py
+++ b/mustardward/components/fleet/listing.py
@@ -1,9 +1,9 @@
-"""Read the fleet's list page by page, within what the platform answers a second.
+"""Read the instance list page by page, within the platform's limit of reads per second.
 
-Load pattern: thousands of instances are listed in dozens of pages, and each page counts
-against the readings that the platform answers a second. Read as often as a short list,
-and from its begin after each refusal, the list of a large fleet is never complete: its
-owner then never learns which workers there are, and starts nothing.
+Load pattern: a list of thousands of instances has dozens of pages, and each page counts
+as one read. If it were polled as often as a short list, and read from the first page
+again after each refusal, the list of a large fleet would never be complete, so that its
+owner would know no workers and start nothing.
 """
 
 from __future__ import annotations
@@ -19,72 +19,74 @@
 
 _LOGGER = get_logger(__name__)
 
-READINGS_SHARE: Final = 0.7
-"""Share of the readings that an owner takes: one that was deposed a moment ago may
+READ_RATE_SHARE: Final = 0.7
+"""Share of the read rate that an owner uses: an owner that was deposed a moment ago may
 still read too."""
 
-LONGEST_READING_SECONDS: Final = 3.0
-"""Age of its first page at which a reading that was broken off begins anew: pages that
-lie further apart would tell of instances as they no longer are."""
+MAX_LISTING_SECONDS: Final = 3.0
+"""Age of the first page after which an interrupted listing starts over: pages that are
+further apart would show outdated instances."""
 
 
 @dataclass(slots=True)
-class Reading:
-    """Hold what a reading of the list has found so far.
+class InstanceListing:
+    """Accumulate the pages of the instance list.
 
-    :param begun_at: when its first page was asked for, in steady seconds.
-    :param token: names the next page; nothing for the first.
-    :param complete: see ``FleetPage``.
+    :param started_at: when the first page was requested, in monotonic seconds.
+    :param next_token: identifies the next page; empty for the first.
+    :param complete: whether all rows were readable; see ``FleetPage``.
     """
 
-    begun_at: float
-    token: str = ""
-    pages: int = 0
+    started_at: float
+    next_token: str = ""
+    page_count: int = 0
     complete: bool = True
     instances: list[Instance] = field(default_factory=list)
 
 
 @dataclass(slots=True, eq=False)
-class ListReader:
-    """Read the whole list, and go on where a reading was broken off.
+class InstanceListReader:
+    """Read the whole instance list, and resume an interrupted listing.
 
-    :param readings_per_second: what the platform answers to all entries together.
+    :param reads_per_second: the platform's limit for all entry nodes together.
     """
 
     client: FleetClient
     timers: TimerService
-    readings_per_second: float
-    _pages: int = 1
-    _reading: Reading | None = None
+    reads_per_second: float
+    _page_count: int = 1
+    _listing: InstanceListing | None = None
 
     def interval(self, wanted: float) -> float:
-        """Return the seconds between two readings where one wants ``wanted``."""
-        allowed = max(1.0, self.readings_per_second * READINGS_SHARE)
-        return max(wanted, self._pages / allowed)
+        """Return the poll interval in seconds, at least ``wanted``."""
+        pages_per_second = max(1.0, self.reads_per_second * READ_RATE_SHARE)
+        return max(wanted, self._page_count / pages_per_second)
 
-    async def async_read(self) -> Reading | None:
-        """Return a reading of the whole list, or None if it broke off."""
+    async def async_read(self) -> InstanceListing | None:
+        """Return the whole list, or None if the platform refused a page."""
         now = self.timers.monotonic()
-        reading = self._reading
-        if reading is None or now - reading.begun_at > LONGEST_READING_SECONDS:
-            reading = self._reading = Reading(now)
+        listing = self._listing
+        if listing is None or now - listing.started_at > MAX_LISTING_SECONDS:
+            listing = self._listing = InstanceListing(now)
         try:
-            while not await self._async_add_page(reading):
+            while not await self._async_add_page(listing):
                 pass
         except CallRefusedError as error:
             _LOGGER.warning(
-                "list_unreadable", detail=error.detail, pages_read=reading.pages
+                "instance_list_refused",
+                detail=error.detail,
+                pages_read=listing.page_count,
             )
             return None
-        self._reading = None
-        self._pages = reading.pages
-        return reading
+        self._listing = None
+        self._page_count = listing.page_count
+        return listing
 
-    async def _async_add_page(self, reading: Reading) -> bool:
+    async def _async_add_page(self, listing: InstanceListing) -> bool:
         """Read the next page; return whether it was the last."""
-        page = await self.client.async_page(reading.token)
-        reading.instances.extend(page.instances)
-        reading.complete = reading.complete and page.complete
-        reading.token = page.next_token
-        reading.pages += 1
+        page = await self.client.async_page(listing.next_token)
+        listing.instances.extend(page.instances)
+        listing.complete = listing.complete and page.complete
+        listing.next_token = page.next_token
+        listing.page_count += 1
         return not page.next_token
--- a/mustardward/components/fleet/models.py
+++ b/mustardward/components/fleet/models.py
@@ -1,4 +1,4 @@
-"""Hold what fleet work knows and decides."""
+"""Define the state and the decisions of fleet management."""
 
 from __future__ import annotations
 
@@ -10,102 +10,111 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """Hold what runs on one worker.
+    """Count the tasks that run on one worker.
 
-    :param lasting: tasks that last.
-    :param others: all other tasks.
-    :param born: when the worker started, in milliseconds since 1970, or 0.
+    :param long_running: tasks of long-running steps.
+    :param short_running: all other tasks.
+    :param started_at_ms: when the worker started, in milliseconds since 1970, or 0 if
+        that is unknown.
     """
 
-    lasting: int
-    others: int
-    born: int = 0
+    long_running: int
+    short_running: int
+    started_at_ms: int = 0
 
     @property
-    def empty(self) -> bool:
-        """Return whether nothing runs."""
-        return self.lasting + self.others == 0
+    def idle(self) -> bool:
+        """Return whether no task runs."""
+        return self.long_running + self.short_running == 0
 
 
 @dataclass(slots=True)
 class MaintenanceOrder:
-    """Hold an order that was given, until the instance was seen up again.
+    """Track a maintenance order until the instance is up again.
 
-    :param old_id: the worker's id when the order was given.
-    :param accepted: whether the platform answered that it has begun.
-    :param old_born: when that worker had started, or 0 if that is not known.
+    :param worker_id: the worker's id when the order was first issued.
+    :param issued_at: when it was last sent, in monotonic seconds.
+    :param started_at_ms: when that worker had started, or 0 if that is unknown.
+    :param accepted: whether the platform has confirmed the start of the maintenance.
     """
 
     machine: str
-    old_id: str | None
-    given_at: float
-    old_born: int = 0
+    worker_id: str | None
+    issued_at: float
+    started_at_ms: int = 0
     accepted: bool = False
     accepted_at: float = 0.0
 
 
 @dataclass(slots=True)
 class MoveOrder:
-    """Hold a move that was ordered, until the list shows it.
+    """Track a move order until the instance list shows the move.
 
-    :param worker: what ran there when it was decided, or nothing.
-    :param born: when that worker had started, or 0 if that is not known.
+    :param issued_at: when it was last sent, in monotonic seconds.
+    :param worker_id: the worker that ran there at the decision; empty if none did.
+    :param started_at_ms: when that worker had started, or 0 if that is unknown.
     """
 
     machine: str
     pool: str
-    given_at: float
+    issued_at: float
     accepted_at: float | None = None
-    worker: str = ""
-    born: int = 0
+    worker_id: str = ""
+    started_at_ms: int = 0
 
     @property
     def move(self) -> Move:
-        """Return what is ordered."""
-        return Move(self.machine, self.pool, self.worker, self.born)
+        """Return the move that is ordered."""
+        return Move(self.machine, self.pool, self.worker_id, self.started_at_ms)
 
     def update_worker(self, view: FleetView) -> None:
-        """Note which worker this takes if another came before it was carried out."""
+        """Record the current worker if it has replaced the one of the decision."""
         instance = view.instances.get(self.machine)
         if instance is None or not instance.id or instance.pool == self.pool:
             return
-        if instance.id != self.worker:
-            self.worker, self.born = instance.id, view.born_of(instance)
+        if instance.id != self.worker_id:
+            self.worker_id, self.started_at_ms = (
+                instance.id,
+                view.worker_started_at_ms(instance),
+            )
 
 
 @dataclass(slots=True)
 class WaveRun:
-    """Hold how far a wave is.
-
-    :param first_seen_at: when an owner first saw it, in steady seconds.
-    :param seen_wall: the same as wall clock, for the owners after.
-    :param begun: machines whose maintenance has begun.
-    :param emptying: machines that are being emptied for it, and their workers.
-    :param missed: machines that lists miss, by when the first such list was asked for.
+    """Track the progress of a maintenance wave.
+
+    :param first_seen_at: when an owner first read it, in monotonic seconds.
+    :param first_seen_wall: the same in wall-clock time, for later owners.
+    :param started: machines whose maintenance has started.
+    :param orders: maintenance orders that are not known to be finished, by machine.
+    :param draining: machines that are being drained for it, and their workers.
+    :param unlisted_since: when the first list that lacked a machine was requested.
     """
 
     wave: UpkeepWave
     first_seen_at: float
-    seen_wall: float = 0.0
-    begun: set[str] = field(default_factory=set)
+    first_seen_wall: float = 0.0
+    started: set[str] = field(default_factory=set)
     orders: dict[str, MaintenanceOrder] = field(default_factory=dict)
-    emptying: dict[str, str] = field(default_factory=dict)
-    missed: dict[str, float] = field(default_factory=dict)
+    draining: dict[str, str] = field(default_factory=dict)
+    unlisted_since: dict[str, float] = field(default_factory=dict)
     done: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class FleetView:
-    """Hold the newest list and what runs on its workers.
-
-    :param read_at: when the list was asked for, in steady seconds.
-    :param complete: whether each of its rows could be read.
-    :param moving: machines that were ordered into another pool.
-    :param barred: machines that the owner before ordered somewhere just now.
-    :param unusable: workers, or machines without one, that are up and can't be given
-        tasks for longer than a moment.
-    :param due: machines that a wave is still to maintain.
-    :param rooms: what workers tell of their room, which may be less than the list says.
+    """Hold the latest instance list and the load of its workers.
+
+    :param loads: loads of the workers whose state is confirmed.
+    :param standby: the standby pools.
+    :param read_at: when the list was requested, in monotonic seconds.
+    :param complete: whether all of its rows were readable.
+    :param moving: machines that are ordered into another pool.
+    :param blocked: machines that the previous owner may just have ordered.
+    :param unusable: workers, or machines without one, that are up but have been unable
+        to take tasks for a while.
+    :param maintenance_due: machines that a wave has yet to maintain.
+    :param capacities: capacities that workers report, which may be less than listed.
     """
 
     instances: dict[str, Instance]
@@ -114,56 +123,56 @@
     pools: frozenset[str]
     read_at: float
     moving: frozenset[str] = frozenset()
-    barred: frozenset[str] = frozenset()
+    blocked: frozenset[str] = frozenset()
     unusable: frozenset[str] = frozenset()
-    due: frozenset[str] = frozenset()
-    rooms: Mapping[str, Room] = field(default_factory=dict)
+    maintenance_due: frozenset[str] = frozenset()
+    capacities: Mapping[str, Room] = field(default_factory=dict)
     complete: bool = True
 
-    def room_of(self, instance: Instance) -> Room:
-        """Return an instance's room, as its worker tells it if that is known."""
-        return self.rooms.get(instance.id or "", instance.capacity)
+    def capacity_of(self, instance: Instance) -> Room:
+        """Return the capacity that an instance's worker reports, or the listed one."""
+        return self.capacities.get(instance.id or "", instance.capacity)
 
-    def born_of(self, instance: Instance) -> int:
-        """Return when an instance's worker started, or 0 if that is not known."""
+    def worker_started_at_ms(self, instance: Instance) -> int:
+        """Return when an instance's worker started, or 0 if that is unknown."""
         load = self.loads.get(instance.id or "")
-        return load.born if load is not None else 0
+        return load.started_at_ms if load is not None else 0
 
 
 @dataclass(frozen=True, slots=True)
-class Empty:
-    """Give an instance's worker no new work, and let it run out."""
+class Drain:
+    """Assign no new tasks to an instance's worker and let its tasks finish."""
 
     machine: str
-    worker: str
+    worker_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Maintain:
     """Order an instance's maintenance.
 
-    :param worker: what ran there when this was decided, or nothing.
-    :param born: when that worker had started, or 0 if that is not known.
+    :param worker_id: the worker that ran there at the decision; empty if none did.
+    :param started_at_ms: when that worker had started, or 0 if that is unknown.
     """
 
     machine: str
     wave: int
-    worker: str = field(default="", compare=False)
-    born: int = field(default=0, compare=False)
+    worker_id: str = field(default="", compare=False)
+    started_at_ms: int = field(default=0, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
 class Move:
     """Order an instance into another pool.
 
-    :param worker: what ran there when this was decided, or nothing.
-    :param born: when that worker had started, or 0 if that is not known.
+    :param worker_id: the worker that ran there at the decision; empty if none did.
+    :param started_at_ms: when that worker had started, or 0 if that is unknown.
     """
 
     machine: str
     pool: str
-    worker: str = field(default="", compare=False)
-    born: int = field(default=0, compare=False)
+    worker_id: str = field(default="", compare=False)
+    started_at_ms: int = field(default=0, compare=False)
 
 
-Decision = Empty | Maintain | Move
+Decision = Drain | Maintain | Move
--- a/mustardward/components/fleet/ordering.py
+++ b/mustardward/components/fleet/ordering.py
@@ -1,4 +1,4 @@
-"""Give the platform orders for instances, one at a time for each."""
+"""Issue orders to the platform, one at a time for each instance."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class OrderOutcome(Enum):
-    """Say what became of an order."""
+    """Define the outcome of an order."""
 
     BEGUN = "begun"
     REFUSED = "refused"
@@ -27,29 +27,30 @@
 
 
 @dataclass(slots=True, eq=False)
-class Ordering:
-    """Carry orders out under an owner's token.
+class OrderExecutor:
+    """Issue orders under an owner's fencing token.
 
-    :param announce: names an instance in the log before it is ordered, so that the
-        next owner leaves it alone for as long as this one may still order it.
-    :param on_fenced: called when the platform has seen a newer owner.
+    :param announce: records an instance in the log before its order is issued, so that
+        the next owner doesn't order it for as long as this owner's order may take
+        effect; returns whether that succeeded.
+    :param on_fenced: called if the platform rejects the token as outdated.
     """
 
     client: FleetClient
     token: int
     announce: Announce
     on_fenced: Callable[[], None]
-    _busy: set[str] = field(default_factory=set)
+    _in_progress: set[str] = field(default_factory=set)
 
-    async def async_give(self, order: Maintain | Move) -> OrderOutcome:
-        """Give an order; one is skipped while another of its instance is under way."""
-        if order.machine in self._busy:
+    async def async_execute(self, order: Maintain | Move) -> OrderOutcome:
+        """Issue an order; skip it while another one of its instance is in progress."""
+        if order.machine in self._in_progress:
             return OrderOutcome.SKIPPED
-        self._busy.add(order.machine)
+        self._in_progress.add(order.machine)
         try:
             outcome, detail = await self._async_try(order)
         finally:
-            self._busy.discard(order.machine)
+            self._in_progress.discard(order.machine)
         kind = "maintenance" if isinstance(order, Maintain) else "move"
         FLEET_ORDERS.labels(kind, outcome.value).inc()
         level = _LOGGER.info if outcome is OrderOutcome.BEGUN else _LOGGER.warning
--- a/mustardward/components/fleet/pools.py
+++ b/mustardward/components/fleet/pools.py
@@ -1,9 +1,10 @@
-"""Decide which instances move between pools and standby; pure.
+"""Plan which instances move between pools and standby; pure.
 
-Load pattern: demand comes by turns. Each queue asks five times its mean for some
-seconds, more than its pool holds, while other pools stand idle; then it asks next to
-nothing. A pool that is full takes idle instances of other pools at once, else of
-standby, and what stays idle for as long as a way off and on costs goes off.
+Load pattern: demand comes in peaks. Each queue demands five times its mean for some
+seconds, more than its pool can serve, while other pools are idle; then it demands next
+to nothing. A full pool takes idle instances of other pools at once, else standby ones.
+An instance goes to standby after it has been idle for as long as switching it off and
+on again costs.
 """
 
 from __future__ import annotations
@@ -19,102 +20,106 @@
 from ..scheduling.demand import PoolLoad
 from .budget import OrderBudget
 from .const import (
-    CLEAR_SECONDS,
-    LEAST_INSTANCES,
-    MOST_WORKERS_APART,
-    MOVE_LOST_SECONDS,
-    ORDER_SECONDS,
-    RETRY_SECONDS,
-    TARGET_SHARE,
-    THEN_CLEAR_SECONDS,
+    BACKLOG_START_SECONDS,
+    LATER_BACKLOG_START_SECONDS,
+    MAX_ISOLATED_WORKERS,
+    MIN_POOL_INSTANCES,
+    MOVE_TIMEOUT_SECONDS,
+    ORDER_OVERHEAD_SECONDS,
+    ORDER_RETRY_SECONDS,
+    TARGET_UTILISATION,
 )
-from .lending import idle_seconds, keep_racks_apart, spare, unheard_zones
+from .lending import idle_timeout_seconds, sort_by_rack_load, surplus, unreachable_zones
 from .models import FleetView, Move, MoveOrder
-from .sizes import ANY_POOL, sizes_of
+from .sizes import ALL_POOLS, mean_sizes
 
 
 @dataclass(frozen=True, slots=True)
-class _Look:
-    """Hold what one look at the fleet found.
+class _Snapshot:
+    """Hold the supply and the need of instances at one point in time.
 
-    :param free: the instances that nothing runs on and nobody holds, by machine.
-    :param have: how many instances each pool has, or is about to have.
-    :param needs: how many its work asks for.
+    :param available: instances without tasks, orders and maintenance, by machine.
+    :param counts: how many instances each pool has, or is about to have.
+    :param needs: how many instances each pool's work needs.
     """
 
     view: FleetView
-    free: dict[str, Instance]
-    have: Counter[str]
+    available: dict[str, Instance]
+    counts: Counter[str]
     needs: dict[str, int]
     now: float
 
 
-def _need_at_once(
-    planner: PoolPlanner, /, load: PoolLoad, size: Room, have: int
+def _unlimited_need(
+    planner: PoolPlanner, /, load: PoolLoad, size: Room, count: int
 ) -> float:
     return math.inf
 
 
 @dataclass(slots=True, eq=False)
 class PoolPlanner:
-    """Move instances to where work waits.
+    """Move instances to the pools where work waits.
 
-    :param move_seconds: how long an instance is away at least.
-    :param budget: bounds the orders; what it leaves out is decided anew.
+    :param move_seconds: shortest time that a move takes.
+    :param budget: limits the rate of orders; moves beyond it are planned again later.
     """
 
     move_seconds: float
     budget: OrderBudget = field(default_factory=OrderBudget)
     orders: dict[str, MoveOrder] = field(default_factory=dict)
-    _needs: dict[str, list[tuple[float, int]]] = field(default_factory=dict)
+    _need_history: dict[str, list[tuple[float, int]]] = field(default_factory=dict)
     _idle_since: dict[str, float] = field(default_factory=dict)
 
     def decide(
         self,
         view: FleetView,
         loads: dict[str, PoolLoad],
-        taken: set[str],
+        held: set[str],
         now: float,
     ) -> list[Move]:
         """Return the moves to order now.
 
-        :param taken: machines that maintenance holds.
+        :param held: machines that are reserved for maintenance or blocked.
         """
-        self._settle(view, now)
-        # What was free and needed is noted at each look, however few orders may go.
-        free = self._free(view, taken, now)
-        have = self._have(view, taken)
-        sizes = sizes_of(view)
+        self._finish_orders(view, now)
+        # Idle times and needs are recorded on each call, whatever the budget allows.
+        available = self._available_instances(view, held, now)
+        counts = self._count_instances(view, held)
+        sizes = mean_sizes(view)
         needs = {
-            pool: self._need(pool, sizes, loads, have[pool], now)
+            pool: self._need(pool, sizes, loads, counts[pool], now)
             for pool in _pools(view)
         }
-        look = _Look(view, free, have, needs, now)
-        wanted = chain(self._repeat(view, now), self._fill_all(look), self._rest(look))
-        moves = list(islice(wanted, self.budget.left(now)))
-        self.budget.spend(len(moves))
+        snapshot = _Snapshot(view, available, counts, needs, now)
+        candidates = chain(
+            self._retry_orders(view, now),
+            self._fill_pools(snapshot),
+            self._release_idle(snapshot),
+        )
+        moves = list(islice(candidates, self.budget.available(now)))
+        self.budget.consume(len(moves))
         return moves
 
-    def _fill_all(self, look: _Look) -> Iterator[Move]:
-        """Fill the pools, the one that lacks most of its need first."""
-        lendable = self._lendable(look)
-        have = look.have
+    def _fill_pools(self, snapshot: _Snapshot) -> Iterator[Move]:
+        """Fill the pools up to their need, the one with the largest shortage first."""
+        transferable = self._transferable(snapshot)
+        counts = snapshot.counts
         for pool, need in sorted(
-            look.needs.items(), key=lambda item: -_gap(item, have)
+            snapshot.needs.items(), key=lambda item: -_relative_shortage(item, counts)
         ):
-            yield from self._fill(pool, need - have[pool], lendable, look)
+            yield from self._fill(pool, need - counts[pool], transferable, snapshot)
 
-    def accepted(self, machine: str, now: float) -> None:
-        """Take in that the platform has begun a move."""
+    def record_accepted(self, machine: str, now: float) -> None:
+        """Record that the platform has started a move."""
         order = self.orders.get(machine)
         if order is not None and order.accepted_at is None:
             order.accepted_at = now
 
-    def refused(self, machine: str) -> None:
-        """Take in that a move certainly was not begun."""
+    def record_refused(self, machine: str) -> None:
+        """Drop a move that the platform refused, and that hence has no effect."""
         self.orders.pop(machine, None)
 
-    def _settle(self, view: FleetView, now: float) -> None:
+    def _finish_orders(self, view: FleetView, now: float) -> None:
         for machine, order in list(self.orders.items()):
             if order.accepted_at is None:
                 continue
@@ -127,157 +132,179 @@
                 and view.read_at >= order.accepted_at + self.move_seconds
             )
             gone = instance is None and view.complete
-            if gone or shown or since > MOVE_LOST_SECONDS:
+            if gone or shown or since > MOVE_TIMEOUT_SECONDS:
                 del self.orders[machine]
 
-    def _repeat(self, view: FleetView, now: float) -> Iterator[Move]:
+    def _retry_orders(self, view: FleetView, now: float) -> Iterator[Move]:
         for order in self.orders.values():
-            if order.accepted_at is None and now - order.given_at >= RETRY_SECONDS:
-                order.given_at = now
+            if (
+                order.accepted_at is None
+                and now - order.issued_at >= ORDER_RETRY_SECONDS
+            ):
+                order.issued_at = now
                 order.update_worker(view)
                 yield order.move
 
-    def _free(
-        self, view: FleetView, taken: set[str], now: float
+    def _available_instances(
+        self, view: FleetView, held: set[str], now: float
     ) -> dict[str, Instance]:
-        """Return the instances that nothing runs on and nobody holds."""
-        free: dict[str, Instance] = {}
+        """Return the idle instances without an order or maintenance."""
+        available: dict[str, Instance] = {}
         for machine, instance in view.instances.items():
             load = view.loads.get(instance.id or "")
-            off = instance.pool in view.standby
-            idle = off or (load is not None and load.empty)
-            held = machine in taken or machine in self.orders
-            if instance.state != INSTANCE_UP or not idle or held:
+            on_standby = instance.pool in view.standby
+            idle = on_standby or (load is not None and load.idle)
+            reserved = machine in held or machine in self.orders
+            if instance.state != INSTANCE_UP or not idle or reserved:
                 self._idle_since.pop(machine, None)
                 continue
             self._idle_since.setdefault(machine, now)
-            free[machine] = instance
-        return free
+            available[machine] = instance
+        return available
 
-    def _have(self, view: FleetView, taken: set[str]) -> Counter[str]:
-        have = Counter(order.pool for order in self.orders.values())
+    def _count_instances(self, view: FleetView, held: set[str]) -> Counter[str]:
+        """Return how many usable instances each pool has, or is about to have."""
+        counts = Counter(order.pool for order in self.orders.values())
         for machine, instance in view.instances.items():
             if machine in self.orders:
                 continue
             if (instance.id or machine) in view.unusable:
-                # Counted, it would keep a step that spreads from the worker it lacks.
+                # If it were counted, a step that limits its tasks for each worker would
+                # not get the additional worker that it needs.
                 continue
-            if machine not in taken and instance.state == INSTANCE_UP:
-                have[instance.pool] += 1
-        return have
+            if machine not in held and instance.state == INSTANCE_UP:
+                counts[instance.pool] += 1
+        return counts
 
     def _need(
         self,
         pool: str,
         sizes: dict[str, Room],
         loads: dict[str, PoolLoad],
-        have: int,
+        count: int,
         now: float,
     ) -> int:
-        """Return how many instances a pool's work asks for now."""
+        """Return how many instances a pool's work needs now."""
         load = loads.get(pool, PoolLoad())
-        size = sizes.get(pool) or sizes[ANY_POOL]
-        taken = sum(
+        size = sizes.get(pool) or sizes[ALL_POOLS]
+        demand = sum(
             amount.share_of(size)
             for amount in (load.lasting, load.running, load.waiting)
         )
-        asked = taken / TARGET_SHARE + load.backlog.share_of(size) / CLEAR_SECONDS
-        asked = min(asked, self._need_then(load, size, have))
-        coming = load.lasting.share_of(size) + load.inflow.share_of(size)
-        asked = max(asked, coming / TARGET_SHARE)
-        need = max(LEAST_INSTANCES, load.spread, math.ceil(asked))
-        need += min(load.apart, MOST_WORKERS_APART)
-        history = self._needs.setdefault(pool, [])
+        required = (
+            demand / TARGET_UTILISATION
+            + load.backlog.share_of(size) / BACKLOG_START_SECONDS
+        )
+        required = min(required, self._need_at_arrival(load, size, count))
+        upcoming = load.lasting.share_of(size) + load.inflow.share_of(size)
+        required = max(required, upcoming / TARGET_UTILISATION)
+        need = max(MIN_POOL_INSTANCES, load.spread, math.ceil(required))
+        need += min(load.apart, MAX_ISOLATED_WORKERS)
+        history = self._need_history.setdefault(pool, [])
         history.append((now, need))
-        while history[0][0] < now - idle_seconds():
+        while history[0][0] < now - idle_timeout_seconds():
             history.pop(0)
         return need
 
     @switchable(
         "coming-work",
-        "a pool asks for what it can't do itself until instances come, no more",
-        without=_need_at_once,
+        "a pool requests instances only for work that it can't do before they arrive",
+        without=_unlimited_need,
     )
-    def _need_then(self, load: PoolLoad, size: Room, have: int) -> float:
-        """Return what is asked for once an instance that is ordered now has come.
+    def _need_at_arrival(self, load: PoolLoad, size: Room, count: int) -> float:
+        """Return the need at the time when an instance that is ordered now arrives.
 
-        What the pool does by itself until then needs no other instance: asked for by
-        all that waits, the last ones of a turn came when its work was nearly over, and
-        stood idle for seconds.
+        Work that the pool finishes by itself until then needs no other instance: if all
+        waiting work counted, the last instances of a demand peak would arrive when its
+        work was nearly over, and be idle for seconds.
         """
-        seconds = self.move_seconds + ORDER_SECONDS
-        lasting = load.lasting.share_of(size)
+        seconds = self.move_seconds + ORDER_OVERHEAD_SECONDS
+        long_running = load.lasting.share_of(size)
         inflow = load.inflow.share_of(size)
-        done = max(0.0, have - lasting) * seconds
+        done = max(0.0, count - long_running) * seconds
         left = max(0.0, load.left.share_of(size) + inflow * seconds - done)
-        return (lasting + inflow + left / THEN_CLEAR_SECONDS) / TARGET_SHARE
+        return (
+            long_running + inflow + left / LATER_BACKLOG_START_SECONDS
+        ) / TARGET_UTILISATION
 
-    def _lendable(self, look: _Look) -> dict[str, list[Instance]]:
-        """Return, by pool, the instances that it can spare now."""
+    def _transferable(self, snapshot: _Snapshot) -> dict[str, list[Instance]]:
+        """Return the instances that each pool can give to others now."""
         by_pool: dict[str, list[Instance]] = defaultdict(list)
-        unheard = unheard_zones(look.view)
-        for instance in look.free.values():
+        unreachable = unreachable_zones(snapshot.view)
+        for instance in snapshot.available.values():
             by_pool[instance.pool].append(instance)
         for pool, instances in by_pool.items():
-            if pool not in look.view.standby:
-                keep_racks_apart(instances)
-                del instances[spare(look.have[pool], look.needs.get(pool, 0)) :]
-            # What has its maintenance behind it is taken first, from the end: the rest
-            # is maintained where nothing runs.
-            due = look.view.due
-            instances.sort(key=lambda i: (i.zone not in unheard, i.machine not in due))
+            if pool not in snapshot.view.standby:
+                sort_by_rack_load(instances)
+                del instances[
+                    surplus(snapshot.counts[pool], snapshot.needs.get(pool, 0)) :
+                ]
+            # Instances are taken from the end, maintained ones first: the others get
+            # their maintenance while nothing runs on them.
+            due = snapshot.view.maintenance_due
+            instances.sort(
+                key=lambda i: (i.zone not in unreachable, i.machine not in due)
+            )
         return by_pool
 
     def _fill(
         self,
         pool: str,
         missing: int,
-        lendable: dict[str, list[Instance]],
-        look: _Look,
+        transferable: dict[str, list[Instance]],
+        snapshot: _Snapshot,
     ) -> Iterable[Move]:
         for _ in range(missing):
-            # One that is on already costs nothing more in its new pool.
+            # An instance that is on already costs nothing more in its new pool.
             donors = [
                 name
-                for name, instances in lendable.items()
+                for name, instances in transferable.items()
                 if instances and name != pool
             ]
             if not donors:
                 return
             donor = min(
                 donors,
-                key=lambda name: (name in look.view.standby, -len(lendable[name])),
+                key=lambda name: (
+                    name in snapshot.view.standby,
+                    -len(transferable[name]),
+                ),
             )
-            yield self._order(lendable[donor].pop(), pool, look)
+            yield self._order(transferable[donor].pop(), pool, snapshot)
 
-    def _rest(self, look: _Look) -> Iterable[Move]:
-        """Send off what its pool has not needed for a while."""
-        view, have = look.view, look.have
+    def _release_idle(self, snapshot: _Snapshot) -> Iterable[Move]:
+        """Move instances to standby that their pools have not needed for a while."""
+        view, counts = snapshot.view, snapshot.counts
         if not view.standby:
             return
         target = min(view.standby)
-        idle = idle_seconds()
+        timeout = idle_timeout_seconds()
         for machine, instance in sorted(
-            look.free.items(), key=lambda item: (item[0] not in view.due, item[0])
+            snapshot.available.items(),
+            key=lambda item: (item[0] not in view.maintenance_due, item[0]),
         ):
             pool = instance.pool
-            if machine in self.orders or pool in view.standby or pool not in look.needs:
+            if (
+                machine in self.orders
+                or pool in view.standby
+                or pool not in snapshot.needs
+            ):
                 continue
-            if look.now - self._idle_since[machine] < idle:
+            if snapshot.now - self._idle_since[machine] < timeout:
                 continue
-            recent = max(need for _, need in self._needs[pool])
-            if have[pool] <= max(recent, LEAST_INSTANCES):
+            recent_need = max(need for _, need in self._need_history[pool])
+            if counts[pool] <= max(recent_need, MIN_POOL_INSTANCES):
                 continue
-            have[pool] -= 1
-            yield self._order(instance, target, look)
+            counts[pool] -= 1
+            yield self._order(instance, target, snapshot)
 
-    def _order(self, instance: Instance, pool: str, look: _Look) -> Move:
+    def _order(self, instance: Instance, pool: str, snapshot: _Snapshot) -> Move:
         order = self.orders[instance.machine] = MoveOrder(
             instance.machine,
             pool,
-            look.now,
-            worker=instance.id or "",
-            born=look.view.born_of(instance),
+            snapshot.now,
+            worker_id=instance.id or "",
+            started_at_ms=snapshot.view.worker_started_at_ms(instance),
         )
         self._idle_since.pop(instance.machine, None)
         return order.move
@@ -288,6 +315,6 @@
     return (pools | set(view.pools)) - view.standby
 
 
-def _gap(item: tuple[str, int], have: Counter[str]) -> float:
+def _relative_shortage(item: tuple[str, int], counts: Counter[str]) -> float:
     pool, need = item
-    return (need - have[pool]) / max(1, have[pool])
+    return (need - counts[pool]) / max(1, counts[pool])
--- a/mustardward/components/fleet/services.py
+++ b/mustardward/components/fleet/services.py
@@ -1,4 +1,4 @@
-"""Read the fleet's list, and carry out what the planners decide."""
+"""Manage the fleet: poll the instance list and carry out the planners' decisions."""
 
 from __future__ import annotations
 
@@ -25,123 +25,130 @@
 from ..scheduling.scheduler import Scheduler
 from ..scheduling.worker_state import WorkerState
 from .const import (
-    BUSY_LIST_SECONDS,
-    LIST_SECONDS,
+    ACTIVE_LIST_INTERVAL_SECONDS,
+    LIST_INTERVAL_SECONDS,
     TICK_SECONDS,
 )
-from .hosts import Hosts
-from .leaving import find_leaving, is_leaving
-from .listing import ListReader
-from .models import Empty, FleetView, Load, Maintain, Move, WaveRun
-from .ordering import Ordering, OrderOutcome
+from .hosts import WorkerHosts
+from .leaving import find_cordoned, is_cordoned
+from .listing import InstanceListReader
+from .models import Drain, FleetView, Load, Maintain, Move, WaveRun
+from .ordering import OrderExecutor, OrderOutcome
 from .pools import PoolPlanner
-from .telling import WaveTelling
-from .unusable import UnusableInstances
-from .waves import WavePlanner, take_up
+from .telling import WaveReporter
+from .unusable import UnusableTracker
+from .waves import WavePlanner, resume_wave
 
 _LOGGER = get_logger(__name__)
 
-TICK_SHARE: Final = 0.15
-"""Most of an owner's time for the fleet: workers wait for the rest of it."""
+MAX_TICK_SHARE: Final = 0.15
+"""Largest share of an owner's time for the fleet; its workers need the rest."""
 
-LONGEST_TICK_SECONDS: Final = 2.0
-"""An instance that a pool needs is ordered this much later at most."""
+MAX_TICK_PAUSE_SECONDS: Final = 2.0
+"""Longest pause between two ticks, and thus delay of the order for an instance."""
 
-_DUTY: Final = Duty(TICK_SECONDS, TICK_SHARE, LONGEST_TICK_SECONDS)
+_DUTY: Final = Duty(TICK_SECONDS, MAX_TICK_SHARE, MAX_TICK_PAUSE_SECONDS)
 _IDLE: Final = Load(0, 0)
 
 
 @dataclass(slots=True, eq=False)
 class Fleet:
-    """Do the fleet work of one ownership.
+    """Manage the fleet for the term of one owner.
 
-    :param barred: until when instances are left alone, in steady seconds, since the
-        owner before ordered them: their holder must not change twice within a lease.
-    :param ledger_appender: stores which instances a wave has taken.
+    :param blocked_until: until when machines get no orders, in monotonic seconds, since
+        the previous owner ordered them: their holder must not change twice within a
+        lease.
+    :param ledger_appender: stores which instances a wave has maintained.
+    :param authorised: whether this owner may still issue orders.
     """
 
-    listing: ListReader
-    ordering: Ordering
-    barred: dict[str, float]
+    list_reader: InstanceListReader
+    executor: OrderExecutor
+    blocked_until: dict[str, float]
     timers: TimerService
     scheduler: Scheduler
     dispatcher: Dispatcher
     configuration: Configuration
     ledger: Ledger
     ledger_appender: GroupAppender
-    planner: WavePlanner
-    telling: WaveTelling
-    pools: PoolPlanner
+    wave_planner: WavePlanner
+    wave_reporter: WaveReporter
+    pool_planner: PoolPlanner
     authorised: Callable[[], bool]
     tasks: TaskGroup
     _instances: dict[str, Instance] = field(default_factory=dict)
-    _hosts: Hosts = field(default_factory=Hosts)
-    _unusable: UnusableInstances = field(default_factory=UnusableInstances)
+    _worker_hosts: WorkerHosts = field(default_factory=WorkerHosts)
+    _unusable: UnusableTracker = field(default_factory=UnusableTracker)
     _read_at: float = -1.0
     _complete: bool = True
 
     async def async_run(self) -> None:
-        """Work until cancelled."""
+        """Poll the list and carry out decisions until cancelled."""
         while True:
             await self._async_read_if_due()
-            began = self.timers.monotonic()
+            started_at = self.timers.monotonic()
             self._decide()
-            spent = self.timers.monotonic() - began
-            await self.timers.async_sleep(_DUTY.pause(spent))
+            seconds = self.timers.monotonic() - started_at
+            await self.timers.async_sleep(_DUTY.pause(seconds))
 
     async def _async_read_if_due(self) -> None:
-        self._take_in_waves()
+        self._add_new_waves()
         now = self.timers.monotonic()
-        active = any(not run.done for run in self.planner.runs.values())
-        active = active or bool(self.pools.orders) or self.dispatcher.any_silent()
-        interval = BUSY_LIST_SECONDS if active else LIST_SECONDS
-        if now - self._read_at >= self.listing.interval(interval):
+        active = any(not run.done for run in self.wave_planner.runs.values())
+        active = (
+            active or bool(self.pool_planner.orders) or self.dispatcher.any_silent()
+        )
+        interval = ACTIVE_LIST_INTERVAL_SECONDS if active else LIST_INTERVAL_SECONDS
+        if now - self._read_at >= self.list_reader.interval(interval):
             await self._async_read()
 
     def _decide(self) -> None:
-        """Decide on moves and maintenance by the newest list."""
+        """Decide on moves and maintenance by the latest list."""
         if self._read_at < 0 or not self.authorised():
             return
         now = self.timers.monotonic()
-        barred = self._barred()
+        blocked = self._blocked_machines()
         view = self._view()
         self.scheduler.board.unusable = view.unusable
-        taken = self.planner.taken() | barred
-        for move in self.pools.decide(
-            view, measure(self.scheduler.board, now), taken, now
+        held = self.wave_planner.held_machines() | blocked
+        for move in self.pool_planner.decide(
+            view, measure(self.scheduler.board, now), held, now
         ):
             self.tasks.start_soon(self._async_move, move)
         view = replace(
             view,
-            moving=frozenset(barred | set(self.pools.orders)),
-            barred=frozenset(barred),
+            moving=frozenset(blocked | set(self.pool_planner.orders)),
+            blocked=frozenset(blocked),
         )
-        for decision in self.planner.decide(view, now):
-            if isinstance(decision, Empty):
-                _LOGGER.info("instance_emptying", machine=decision.machine)
+        for decision in self.wave_planner.decide(view, now):
+            if isinstance(decision, Drain):
+                _LOGGER.info("instance_draining", machine=decision.machine)
             elif isinstance(decision, Maintain):
                 self.tasks.start_soon(self._async_maintain, decision)
-        # Before a call is sent: a task that were placed until then would end.
-        self._settle_leaving()
-        self.scheduler.board.coming = self._coming()
-        self.scheduler.set_due({self._worker_of(machine) for machine in view.due})
-        for number in self.telling.tell(view, now):
-            self._store_wave(self.planner.runs[number])
+        # Cordons the workers before the orders are sent: a task placed on one of them
+        # meanwhile would be interrupted.
+        self._update_cordons()
+        self.scheduler.board.coming = self._incoming_cpu()
+        self.scheduler.set_due(
+            {self._worker_of(machine) for machine in view.maintenance_due}
+        )
+        for number in self.wave_reporter.report(view, now):
+            self._store_wave(self.wave_planner.runs[number])
 
     async def _async_read(self) -> None:
-        read = await self.listing.async_read()
-        if read is None:
+        listing = await self.list_reader.async_read()
+        if listing is None:
             return
-        self._read_at = read.begun_at
-        self._instances = {row.machine: row for row in read.instances}
-        self._complete = read.complete
-        self._drop_gone(self._read_at)
+        self._read_at = listing.started_at
+        self._instances = {row.machine: row for row in listing.instances}
+        self._complete = listing.complete
+        self._lose_unlisted_workers(self._read_at)
 
     def listed_workers(self) -> dict[str, str] | None:
-        """Return the data centres of the workers that the list names as up.
+        """Return the data centres of the workers that are listed as up.
 
-        :returns: None if the list was not read yet, or a row of it can't be read: a
-            worker that is missing from it may then still run.
+        :returns: None if the list was not read yet or has an unreadable row: a worker
+            that is missing from it may still run.
         """
         if self._read_at < 0 or not self._complete:
             return None
@@ -151,102 +158,114 @@
             if instance.id and instance.state == INSTANCE_UP
         }
 
-    def _drop_gone(self, read_at: float) -> None:
-        """Lose the silent workers whose incarnation the list shows as over.
+    def _lose_unlisted_workers(self, read_at: float) -> None:
+        """Remove the unresponsive workers whose incarnation is no longer listed.
 
-        Their tasks would else wait for the end of their leases.
+        Their tasks would otherwise not restart before the end of their leases.
         """
         listed = self.listed_workers()
         if listed is None:
             return
         sessions = self.dispatcher.sessions
-        ordered = self._barred() | set(self.pools.orders) | self.planner.taken()
+        ordered = (
+            self._blocked_machines()
+            | set(self.pool_planner.orders)
+            | self.wave_planner.held_machines()
+        )
         for worker_id, session in list(sessions.items()):
-            since = session.silent_since
-            if session.gone or since is None or worker_id in listed:
+            silent_since = session.silent_since
+            if session.gone or silent_since is None or worker_id in listed:
                 continue
-            if read_at > since:
-                cause = self._hosts.why_unlisted(worker_id, self._instances, ordered)
-                _LOGGER.info("silent_worker_gone", worker=worker_id, cause=cause.value)
+            if read_at > silent_since:
+                cause = self._worker_hosts.loss_cause(
+                    worker_id, self._instances, ordered
+                )
+                _LOGGER.info(
+                    "unlisted_worker_lost", worker=worker_id, cause=cause.value
+                )
                 self.dispatcher.lose_worker(worker_id, cause)
         alive = {name for name, session in sessions.items() if not session.gone}
-        self._hosts.read(self._instances, alive)
+        self._worker_hosts.update(self._instances, alive)
 
-    def _barred(self) -> set[str]:
-        """Return the machines that the owner before may just have ordered."""
+    def _blocked_machines(self) -> set[str]:
+        """Return the machines that the previous owner may just have ordered."""
         now = self.timers.monotonic()
-        return {machine for machine, until in self.barred.items() if until > now}
+        return {machine for machine, until in self.blocked_until.items() if until > now}
 
     async def _async_maintain(self, order: Maintain) -> None:
-        outcome = await self.ordering.async_give(order)
+        outcome = await self.executor.async_execute(order)
         if outcome is OrderOutcome.REFUSED:
-            self.planner.refused(order.wave, order.machine)
-            self._settle_leaving()
+            self.wave_planner.record_refused(order.wave, order.machine)
+            self._update_cordons()
         elif outcome is OrderOutcome.BEGUN:
-            self.planner.accepted(order.wave, order.machine, self.timers.monotonic())
-            self._lose_worker_of(order)
-            self._store_wave(self.planner.runs[order.wave])
+            self.wave_planner.record_accepted(
+                order.wave, order.machine, self.timers.monotonic()
+            )
+            self._lose_ordered_worker(order)
+            self._store_wave(self.wave_planner.runs[order.wave])
 
     async def _async_move(self, order: Move) -> None:
-        outcome = await self.ordering.async_give(order)
+        outcome = await self.executor.async_execute(order)
         if outcome is OrderOutcome.REFUSED:
-            self.pools.refused(order.machine)
-            self._settle_leaving()
+            self.pool_planner.record_refused(order.machine)
+            self._update_cordons()
         elif outcome is OrderOutcome.BEGUN:
-            self.pools.accepted(order.machine, self.timers.monotonic())
-            self._lose_worker_of(order)
+            self.pool_planner.record_accepted(order.machine, self.timers.monotonic())
+            self._lose_ordered_worker(order)
 
-    def _lose_worker_of(self, order: Maintain | Move) -> None:
-        """Lose the worker that an order was decided for, and none that came since."""
-        if not order.worker:
+    def _lose_ordered_worker(self, order: Maintain | Move) -> None:
+        """Remove the worker that an order was decided for, but no later incarnation."""
+        if not order.worker_id:
             return
-        worker = self.scheduler.board.workers.get(order.worker)
-        if worker is not None and is_other(worker.born, order.born):
+        worker = self.scheduler.board.workers.get(order.worker_id)
+        if worker is not None and is_other(worker.born, order.started_at_ms):
             return
-        self.dispatcher.lose_worker(order.worker, LossCause.ORDERED)
+        self.dispatcher.lose_worker(order.worker_id, LossCause.ORDERED)
 
     def _worker_of(self, machine: str) -> str:
         instance = self._instances.get(machine)
         return (instance.id if instance is not None else None) or ""
 
-    def _coming(self) -> dict[str, int]:
-        """Return the processor that is on its way to each pool."""
-        coming: Counter[str] = Counter()
-        for machine, order in self.pools.orders.items():
+    def _incoming_cpu(self) -> dict[str, int]:
+        """Return the CPU capacity that is moving to each pool."""
+        incoming: Counter[str] = Counter()
+        for machine, order in self.pool_planner.orders.items():
             instance = self._instances.get(machine)
             if instance is not None:
-                coming[order.pool] += instance.capacity.cpu
-        return coming
+                incoming[order.pool] += instance.capacity.cpu
+        return incoming
 
-    def _look_for_unusable(self, standby: frozenset[str]) -> frozenset[str]:
-        """Return the workers that nothing can be started on for a while."""
+    def _find_unusable(self, standby: frozenset[str]) -> frozenset[str]:
+        """Return the workers that have been unable to take tasks for a while."""
         board = self.scheduler.board
-        counted = (
+        instances = (
             instance
             for instance in self._instances.values()
             if instance.state == INSTANCE_UP and instance.pool not in standby
         )
         now = self.timers.monotonic()
-        return self._unusable.look(counted, board.workers, board.taken_over_at, now)
+        return self._unusable.update(instances, board.workers, board.taken_over_at, now)
 
-    def _settle_leaving(self) -> None:
-        """Let those workers leave, and no others, that are about to be taken."""
+    def _update_cordons(self) -> None:
+        """Cordon exactly the workers that are about to be moved or maintained."""
         now = self.timers.monotonic()
-        leaving = find_leaving(self.planner.runs.values(), self.pools.orders.values())
+        cordoned = find_cordoned(
+            self.wave_planner.runs.values(), self.pool_planner.orders.values()
+        )
         for worker in self.scheduler.board.workers.values():
-            leaves = is_leaving(worker, leaving)
-            if worker.leaving != leaves:
-                self.scheduler.set_leaving(worker.id, leaves, now)
+            is_leaving = is_cordoned(worker, cordoned)
+            if worker.leaving != is_leaving:
+                self.scheduler.set_leaving(worker.id, is_leaving, now)
 
-    def _take_in_waves(self) -> None:
+    def _add_new_waves(self) -> None:
         for number, wave in self.configuration.waves.items():
-            if number in self.planner.runs:
+            if number in self.wave_planner.runs:
                 continue
             now = self.timers.monotonic()
             wall = self.timers.wall()
             stored = self.ledger.waves.get(str(number))
-            run = take_up(wave, stored, now, wall)
-            self.planner.runs[number] = run
+            run = resume_wave(wave, stored, now, wall)
+            self.wave_planner.runs[number] = run
             if stored is None:
                 self._store_wave(run)
 
@@ -266,20 +285,22 @@
             frozenset(pools),
             self._read_at,
             complete=self._complete,
-            unusable=self._look_for_unusable(standby),
-            due=frozenset(self.planner.due()),
-            rooms={w.id: w.capacity for w in self.scheduler.board.workers.values()},
+            unusable=self._find_unusable(standby),
+            maintenance_due=frozenset(self.wave_planner.maintenance_due()),
+            capacities={
+                w.id: w.capacity for w in self.scheduler.board.workers.values()
+            },
         )
 
     def _store_wave(self, run: WaveRun) -> None:
-        record = WaveRecord(sorted(run.begun), run.done, run.seen_wall)
+        record = WaveRecord(sorted(run.started), run.done, run.first_seen_wall)
         key = f"{PREFIX_WAVE}{run.wave.wave}"
         self.ledger_appender.post([(key, encode(record))])
 
 
 def _load_of(worker: WorkerState) -> Load:
-    """Return what runs on a worker; most of a large fleet's have nothing to count."""
+    """Return the load of a worker; most workers of a large fleet have no tasks."""
     if not worker.tasks and not worker.born:
         return _IDLE
-    lasting = sum(task.step.spec.long_running for task in worker.tasks.values())
-    return Load(lasting, len(worker.tasks) - lasting, worker.born)
+    long_running = sum(task.step.spec.long_running for task in worker.tasks.values())
+    return Load(long_running, len(worker.tasks) - long_running, worker.born)
--- a/mustardward/components/fleet/sizes.py
+++ b/mustardward/components/fleet/sizes.py
@@ -1,4 +1,4 @@
-"""Say how large the instances of each pool are; pure."""
+"""Calculate the mean instance size of each pool; pure."""
 
 from __future__ import annotations
 
@@ -8,24 +8,26 @@
 from ...platform.models import Room
 from .models import FleetView
 
-ANY_POOL: Final = ""
-"""Stands for all pools: one that has no instance is taken for as large as they are."""
+ALL_POOLS: Final = ""
+"""Key of the mean over all pools, which applies to a pool without instances."""
 
 
-def sizes_of(view: FleetView) -> dict[str, Room]:
-    """Return the mean room of each pool's instances, and of all of them."""
-    rooms: dict[str, list[Room]] = defaultdict(list)
+def mean_sizes(view: FleetView) -> dict[str, Room]:
+    """Return the mean capacity of the instances of each pool and of all pools."""
+    capacities: dict[str, list[Room]] = defaultdict(list)
     for instance in view.instances.values():
-        rooms[instance.pool].append(view.room_of(instance))
-    sizes = {pool: _mean(of_pool) for pool, of_pool in rooms.items()}
-    sizes[ANY_POOL] = _mean([room for of_pool in rooms.values() for room in of_pool])
+        capacities[instance.pool].append(view.capacity_of(instance))
+    sizes = {pool: _mean(of_pool) for pool, of_pool in capacities.items()}
+    sizes[ALL_POOLS] = _mean(
+        [capacity for of_pool in capacities.values() for capacity in of_pool]
+    )
     return sizes
 
 
-def _mean(rooms: list[Room]) -> Room:
-    count = max(1, len(rooms))
+def _mean(capacities: list[Room]) -> Room:
+    count = max(1, len(capacities))
     return Room(
-        sum(room.cpu for room in rooms) // count,
-        sum(room.mem_mb for room in rooms) // count,
-        max((room.gpu for room in rooms), default=0),
+        sum(capacity.cpu for capacity in capacities) // count,
+        sum(capacity.mem_mb for capacity in capacities) // count,
+        max((capacity.gpu for capacity in capacities), default=0),
     )
--- a/mustardward/components/fleet/telling.py
+++ b/mustardward/components/fleet/telling.py
@@ -1,4 +1,4 @@
-"""Tell operators how far waves are, in the platform's store and in the log."""
+"""Report the progress of maintenance waves to the platform's store and the log."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from ...platform.models import WAVE_DONE, WAVE_RUNNING, Instance
 from ...platform.store import KEY_WAVE_PREFIX
 from ..ledger.appender import GroupAppender
-from .const import NAMED_INSTANCES, TELL_SECONDS
+from .const import MAX_LOGGED_INSTANCES, PROGRESS_LOG_SECONDS
 from .models import FleetView
 from .waves import WavePlanner
 
@@ -18,56 +18,62 @@
 
 
 @dataclass(slots=True, eq=False)
-class WaveTelling:
-    """Tell each wave's state once it changes, and its progress each second.
+class WaveReporter:
+    """Store the state of each wave when it changes, and log its progress regularly.
 
-    :param appender: stores what operators read.
+    :param appender: stores the states that operators read.
     """
 
     appender: GroupAppender
-    planner: WavePlanner
-    _told: dict[int, str] = field(default_factory=dict)
-    _progress_told_at: float = 0.0
+    wave_planner: WavePlanner
+    _reported_states: dict[int, str] = field(default_factory=dict)
+    _progress_reported_at: float = 0.0
 
-    def tell(self, view: FleetView, now: float) -> list[int]:
-        """Tell what changed; return the waves that are newly done."""
-        if now - self._progress_told_at >= TELL_SECONDS:
-            self._progress_told_at = now
-            self._tell_progress(view)
-        return [number for number in self.planner.runs if self._tell_state(number)]
+    def report(self, view: FleetView, now: float) -> list[int]:
+        """Report all changes; return the waves that are newly done."""
+        if now - self._progress_reported_at >= PROGRESS_LOG_SECONDS:
+            self._progress_reported_at = now
+            self._report_progress(view)
+        return [
+            number for number in self.wave_planner.runs if self._report_state(number)
+        ]
 
-    def _tell_state(self, number: int) -> bool:
-        """Tell one wave's state; return whether it is newly done."""
-        done = self.planner.runs[number].done
+    def _report_state(self, number: int) -> bool:
+        """Store a wave's state if it has changed; return whether it is newly done."""
+        done = self.wave_planner.runs[number].done
         state = WAVE_DONE if done else WAVE_RUNNING
-        if self._told.get(number) == state:
+        if self._reported_states.get(number) == state:
             return False
-        self._told[number] = state
+        self._reported_states[number] = state
         body = msgspec.json.encode({"state": state})
         self.appender.post([(f"{KEY_WAVE_PREFIX}{number}", body)])
         if done:
             _LOGGER.info("wave_done", wave=number)
         return done
 
-    def _tell_progress(self, view: FleetView) -> None:
-        for number, run in self.planner.runs.items():
+    def _report_progress(self, view: FleetView) -> None:
+        for number, run in self.wave_planner.runs.items():
             if run.done:
                 continue
-            left = self.planner.left(run, view)
-            waiting = [i for i in left if i.machine not in run.emptying]
+            left = self.wave_planner.remaining_instances(run, view)
+            waiting = [i for i in left if i.machine not in run.draining]
             _LOGGER.info(
                 "wave_progress",
                 wave=number,
                 left=len(left),
-                emptying=len(run.emptying),
+                draining=len(run.draining),
                 ordered=len(run.orders),
-                waiting=",".join(_describe(i, view) for i in waiting[:NAMED_INSTANCES]),
+                waiting=",".join(
+                    _describe(i, view) for i in waiting[:MAX_LOGGED_INSTANCES]
+                ),
             )
 
 
 def _describe(instance: Instance, view: FleetView) -> str:
-    """Return why a wave may not take an instance yet."""
+    """Return the properties of an instance that may delay its maintenance."""
     load = view.loads.get(instance.id or "")
-    tasks = f"{load.lasting}+{load.others}" if load is not None else "unknown"
+    tasks = (
+        f"{load.long_running}+{load.short_running}" if load is not None else "unknown"
+    )
     moving = ":moving" if instance.machine in view.moving else ""
     return f"{instance.machine}:{instance.pool}:{instance.state}:{tasks}{moving}"
--- a/mustardward/components/fleet/unusable.py
+++ b/mustardward/components/fleet/unusable.py
@@ -1,4 +1,4 @@
-"""Say which instances that are up can run nothing, and since when."""
+"""Track which instances are up but unable to run tasks, and since when."""
 
 from __future__ import annotations
 
@@ -8,66 +8,78 @@
 from ...platform.models import Instance
 from ..scheduling.placement import can_serve
 from ..scheduling.worker_state import WorkerState
-from .const import HEARING_SECONDS_EACH, SILENT_SECONDS, UNHEARD_SECONDS
+from .const import (
+    FIRST_CONTACT_SECONDS,
+    FIRST_CONTACT_SECONDS_PER_WORKER,
+    UNRESPONSIVE_SECONDS,
+)
 
 
 @dataclass(slots=True, eq=False)
-class UnusableInstances:
-    """Know for how long the workers of instances that are up could run nothing.
+class UnusableTracker:
+    """Track for how long the workers of instances that are up can't run tasks.
 
-    Instances that come, and all of them after a takeover, have some seconds to be heard
-    of: a pool would else ask for one after the other meanwhile.
+    New instances, and all instances after a takeover, have some seconds until the first
+    response of their workers: their pool would otherwise request one replacement after
+    another meanwhile.
 
-    :param _since: since when, by the worker, or by the machine if the list names none.
-    :param _served: the workers that served under this owner.
+    :param _since: since when a worker is unusable, by its id, or by the machine if the
+        list shows no worker there.
+    :param _seen_serving: workers that were able to serve under this owner.
     """
 
     _since: dict[str, float] = field(default_factory=dict)
-    _served: set[str] = field(default_factory=set)
-    _looked: bool = False
+    _seen_serving: set[str] = field(default_factory=set)
+    _updated: bool = False
 
-    def look(
+    def update(
         self,
         instances: Iterable[Instance],
         workers: Mapping[str, WorkerState],
         taken_over_at: float,
         now: float,
     ) -> frozenset[str]:
-        """Return the workers, or machines without one, that do not count.
+        """Return the workers, or machines without one, that are unusable.
 
-        :param instances: all that are up and not off.
-        :param taken_over_at: when this owner began; what the first list names was up.
+        :param instances: all instances that are up and not on standby.
+        :param taken_over_at: when this owner took over; the instances of its first list
+            have been up since then.
         """
-        named = {instance.id or instance.machine for instance in instances}
-        serving = {name for name in named if _serves(workers.get(name))}
-        self._served = (self._served & named) | serving
-        first = now if self._looked else taken_over_at
-        self._looked = True
+        names = {instance.id or instance.machine for instance in instances}
+        serving = {name for name in names if _can_serve(workers.get(name))}
+        self._seen_serving = (self._seen_serving & names) | serving
+        first = now if self._updated else taken_over_at
+        self._updated = True
         self._since = {
-            name: self._since.get(name, first) for name in named if name not in serving
+            name: self._since.get(name, first) for name in names if name not in serving
         }
-        unheard = UNHEARD_SECONDS + HEARING_SECONDS_EACH * len(named)
+        contact_timeout = (
+            FIRST_CONTACT_SECONDS + FIRST_CONTACT_SECONDS_PER_WORKER * len(names)
+        )
         return frozenset(
             name
             for name in self._since
-            if self._does_not_count(name, workers.get(name), unheard, now)
+            if self._is_unusable(name, workers.get(name), contact_timeout, now)
         )
 
-    def _does_not_count(
-        self, name: str, worker: WorkerState | None, unheard: float, now: float
+    def _is_unusable(
+        self, name: str, worker: WorkerState | None, contact_timeout: float, now: float
     ) -> bool:
         since = self._since[name]
         if worker is None or not (worker.confirmed or worker.stale):
-            # It may still have to be asked, in its turn.
-            bound = SILENT_SECONDS if name in self._served else unheard
-            return now - since > bound
+            # The owner polls workers in turn and may not have reached this one yet.
+            timeout = (
+                UNRESPONSIVE_SECONDS if name in self._seen_serving else contact_timeout
+            )
+            return now - since > timeout
         if worker.draining or worker.absent:
-            # The worker said so, or its entry stayed away for long enough.
+            # Both are certain: the worker reports that it drains, or its entry has been
+            # missing for long enough.
             return True
         if worker.stale and worker.heard_at:
             since = min(since, worker.heard_at)
-        return now - since > SILENT_SECONDS
+        return now - since > UNRESPONSIVE_SECONDS
 
 
-def _serves(worker: WorkerState | None) -> bool:
+def _can_serve(worker: WorkerState | None) -> bool:
     return worker is not None and can_serve(worker)
--- a/mustardward/components/ownership/owner.py
+++ b/mustardward/components/ownership/owner.py
@@ -14,11 +14,11 @@
 from ...platform.store import TOPIC_STATUS, TOPIC_WORKERS, Producer
 from ..dispatch.dispatcher import Dispatcher
 from ..fleet.budget import OrderBudget
-from ..fleet.listing import ListReader
-from ..fleet.ordering import Ordering
+from ..fleet.listing import InstanceListReader
+from ..fleet.ordering import OrderExecutor
 from ..fleet.pools import PoolPlanner
 from ..fleet.services import Fleet
-from ..fleet.telling import WaveTelling
+from ..fleet.telling import WaveReporter
 from ..fleet.waves import WavePlanner
 from ..ledger.appender import GroupAppender, Record
 from ..ledger.const import MARKS_OF_OWNERS, SHARD, TOPIC
@@ -200,8 +200,10 @@
         )
         planner = WavePlanner(parts.bounds.maintenance_s)
         fleet = Fleet(
-            ListReader(client, parts.timers, parts.fleet_limits.rate_per_s),
-            Ordering(client, self._epoch, self._renewals.async_announce, self.depose),
+            InstanceListReader(client, parts.timers, parts.fleet_limits.rate_per_s),
+            OrderExecutor(
+                client, self._epoch, self._renewals.async_announce, self.depose
+            ),
             barred,
             parts.timers,
             self.scheduler,
@@ -210,7 +212,7 @@
             parts.ledger,
             self.appender,
             planner,
-            WaveTelling(status, planner),
+            WaveReporter(status, planner),
             PoolPlanner(
                 parts.bounds.move_s, OrderBudget(parts.fleet_limits.duty_per_s)
             ),
--- a/tests/components/fleet/builders.py
+++ b/tests/components/fleet/builders.py
@@ -1,4 +1,4 @@
-"""Build fleets for the planners' tests."""
+"""Build fleets for the tests of the planners."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def an_instance(number: int, pool: str = POOL, **changes: object) -> Instance:
-    """Return an instance that is up; one of a standby pool has no worker."""
+    """Return an instance that is up; in a standby pool it has no worker."""
     values: dict[str, object] = {
         "machine": f"m-{number:02d}",
         "pool": pool,
@@ -33,9 +33,9 @@
     loads: dict[str, Load] | None = None,
     read_at: float = 0.0,
     moving: frozenset[str] = frozenset(),
-    barred: frozenset[str] = frozenset(),
+    blocked: frozenset[str] = frozenset(),
 ) -> FleetView:
-    """Return a view in which workers run nothing unless told otherwise."""
+    """Return a view in which workers are idle unless ``loads`` has an entry."""
     known = {i.id: EMPTY for i in instances if i.id is not None}
     known.update(loads or {})
     pools = frozenset({i.pool for i in instances} | {POOL, OTHER})
@@ -45,8 +45,8 @@
         frozenset({STANDBY}),
         pools,
         read_at,
-        moving | barred,
-        barred,
+        moving | blocked,
+        blocked,
     )
 
 
@@ -60,7 +60,7 @@
 def a_load(
     cores: float = 0.0, waiting: float = 0.0, seconds: float = 0.0, spread: int = 0
 ) -> PoolLoad:
-    """Return a pool's load, in cores; what runs goes on for three seconds."""
+    """Return a pool's load in cores; running tasks take three more seconds."""
     return PoolLoad(
         running=Amount(cores * 1000),
         waiting=Amount(waiting * 1000),
--- a/tests/components/fleet/test_holds.py
+++ b/tests/components/fleet/test_holds.py
@@ -1,4 +1,4 @@
-"""Test that no instance is left out of use for longer than its reason lasts."""
+"""Test that workers are cordoned exactly while an order or a wave requires it."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import pytest
 
-from mustardward.components.fleet.const import LEAST_INSTANCES, MOVE_LOST_SECONDS
+from mustardward.components.fleet.const import MIN_POOL_INSTANCES, MOVE_TIMEOUT_SECONDS
 from mustardward.components.fleet.models import Maintain, Move
 from mustardward.components.fleet.ordering import OrderOutcome
 from mustardward.components.fleet.pools import PoolPlanner
@@ -26,11 +26,11 @@
 
 
 @dataclass(slots=True)
-class FleetBench:
-    """Drive a fleet by lists; orders are noted, and the platform answers none.
+class FleetHarness:
+    """Drive a fleet by instance lists; record its orders without a response.
 
-    :param orders: what was to be ordered.
-    :param lost: the workers that were taken for gone.
+    :param orders: the orders that were to be issued.
+    :param lost: the workers that were removed.
     """
 
     instances: list[Instance]
@@ -42,11 +42,11 @@
     fleet: Fleet = field(init=False)
 
     def __post_init__(self) -> None:
-        """Make the fleet, and a worker for each instance that is on."""
+        """Create the fleet, and a worker for each instance that is on."""
         self.fleet = Fleet(
-            listing=None,  # type: ignore[arg-type]
-            ordering=SimpleNamespace(async_give=self._async_give),  # type: ignore[arg-type]
-            barred={},
+            list_reader=None,  # type: ignore[arg-type]
+            executor=SimpleNamespace(async_execute=self._async_execute),  # type: ignore[arg-type]
+            blocked_until={},
             timers=SimpleNamespace(monotonic=lambda: self.bench.now),  # type: ignore[arg-type]
             scheduler=self.bench.scheduler,
             dispatcher=SimpleNamespace(lose_worker=self._lose),  # type: ignore[arg-type]
@@ -55,9 +55,9 @@
             ),
             ledger=None,  # type: ignore[arg-type]
             ledger_appender=SimpleNamespace(post=lambda records: None),  # type: ignore[arg-type]
-            planner=self.waves,
-            telling=SimpleNamespace(tell=lambda view, now: []),  # type: ignore[arg-type]
-            pools=PoolPlanner(MOVE_SECONDS),
+            wave_planner=self.waves,
+            wave_reporter=SimpleNamespace(report=lambda view, now: []),  # type: ignore[arg-type]
+            pool_planner=PoolPlanner(MOVE_SECONDS),
             authorised=lambda: True,
             tasks=SimpleNamespace(start_soon=self._start),  # type: ignore[arg-type]
         )
@@ -66,11 +66,11 @@
                 self.bench.worker(instance.id, service=instance.pool)
 
     def worker(self, name: str) -> WorkerState:
-        """Return a worker."""
+        """Return the state of a worker."""
         return self.bench.scheduler.board.workers[name]
 
     def look(self, instances: list[Instance]) -> None:
-        """Read a list, and decide."""
+        """Apply an instance list and decide by it."""
         self.bench.now += 0.5
         self.fleet._instances = {i.machine: i for i in instances}
         self.fleet._read_at = self.bench.now
@@ -82,34 +82,34 @@
     def _lose(self, worker_id: str, cause: LossCause) -> None:
         self.lost.append(worker_id)
 
-    async def _async_give(self, order: object) -> OrderOutcome:
+    async def _async_execute(self, order: object) -> OrderOutcome:
         return self.outcome
 
 
-def test_a_pool_whose_instance_is_maintained_gets_another() -> None:
-    """Guards against a pool of the least size that a wave makes smaller."""
+def test_a_pool_gets_a_replacement_for_an_instance_in_maintenance() -> None:
+    """Guard against a wave that shrinks a pool below its minimum size."""
     planner = PoolPlanner(MOVE_SECONDS)
-    pool = [an_instance(number) for number in range(LEAST_INSTANCES)]
+    pool = [an_instance(number) for number in range(MIN_POOL_INSTANCES)]
     others = [an_instance(number, OTHER) for number in (4, 5)]
     view = a_view([*pool, *others, an_instance(8, STANDBY)])
     assert planner.decide(view, {}, {"m-00"}, 0.0) == [Move("m-08", POOL)]
 
 
 @pytest.mark.anyio
-async def test_a_refused_move_gives_its_worker_back() -> None:
-    """Guards against a worker that stays left out for a move that never comes."""
+async def test_a_refused_move_uncordons_its_worker() -> None:
+    """Guard against a worker that stays cordoned for a move that doesn't happen."""
     instances = [an_instance(number) for number in range(3)]
-    fleet = FleetBench(instances, outcome=OrderOutcome.REFUSED)
+    fleet = FleetHarness(instances, outcome=OrderOutcome.REFUSED)
     fleet.look(instances)
     fleet.bench.scheduler.set_leaving("i-00", True, fleet.bench.now)
     await fleet.fleet._async_move(Move("m-00", OTHER))
     assert not fleet.worker("i-00").leaving
 
 
-def test_a_worker_that_was_emptied_is_used_again_if_its_wave_ends_without_it() -> None:
-    """Guards against a worker that is left out since a list did not name it once."""
+def test_a_drained_worker_is_uncordoned_if_its_wave_ends_without_it() -> None:
+    """Guard against a worker that stays cordoned because one list lacked it."""
     instances = [an_instance(number) for number in range(8)]
-    fleet = FleetBench(instances)
+    fleet = FleetHarness(instances)
     fleet.bench.add(a_job(a_step(count=1, long_running=True)))
     (start,) = fleet.bench.plan_starts()
     fleet.waves.runs[1] = a_wave([start.worker.replace("i", "m")])
@@ -117,14 +117,14 @@
     assert fleet.worker(start.worker).leaving
     fleet.look([i for i in instances if i.id != start.worker])
     fleet.look(instances)
-    held = start.worker.replace("i", "m") in fleet.waves.taken()
+    held = start.worker.replace("i", "m") in fleet.waves.held_machines()
     assert held or not fleet.worker(start.worker).leaving
 
 
-def an_emptying_fleet() -> tuple[FleetBench, str, str]:
-    """Return a fleet with a wave's instance whose worker is being emptied."""
+def a_draining_fleet() -> tuple[FleetHarness, str, str]:
+    """Return a fleet with an instance that a wave drains, and its worker."""
     instances = [an_instance(number) for number in range(8)]
-    fleet = FleetBench(instances)
+    fleet = FleetHarness(instances)
     fleet.bench.add(a_job(a_step(count=1, long_running=True)))
     (start,) = fleet.bench.plan_starts()
     machine = start.worker.replace("i", "m")
@@ -134,9 +134,9 @@
     return fleet, machine, start.worker
 
 
-def test_a_worker_whose_instance_is_not_up_for_a_moment_is_emptied_anew() -> None:
-    """Guards against a worker that is left out though no wave holds it any more."""
-    fleet, machine, worker_id = an_emptying_fleet()
+def test_a_worker_is_drained_again_after_its_instance_was_down() -> None:
+    """Guard against a worker that stays cordoned though no wave drains it."""
+    fleet, machine, worker_id = a_draining_fleet()
     up = dict(fleet.fleet._instances)
     number = int(machine[2:])
     fleet.look([*up.values(), an_instance(number, state="down")])
@@ -145,52 +145,56 @@
     assert fleet.worker(worker_id).leaving
 
 
-def test_a_worker_that_came_where_one_was_emptied_is_emptied_too() -> None:
-    """Guards against an instance that is never empty, and holds its wave's place."""
-    fleet, machine, _ = an_emptying_fleet()
+def test_a_worker_that_replaces_a_drained_one_is_drained_too() -> None:
+    """Guard against an instance that never becomes idle and blocks its wave."""
+    fleet, machine, _ = a_draining_fleet()
     fleet.bench.worker("i-90")
     new = an_instance(int(machine[2:]), id="i-90")
     fleet.look([*fleet.fleet._instances.values(), new])
     assert fleet.worker("i-90").leaving
 
 
-def an_order_without_an_answer() -> tuple[FleetBench, str]:
-    """Return a fleet whose pool gave an instance away, and its worker."""
-    instances = [an_instance(number) for number in range(LEAST_INSTANCES + 1)]
+def an_unanswered_move() -> tuple[FleetHarness, str]:
+    """Return a fleet with a move whose order got no response, and its worker."""
+    instances = [an_instance(number) for number in range(MIN_POOL_INSTANCES + 1)]
     instances += [an_instance(number, OTHER) for number in range(4, 5)]
-    fleet = FleetBench(instances, outcome=OrderOutcome.UNKNOWN)
+    fleet = FleetHarness(instances, outcome=OrderOutcome.UNKNOWN)
     fleet.look(instances)
-    (order,) = fleet.fleet.pools.orders.values()
+    (order,) = fleet.fleet.pool_planner.orders.values()
     return fleet, order.machine.replace("m", "i")
 
 
-def test_a_worker_is_left_out_until_its_move_is_seen() -> None:
-    """Guards against tasks that a move under way would end."""
-    fleet, worker_id = an_order_without_an_answer()
+def test_a_worker_is_cordoned_until_its_move_is_listed() -> None:
+    """Guard against tasks that a move in progress would interrupt."""
+    fleet, worker_id = an_unanswered_move()
     instances = list(fleet.fleet._instances.values())
     assert fleet.worker(worker_id).leaving
-    fleet.fleet.pools.accepted(worker_id.replace("i", "m"), fleet.bench.now)
+    fleet.fleet.pool_planner.record_accepted(
+        worker_id.replace("i", "m"), fleet.bench.now
+    )
     fleet.look(instances)
     assert fleet.worker(worker_id).leaving
 
 
-def test_a_worker_whose_move_no_list_shows_is_used_again() -> None:
-    """Guards against a worker that is left out for a move that is not carried out."""
-    fleet, worker_id = an_order_without_an_answer()
+def test_a_worker_is_uncordoned_if_its_move_is_never_listed() -> None:
+    """Guard against a worker that stays cordoned for a move that doesn't happen."""
+    fleet, worker_id = an_unanswered_move()
     instances = list(fleet.fleet._instances.values())
-    fleet.fleet.pools.accepted(worker_id.replace("i", "m"), fleet.bench.now)
-    # With nothing to give away it is not ordered anew.
+    fleet.fleet.pool_planner.record_accepted(
+        worker_id.replace("i", "m"), fleet.bench.now
+    )
+    # The additional work leaves no surplus for another move.
     fleet.bench.add(a_job(a_step(count=1, long_running=True, cpu=20_000)))
-    until = fleet.bench.now + MOVE_LOST_SECONDS
+    until = fleet.bench.now + MOVE_TIMEOUT_SECONDS
     while fleet.bench.now <= until:
         fleet.look(instances)
     assert not fleet.worker(worker_id).leaving
 
 
 @pytest.mark.anyio
-async def test_an_order_that_is_skipped_is_given_again() -> None:
-    """Guards against a worker that is left out for an order that nobody gives."""
-    fleet, worker_id = an_order_without_an_answer()
+async def test_a_skipped_order_is_repeated() -> None:
+    """Guard against a worker that stays cordoned for an order that isn't issued."""
+    fleet, worker_id = an_unanswered_move()
     fleet.outcome = OrderOutcome.SKIPPED
     (order,) = fleet.orders
     assert isinstance(order, Move)
@@ -202,32 +206,32 @@
     assert not fleet.worker(worker_id).leaving
 
 
-def test_a_worker_that_came_before_its_instance_moved_is_left_out() -> None:
-    """Guards against tasks that an order which is repeated would end."""
-    fleet, worker_id = an_order_without_an_answer()
+def test_a_worker_that_starts_before_its_instance_moves_is_cordoned() -> None:
+    """Guard against tasks that a repeated order would interrupt."""
+    fleet, worker_id = an_unanswered_move()
     fleet.bench.worker("i-90")
     new = an_instance(int(worker_id[2:]), id="i-90")
     fleet.look([*fleet.fleet._instances.values(), new])
     assert fleet.worker("i-90").leaving
 
 
-def test_a_worker_that_came_after_its_instance_moved_is_used() -> None:
-    """Guards against a new worker that is left out for an order to the one before."""
-    fleet, worker_id = an_order_without_an_answer()
+def test_a_worker_that_starts_after_its_instance_moved_is_not_cordoned() -> None:
+    """Guard against cordoning a new worker for the order of its predecessor."""
+    fleet, worker_id = an_unanswered_move()
     fleet.bench.worker("i-90", service=OTHER)
     moved = an_instance(int(worker_id[2:]), OTHER, id="i-90")
     fleet.look([*fleet.fleet._instances.values(), moved])
     assert not fleet.worker("i-90").leaving
 
 
-def test_an_instance_whose_worker_is_lost_does_not_count_for_its_pool() -> None:
-    """Guards against a step that spreads and waits for a worker that is gone.
+def test_an_instance_without_its_worker_does_not_count_for_its_pool() -> None:
+    """Guard against a step with a limit for each worker that waits for a lost worker.
 
-    The list shows an instance as up for as long as its data centre is cut off.
+    The list shows an instance as up for as long as its data centre is disconnected.
     """
     instances = [an_instance(number, POOL) for number in range(3)]
     instances += [an_instance(number, OTHER) for number in range(4, 8)]
-    fleet = FleetBench(instances)
+    fleet = FleetHarness(instances)
     fleet.bench.add(a_job(a_step(count=3, long_running=True, max_per_server=1)))
     assert len(fleet.bench.plan_starts()) == 3
     fleet.bench.scheduler.lose_worker("i-00", LossCause.LEASES_OVER, fleet.bench.now)
@@ -236,13 +240,14 @@
 
 
 @pytest.mark.anyio
-async def test_an_answer_that_comes_late_loses_no_worker_that_came_since() -> None:
-    """Guards against a new worker that is taken for the one before the move.
+async def test_a_late_response_does_not_remove_a_new_worker() -> None:
+    """Guard against removing the new worker instead of the one before the move.
 
-    The first orders had no answer, and the list shows the move before the next has one.
+    The first orders got no response, and the list shows the move before the repeated
+    order gets one.
     """
     instances = [an_instance(number) for number in range(3)]
-    fleet = FleetBench(instances)
+    fleet = FleetHarness(instances)
     fleet.bench.worker("i-90", service=OTHER)
     fleet.look([an_instance(0, OTHER, id="i-90"), *instances[1:]])
     await fleet.fleet._async_move(Move("m-00", OTHER))
@@ -251,17 +256,17 @@
 
 @pytest.mark.anyio
 @pytest.mark.parametrize("kind", ["move", "maintenance"])
-async def test_an_answer_loses_the_worker_that_its_order_was_decided_for(
+async def test_a_response_removes_the_worker_that_its_order_was_decided_for(
     kind: str,
 ) -> None:
-    """Guards against a lookup after the call, and against none being lost at all.
+    """Guard against looking the worker up after the call, and against removing none.
 
-    The second time a worker has started again under the same id meanwhile.
+    In the second round, the worker has restarted under the same id meanwhile.
     """
-    instances = [an_instance(number) for number in range(LEAST_INSTANCES + 1)]
+    instances = [an_instance(number) for number in range(MIN_POOL_INSTANCES + 1)]
     instances += [an_instance(4, OTHER)]
-    for came_since in (False, True):
-        fleet = FleetBench(instances)
+    for restarted in (False, True):
+        fleet = FleetHarness(instances)
         for worker in fleet.bench.scheduler.board.workers.values():
             worker.born = 1000
         if kind == "maintenance":
@@ -271,9 +276,9 @@
         wanted = Move if kind == "move" else Maintain
         order = next(order for order in fleet.orders if isinstance(order, wanted))
         worker_id = order.machine.replace("m", "i")
-        fleet.worker(worker_id).born += came_since
+        fleet.worker(worker_id).born += restarted
         if isinstance(order, Move):
             await fleet.fleet._async_move(order)
         else:
             await fleet.fleet._async_maintain(order)
-        assert fleet.lost == ([] if came_since else [worker_id])
+        assert fleet.lost == ([] if restarted else [worker_id])
--- a/tests/components/fleet/test_hosts.py
+++ b/tests/components/fleet/test_hosts.py
@@ -1,10 +1,10 @@
-"""Test what is said of workers that the fleet's list no longer names."""
+"""Test the loss causes of workers that are no longer listed."""
 
 from __future__ import annotations
 
 import pytest
 
-from mustardward.components.fleet.hosts import Hosts
+from mustardward.components.fleet.hosts import WorkerHosts
 from mustardward.components.scheduling.losses import LossCause
 from mustardward.platform.models import Instance
 
@@ -14,45 +14,45 @@
 MACHINE = "m-01"
 
 
-def listed(**changes: object) -> dict[str, Instance]:
-    """Return a list of one instance."""
+def an_instance_list(**changes: object) -> dict[str, Instance]:
+    """Return an instance list with one row."""
     return {MACHINE: an_instance(1, **changes)}
 
 
-def some_hosts() -> Hosts:
-    """Return the hosts by a list that names the worker."""
-    hosts = Hosts()
-    hosts.read(listed(), alive={WORKER})
+def hosts_of_worker() -> WorkerHosts:
+    """Return the hosts after a list that shows the worker."""
+    hosts = WorkerHosts()
+    hosts.update(an_instance_list(), alive={WORKER})
     return hosts
 
 
-def test_a_worker_whose_instance_is_down_was_not_ordered() -> None:
-    down = listed(state="down", id=None)
-    assert some_hosts().why_unlisted(WORKER, down, set()) is LossCause.UNLISTED
+def test_a_worker_whose_instance_is_down_is_unlisted() -> None:
+    down = an_instance_list(state="down", id=None)
+    assert hosts_of_worker().loss_cause(WORKER, down, set()) is LossCause.UNLISTED
 
 
-def test_a_worker_whose_instance_has_another_one_was_not_ordered() -> None:
-    back = listed(id="i-02")
-    assert some_hosts().why_unlisted(WORKER, back, set()) is LossCause.UNLISTED
+def test_a_worker_whose_instance_has_another_worker_is_unlisted() -> None:
+    back = an_instance_list(id="i-02")
+    assert hosts_of_worker().loss_cause(WORKER, back, set()) is LossCause.UNLISTED
 
 
 @pytest.mark.parametrize("state", ["moving", "upkeep"])
-def test_a_worker_whose_instance_is_away_by_an_order_did_not_crash(state: str) -> None:
-    """Guards against moves that an owner before ordered and that count as crashes."""
-    away = listed(state=state, id=None)
-    assert some_hosts().why_unlisted(WORKER, away, set()) is LossCause.ORDERED
+def test_a_worker_whose_instance_is_moved_or_maintained_is_ordered(state: str) -> None:
+    """Guard against counting orders of a previous owner as crashes."""
+    away = an_instance_list(state=state, id=None)
+    assert hosts_of_worker().loss_cause(WORKER, away, set()) is LossCause.ORDERED
 
 
-def test_an_order_without_an_answer_counts_as_carried_out() -> None:
-    back = listed(id="i-02")
-    hosts = some_hosts()
-    assert hosts.why_unlisted(WORKER, back, {MACHINE}) is LossCause.ORDERED
+def test_an_order_without_a_response_counts_as_ordered() -> None:
+    back = an_instance_list(id="i-02")
+    hosts = hosts_of_worker()
+    assert hosts.loss_cause(WORKER, back, {MACHINE}) is LossCause.ORDERED
 
 
-def test_a_worker_that_is_not_known_to_be_gone_keeps_its_instance() -> None:
-    hosts = some_hosts()
-    away = listed(state="moving", id=None)
-    hosts.read(away, alive={WORKER})
-    assert hosts.why_unlisted(WORKER, away, set()) is LossCause.ORDERED
-    hosts.read(away, alive=set())
-    assert hosts.why_unlisted(WORKER, away, set()) is LossCause.UNLISTED
+def test_a_worker_that_may_be_alive_keeps_its_instance() -> None:
+    hosts = hosts_of_worker()
+    away = an_instance_list(state="moving", id=None)
+    hosts.update(away, alive={WORKER})
+    assert hosts.loss_cause(WORKER, away, set()) is LossCause.ORDERED
+    hosts.update(away, alive=set())
+    assert hosts.loss_cause(WORKER, away, set()) is LossCause.UNLISTED
--- a/tests/components/fleet/test_listing.py
+++ b/tests/components/fleet/test_listing.py
@@ -1,4 +1,4 @@
-"""Test that a list of any length is read within what the platform answers."""
+"""Test that a list of any length is read within the platform's read limit."""
 
 from __future__ import annotations
 
@@ -6,8 +6,11 @@
 
 import pytest
 
-from mustardward.components.fleet.const import BUSY_LIST_SECONDS, TICK_SECONDS
-from mustardward.components.fleet.listing import LONGEST_READING_SECONDS, ListReader
+from mustardward.components.fleet.const import (
+    ACTIVE_LIST_INTERVAL_SECONDS,
+    TICK_SECONDS,
+)
+from mustardward.components.fleet.listing import MAX_LISTING_SECONDS, InstanceListReader
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.helpers.token_bucket import TokenBucket
 from mustardward.platform.exceptions import CallRefusedError
@@ -18,25 +21,25 @@
 pytestmark = pytest.mark.anyio
 
 PAGES = 75
-READINGS_PER_SECOND = 30.0
+READS_PER_SECOND = 30.0
 PAGE_SECONDS = 0.005
 
 
-class LongList:
-    """Play a fleet of many pages, whose platform answers some readings a second."""
+class MultiPageList:
+    """Simulate a list of many pages on a platform that limits the rate of reads."""
 
     def __init__(self, timers: DrivenTimerService) -> None:
         self.timers = timers
         self.refused = 0
         self.answered = 0
         self.unreadable_page = -1
-        self._bucket = TokenBucket(READINGS_PER_SECOND, timers.monotonic())
+        self._bucket = TokenBucket(READS_PER_SECOND, timers.monotonic())
 
     async def async_page(self, token: str = "") -> FleetPage:
-        """Answer, or refuse what goes beyond the readings of a second."""
+        """Return a page, or refuse the read if it exceeds the rate."""
         await self.timers.async_advance(PAGE_SECONDS)
         now = self.timers.monotonic()
-        self._bucket.fill(now, READINGS_PER_SECOND, READINGS_PER_SECOND)
+        self._bucket.fill(now, READS_PER_SECOND, READS_PER_SECOND)
         if not self._bucket.take():
             self.refused += 1
             raise CallRefusedError("status=429")
@@ -47,19 +50,19 @@
         return FleetPage([an_instance(number)], complete, following)
 
 
-def a_reader(timers: DrivenTimerService) -> tuple[LongList, ListReader]:
-    """Return a long list and its reader."""
-    pages = LongList(timers)
+def a_reader(timers: DrivenTimerService) -> tuple[MultiPageList, InstanceListReader]:
+    """Return a list of many pages and its reader."""
+    pages = MultiPageList(timers)
     client: Any = pages
-    return pages, ListReader(client, timers, READINGS_PER_SECOND)
+    return pages, InstanceListReader(client, timers, READS_PER_SECOND)
 
 
-async def test_a_long_list_is_complete_though_readings_are_refused() -> None:
-    """Symptom: an owner of thousands of workers starts nothing, with all room free.
+async def test_a_long_list_is_completed_despite_refused_reads() -> None:
+    """Guard against discarding the pages that were read before a refusal.
 
-    Sequence: a list has more pages than the platform answers in a second; the reading
-    is refused midway, and begun anew, which uses up the next second's readings. Cause:
-    what was read before a refusal was thrown away.
+    The list has more pages than the platform serves in a second. A listing that started
+    over after each refusal would use up the next second's reads and never complete, so
+    that the owner of thousands of idle workers would start nothing.
     """
     timers = DrivenTimerService()
     pages, reader = a_reader(timers)
@@ -70,23 +73,23 @@
             break
         await timers.async_advance(TICK_SECONDS)
     assert read is not None
-    assert read.begun_at == began
+    assert read.started_at == began
     assert len(read.instances) == PAGES
     assert read.complete
     assert pages.answered == PAGES
-    assert timers.monotonic() - began < PAGES / READINGS_PER_SECOND
+    assert timers.monotonic() - began < PAGES / READS_PER_SECOND
 
 
-async def test_a_long_list_is_read_as_often_as_the_platform_answers() -> None:
+async def test_the_poll_interval_of_a_long_list_respects_the_read_limit() -> None:
     timers = DrivenTimerService()
     _, reader = a_reader(timers)
-    assert reader.interval(BUSY_LIST_SECONDS) == BUSY_LIST_SECONDS
+    assert reader.interval(ACTIVE_LIST_INTERVAL_SECONDS) == ACTIVE_LIST_INTERVAL_SECONDS
     while await reader.async_read() is None:
         await timers.async_advance(TICK_SECONDS)
-    assert reader.interval(BUSY_LIST_SECONDS) >= PAGES / READINGS_PER_SECOND
+    assert reader.interval(ACTIVE_LIST_INTERVAL_SECONDS) >= PAGES / READS_PER_SECOND
 
 
-async def test_a_row_that_can_not_be_read_leaves_the_list_incomplete() -> None:
+async def test_an_unreadable_row_makes_the_list_incomplete() -> None:
     timers = DrivenTimerService()
     pages, reader = a_reader(timers)
     pages.unreadable_page = 3
@@ -95,13 +98,13 @@
     assert not read.complete
 
 
-async def test_pages_that_lie_far_apart_are_no_list() -> None:
+async def test_an_interrupted_listing_starts_over_once_its_pages_are_old() -> None:
     timers = DrivenTimerService()
     _, reader = a_reader(timers)
     assert await reader.async_read() is None
-    await timers.async_advance(LONGEST_READING_SECONDS + 0.1)
+    await timers.async_advance(MAX_LISTING_SECONDS + 0.1)
     began = timers.monotonic()
     while (read := await reader.async_read()) is None:
         await timers.async_advance(TICK_SECONDS)
-    assert read.begun_at >= began
+    assert read.started_at >= began
     assert len(read.instances) == PAGES
--- a/tests/components/fleet/test_ordering.py
+++ b/tests/components/fleet/test_ordering.py
@@ -1,4 +1,4 @@
-"""Test that what is told of an order is true, and each instance has one at a time."""
+"""Test the outcomes of orders, and that an instance has one order at a time."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 from mustardward.components.fleet.models import Maintain, Move
-from mustardward.components.fleet.ordering import Ordering, OrderOutcome
+from mustardward.components.fleet.ordering import OrderExecutor, OrderOutcome
 from mustardward.platform.exceptions import (
     CallRefusedError,
     CallUnknownError,
@@ -23,8 +23,8 @@
 MOVE = Move("m-00", POOL)
 
 
-class OrderBench:
-    """Play the platform's answers to orders, and note what was done."""
+class OrderHarness:
+    """Simulate the platform's responses to orders and record the calls."""
 
     def __init__(self, error: Exception | None = None, announced: bool = True) -> None:
         self.calls: list[str] = []
@@ -34,23 +34,23 @@
         self._error = error
         self._announced = announced
         client: Any = self
-        self.ordering = Ordering(client, 3, self.async_announce, self.note_fenced)
+        self.executor = OrderExecutor(client, 3, self.async_announce, self.note_fenced)
 
     async def async_announce(self, machine: str) -> bool:
-        """Store an announcement, or not."""
+        """Record an announcement, and return whether it succeeds."""
         self.calls.append(f"announce {machine}")
         return self._announced
 
     async def async_move(self, machine: str, pool: str, token: int) -> None:
-        """Answer a move."""
+        """Respond to a move order."""
         await self._async_answer(f"move {machine} {pool} {token}")
 
     async def async_maintain(self, machine: str, wave: int, token: int) -> None:
-        """Answer a maintenance."""
+        """Respond to a maintenance order."""
         await self._async_answer(f"maintain {machine} {wave} {token}")
 
     def note_fenced(self) -> None:
-        """Count that the owner learned of a newer one."""
+        """Count the rejections of the owner's fencing token."""
         self.fenced += 1
 
     async def _async_answer(self, call: str) -> None:
@@ -60,17 +60,17 @@
             raise self._error
 
 
-async def test_an_order_is_announced_and_then_given_under_the_token() -> None:
-    bench = OrderBench()
-    assert await bench.ordering.async_give(MAINTAIN) is OrderOutcome.BEGUN
-    assert bench.calls == ["announce m-00", "maintain m-00 1 3"]
+async def test_an_order_is_announced_and_then_issued_under_the_token() -> None:
+    harness = OrderHarness()
+    assert await harness.executor.async_execute(MAINTAIN) is OrderOutcome.BEGUN
+    assert harness.calls == ["announce m-00", "maintain m-00 1 3"]
 
 
-async def test_what_is_not_announced_is_not_ordered() -> None:
-    """Else the next owner may order it within a lease of this one's holder."""
-    bench = OrderBench(announced=False)
-    assert await bench.ordering.async_give(MOVE) is OrderOutcome.REFUSED
-    assert bench.calls == ["announce m-00"]
+async def test_an_order_without_an_announcement_is_refused() -> None:
+    """Guard against orders of two owners for one instance within a lease."""
+    harness = OrderHarness(announced=False)
+    assert await harness.executor.async_execute(MOVE) is OrderOutcome.REFUSED
+    assert harness.calls == ["announce m-00"]
 
 
 @pytest.mark.parametrize(
@@ -80,31 +80,31 @@
         (CallUnknownError("silent"), OrderOutcome.UNKNOWN),
     ],
 )
-async def test_a_lost_answer_is_not_told_as_a_refusal(
+async def test_a_lost_response_is_not_reported_as_a_refusal(
     error: Exception, outcome: OrderOutcome
 ) -> None:
-    """A move that may have been carried out must not be forgotten."""
-    assert await OrderBench(error).ordering.async_give(MOVE) is outcome
+    """Guard against dropping a move that may have taken effect."""
+    assert await OrderHarness(error).executor.async_execute(MOVE) is outcome
 
 
-async def test_an_owner_that_is_fenced_is_told() -> None:
-    bench = OrderBench(FencedError("move"))
-    assert await bench.ordering.async_give(MOVE) is OrderOutcome.SKIPPED
-    assert bench.fenced == 1
+async def test_a_rejected_fencing_token_is_reported() -> None:
+    harness = OrderHarness(FencedError("move"))
+    assert await harness.executor.async_execute(MOVE) is OrderOutcome.SKIPPED
+    assert harness.fenced == 1
 
 
 async def test_an_instance_has_one_order_at_a_time() -> None:
-    bench = OrderBench()
-    bench.gate = anyio.Event()
+    harness = OrderHarness()
+    harness.gate = anyio.Event()
     outcomes: list[OrderOutcome] = []
 
-    async def async_give() -> None:
-        outcomes.append(await bench.ordering.async_give(MOVE))
+    async def async_execute() -> None:
+        outcomes.append(await harness.executor.async_execute(MOVE))
 
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(async_give)
+        tasks.start_soon(async_execute)
         await anyio.wait_all_tasks_blocked()
-        assert await bench.ordering.async_give(MAINTAIN) is OrderOutcome.SKIPPED
-        bench.gate.set()
+        assert await harness.executor.async_execute(MAINTAIN) is OrderOutcome.SKIPPED
+        harness.gate.set()
     assert outcomes == [OrderOutcome.BEGUN]
-    assert await bench.ordering.async_give(MAINTAIN) is OrderOutcome.BEGUN
+    assert await harness.executor.async_execute(MAINTAIN) is OrderOutcome.BEGUN
--- a/tests/components/fleet/test_unreadable_rows.py
+++ b/tests/components/fleet/test_unreadable_rows.py
@@ -1,4 +1,4 @@
-"""Test that a worker that the fleet was about to take is taken, or given back."""
+"""Test that an unreadable row doesn't leave a worker cordoned."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 MAINTENANCE_SECONDS = 2.0
 
 
-class FleetBench:
-    """Hold a fleet's work in driven time; its lists are handed to it."""
+class FleetHarness:
+    """Drive a fleet by instance lists and a manual clock."""
 
     def __init__(self, wave: UpkeepWave) -> None:
         self.timers = DrivenTimerService()
@@ -38,14 +38,14 @@
             nothing(waves={}),
             nothing(post=lambda records: None),
             self.planner,
-            nothing(tell=lambda view, now: []),
+            nothing(report=lambda view, now: []),
             nothing(decide=lambda *_: [], orders={}),
             lambda: True,
             nothing(start_soon=lambda *_: None),
         )
 
     def read(self, *rows: Instance, complete: bool = True) -> None:
-        """Take a list in, and decide by it."""
+        """Apply an instance list and decide by it."""
         self.timers.pause(0.3)
         self.fleet._read_at = self.timers.monotonic()
         self.fleet._instances = {row.machine: row for row in rows}
@@ -53,9 +53,9 @@
         self.fleet._decide()
 
 
-def test_a_row_that_can_not_be_read_does_not_leave_a_worker_kept_back() -> None:
-    """A worker is given nothing for good, and is not maintained either."""
-    fleet = FleetBench(UpkeepWave(1, ["m-01"], 20.0, 2))
+def test_an_unreadable_row_does_not_leave_a_worker_cordoned() -> None:
+    """Guard against a worker that neither gets tasks again nor is maintained."""
+    fleet = FleetHarness(UpkeepWave(1, ["m-01"], 20.0, 2))
     worker = fleet.bench.worker("i-01")
     fleet.bench.add(a_job(a_step(count=1, long_running=True)))
     fleet.bench.plan_starts()
@@ -65,5 +65,5 @@
     fleet.read(second, complete=False)
     fleet.read(first, second)
     run = fleet.planner.runs[1]
-    assert not worker.leaving or "m-01" in run.emptying
+    assert not worker.leaving or "m-01" in run.draining
     assert not run.done
--- a/tests/components/fleet/test_unusable.py
+++ b/tests/components/fleet/test_unusable.py
@@ -1,4 +1,4 @@
-"""Test which instances count for their pool though they can run nothing now."""
+"""Test which instances don't count for their pool because they can't run tasks."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 import pytest
 
 from mustardward.components.fleet.const import (
-    HEARING_SECONDS_EACH,
-    LEAST_INSTANCES,
-    SILENT_SECONDS,
-    UNHEARD_SECONDS,
+    FIRST_CONTACT_SECONDS,
+    FIRST_CONTACT_SECONDS_PER_WORKER,
+    MIN_POOL_INSTANCES,
+    UNRESPONSIVE_SECONDS,
 )
 from mustardward.components.fleet.models import Move
 from mustardward.components.scheduling.placement import usable
@@ -18,21 +18,21 @@
 from mustardward.platform.models import Instance, Room
 
 from .builders import OTHER, POOL, STANDBY, an_instance
-from .test_holds import FleetBench
+from .test_holds import FleetHarness
 
-SHORT_STATES = {"leaving"}
-"""Of what the fleet does itself; the pool planner counts it by its own orders."""
+BRIEF_STATES = {"leaving"}
+"""Flags that fleet management sets itself; the pool planner counts its own orders."""
 
 
-def least_pools() -> list[Instance]:
-    """Return two pools that have as many as they keep, and some that are off."""
-    pool = [an_instance(number) for number in range(LEAST_INSTANCES)]
-    pool += [an_instance(number, OTHER) for number in range(4, 4 + LEAST_INSTANCES)]
+def minimum_pools() -> list[Instance]:
+    """Return two pools of the minimum size, and some standby instances."""
+    pool = [an_instance(number) for number in range(MIN_POOL_INSTANCES)]
+    pool += [an_instance(number, OTHER) for number in range(4, 4 + MIN_POOL_INSTANCES)]
     return pool + [an_instance(number, STANDBY) for number in range(8, 12)]
 
 
-def asked(fleet: FleetBench, seconds: float) -> list[Move]:
-    """Return the moves of so many seconds in which nothing changes."""
+def ordered_moves(fleet: FleetHarness, seconds: float) -> list[Move]:
+    """Return the moves ordered within some seconds in which the list doesn't change."""
     first = len(fleet.orders)
     until = fleet.bench.now + seconds
     while fleet.bench.now < until:
@@ -40,39 +40,39 @@
     return [order for order in fleet.orders[first:] if isinstance(order, Move)]
 
 
-def flags() -> list[str]:
-    """Return whatever of a worker is true or false."""
+def boolean_fields() -> list[str]:
+    """Return the names of the boolean fields of a worker."""
     worker = WorkerState("w", POOL, "", (), Room())
     return [f.name for f in fields(worker) if isinstance(getattr(worker, f.name), bool)]
 
 
-@pytest.mark.parametrize("flag", flags())
-def test_what_keeps_tasks_off_a_worker_for_long_has_it_replaced(flag: str) -> None:
-    """Guards against a state that the task planner knows and the pools do not."""
-    fleet = FleetBench(least_pools())
-    asked(fleet, 1.0)
+@pytest.mark.parametrize("flag", boolean_fields())
+def test_a_worker_that_stays_unusable_is_replaced(flag: str) -> None:
+    """Guard against a flag that blocks placement but is ignored by the pool planner."""
+    fleet = FleetHarness(minimum_pools())
+    ordered_moves(fleet, 1.0)
     worker = fleet.worker("i-00")
     setattr(worker, flag, not getattr(worker, flag))
-    replaced = flag not in SHORT_STATES and not usable(worker, fleet.bench.now)
-    moves = asked(fleet, SILENT_SECONDS + 2.0)
+    replaced = flag not in BRIEF_STATES and not usable(worker, fleet.bench.now)
+    moves = ordered_moves(fleet, UNRESPONSIVE_SECONDS + 2.0)
     assert {move.pool for move in moves} == ({POOL} if replaced else set())
     assert ("i-00" in fleet.bench.scheduler.board.unusable) == replaced
 
 
-def test_a_worker_that_refuses_or_is_in_quarantine_counts() -> None:
-    """Guards against an instance that is asked for in place of one that is sound."""
-    fleet = FleetBench(least_pools())
+def test_a_worker_that_refuses_or_is_quarantined_counts() -> None:
+    """Guard against replacements for workers that recover by themselves."""
+    fleet = FleetHarness(minimum_pools())
     fleet.worker("i-00").refusing_until = fleet.bench.now + 60.0
     fleet.worker("i-01").quarantined_until = fleet.bench.now + 60.0
-    assert asked(fleet, 10.0) == []
+    assert ordered_moves(fleet, 10.0) == []
 
 
 @pytest.mark.parametrize("known", [True, False])
-def test_no_instance_is_asked_for_while_a_takeover_hears_of_workers(
+def test_no_instance_is_ordered_while_a_takeover_confirms_workers(
     known: bool,
 ) -> None:
-    """Guards against as many instances more as there are, in the first seconds."""
-    fleet = FleetBench(least_pools())
+    """Guard against replacing all instances in the first seconds after a takeover."""
+    fleet = FleetHarness(minimum_pools())
     board = fleet.bench.scheduler.board
     board.taken_over_at = fleet.bench.now
     workers = dict(board.workers)
@@ -80,31 +80,33 @@
         worker.confirmed = False
     if not known:
         board.workers.clear()
-    assert asked(fleet, UNHEARD_SECONDS) == []
+    assert ordered_moves(fleet, FIRST_CONTACT_SECONDS) == []
     board.workers.update(workers)
     for worker in workers.values():
         worker.confirmed = True
-    assert asked(fleet, 10.0) == []
+    assert ordered_moves(fleet, 10.0) == []
 
 
-def test_a_takeover_that_hears_of_no_worker_asks_once_for_what_is_missing() -> None:
-    """Guards against instance after instance, none of which is heard of."""
-    fleet = FleetBench(least_pools())
+def test_a_takeover_without_any_confirmed_worker_orders_replacements_once() -> None:
+    """Guard against one order after another while no worker responds."""
+    fleet = FleetHarness(minimum_pools())
     fleet.bench.scheduler.board.taken_over_at = fleet.bench.now
     fleet.bench.scheduler.board.workers.clear()
-    bound = UNHEARD_SECONDS + 12 * HEARING_SECONDS_EACH
-    first = asked(fleet, bound + 0.5)
-    assert len({move.machine for move in first}) <= 2 * LEAST_INSTANCES
-    assert {move.machine for move in asked(fleet, 20.0)} <= {m.machine for m in first}
+    bound = FIRST_CONTACT_SECONDS + 12 * FIRST_CONTACT_SECONDS_PER_WORKER
+    first = ordered_moves(fleet, bound + 0.5)
+    assert len({move.machine for move in first}) <= 2 * MIN_POOL_INSTANCES
+    assert {move.machine for move in ordered_moves(fleet, 20.0)} <= {
+        m.machine for m in first
+    }
 
 
-def test_an_instance_that_came_counts_for_a_while_before_it_is_heard_of() -> None:
-    """Guards against a second instance for one that is coming, and one that never is.
+def test_a_new_instance_counts_for_a_while_before_its_first_response() -> None:
+    """Guard against an early replacement of a new instance, and against none at all.
 
-    The list names no worker there at first.
+    The list shows no worker on a new instance at first.
     """
-    fleet = FleetBench(least_pools())
-    asked(fleet, 1.0)
+    fleet = FleetHarness(minimum_pools())
+    ordered_moves(fleet, 1.0)
     fleet.fleet._instances["m-00"] = an_instance(0, id=None)
-    assert asked(fleet, SILENT_SECONDS) == []
-    assert {move.pool for move in asked(fleet, UNHEARD_SECONDS)} == {POOL}
+    assert ordered_moves(fleet, UNRESPONSIVE_SECONDS) == []
+    assert {move.pool for move in ordered_moves(fleet, FIRST_CONTACT_SECONDS)} == {POOL}
--- a/tests/components/fleet/test_waves.py
+++ b/tests/components/fleet/test_waves.py
@@ -1,4 +1,4 @@
-"""Test that waves keep their limits and reach every instance."""
+"""Test that maintenance waves keep their limits and include every instance."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 import pytest
 
 from mustardward.components.fleet.const import (
-    CYCLE_SECONDS,
-    MISSED_SECONDS,
-    REPEATED_SECONDS,
+    MAINTENANCE_CYCLE_SECONDS,
+    UNCHANGED_INCARNATION_SECONDS,
+    UNLISTED_TIMEOUT_SECONDS,
 )
-from mustardward.components.fleet.models import Empty, Load, Maintain
-from mustardward.components.fleet.waves import WavePlanner, take_up
+from mustardward.components.fleet.models import Drain, Load, Maintain
+from mustardward.components.fleet.waves import WavePlanner, resume_wave
 from mustardward.components.ledger.models import WaveRecord
 from mustardward.platform.models import Instance
 
@@ -27,44 +27,43 @@
     return planner
 
 
-def eight() -> list[Instance]:
+def eight_instances() -> list[Instance]:
     return [an_instance(number) for number in range(8)]
 
 
-def test_an_instance_is_emptied_before_it_is_maintained() -> None:
+def test_an_instance_is_drained_before_its_maintenance() -> None:
     planner = a_planner(["m-00"])
-    fleet = eight()
+    fleet = eight_instances()
     busy = a_view(fleet, {"i-00": Load(0, 1)})
-    assert planner.decide(busy, 0.0) == [Empty("m-00", "i-00")]
+    assert planner.decide(busy, 0.0) == [Drain("m-00", "i-00")]
     assert planner.decide(busy, 0.1) == []
     assert planner.decide(a_view(fleet), 0.2) == [Maintain("m-00", 1)]
 
 
-def test_no_more_than_the_most_at_once_are_down() -> None:
+def test_the_limit_of_concurrent_instances_is_kept() -> None:
     planner = a_planner([f"m-{n:02d}" for n in range(8)], max_count=2)
-    fleet = eight()
+    fleet = eight_instances()
     ordered: set[str] = set()
     for tick in range(10):
         for decision in planner.decide(a_view(fleet, read_at=0.1 * tick), 0.1 * tick):
             if isinstance(decision, Maintain):
                 ordered.add(decision.machine)
-                planner.accepted(1, decision.machine, 0.1 * tick)
+                planner.record_accepted(1, decision.machine, 0.1 * tick)
     assert len(ordered) == 2
 
 
-def test_an_instance_counts_as_down_until_a_later_list_shows_it_anew() -> None:
-    """A list that lags behind does not make room for one more.
+def test_an_instance_counts_as_down_until_a_later_list_shows_it_restarted() -> None:
+    """Guard against exceeding the wave's limit because the list lags.
 
-    Symptom: three instances of a wave were down, though two may be.
-    Sequence: maintenance began; the list still showed the instance up, as before.
-    Cause: "up" in a list from before was taken for "up again".
+    After maintenance has started, the list still shows the instance as up. That must
+    not count as up again.
     """
     planner = a_planner(["m-00", "m-04"], max_count=1)
-    fleet = eight()
+    fleet = eight_instances()
     planner.decide(a_view(fleet), 0.0)
     (order,) = planner.decide(a_view(fleet), 0.1)
     assert isinstance(order, Maintain)
-    planner.accepted(1, order.machine, 0.1)
+    planner.record_accepted(1, order.machine, 0.1)
     assert _orders(planner, a_view(fleet, read_at=5.0), 5.0) == []
     number = int(order.machine[2:])
     fleet[number] = an_instance(number, id="i-new")
@@ -74,88 +73,85 @@
 
 
 @pytest.mark.parametrize("known_by", ["list", "renewal"])
-def test_what_an_owner_before_took_down_counts(known_by: str) -> None:
-    """A new owner counts the instances that are down by an earlier owner's orders.
-
-    Symptom: six instances of a wave were down, though five may be.
-    Sequence: the owner was restarted while five were down; the next one began with an
-    empty count, and took another.
-    Cause: only its own orders were counted, not what the list shows down for
-    maintenance, nor what the last renewal named as ordered just now.
+def test_instances_ordered_by_the_previous_owner_count_as_down(known_by: str) -> None:
+    """Guard against exceeding the wave's limit after a change of owner.
+
+    A new owner starts without orders of its own. It must count the instances that the
+    list shows in maintenance, and those that the previous owner's last renewal names as
+    ordered.
     """
     planner = a_planner(["m-00", "m-01", "m-02", "m-03"], max_count=2)
-    fleet = eight()
-    barred = frozenset({"m-00", "m-01"})
+    fleet = eight_instances()
+    blocked = frozenset({"m-00", "m-01"})
     if known_by == "list":
         fleet[0] = an_instance(0, state="upkeep", id=None)
         fleet[1] = an_instance(1, state="upkeep", id=None)
-        barred = frozenset()
+        blocked = frozenset()
     orders = []
     for tick in range(4):
         now = 0.1 * tick
-        orders += _orders(planner, a_view(fleet, read_at=now, barred=barred), now)
+        orders += _orders(planner, a_view(fleet, read_at=now, blocked=blocked), now)
     assert orders == []
 
 
-def test_an_order_of_unknown_outcome_holds_its_place_and_is_repeated() -> None:
+def test_an_order_of_unknown_outcome_counts_and_is_repeated() -> None:
     planner = a_planner(["m-00", "m-04"], max_count=1)
-    fleet = eight()
+    fleet = eight_instances()
     planner.decide(a_view(fleet), 0.0)
     (order,) = planner.decide(a_view(fleet), 0.1)
     assert _orders(planner, a_view(fleet), 0.2) == []
     assert _orders(planner, a_view(fleet), 0.6) == [order]
 
 
-def test_a_worker_that_was_not_heard_of_is_not_taken_for_empty() -> None:
-    """Maintenance waits for what it knows nothing of.
+def test_an_unconfirmed_worker_is_not_considered_idle() -> None:
+    """Guard against maintenance that interrupts long-running tasks after a takeover.
 
-    Symptom: maintenance ended lasting tasks right after a takeover.
-    Sequence: the new owner had not heard of a worker yet, so no task stood under it.
-    Cause: no known task was taken for no task.
+    A new owner knows no tasks of a worker whose state it has not confirmed yet.
     """
     planner = a_planner(["m-00"])
-    view = a_view(eight())
+    view = a_view(eight_instances())
     del view.loads["i-00"]
     assert planner.decide(view, 0.0) == []
 
 
-def test_at_most_a_part_of_a_pool_is_taken_at_once() -> None:
+def test_only_a_share_of_a_pool_is_drained_at_once() -> None:
     planner = a_planner([f"m-{n:02d}" for n in range(8)], max_count=8)
-    decisions = planner.decide(a_view(eight()), 19.0)
-    assert len([d for d in decisions if isinstance(d, Empty)]) == 2
+    decisions = planner.decide(a_view(eight_instances()), 19.0)
+    assert len([d for d in decisions if isinstance(d, Drain)]) == 2
 
 
-def test_instances_that_are_off_go_first_and_together() -> None:
+def test_standby_instances_go_first_and_together() -> None:
     planner = a_planner([f"m-{n:02d}" for n in range(12)], max_count=4)
-    fleet = [*eight(), *(an_instance(number, STANDBY) for number in range(8, 12))]
-    emptied = [d.machine for d in planner.decide(a_view(fleet), 15.0)]
-    assert set(emptied) == {"m-08", "m-09", "m-10", "m-11"}
+    fleet = [
+        *eight_instances(),
+        *(an_instance(number, STANDBY) for number in range(8, 12)),
+    ]
+    drained = [d.machine for d in planner.decide(a_view(fleet), 15.0)]
+    assert set(drained) == {"m-08", "m-09", "m-10", "m-11"}
 
 
-def test_a_wave_is_done_once_all_that_stay_were_maintained() -> None:
+def test_a_wave_is_done_once_all_remaining_instances_are_maintained() -> None:
     planner = a_planner(["m-00", "m-09"], max_count=1)
-    fleet = eight()
+    fleet = eight_instances()
     planner.decide(a_view(fleet), 0.0)
     planner.decide(a_view(fleet), 0.1)
-    planner.accepted(1, "m-00", 0.1)
+    planner.record_accepted(1, "m-00", 0.1)
     assert not planner.runs[1].done
     fleet[0] = an_instance(0, POOL, id="i-new")
     planner.decide(a_view(fleet, read_at=3.0), 3.0)
     assert planner.runs[1].done
 
 
-def test_a_wave_waits_for_an_instance_that_moves() -> None:
-    """An instance on its way to another pool is still to be maintained.
+def test_a_wave_waits_for_a_moving_instance() -> None:
+    """Guard against a wave that is reported as done before its last instances.
 
-    Symptom: a wave was said to be done, and two of its instances had not begun.
-    Sequence: the last two were being moved to another pool while the others ended.
-    Cause: instances that were on their way counted as gone.
+    Instances that move to another pool must not count as gone.
     """
     planner = a_planner(["m-00"])
     moving = frozenset({"m-00"})
-    assert planner.decide(a_view(eight(), moving=moving), 0.0) == []
+    assert planner.decide(a_view(eight_instances(), moving=moving), 0.0) == []
     assert not planner.runs[1].done
-    assert planner.decide(a_view(eight()), 0.1) == [Empty("m-00", "i-00")]
+    assert planner.decide(a_view(eight_instances()), 0.1) == [Drain("m-00", "i-00")]
 
 
 def _orders(planner: WavePlanner, view: object, now: float) -> list[object]:
@@ -163,168 +159,173 @@
     return [d for d in decisions if isinstance(d, Maintain)]
 
 
-def test_instances_with_lasting_tasks_are_not_left_to_the_end_of_a_wave() -> None:
-    """They are emptied a few at a time, so they begin while others are under way.
+def test_instances_with_long_running_tasks_do_not_go_last() -> None:
+    """Guard against a wave that is late by its last instances.
 
-    Symptom: a wave was late by its last three instances. Sequence: all that were off or
-    idle were maintained first, many at once; those with lasting tasks followed, and
-    went two by two. Cause: the cheapest went first all the time.
+    Standby and idle instances are maintained many at once, but those with long-running
+    tasks only a few at a time, so the latter must start while the former are processed.
     """
-    fleet = [*eight(), *(an_instance(number, STANDBY) for number in range(8, 20))]
-    lasting = {f"i-{n:02d}": Load(2, 0) for n in range(4)}
+    fleet = [
+        *eight_instances(),
+        *(an_instance(number, STANDBY) for number in range(8, 20)),
+    ]
+    long_running = {f"i-{n:02d}": Load(2, 0) for n in range(4)}
     machines = [i.machine for i in fleet]
     planner = a_planner(machines, max_count=4)
-    view = a_view(fleet, lasting)
+    view = a_view(fleet, long_running)
     early = [d.machine for d in planner.decide(view, 0.0)]
     assert not set(early) & {"m-00", "m-01", "m-02", "m-03"}
     planner = a_planner(machines, max_count=4)
-    later = [d.machine for d in planner.decide(view, CYCLE_SECONDS)]
+    later = [d.machine for d in planner.decide(view, MAINTENANCE_CYCLE_SECONDS)]
     assert set(later[:2]) <= {"m-00", "m-01", "m-02", "m-03"}
     assert later[2:]
 
 
-def test_what_a_wave_has_begun_is_no_longer_due() -> None:
+def test_a_started_maintenance_is_no_longer_due() -> None:
     planner = a_planner(["m-00", "m-01"])
-    assert planner.due() == {"m-00", "m-01"}
-    planner.decide(a_view(eight()), 0.0)
-    planner.accepted(1, "m-00", 0.1)
-    assert planner.due() == {"m-01"}
+    assert planner.maintenance_due() == {"m-00", "m-01"}
+    planner.decide(a_view(eight_instances()), 0.0)
+    planner.record_accepted(1, "m-00", 0.1)
+    assert planner.maintenance_due() == {"m-01"}
 
 
-def test_a_wave_goes_on_while_instances_are_lent() -> None:
-    """The owner's own moves do not count as instances that are down for a wave.
+def test_a_wave_continues_while_instances_move() -> None:
+    """Guard against waves that stall for 2 to 4 s at each demand peak and end late.
 
-    Symptom: waves stood still for 2 to 4 s again and again, and ended late. Sequence:
-    each turn of demand moved more instances than the wave may have down at once.
-    Cause: a machine on its way to another pool was counted as one that an earlier owner
-    may have taken down.
+    A peak moves more instances than the wave's limit. The owner's own moves must not
+    count as orders of a previous owner.
     """
     planner = a_planner([f"m-{n:02d}" for n in range(8)], max_count=2)
     moving = frozenset({"m-04", "m-05", "m-06"})
-    decisions = planner.decide(a_view(eight(), moving=moving), 15.0)
-    emptied = {d.machine for d in decisions if isinstance(d, Empty)}
-    assert len(emptied) == 2
-    assert not emptied & moving
+    decisions = planner.decide(a_view(eight_instances(), moving=moving), 15.0)
+    drained = {d.machine for d in decisions if isinstance(d, Drain)}
+    assert len(drained) == 2
+    assert not drained & moving
 
 
-def test_an_order_that_was_carried_out_before_does_not_hold_its_place() -> None:
-    """The platform answers an order that repeats an earlier owner's as begun.
+def test_an_order_that_a_previous_owner_carried_out_is_dropped() -> None:
+    """Guard against a wave that is never reported as done.
 
-    Symptom: a wave was never told as done. Sequence: an owner that was cut off from the
-    log maintained an instance, and could not store it; the next one ordered it again,
-    and waited for another incarnation to come up. Cause: there was none to come.
+    An owner that is disconnected from the log has an instance maintained and can't
+    store that. The platform accepts the next owner's order without carrying it out, so
+    that no new incarnation will appear.
     """
     planner = a_planner(["m-00", "m-01"], max_count=1)
-    fleet = eight()
+    fleet = eight_instances()
     planner.decide(a_view(fleet), 0.0)
     (first,) = _orders(planner, a_view(fleet, read_at=0.1), 0.1)
     assert isinstance(first, Maintain)
-    planner.accepted(1, first.machine, 0.1)
+    planner.record_accepted(1, first.machine, 0.1)
     soon = 0.1 + MAINTENANCE_SECONDS + 1.0
     assert _orders(planner, a_view(fleet, read_at=soon), soon) == []
-    later = 0.1 + MAINTENANCE_SECONDS + REPEATED_SECONDS
+    later = 0.1 + MAINTENANCE_SECONDS + UNCHANGED_INCARNATION_SECONDS
     planner.decide(a_view(fleet, read_at=later), later)
     assert len(_orders(planner, a_view(fleet, read_at=later + 0.1), later + 0.1)) == 1
 
 
-def test_an_owner_that_takes_a_wave_up_counts_the_time_that_has_passed() -> None:
-    """What is left of a wave is not spread over its whole time again.
+def test_a_resumed_wave_counts_the_elapsed_time() -> None:
+    """Guard against spreading the remaining instances over the whole duration again.
 
-    Symptom: a wave ended late by its last two instances. Sequence: the owner changed
-    5 s before its end; the next one took one instance at a time. Cause: it counted the
-    wave's time from its own beginning.
+    After a change of owner 5 s before the end of a wave, that would process one
+    instance at a time and end the wave late.
     """
     wave = a_wave([f"m-{n:02d}" for n in range(8)], 8, duration_s=20.0).wave
     stored = WaveRecord(["m-00"], False, seen_at=1000.0)
-    run = take_up(wave, stored, now=50.0, wall=1015.0)
+    run = resume_wave(wave, stored, now=50.0, wall=1015.0)
     assert run.first_seen_at == 35.0
-    assert run.seen_wall == 1000.0
-    assert run.begun == {"m-00"}
-    jumped = take_up(wave, stored, now=50.0, wall=5000.0)
-    assert jumped.first_seen_at == 30.0
+    assert run.first_seen_wall == 1000.0
+    assert run.started == {"m-00"}
+    after_jump = resume_wave(wave, stored, now=50.0, wall=5000.0)
+    assert after_jump.first_seen_at == 30.0
 
 
-def test_one_instance_that_waits_does_not_keep_another_from_its_turn() -> None:
+def test_one_busy_instance_does_not_block_the_next() -> None:
     planner = a_planner(["m-00", "m-01"], max_count=2)
-    busy = a_view(eight(), {"i-00": Load(0, 1)})
-    emptied = {d.machine for d in planner.decide(busy, 0.0)}
-    assert emptied == {"m-00", "m-01"}
+    busy = a_view(eight_instances(), {"i-00": Load(0, 1)})
+    drained = {d.machine for d in planner.decide(busy, 0.0)}
+    assert drained == {"m-00", "m-01"}
 
 
-def test_a_worker_that_comes_back_under_its_id_is_up_again() -> None:
-    """Symptom: each instance of a wave held its place for 3 s after it was back.
+def test_a_worker_that_restarts_under_its_id_is_up_again() -> None:
+    """Guard against an instance that counts as down for 3 s after it is up again.
 
-    Cause: the list named the same worker, which was taken for not maintained yet; its
-    time of birth says that it started again.
+    The list shows the same worker id; the later start time shows the restart.
     """
     planner = a_planner(["m-00", "m-01"], max_count=1)
     fleet = [an_instance(number) for number in range(2)]
-    loads = {"i-00": Load(0, 0, born=100), "i-01": Load(0, 0, born=100)}
+    loads = {
+        "i-00": Load(0, 0, started_at_ms=100),
+        "i-01": Load(0, 0, started_at_ms=100),
+    }
     planner.decide(a_view(fleet, loads), 0.0)
     planner.decide(a_view(fleet, loads), 0.1)
     (order,) = planner.runs[1].orders.values()
-    planner.accepted(1, order.machine, 0.2)
+    planner.record_accepted(1, order.machine, 0.2)
     planner.decide(a_view(fleet, loads, read_at=2.5), 2.5)
     assert list(planner.runs[1].orders) == [order.machine]
-    loads[order.old_id or ""] = Load(0, 0, born=200)
+    loads[order.worker_id or ""] = Load(0, 0, started_at_ms=200)
     planner.decide(a_view(fleet, loads, read_at=2.6), 2.6)
     assert order.machine not in planner.runs[1].orders
 
 
-def test_a_wave_is_not_done_since_one_list_misses_its_last_instance() -> None:
-    """Guards against a wave that is told as done before its last instance's turn."""
+def test_a_wave_is_not_done_if_one_list_lacks_its_last_instance() -> None:
+    """Guard against a wave that is reported as done before its last instance."""
     planner = a_planner(["m-00"])
     busy = {"i-00": Load(1, 0)}
-    planner.decide(a_view(eight(), busy), 0.0)
-    planner.decide(a_view(eight()[1:], read_at=0.4), 0.4)
+    planner.decide(a_view(eight_instances(), busy), 0.0)
+    planner.decide(a_view(eight_instances()[1:], read_at=0.4), 0.4)
     assert not planner.runs[1].done
-    planner.decide(a_view(eight(), busy, read_at=0.8), 0.8)
+    planner.decide(a_view(eight_instances(), busy, read_at=0.8), 0.8)
     assert not planner.runs[1].done
-    planner.decide(a_view(eight()[1:], read_at=1.2), 1.2)
-    planner.decide(a_view(eight()[1:], read_at=1.6), 1.6)
+    planner.decide(a_view(eight_instances()[1:], read_at=1.2), 1.2)
+    planner.decide(a_view(eight_instances()[1:], read_at=1.6), 1.6)
     assert planner.runs[1].done
 
 
-def test_an_instance_whose_row_can_not_be_read_is_not_emptied_for_good() -> None:
-    """Guards against a worker that is left out, and a wave that is done without it."""
+def test_an_instance_with_an_unreadable_row_is_not_drained_forever() -> None:
+    """Guard against a permanently cordoned worker, and a wave that ends without it."""
     planner = a_planner(["m-00"])
     run = planner.runs[1]
-    planner.decide(a_view(eight(), {"i-00": Load(1, 0)}), 0.0)
-    for read_at in (0.4, 0.4 + MISSED_SECONDS, 0.5 + MISSED_SECONDS):
-        assert run.emptying
-        view = replace(a_view(eight()[1:], read_at=read_at), complete=False)
+    planner.decide(a_view(eight_instances(), {"i-00": Load(1, 0)}), 0.0)
+    for read_at in (
+        0.4,
+        0.4 + UNLISTED_TIMEOUT_SECONDS,
+        0.5 + UNLISTED_TIMEOUT_SECONDS,
+    ):
+        assert run.draining
+        view = replace(a_view(eight_instances()[1:], read_at=read_at), complete=False)
         planner.decide(view, read_at)
-    assert not run.emptying
+    assert not run.draining
     assert not run.done
 
 
-def test_an_instance_that_is_down_counts_though_its_row_can_not_be_read() -> None:
-    """Guards against a wave that takes more instances at once than it may."""
+def test_an_instance_in_maintenance_counts_though_its_row_is_unreadable() -> None:
+    """Guard against exceeding the wave's limit."""
     planner = a_planner(["m-00", "m-01"], max_count=1)
-    planner.decide(a_view(eight()), 0.0)
-    (order,) = _orders(planner, a_view(eight(), read_at=0.1), 0.1)
+    planner.decide(a_view(eight_instances()), 0.0)
+    (order,) = _orders(planner, a_view(eight_instances(), read_at=0.1), 0.1)
     assert isinstance(order, Maintain)
-    planner.accepted(1, order.machine, 0.1)
-    rest = [i for i in eight() if i.machine != order.machine]
+    planner.record_accepted(1, order.machine, 0.1)
+    rest = [i for i in eight_instances() if i.machine != order.machine]
     for read_at in (2.5, 2.9):
         view = replace(a_view(rest, read_at=read_at), complete=False)
         assert _orders(planner, view, read_at) == []
 
 
-def test_an_instance_that_falls_silent_does_not_hold_its_wave_up() -> None:
-    """Guards against a wave whose places are all held by what it can't empty."""
+def test_an_unresponsive_instance_does_not_block_its_wave() -> None:
+    """Guard against a wave that is blocked by instances that it can't drain."""
     planner = a_planner([f"m-{n:02d}" for n in range(4)], max_count=2)
-    lasting = {f"i-{n:02d}": Load(1, 0) for n in range(4)}
-    planner.decide(a_view(eight(), lasting), 0.0)
-    silent = set(planner.runs[1].emptying)
-    assert len(silent) == 2
-    view = a_view(eight(), lasting, read_at=0.4)
-    workers = {machine.replace("m", "i") for machine in silent}
+    long_running = {f"i-{n:02d}": Load(1, 0) for n in range(4)}
+    planner.decide(a_view(eight_instances(), long_running), 0.0)
+    unresponsive = set(planner.runs[1].draining)
+    assert len(unresponsive) == 2
+    view = a_view(eight_instances(), long_running, read_at=0.4)
+    workers = {machine.replace("m", "i") for machine in unresponsive}
     for worker in workers:
         del view.loads[worker]
     assert planner.decide(view, 0.4) == []
     view = replace(view, unusable=frozenset(workers))
-    emptied = {d.machine for d in planner.decide(view, 0.8) if isinstance(d, Empty)}
-    assert len(emptied) == 2
-    assert not emptied & silent
+    drained = {d.machine for d in planner.decide(view, 0.8) if isinstance(d, Drain)}
+    assert len(drained) == 2
+    assert not drained & unresponsive
     assert not planner.runs[1].done
--- a/tests/embedded/test_long_list.py
+++ b/tests/embedded/test_long_list.py
@@ -5,7 +5,7 @@
 import anyio
 import pytest
 
-from mustardward.components.fleet.listing import ListReader
+from mustardward.components.fleet.listing import InstanceListReader
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.platform.fleet import FleetClient
 from mustardward.platform.http import HttpCaller
@@ -21,7 +21,7 @@
     async with async_run_estate(PLAN, "127.0.0.1") as estate:
         http = HttpCaller()
         client = FleetClient(http, estate.address, "entry-1")
-        reader = ListReader(client, DrivenTimerService(), readings_per_second=10.0)
+        reader = InstanceListReader(client, DrivenTimerService(), reads_per_second=10.0)
         with anyio.fail_after(10.0):
             read = await reader.async_read()
         assert read is not None
--- a/tests/helpers/test_policies.py
+++ b/tests/helpers/test_policies.py
@@ -8,7 +8,7 @@
 import pytest
 
 import mustardward.node.app  # noqa: F401 - all policies are registered by it
-from mustardward.components.fleet.lending import idle_seconds, spare
+from mustardward.components.fleet.lending import idle_timeout_seconds, surplus
 from mustardward.components.scheduling.order import (
     Capacity,
     by_slack,
@@ -37,11 +37,11 @@
 def test_a_policy_that_is_off_gives_way_to_what_stands_in_for_it() -> None:
     overload = (1000.0, Capacity(now=1.0))
     assert choose_order(*overload) is by_work
-    assert spare(5, 2) == 3
+    assert surplus(5, 2) == 3
     switch_off(["order-by-load", "lending"])
     assert choose_order(*overload) is by_slack
-    assert spare(5, 2) == 0
-    assert idle_seconds() > 0
+    assert surplus(5, 2) == 0
+    assert idle_timeout_seconds() > 0
     assert switched_off() == ["lending", "order-by-load"]
     switch_off(())
     assert choose_order(*overload) is by_work
