--- a/bench/crashes.py
+++ b/bench/crashes.py
@@ -166,7 +166,7 @@
 
     def __init__(self, case: Case, seed: int, counted: bool = True) -> None:
         self._case = case
-        self._cause = LossCause.UNLISTED if counted else LossCause.LEASES_OVER
+        self._cause = LossCause.UNLISTED if counted else LossCause.LEASES_EXPIRED
         self._chance = numpy.random.default_rng(seed)
         self._scheduler = Scheduler(1, lambda queue: POLICY)
         self._workers: dict[str, _Worker] = {}
@@ -208,8 +208,10 @@
         name += f"-{self._chance.integers(1_000_000)}"
         self._workers[name] = _Worker(name)
         entry = WorkerEntry(POOL, "a:1", capacity=ROOM, labels=["a", "r1"])
-        self._scheduler.see_worker(name, entry, now)
-        self._scheduler.hold_worker(name, HoldAnswer(1000 * now, [], []), now, now)
+        self._scheduler.update_worker(name, entry, now)
+        self._scheduler.apply_worker_report(
+            name, HoldAnswer(1000 * now, [], []), now, now
+        )
 
     def _add_lasting(self, now: float) -> None:
         step = SubmittedStep(
@@ -268,7 +270,7 @@
     def _bring_back(self, now: float) -> None:
         for lost in [lost for lost in self._lost if lost[0] <= now]:
             self._lost.remove(lost)
-            self._scheduler.lose_worker(lost[1], self._cause, now)
+            self._scheduler.remove_worker(lost[1], self._cause, now)
         for at in [at for at in self._back if at <= now]:
             self._back.remove(at)
             self._boot(now)
@@ -289,7 +291,7 @@
                 for run in worker.runs.values()
             ]
             answer = HoldAnswer(1000 * now, running, ended)
-            self._scheduler.hold_worker(worker.id, answer, now, now)
+            self._scheduler.apply_worker_report(worker.id, answer, now, now)
 
     def _plan(self, now: float) -> None:
         for command in self._scheduler.plan(now, now):
@@ -303,7 +305,7 @@
                     reports = self._scheduler.reports
                     reports.stop_answered(command.task, command.run, now)
         records = self._scheduler.take_dirty(now, now)
-        self._scheduler.note_stored([job_id for job_id, _ in records])
+        self._scheduler.mark_stored([job_id for job_id, _ in records])
         for job_id, progress in records:
             if progress.state.final:
                 self._note_over(job_id, progress.state, now)
--- a/bench/owner.py
+++ b/bench/owner.py
@@ -87,11 +87,11 @@
     names = [f"w{number}" for number in range(workers)]
     entry = WorkerEntry(POOL, "a:1", capacity=Room(cpu=8000, mem_mb=64000))
     for name in names:
-        scheduler.see_worker(name, entry, now)
-        scheduler.hold_worker(name, HoldAnswer(0, [], []), now, now)
+        scheduler.update_worker(name, entry, now)
+        scheduler.apply_worker_report(name, HoldAnswer(0, [], []), now, now)
     for number in range(jobs + workers):
         scheduler.add_job(_job(number), now, now)
-    scheduler.note_stored(list(scheduler.board.jobs))
+    scheduler.mark_stored(list(scheduler.board.jobs))
     starts: list[Start] = []
     began = time.process_time()
     for _ in range(ROUNDS):
--- a/bench/turns.py
+++ b/bench/turns.py
@@ -223,7 +223,7 @@
         while self._waiting and self._waiting[-1].at <= now:
             drawn = self._waiting.pop()
             self._scheduler.add_job(drawn.job, now, now)
-            self._scheduler.note_stored([drawn.job.record.id])
+            self._scheduler.mark_stored([drawn.job.record.id])
 
     def end(self, now: float) -> None:
         """List the runs that ended."""
@@ -256,8 +256,8 @@
     room = Room(cpu=kind.worker_cores * 1000, mem_mb=100_000)
     for number in range(first, first + count):
         name = f"w{number}"
-        scheduler.see_worker(name, WorkerEntry(POOL, "a:1", capacity=room), now)
-        scheduler.hold_worker(name, HoldAnswer(0, [], []), now, now)
+        scheduler.update_worker(name, WorkerEntry(POOL, "a:1", capacity=room), now)
+        scheduler.apply_worker_report(name, HoldAnswer(0, [], []), now, now)
 
 
 if __name__ == "__main__":
--- a/mustardward/components/dispatch/dispatcher.py
+++ b/mustardward/components/dispatch/dispatcher.py
@@ -13,7 +13,7 @@
 from ...platform.http import HttpCaller
 from ...platform.models import WorkerEntry
 from ...platform.workers import WorkerClient
-from ..scheduling.incarnations import is_other
+from ..scheduling.incarnations import is_other_incarnation
 from ..scheduling.losses import LossCause
 from ..scheduling.scheduler import Scheduler
 from .closed import ClosedWorkers
@@ -64,11 +64,11 @@
             self.on_fenced,
             self.on_report,
             self.authorised,
-            self.lose_worker,
+            self.remove_worker,
             self.advice,
         )
 
-    def see_worker(self, worker_id: str, entry: WorkerEntry) -> None:
+    def update_worker(self, worker_id: str, entry: WorkerEntry) -> None:
         """Open a session with a worker that is not known yet, or started again."""
         now = self.timers.monotonic()
         self._entries[worker_id] = entry
@@ -78,12 +78,12 @@
         if session is not None and not session.gone:
             if session.born and entry.born > session.born:
                 self._replace(session, entry.born)
-            elif is_other(entry.born, session.born):
+            elif is_other_incarnation(entry.born, session.born):
                 # Read late, or its time of day went back: the worker itself knows.
                 session.ask()
-            self.scheduler.see_worker(worker_id, entry, now)
+            self.scheduler.update_worker(worker_id, entry, now)
             return
-        self.scheduler.see_worker(worker_id, entry, now)
+        self.scheduler.update_worker(worker_id, entry, now)
         # The owner before may have renewed its lease until the end of its own
         # authority.
         lease_until = max(lease_bound(now), self.scheduler.board.held_until)
@@ -156,7 +156,7 @@
         finally:
             session.gone = True
 
-    def lose_worker(self, worker_id: str, cause: LossCause) -> None:
+    def remove_worker(self, worker_id: str, cause: LossCause) -> None:
         """Take in that a worker's incarnation is surely gone."""
         self.accounted.add(worker_id)
         # Its entry stays in the store for some seconds.
@@ -167,4 +167,4 @@
         if session is not None:
             session.gone = True
             session.wake()
-        self.scheduler.lose_worker(worker_id, cause, now)
+        self.scheduler.remove_worker(worker_id, cause, now)
--- a/mustardward/components/dispatch/looks.py
+++ b/mustardward/components/dispatch/looks.py
@@ -20,7 +20,7 @@
         return 0
     if worker.leaving or worker.draining:
         return SHORT_HOLD_MILLISECONDS
-    if pacing.needs_looks(worker):
+    if pacing.needs_frequent_polls(worker):
         return SHORT_HOLD_MILLISECONDS
     if any(not task.step.spec.long_running for task in worker.tasks.values()):
         return BUSY_HOLD_MILLISECONDS
--- a/mustardward/components/dispatch/orders.py
+++ b/mustardward/components/dispatch/orders.py
@@ -20,7 +20,7 @@
     WrongIncarnationError,
 )
 from ...platform.workers import TaskName
-from ..scheduling.commands import AskAdvice, Command, Pace, Start, Stop
+from ..scheduling.commands import Command, Pace, RequestAdvice, Start, Stop
 from ..scheduling.losses import LossCause
 from ..scheduling.models import Phase, Task
 from ..scheduling.scheduler import Scheduler
@@ -189,7 +189,7 @@
                 # The next look gives the order again.
                 pace.task.pace = -1
 
-    async def _async_advice(self, client: AdviceClient, ask: AskAdvice) -> None:
+    async def _async_advice(self, client: AdviceClient, ask: RequestAdvice) -> None:
         step = ask.step
         try:
             advice = await client.async_ask(
@@ -205,7 +205,7 @@
             )
             return
         until = self.timers.monotonic() + advice.valid_ms / 1000
-        self.scheduler.give_tickets(step, advice.tickets, until)
+        self.scheduler.set_tickets(step, advice.tickets, until)
         self.on_report()
 
     def _log_start(self, task: Task, start: Start, detail: str) -> None:
--- a/mustardward/components/dispatch/session.py
+++ b/mustardward/components/dispatch/session.py
@@ -16,7 +16,7 @@
     WrongIncarnationError,
 )
 from ...platform.workers import HoldAnswer, StartAnswer, StartOrder, WorkerClient
-from ..scheduling.incarnations import is_other
+from ..scheduling.incarnations import is_other_incarnation
 from ..scheduling.losses import LossCause
 from ..scheduling.models import Task
 from ..scheduling.scheduler import Scheduler
@@ -192,7 +192,7 @@
 
     def _is_another(self, answer: HoldAnswer) -> bool:
         """Return whether another incarnation answered; each has a clock of its own."""
-        if is_other(answer.born, self.born):
+        if is_other_incarnation(answer.born, self.born):
             return True
         return self.clock.is_behind(answer.clock_ms)
 
@@ -246,7 +246,7 @@
             if not self.gone:
                 self.gone = True
                 now = self.timers.monotonic()
-                self.scheduler.lose_worker(self.worker_id, LossCause.REPLACED, now)
+                self.scheduler.remove_worker(self.worker_id, LossCause.REPLACED, now)
                 self.on_report()
             return 0.0
         except (CallRefusedError, CallUnknownError) as error:
@@ -272,7 +272,7 @@
                 ENDS.labels(ended.how).inc()
         self.listed_upto = max(numbers, default=self.listed_upto)
         self._stored = anyio.Event()
-        self.scheduler.hold_worker(self.worker_id, answer, sent_at, now)
+        self.scheduler.apply_worker_report(self.worker_id, answer, sent_at, now)
         self.on_report()
         if not renewed and worker.has_runs:
             # Its lease may be almost over.
@@ -313,7 +313,7 @@
         if self.owned_until() > self.lease_until:
             # Its leases have run out on the slowest clock it can have, and no other
             # owner can have renewed them before, so nothing runs there.
-            self.scheduler.lose_worker(self.worker_id, LossCause.LEASES_OVER, now)
+            self.scheduler.remove_worker(self.worker_id, LossCause.LEASES_EXPIRED, now)
             self.gone = True
             self.on_report()
             return 0.0
--- a/mustardward/components/fleet/leaving.py
+++ b/mustardward/components/fleet/leaving.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from ..scheduling.incarnations import is_other
+from ..scheduling.incarnations import is_other_incarnation
 from ..scheduling.worker_state import WorkerState
 from .models import MoveOrder, WaveRun
 
@@ -28,4 +28,4 @@
 def is_leaving(worker: WorkerState, leaving: Leaving) -> bool:
     """Return whether a worker leaves; one that came since under its id does not."""
     born = leaving.get(worker.id)
-    return born is not None and not is_other(worker.born, born)
+    return born is not None and not is_other_incarnation(worker.born, born)
--- a/mustardward/components/fleet/services.py
+++ b/mustardward/components/fleet/services.py
@@ -20,7 +20,7 @@
 from ..ledger.ledger import Ledger, encode
 from ..ledger.models import WaveRecord
 from ..scheduling.demand import measure
-from ..scheduling.incarnations import is_other
+from ..scheduling.incarnations import is_other_incarnation
 from ..scheduling.losses import LossCause
 from ..scheduling.scheduler import Scheduler
 from ..scheduling.worker_state import WorkerState
@@ -124,7 +124,9 @@
         # Before a call is sent: a task that were placed until then would end.
         self._settle_leaving()
         self.scheduler.board.coming = self._coming()
-        self.scheduler.set_due({self._worker_of(machine) for machine in view.due})
+        self.scheduler.set_maintenance_due(
+            {self._worker_of(machine) for machine in view.due}
+        )
         for number in self.telling.tell(view, now):
             self._store_wave(self.planner.runs[number])
 
@@ -168,7 +170,7 @@
             if read_at > since:
                 cause = self._hosts.why_unlisted(worker_id, self._instances, ordered)
                 _LOGGER.info("silent_worker_gone", worker=worker_id, cause=cause.value)
-                self.dispatcher.lose_worker(worker_id, cause)
+                self.dispatcher.remove_worker(worker_id, cause)
         alive = {name for name, session in sessions.items() if not session.gone}
         self._hosts.read(self._instances, alive)
 
@@ -201,9 +203,9 @@
         if not order.worker:
             return
         worker = self.scheduler.board.workers.get(order.worker)
-        if worker is not None and is_other(worker.born, order.born):
+        if worker is not None and is_other_incarnation(worker.born, order.born):
             return
-        self.dispatcher.lose_worker(order.worker, LossCause.ORDERED)
+        self.dispatcher.remove_worker(order.worker, LossCause.ORDERED)
 
     def _worker_of(self, machine: str) -> str:
         instance = self._instances.get(machine)
--- a/mustardward/components/fleet/unusable.py
+++ b/mustardward/components/fleet/unusable.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from ...platform.models import Instance
-from ..scheduling.placement import can_serve
+from ..scheduling.placement import is_operational
 from ..scheduling.worker_state import WorkerState
 from .const import HEARING_SECONDS_EACH, SILENT_SECONDS, UNHEARD_SECONDS
 
@@ -64,10 +64,10 @@
         if worker.draining or worker.absent:
             # The worker said so, or its entry stayed away for long enough.
             return True
-        if worker.stale and worker.heard_at:
-            since = min(since, worker.heard_at)
+        if worker.stale and worker.reported_at:
+            since = min(since, worker.reported_at)
         return now - since > SILENT_SECONDS
 
 
 def _serves(worker: WorkerState | None) -> bool:
-    return worker is not None and can_serve(worker)
+    return worker is not None and is_operational(worker)
--- a/mustardward/components/ownership/owner.py
+++ b/mustardward/components/ownership/owner.py
@@ -140,7 +140,7 @@
             )
             self.dispatcher = dispatcher
             directory = WorkerDirectory(
-                self._see_worker, self._miss_worker, self.scheduler.bar_worker
+                self._see_worker, self._miss_worker, self.scheduler.mark_worker_absent
             )
             follower = TopicFollower(
                 parts.store,
@@ -235,7 +235,7 @@
         parts.ledger.on_job = self._add_job
         parts.ledger.on_cancel = lambda job: self._cancel_job(job.record.id)
         parts.ledger.on_told = lambda job: self._end_told(job.record.id)
-        parts.ahead.owner_knows = self.scheduler.has_ended
+        parts.ahead.owner_knows = self.scheduler.is_job_done
         parts.configuration.on_change = self._configured
         _LOGGER.info(
             "owner_started", node=parts.node, epoch=self._epoch, jobs=len(board.jobs)
@@ -259,7 +259,7 @@
         self.kick()
 
     def _end_told(self, job_id: str) -> None:
-        self.scheduler.end_told(job_id)
+        self.scheduler.end_reported_job(job_id)
         self.kick()
 
     def _configured(self) -> None:
@@ -268,11 +268,11 @@
 
     def _see_worker(self, worker_id: str, entry: WorkerEntry) -> None:
         if self.dispatcher is not None:
-            self.dispatcher.see_worker(worker_id, entry)
+            self.dispatcher.update_worker(worker_id, entry)
             self._wake.set()
 
     def _miss_worker(self, worker_id: str) -> None:
-        self.scheduler.miss_worker(worker_id, self._parts.timers.monotonic())
+        self.scheduler.mark_worker_missing(worker_id, self._parts.timers.monotonic())
 
     async def _async_plan(self) -> None:
         timers = self._parts.timers
@@ -329,7 +329,7 @@
         for worker_id, entry in directory.entries.items():
             session = self.dispatcher.sessions.get(worker_id)
             if session is None or session.gone:
-                self.dispatcher.see_worker(worker_id, entry)
+                self.dispatcher.update_worker(worker_id, entry)
 
     async def _async_call_append(
         self, records: list[Record], producer: Producer
--- a/mustardward/components/ownership/storing.py
+++ b/mustardward/components/ownership/storing.py
@@ -88,7 +88,7 @@
         if outcome is not Outcome.STORED:
             return False
         self.authority.confirm(sent_at)
-        self.scheduler.note_stored(job_ids)
+        self.scheduler.mark_stored(job_ids)
         self.on_stored()
         return True
 
--- a/mustardward/components/scheduling/advice.py
+++ b/mustardward/components/scheduling/advice.py
@@ -5,32 +5,32 @@
 from typing import Final
 
 from .board import Board
-from .commands import AskAdvice
+from .commands import RequestAdvice
 from .models import StepRun
 from .placement import fits, may_run
 from .worker_state import WorkerState
 
-ADVICE_SECONDS: Final = 2.0
+ADVICE_TIMEOUT_SECONDS: Final = 2.0
 """Longest wait for advice before it is asked again."""
 
 
-def seek_advice(
+def check_advice(
     board: Board, step: StepRun, workers: list[WorkerState], now: float
 ) -> bool:
     """Return whether advice allows any of some workers, asking for it where it is due.
 
     It is due where no allowed worker can take a task, and some were not asked about.
     """
-    if now >= step.tickets_until:
+    if now >= step.tickets_valid_until:
         step.tickets.clear()
-        step.asked_about = frozenset()
+        step.advice_requested_for = frozenset()
     allowed = [worker for worker in workers if worker.id in step.tickets]
     if any(fits(worker, step.room) and may_run(worker, step) for worker in allowed):
         return True
     names = frozenset(worker.id for worker in workers)
-    is_new = not allowed or not names <= step.asked_about
-    if is_new and now >= step.asked_until:
-        step.asked_until = now + ADVICE_SECONDS
-        step.asked_about = names
-        board.give(AskAdvice(step, tuple(worker.id for worker in workers)))
+    is_new = not allowed or not names <= step.advice_requested_for
+    if is_new and now >= step.advice_requested_until:
+        step.advice_requested_until = now + ADVICE_TIMEOUT_SECONDS
+        step.advice_requested_for = names
+        board.give(RequestAdvice(step, tuple(worker.id for worker in workers)))
     return bool(allowed)
--- a/mustardward/components/scheduling/commands.py
+++ b/mustardward/components/scheduling/commands.py
@@ -38,11 +38,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskAdvice:
+class RequestAdvice:
     """Ask which workers may run a step."""
 
     step: StepRun
     workers: tuple[str, ...]
 
 
-Command = Start | Stop | Pace | AskAdvice
+Command = Start | Stop | Pace | RequestAdvice
--- a/mustardward/components/scheduling/crashes.py
+++ b/mustardward/components/scheduling/crashes.py
@@ -220,7 +220,7 @@
         return True
     if task.phase is not Phase.RUNNING or task.worker is None:
         return False
-    return _has_run_on(task, task.worker.heard_at)
+    return _has_run_on(task, task.worker.reported_at)
 
 
 def awaits_judgement(job: Job) -> bool:
--- a/mustardward/components/scheduling/entries.py
+++ b/mustardward/components/scheduling/entries.py
@@ -10,7 +10,7 @@
 from ...platform.models import WORKER_DRAINING, WorkerEntry
 from .board import Board
 from .const import MISSING_GRACE_SECONDS
-from .incarnations import is_other, make_worker
+from .incarnations import is_other_incarnation, make_worker
 from .worker_state import WorkerState
 
 _LOGGER = get_logger(__name__)
@@ -45,7 +45,7 @@
             self.board.workers[worker_id] = worker
         elif not worker.described and entry.born == worker.born:
             worker.describe(entry)
-        elif is_other(entry.born, worker.born):
+        elif is_other_incarnation(entry.born, worker.born):
             # Of an incarnation that is over, and was written or read late.
             return False
         worker.born = worker.born or entry.born
--- a/mustardward/components/scheduling/evacuation.py
+++ b/mustardward/components/scheduling/evacuation.py
@@ -27,7 +27,7 @@
 
 
 def _surely_at_work(task: Task, now: float) -> bool:
-    if task.worker is None or now - task.worker.heard_at > REPORT_SECONDS:
+    if task.worker is None or now - task.worker.reported_at > REPORT_SECONDS:
         return False
     return task.at_work
 
--- a/mustardward/components/scheduling/incarnations.py
+++ b/mustardward/components/scheduling/incarnations.py
@@ -6,7 +6,7 @@
 from .worker_state import WorkerState
 
 
-def is_other(born: int, known: int) -> bool:
+def is_other_incarnation(born: int, known: int) -> bool:
     """Return whether two times of birth are surely those of two incarnations."""
     return bool(born and known) and born != known
 
--- a/mustardward/components/scheduling/losses.py
+++ b/mustardward/components/scheduling/losses.py
@@ -32,11 +32,11 @@
     REBORN = "reborn"
     """It started again under its id."""
 
-    LEASES_OVER = "leases-over"
+    LEASES_EXPIRED = "leases-over"
     """It is silent, and all its leases have run out; it may be alive."""
 
 
-def tell_lost(worker: WorkerState, cause: LossCause, now: float) -> None:
+def log_worker_lost(worker: WorkerState, cause: LossCause, now: float) -> None:
     """Log and count a lost worker, before its tasks are taken from it."""
     WORKERS_LOST.labels(cause.value).inc()
     runs = [_describe(task, now) for task in worker.tasks.values()]
--- a/mustardward/components/scheduling/models.py
+++ b/mustardward/components/scheduling/models.py
@@ -116,7 +116,7 @@
             return 0.0
         if self.percent_at_ms >= 0:
             return (self.worker.clock_ms - self.percent_at_ms) / 1000
-        return self.worker.heard_at - self.percent_since
+        return self.worker.reported_at - self.percent_since
 
 
 @dataclass(slots=True, eq=False)
@@ -124,7 +124,7 @@
     """Hold one step of one occurrence of a job.
 
     :param open: whether all tasks of the steps before it are done.
-    :param asked_about: the workers of which advice was asked last.
+    :param advice_requested_for: the workers of which advice was asked last.
     :param asked: what one task asks for, by which its organisation's quota counts.
     :param room: what one task takes of a worker. A step that fills takes what others
         leave unused, so its processor share is not counted. Held, since each plan asks
@@ -142,9 +142,9 @@
     open: bool = False
     on_worker: Counter[str] = field(default_factory=Counter)
     tickets: dict[str, str] = field(default_factory=dict)
-    tickets_until: float = 0.0
-    asked_until: float = 0.0
-    asked_about: frozenset[str] = frozenset()
+    tickets_valid_until: float = 0.0
+    advice_requested_until: float = 0.0
+    advice_requested_for: frozenset[str] = frozenset()
     asked: Room = field(init=False)
     room: Room = field(init=False)
 
--- a/mustardward/components/scheduling/pacing.py
+++ b/mustardward/components/scheduling/pacing.py
@@ -54,7 +54,7 @@
             if filling:
                 self._control(worker, filling, now)
 
-    def needs_looks(self, worker: WorkerState) -> bool:
+    def needs_frequent_polls(self, worker: WorkerState) -> bool:
         """Return whether serving and filling tasks stand side by side."""
         tasks = worker.tasks.values()
         return any(_fills(t) for t in tasks) and any(_serves(t) for t in tasks)
--- a/mustardward/components/scheduling/placement.py
+++ b/mustardward/components/scheduling/placement.py
@@ -95,7 +95,7 @@
     return math.inf
 
 
-def can_serve(worker: WorkerState) -> bool:
+def is_operational(worker: WorkerState) -> bool:
     """Return whether nothing keeps a worker from tasks that has no end of its own.
 
     The fleet replaces a worker for which this does not hold for long. What ends by
@@ -113,7 +113,7 @@
 def usable(worker: WorkerState, now: float) -> bool:
     """Return whether a worker may be given new tasks."""
     return (
-        can_serve(worker)
+        is_operational(worker)
         and not worker.leaving
         and worker.refusing_until <= now
         and worker.quarantined_until <= now
--- a/mustardward/components/scheduling/planner.py
+++ b/mustardward/components/scheduling/planner.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from ...platform.models import Room
-from .advice import seek_advice
+from .advice import check_advice
 from .board import Board
 from .crashes import (
     awaits_judgement,
@@ -280,7 +280,7 @@
     def _has_advice(
         self, step: StepRun, workers: list[WorkerState], now: float
     ) -> bool:
-        if seek_advice(self.board, step, workers, now):
+        if check_advice(self.board, step, workers, now):
             return True
         self.waits.note(step, Reason.ADVICE_UNANSWERED)
         return False
--- a/mustardward/components/scheduling/reports.py
+++ b/mustardward/components/scheduling/reports.py
@@ -59,7 +59,7 @@
             self._missing(worker, listed, sent_at, now)
         worker.confirmed = True
         worker.stale = False
-        worker.heard_at = sent_at
+        worker.reported_at = sent_at
 
     def start_sent(self, task: Task, run: int) -> None:
         """Take in that an order to start leaves."""
--- a/mustardward/components/scheduling/scheduler.py
+++ b/mustardward/components/scheduling/scheduler.py
@@ -25,7 +25,7 @@
 from .health import Health
 from .incarnations import make_worker
 from .intake import Intake
-from .losses import LossCause, tell_lost
+from .losses import LossCause, log_worker_lost
 from .models import Job, Phase, StepRun, Task
 from .order import ORDERS
 from .pacing import Pacing
@@ -80,7 +80,7 @@
         """Take an accepted job in."""
         self.intake.add(job, now, wall)
 
-    def note_stored(self, job_ids: Iterable[str]) -> None:
+    def mark_stored(self, job_ids: Iterable[str]) -> None:
         """Take in that the log shows these jobs as taken in; they may start now."""
         for job_id in job_ids:
             job = self.board.jobs.get(job_id)
@@ -92,12 +92,12 @@
         """End a job that a caller cancelled."""
         self.intake.cancel(job_id)
 
-    def has_ended(self, job_id: str) -> bool:
+    def is_job_done(self, job_id: str) -> bool:
         """Return whether a job is done, stored or not."""
         job = self.board.jobs.get(job_id)
         return job is not None and job.state is JobState.DONE
 
-    def end_told(self, job_id: str) -> None:
+    def end_reported_job(self, job_id: str) -> None:
         """End a job that a caller was told as done by an owner before."""
         job = self.board.jobs.get(job_id)
         if job is not None and not job.state.final:
@@ -110,7 +110,7 @@
             if policy is not None:
                 job.policy = policy
 
-    def see_worker(self, worker_id: str, entry: WorkerEntry, now: float) -> bool:
+    def update_worker(self, worker_id: str, entry: WorkerEntry, now: float) -> bool:
         """Take in a worker's entry; return whether the worker is new."""
         return self.entries.see(worker_id, entry, now)
 
@@ -137,29 +137,29 @@
         if old is None:
             self.board.workers[worker_id] = new
         else:
-            tell_lost(old, LossCause.REBORN, now)
+            log_worker_lost(old, LossCause.REBORN, now)
             suspects = suspects_of(old, now)
             self.board.replace_worker(old, new, now)
             self._crashes.note(old, LossCause.REBORN, suspects, now)
 
-    def miss_worker(self, worker_id: str, now: float) -> None:
+    def mark_worker_missing(self, worker_id: str, now: float) -> None:
         """Take in that a worker's entry is gone; what runs there may go on."""
         self.entries.miss(worker_id, now)
 
-    def bar_worker(self, worker_id: str) -> None:
+    def mark_worker_absent(self, worker_id: str) -> None:
         """Give a worker no new tasks until a good entry names it again."""
         self.entries.bar(worker_id)
 
-    def lose_worker(self, worker_id: str, cause: LossCause, now: float) -> None:
+    def remove_worker(self, worker_id: str, cause: LossCause, now: float) -> None:
         """Take in that nothing runs on a worker any more."""
         worker = self.board.workers.get(worker_id)
         if worker is not None:
-            tell_lost(worker, cause, now)
+            log_worker_lost(worker, cause, now)
             suspects = suspects_of(worker, now)
             self.board.drop_worker(worker, now)
             self._crashes.note(worker, cause, suspects, now)
 
-    def hold_worker(
+    def apply_worker_report(
         self, worker_id: str, answer: HoldAnswer, sent_at: float, now: float
     ) -> None:
         """Take in what runs and has ended on a worker."""
@@ -174,18 +174,18 @@
             worker.leaving = leaving
             worker.leaving_since = now
 
-    def set_due(self, worker_ids: set[str]) -> None:
+    def set_maintenance_due(self, worker_ids: set[str]) -> None:
         """Say on which workers nothing stays for long, since maintenance comes."""
         for worker in self.board.workers.values():
             worker.due = worker.id in worker_ids
 
-    def give_tickets(
+    def set_tickets(
         self, step: StepRun, tickets: dict[str, str], valid_until: float
     ) -> None:
         """Take in the advice on a step."""
         step.tickets = tickets
-        step.tickets_until = valid_until
-        step.asked_until = 0.0
+        step.tickets_valid_until = valid_until
+        step.advice_requested_until = 0.0
 
     def plan(
         self, now: float, wall: float, most_starts: int = sys.maxsize
--- a/mustardward/components/scheduling/wait_inputs.py
+++ b/mustardward/components/scheduling/wait_inputs.py
@@ -8,7 +8,7 @@
 
 from ...helpers.logging import LogValue
 from ...helpers.registry import Registry
-from .advice import ADVICE_SECONDS
+from .advice import ADVICE_TIMEOUT_SECONDS
 from .crashes import runs_apart, trial_workers
 from .models import Phase, StepRun
 from .wait_views import Wait
@@ -60,7 +60,7 @@
         for name, is_faulty in _FAULTS.items()
     }
     named = ",".join(f"{name}:{count}" for name, count in counts.items() if count)
-    heard = [w.heard_at for w in wait.with_room if w.heard_at]
+    heard = [w.reported_at for w in wait.with_room if w.reported_at]
     return {
         "unusable": named or None,
         "heard_seconds": _since(min(heard, default=None), wait.now),
@@ -146,7 +146,11 @@
 @INPUTS.register(Reason.ADVICE_UNANSWERED)
 def _advice(wait: Wait) -> Inputs:
     step = wait.step
-    asked = step.asked_until - ADVICE_SECONDS if step.asked_until else None
+    asked = (
+        step.advice_requested_until - ADVICE_TIMEOUT_SECONDS
+        if step.advice_requested_until
+        else None
+    )
     return {
         "asked_seconds": _since(asked, wait.now),
         "tickets": len(step.tickets),
@@ -235,7 +239,9 @@
         "at_most": sum(step.on_worker[w.id] >= most for w in able) if most else 0,
         "advice": step.job.policy.advice,
         "tickets": len(step.tickets),
-        "tickets_seconds_left": step.tickets_until - wait.now if step.tickets else None,
+        "tickets_seconds_left": step.tickets_valid_until - wait.now
+        if step.tickets
+        else None,
     }
 
 
--- a/mustardward/components/scheduling/wait_lines.py
+++ b/mustardward/components/scheduling/wait_lines.py
@@ -268,5 +268,7 @@
         "order_sent": task.sent,
         "stop_acknowledged": stopped_at is not None,
         "acknowledged_seconds": now - stopped_at if stopped_at is not None else None,
-        "worker_heard_seconds": now - worker.heard_at if worker is not None else None,
+        "worker_heard_seconds": now - worker.reported_at
+        if worker is not None
+        else None,
     }
--- a/mustardward/components/scheduling/worker_state.py
+++ b/mustardward/components/scheduling/worker_state.py
@@ -59,7 +59,7 @@
     failed_jobs: set[str] = field(default_factory=set)
     speed: float = 1.0
     stale: bool = False
-    heard_at: float = 0.0
+    reported_at: float = 0.0
     clock_ms: float = 0.0
     born: int = 0
     described: bool = True
--- a/tests/components/dispatch/test_gone_workers.py
+++ b/tests/components/dispatch/test_gone_workers.py
@@ -101,7 +101,7 @@
         for name in self.workers:
             rack = "r1" if name in RACK else "r2"
             entry = an_entry(labels=["a", rack], zone="z")
-            self.dispatcher.see_worker(name, entry)
+            self.dispatcher.update_worker(name, entry)
             session = self.dispatcher.sessions[name]
             session.client = self.workers[name]  # type: ignore[assignment]
 
@@ -109,7 +109,7 @@
         """Hand in a job that may start at once."""
         job = a_job(a_step(count=count))
         self.scheduler.add_job(job, self.timers.monotonic(), 0.0)
-        self.scheduler.note_stored([JOB])
+        self.scheduler.mark_stored([JOB])
 
     def lose_rack(self, gone: Exception) -> None:
         """Let the workers of the rack be gone."""
@@ -126,7 +126,7 @@
         for _ in range(round(seconds / 0.05)):
             now = self.timers.monotonic()
             commands = self.scheduler.plan(now, 0.0)
-            self.scheduler.note_stored(
+            self.scheduler.mark_stored(
                 job_id for job_id, _ in self.scheduler.take_dirty(now, 0.0)
             )
             self.dispatcher.orders.execute(commands)
@@ -138,7 +138,7 @@
                 if session.gone or since is None:
                     continue
                 if self.timers.monotonic() - since > UNLISTED_SECONDS:
-                    self.dispatcher.lose_worker(name, LossCause.UNLISTED)
+                    self.dispatcher.remove_worker(name, LossCause.UNLISTED)
 
 
 @asynccontextmanager
--- a/tests/components/dispatch/test_held_up.py
+++ b/tests/components/dispatch/test_held_up.py
@@ -68,7 +68,7 @@
         for name, worker in self.estate.workers.items():
             address = self.estate.address_of(name)
             entry = WorkerEntry(POOL, address, capacity=worker.room)
-            self.dispatcher.see_worker(name, entry)
+            self.dispatcher.update_worker(name, entry)
         workers = self.scheduler.board.workers.values()
         await async_until(lambda: all(worker.confirmed for worker in workers))
 
@@ -103,7 +103,7 @@
         await owner.async_see_workers()
         step = a_step(count=TASKS, cpu=100, mem_mb=1, long_running=True)
         owner.scheduler.add_job(a_job(step), owner.timers.monotonic(), 0.0)
-        owner.scheduler.note_stored([JOB])
+        owner.scheduler.mark_stored([JOB])
         owner.plan()
         for _ in range(4):
             await anyio.lowlevel.checkpoint()
@@ -136,9 +136,9 @@
         )
         now = timers.monotonic()
         scheduler.add_job(a_job(a_step(count=1)), now, 0.0)
-        scheduler.note_stored([JOB])
+        scheduler.mark_stored([JOB])
         entry = WorkerEntry(POOL, "127.0.0.1:9", capacity=Room(8000, 8000))
-        scheduler.see_worker("w", entry, now)
+        scheduler.update_worker("w", entry, now)
         worker = scheduler.board.workers["w"]
         worker.confirmed = True
         (start,) = [c for c in scheduler.plan(now - 2.0, 0.0) if isinstance(c, Start)]
--- a/tests/components/dispatch/test_hold_walks.py
+++ b/tests/components/dispatch/test_hold_walks.py
@@ -177,18 +177,18 @@
         entry = an_entry(born=worker.born, capacity=worker.room)
         if self.entries.get(name) != entry:
             self.entries[name] = entry
-            self.dispatcher.see_worker(name, entry)
+            self.dispatcher.update_worker(name, entry)
             self._set_clients()
 
     def miss(self, name: str) -> None:
         """Let a worker's entry lapse."""
         if self.entries.pop(name, None) is not None:
-            self.scheduler.miss_worker(name, self.timers.monotonic())
+            self.scheduler.mark_worker_missing(name, self.timers.monotonic())
 
     def bar(self, name: str) -> None:
         """Let an entry be read that names no worker."""
         self.entries.pop(name, None)
-        self.scheduler.bar_worker(name)
+        self.scheduler.mark_worker_absent(name)
 
     def submit(self) -> None:
         """Take a job in."""
@@ -237,7 +237,7 @@
         session = self.dispatcher.sessions.get(name)
         if session is not None and not session.gone:
             self.workers[name].restart()
-            self.dispatcher.lose_worker(name, LossCause.UNLISTED)
+            self.dispatcher.remove_worker(name, LossCause.UNLISTED)
 
     def resize(self, name: str) -> None:
         """Let a worker change its size."""
@@ -261,14 +261,14 @@
             for name, entry in self.entries.items():
                 session = self.dispatcher.sessions.get(name)
                 if session is None or session.gone:
-                    self.dispatcher.see_worker(name, entry)
+                    self.dispatcher.update_worker(name, entry)
             self._set_clients()
             if self.authorised:
                 room = self.dispatcher.orders.start_room()
                 commands = self.scheduler.plan(now, 0.0, room)
                 self.dispatcher.orders.execute(commands)
             stored = [name for name, _ in self.scheduler.take_dirty(now, 0.0)]
-            self.scheduler.note_stored(stored)
+            self.scheduler.mark_stored(stored)
             for session in self.dispatcher.sessions.values():
                 session.acknowledge(session.listed_upto)
             await anyio.wait_all_tasks_blocked()
--- a/tests/components/dispatch/test_holds.py
+++ b/tests/components/dispatch/test_holds.py
@@ -124,9 +124,11 @@
         bench.see()
         await bench.async_pass(0.3)
         directory = WorkerDirectory(
-            bench.dispatcher.see_worker,
-            lambda name: bench.scheduler.miss_worker(name, bench.timers.monotonic()),
-            bench.scheduler.bar_worker,
+            bench.dispatcher.update_worker,
+            lambda name: bench.scheduler.mark_worker_missing(
+                name, bench.timers.monotonic()
+            ),
+            bench.scheduler.mark_worker_absent,
         )
         good = {**GOOD, "service": POOL, "born": BORN}
         for entry in (good, {**good, "state": "?"}, good):
@@ -195,7 +197,7 @@
         worker = bench.scheduler.board.workers[WORKER]
         assert (worker.absent, worker.service) == (False, POOL)
         bench.see(service="no-such-service")
-        bench.scheduler.bar_worker(WORKER)
+        bench.scheduler.mark_worker_absent(WORKER)
         await bench.async_pass(4.0)
         assert (worker.absent, worker.service) == (True, POOL)
         tasks.cancel_scope.cancel()
--- a/tests/components/dispatch/test_reborn.py
+++ b/tests/components/dispatch/test_reborn.py
@@ -151,14 +151,14 @@
     def see(self, **changes: object) -> None:
         """Let the worker's entry be read."""
         entry = an_entry(**{"capacity": ROOM, "born": self.worker.born, **changes})
-        self.dispatcher.see_worker(WORKER, entry)
+        self.dispatcher.update_worker(WORKER, entry)
         self._report()
 
     def add(self, step: SubmittedStep) -> None:
         """Hand a job in that may start at once."""
         now = self.timers.monotonic()
         self.scheduler.add_job(a_job(step), now, 0.0)
-        self.scheduler.note_stored([JOB])
+        self.scheduler.mark_stored([JOB])
 
     def task(self, index: int = 0) -> Task:
         found = self.scheduler.board.find(TaskName(JOB, 0, 0, index))
@@ -405,7 +405,7 @@
 async def test_a_worker_that_is_back_in_its_id_is_used_at_once_after_a_loss() -> None:
     """An entry of the lost incarnation opens nothing, one of the next does."""
     async with a_bench() as bench:
-        bench.dispatcher.lose_worker(WORKER, LossCause.UNLISTED)
+        bench.dispatcher.remove_worker(WORKER, LossCause.UNLISTED)
         bench.see()
         assert WORKER not in bench.scheduler.board.workers
         bench.worker.restart()
@@ -453,7 +453,7 @@
     """Its clock begins anew with each start, and never goes back within one."""
     async with a_bench() as bench:
         bench.worker.tells_born = False
-        bench.dispatcher.lose_worker(WORKER, LossCause.UNLISTED)
+        bench.dispatcher.remove_worker(WORKER, LossCause.UNLISTED)
         await bench.async_pass(6.0)
         bench.see(born=0)
         bench.add(a_step(count=1, long_running=True))
--- a/tests/components/dispatch/test_session.py
+++ b/tests/components/dispatch/test_session.py
@@ -64,7 +64,7 @@
 
     def see(self) -> None:
         """Let the worker's entry be read, and play its client."""
-        self.dispatcher.see_worker(WORKER, an_entry())
+        self.dispatcher.update_worker(WORKER, an_entry())
         session = self.dispatcher.sessions[WORKER]
         session.client = self.client  # type: ignore[assignment]
 
--- a/tests/components/fleet/test_holds.py
+++ b/tests/components/fleet/test_holds.py
@@ -49,7 +49,7 @@
             barred={},
             timers=SimpleNamespace(monotonic=lambda: self.bench.now),  # type: ignore[arg-type]
             scheduler=self.bench.scheduler,
-            dispatcher=SimpleNamespace(lose_worker=self._lose),  # type: ignore[arg-type]
+            dispatcher=SimpleNamespace(remove_worker=self._lose),  # type: ignore[arg-type]
             configuration=SimpleNamespace(  # type: ignore[arg-type]
                 standby_pools=lambda: [STANDBY], config=None
             ),
@@ -230,7 +230,9 @@
     fleet = FleetBench(instances)
     fleet.bench.add(a_job(a_step(count=3, long_running=True, max_per_server=1)))
     assert len(fleet.bench.plan_starts()) == 3
-    fleet.bench.scheduler.lose_worker("i-00", LossCause.LEASES_OVER, fleet.bench.now)
+    fleet.bench.scheduler.remove_worker(
+        "i-00", LossCause.LEASES_EXPIRED, fleet.bench.now
+    )
     fleet.look(instances)
     assert [order.pool for order in fleet.orders if isinstance(order, Move)] == [POOL]
 
--- a/tests/components/ownership/test_takeover.py
+++ b/tests/components/ownership/test_takeover.py
@@ -26,7 +26,7 @@
         self.woken = 0
         for name, pool in (("w1", POOL), ("w2", OTHER)):
             entry = an_entry(service=pool)
-            self.bench.scheduler.see_worker(name, entry, self.bench.now)
+            self.bench.scheduler.update_worker(name, entry, self.bench.now)
         for number, pool in enumerate((POOL, OTHER)):
             self.bench.add(a_job(job=f"{number:016x}", service=pool))
             job = self.board.jobs[f"{number:016x}"]
--- a/tests/components/scheduling/builders.py
+++ b/tests/components/scheduling/builders.py
@@ -86,7 +86,7 @@
 
     def worker(self, name: str, **changes: object) -> WorkerState:
         """Add a worker that answered its first hold."""
-        self.scheduler.see_worker(name, an_entry(**changes), self.now)
+        self.scheduler.update_worker(name, an_entry(**changes), self.now)
         self.hold(name)
         return self.scheduler.board.workers[name]
 
@@ -94,13 +94,13 @@
         """Hand a job in, and store that it was taken in."""
         self.scheduler.add_job(job, self.now, self.now)
         if stored:
-            self.scheduler.note_stored([job.record.id])
+            self.scheduler.mark_stored([job.record.id])
 
     def store(self) -> None:
         """Store the progress that is due."""
         records = dict(self.scheduler.take_dirty(self.now, self.now))
         self.stored.update(records)
-        self.scheduler.note_stored(records)
+        self.scheduler.mark_stored(records)
 
     def plan(self) -> list[Command]:
         """Return what the scheduler orders now."""
@@ -129,7 +129,7 @@
     ) -> None:
         """Let a worker report."""
         answer = HoldAnswer(self.clock_ms, running or [], ended or [])
-        self.scheduler.hold_worker(name, answer, self.now, self.now)
+        self.scheduler.apply_worker_report(name, answer, self.now, self.now)
 
     def show_at_work(self, task: Task) -> None:
         """Let the worker of a lasting task report it at work, beside its others."""
--- a/tests/components/scheduling/liveness_mutants.py
+++ b/tests/components/scheduling/liveness_mutants.py
@@ -48,8 +48,8 @@
 
     def ask(own: Any, step: Any, workers: Any, now: float) -> bool:
         found = has_advice(own, step, workers, now)
-        if step.asked_until:
-            step.asked_until = math.inf
+        if step.advice_requested_until:
+            step.advice_requested_until = math.inf
         return found
 
     patch.setattr(planner.Planner, "_has_advice", ask)
@@ -57,32 +57,32 @@
 
 def _keep_tickets(patch: pytest.MonkeyPatch) -> None:
     """Let a ticket be valid for ever, whatever workers answer."""
-    give_tickets = Scheduler.give_tickets
+    set_tickets = Scheduler.set_tickets
     start_answered = Reports.start_answered
 
     def give(own: Scheduler, step: Any, tickets: Any, valid_until: float) -> None:
-        give_tickets(own, step, tickets, math.inf)
+        set_tickets(own, step, tickets, math.inf)
 
     def answered(own: Reports, task: Any, run: int, reason: str, now: float) -> None:
         before = dict(task.step.tickets)
         start_answered(own, task, run, reason, now)
         task.step.tickets = before
 
-    patch.setattr(Scheduler, "give_tickets", give)
+    patch.setattr(Scheduler, "set_tickets", give)
     patch.setattr(Reports, "start_answered", answered)
 
 
 def _stay_absent(patch: pytest.MonkeyPatch) -> None:
-    see_worker = Scheduler.see_worker
+    update_worker = Scheduler.update_worker
 
     def see(own: Scheduler, worker_id: str, entry: Any, now: float) -> bool:
         worker = own.board.workers.get(worker_id)
         absent = worker is not None and worker.absent
-        found = see_worker(own, worker_id, entry, now)
+        found = update_worker(own, worker_id, entry, now)
         own.board.workers[worker_id].absent |= absent
         return found
 
-    patch.setattr(Scheduler, "see_worker", see)
+    patch.setattr(Scheduler, "update_worker", see)
 
 
 def _only_leave(patch: pytest.MonkeyPatch) -> None:
@@ -129,15 +129,15 @@
 
 
 def _stay_undescribed(patch: pytest.MonkeyPatch) -> None:
-    see_worker = Scheduler.see_worker
+    update_worker = Scheduler.update_worker
 
     def see(own: Scheduler, worker_id: str, entry: Any, now: float) -> bool:
         worker = own.board.workers.get(worker_id)
         if worker is not None and not worker.described:
             return False
-        return see_worker(own, worker_id, entry, now)
+        return update_worker(own, worker_id, entry, now)
 
-    patch.setattr(Scheduler, "see_worker", see)
+    patch.setattr(Scheduler, "update_worker", see)
 
 
 def _hold_once(patch: pytest.MonkeyPatch) -> None:
@@ -154,7 +154,7 @@
     "a-stop-is-not-repeated": _replace(Orders, "_async_stop_again", _async_nothing),
     "a-stop-is-not-acknowledged": _replace(Reports, "stop_answered", _nothing),
     "data-centres-told-are-not-opened": _replace(
-        Scheduler, "note_stored", _store_without_zones
+        Scheduler, "mark_stored", _store_without_zones
     ),
     "no-data-centre-more": _replace(Zones, "widen", lambda *_: True),
     "advice-is-asked-once": _ask_once,
--- a/tests/components/scheduling/liveness_owner.py
+++ b/tests/components/scheduling/liveness_owner.py
@@ -143,9 +143,9 @@
 
     def _listen(self) -> None:
         """Note which tasks the owner reads as done."""
-        take: Callable[..., None] = self.scheduler.hold_worker
+        take: Callable[..., None] = self.scheduler.apply_worker_report
 
-        def hold_worker(
+        def apply_worker_report(
             worker_id: str, answer: HoldAnswer, sent_at: float, now: float
         ) -> None:
             if worker_id in self.scheduler.board.workers:
@@ -155,7 +155,7 @@
             take(worker_id, answer, sent_at, now)
 
         scheduler: Any = self.scheduler
-        scheduler.hold_worker = hold_worker
+        scheduler.apply_worker_report = apply_worker_report
 
     def _note_done(self, name: TaskName) -> None:
         job = self.world.jobs.get(name.job)
@@ -178,12 +178,12 @@
     def see(self, worker_id: str, entry: WorkerEntry) -> None:
         """Read a worker's entry."""
         if self.dispatcher is not None:
-            self.dispatcher.see_worker(worker_id, entry)
+            self.dispatcher.update_worker(worker_id, entry)
             self._wake.set()
 
     def miss(self, worker_id: str) -> None:
         """Read that a worker's entry is gone."""
-        self.scheduler.miss_worker(worker_id, self.world.now)
+        self.scheduler.mark_worker_missing(worker_id, self.world.now)
 
     def set_leaving(self, worker_id: str, leaving: bool) -> None:
         """Decide to take a worker, or to leave it."""
@@ -193,7 +193,7 @@
     def lose(self, worker_id: str) -> None:
         """Order a worker's maintenance."""
         if self.dispatcher is not None:
-            self.dispatcher.lose_worker(worker_id, LossCause.ORDERED)
+            self.dispatcher.remove_worker(worker_id, LossCause.ORDERED)
 
     async def _async_plan(self) -> None:
         while self.dispatcher is not None:
@@ -223,7 +223,7 @@
             await anyio.sleep(self._store_seconds())
             self._write(records)
             await anyio.sleep(self._store_seconds())
-            self.scheduler.note_stored([job_id for job_id, _ in records])
+            self.scheduler.mark_stored([job_id for job_id, _ in records])
             self._wake.set()
             for session, number in upto:
                 session.acknowledge(number)
@@ -257,5 +257,5 @@
                 if listed is None or session.gone or worker_id in listed:
                     continue
                 if since is not None and read_at > since:
-                    self.dispatcher.lose_worker(worker_id, LossCause.UNLISTED)
+                    self.dispatcher.remove_worker(worker_id, LossCause.UNLISTED)
             await anyio.sleep(LIST_SECONDS)
--- a/tests/components/scheduling/liveness_walk.py
+++ b/tests/components/scheduling/liveness_walk.py
@@ -9,7 +9,7 @@
 
 from mustardward.components.dispatch.const import AUTHORITY_SECONDS, lease_bound
 from mustardward.components.ledger.ledger import LedgerJob
-from mustardward.components.scheduling.advice import ADVICE_SECONDS
+from mustardward.components.scheduling.advice import ADVICE_TIMEOUT_SECONDS
 from mustardward.components.scheduling.const import (
     APART_WAIT_SECONDS,
     MISSING_GRACE_SECONDS,
@@ -43,7 +43,7 @@
     + AUTHORITY_SECONDS
     + MISSING_GRACE_SECONDS
     + QUARANTINE_SECONDS
-    + ADVICE_SECONDS
+    + ADVICE_TIMEOUT_SECONDS
     + APART_WAIT_SECONDS
     + SOUND_SECONDS
     + max(STUCK_SECONDS, 2 * STUCK_FACTOR * LONGEST_SECONDS)
@@ -180,7 +180,8 @@
         lines.append(
             f"  step {step.occurrence}.{step.number} open={step.open} "
             f"waiting={len(step.waiting)} done={step.done} active={step.active} "
-            f"tickets={step.tickets} asked_until={step.asked_until:.1f} "
+            f"tickets={step.tickets} "
+            f"advice_requested_until={step.advice_requested_until:.1f} "
             + " ".join(
                 f"{t.phase.value}@{t.worker and t.worker.id}" for t in step.tasks
             )
--- a/tests/components/scheduling/test_crash_walks.py
+++ b/tests/components/scheduling/test_crash_walks.py
@@ -122,7 +122,7 @@
 
     def _see(self, worker: _Worker) -> None:
         entry = self._entry(worker)
-        self._scheduler.see_worker(worker.id, entry, self.now)
+        self._scheduler.update_worker(worker.id, entry, self.now)
         self._hold(worker)
 
     def _entry(self, worker: _Worker) -> WorkerEntry:
@@ -174,7 +174,7 @@
                 self._check_cause(job_id)
             if progress.state.final:
                 self._jobs.pop(job_id, None)
-        self._scheduler.note_stored([job_id for job_id, _ in records])
+        self._scheduler.mark_stored([job_id for job_id, _ in records])
 
     def _start(self, start: Start) -> None:
         name = start.task.name
@@ -221,7 +221,7 @@
         ]
         answer = HoldAnswer(1000 * self.now, rows, worker.ended, worker.born)
         worker.ended = []
-        self._scheduler.hold_worker(worker.id, answer, self.now, self.now)
+        self._scheduler.apply_worker_report(worker.id, answer, self.now, self.now)
 
     def _crash_by_tasks(self, worker: _Worker) -> None:
         if any(name in self._guilty for name in worker.runs):
@@ -251,7 +251,7 @@
 
     def _end(self, worker: _Worker, cause: LossCause) -> None:
         del self._workers[worker.id]
-        self._scheduler.lose_worker(worker.id, cause, self.now)
+        self._scheduler.remove_worker(worker.id, cause, self.now)
         self._boot(f"w{self._born}")
 
     def _drain(self) -> None:
@@ -259,13 +259,13 @@
         worker = self._chance.choice(list(self._workers.values()))
         worker.draining = True
         entry = self._entry(worker)
-        self._scheduler.see_worker(worker.id, entry, self.now)
+        self._scheduler.update_worker(worker.id, entry, self.now)
         self._end(worker, LossCause.UNLISTED)
 
     def _silence(self) -> None:
         """Let a worker's leases run out behind a cut."""
         worker = self._chance.choice(list(self._workers.values()))
-        self._end(worker, LossCause.LEASES_OVER)
+        self._end(worker, LossCause.LEASES_EXPIRED)
 
     def _restart(self) -> None:
         """Let the fleet maintain a worker."""
--- a/tests/components/scheduling/test_crashes.py
+++ b/tests/components/scheduling/test_crashes.py
@@ -25,7 +25,7 @@
 
 def crash(bench: SchedulerBench, worker: str) -> None:
     """End a worker without a sign."""
-    bench.scheduler.lose_worker(worker, LossCause.UNLISTED, bench.now)
+    bench.scheduler.remove_worker(worker, LossCause.UNLISTED, bench.now)
 
 
 def crash_under_job(bench: SchedulerBench, rounds: int, job: str = JOB) -> int:
@@ -50,7 +50,7 @@
         bench.worker(f"w{number}")
         bench.now += 0.5
         for worker in {start.worker for start in bench.plan_starts()}:
-            bench.scheduler.lose_worker(worker, LossCause.UNLISTED, bench.now)
+            bench.scheduler.remove_worker(worker, LossCause.UNLISTED, bench.now)
             crashed += 1
         bench.now += 0.5
         bench.store()
@@ -198,9 +198,9 @@
     (start,) = bench.plan_starts()
     worker.draining = how == "draining"
     worker.leaving = how == "leaving"
-    causes = {"ordered": LossCause.ORDERED, "leases": LossCause.LEASES_OVER}
+    causes = {"ordered": LossCause.ORDERED, "leases": LossCause.LEASES_EXPIRED}
     cause = causes.get(how, LossCause.UNLISTED)
-    bench.scheduler.lose_worker("w1", cause, bench.now)
+    bench.scheduler.remove_worker("w1", cause, bench.now)
     assert start.task.crashes == ()
 
 
@@ -213,7 +213,7 @@
         bench.worker(f"w{number}")
         for start in bench.plan_starts():
             starts += 1
-            bench.scheduler.lose_worker(start.worker, LossCause.ORDERED, bench.now)
+            bench.scheduler.remove_worker(start.worker, LossCause.ORDERED, bench.now)
         bench.now += 1.0
         bench.store()
     assert starts == 1
--- a/tests/components/scheduling/test_hold_walks.py
+++ b/tests/components/scheduling/test_hold_walks.py
@@ -85,7 +85,7 @@
         """Let the owner read a worker's entry."""
         zone = self.places[name].zone
         entry = an_entry(zone=zone, labels=["a", f"r-{zone}"])
-        self.bench.scheduler.see_worker(name, entry, self.bench.now)
+        self.bench.scheduler.update_worker(name, entry, self.bench.now)
 
     def step(self) -> None:
         """Let one thing happen, and a moment pass."""
@@ -137,7 +137,7 @@
     def note(self) -> None:
         """End an append."""
         self.log.update(self.under_way)
-        self.bench.scheduler.note_stored(self.under_way)
+        self.bench.scheduler.mark_stored(self.under_way)
         self.under_way = {}
         for name, number in self.upto.items():
             if name in self.places:
@@ -163,7 +163,7 @@
         name = self.chance.choice(list(self.places))
         place = self.places.pop(name)
         cause = self.chance.choice([LossCause.UNLISTED, LossCause.ORDERED])
-        self.bench.scheduler.lose_worker(name, cause, self.bench.now)
+        self.bench.scheduler.remove_worker(name, cause, self.bench.now)
         self.join(place.zone)
 
     def fail(self) -> None:
--- a/tests/components/scheduling/test_holds.py
+++ b/tests/components/scheduling/test_holds.py
@@ -201,7 +201,7 @@
     job = bench.scheduler.board.jobs[OTHER]
     job.policy = QueuePolicy(service=POOL, advice=True)
     step = job.steps[(0, 0)]
-    bench.scheduler.give_tickets(step, {"w1": "t"}, bench.now + 100.0)
+    bench.scheduler.set_tickets(step, {"w1": "t"}, bench.now + 100.0)
     assert [start.worker for start in bench.plan_starts()] == ["w1"]
     bench.add(a_job())
     assert Play(bench).run(CALM_SECONDS) == [JOB, JOB]
@@ -380,7 +380,7 @@
     under_way = dict(bench.scheduler.take_dirty(bench.now, bench.now))
     bench.scheduler.board.end_run(start.task, bench.now)
     bench.scheduler.board.suspect(start.task, "w1")
-    bench.scheduler.note_stored(under_way)
+    bench.scheduler.mark_stored(under_way)
     assert bench.plan_starts() == []
     bench.store()
     assert len(bench.plan_starts()) == 1
--- a/tests/components/scheduling/test_liveness.py
+++ b/tests/components/scheduling/test_liveness.py
@@ -14,7 +14,7 @@
     Progress,
     StepMark,
 )
-from mustardward.components.scheduling.commands import AskAdvice
+from mustardward.components.scheduling.commands import RequestAdvice
 from mustardward.components.scheduling.losses import LossCause
 from mustardward.components.scheduling.models import Phase, QueuePolicy
 from mustardward.platform.models import Room, SubmittedStep
@@ -147,13 +147,13 @@
     bench = SchedulerBench(policy=QueuePolicy(POOL, advice=True))
     bench.worker("w1")
     bench.add(a_job())
-    asked = [c for c in bench.plan() if isinstance(c, AskAdvice)]
-    bench.scheduler.give_tickets(asked[0].step, {"w1": "t"}, bench.now + 60.0)
-    bench.scheduler.lose_worker("w1", LossCause.UNLISTED, bench.now)
+    asked = [c for c in bench.plan() if isinstance(c, RequestAdvice)]
+    bench.scheduler.set_tickets(asked[0].step, {"w1": "t"}, bench.now + 60.0)
+    bench.scheduler.remove_worker("w1", LossCause.UNLISTED, bench.now)
     bench.worker("w2")
     bench.now += WAIT_SECONDS
 
-    asked = [c for c in bench.plan() if isinstance(c, AskAdvice)]
+    asked = [c for c in bench.plan() if isinstance(c, RequestAdvice)]
 
     assert [ask.workers for ask in asked] == [("w2",)]
 
@@ -163,12 +163,12 @@
     bench = SchedulerBench(policy=QueuePolicy(POOL, advice=True))
     bench.worker("w1")
     bench.add(a_job(a_step(long_running=True, max_per_server=1)))
-    asked = [c for c in bench.plan() if isinstance(c, AskAdvice)]
-    bench.scheduler.give_tickets(asked[0].step, {"w1": "t"}, bench.now + 60.0)
+    asked = [c for c in bench.plan() if isinstance(c, RequestAdvice)]
+    bench.scheduler.set_tickets(asked[0].step, {"w1": "t"}, bench.now + 60.0)
     assert len(bench.plan_starts()) == 1
     bench.worker("w2")
     bench.now += WAIT_SECONDS
 
-    asked = [c for c in bench.plan() if isinstance(c, AskAdvice)]
+    asked = [c for c in bench.plan() if isinstance(c, RequestAdvice)]
 
     assert [set(ask.workers) for ask in asked] == [{"w1", "w2"}]
--- a/tests/components/scheduling/test_losses.py
+++ b/tests/components/scheduling/test_losses.py
@@ -25,7 +25,7 @@
     starts = bench.plan_starts()
     counted = WORKERS_LOST.labels("unlisted")._value.get()
     bench.now += 0.25
-    bench.scheduler.lose_worker("w1", LossCause.UNLISTED, bench.now)
+    bench.scheduler.remove_worker("w1", LossCause.UNLISTED, bench.now)
     (line,) = lines
     assert line["cause"] == "unlisted"
     assert line["born"] == 7
--- a/tests/components/scheduling/test_planning.py
+++ b/tests/components/scheduling/test_planning.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 from mustardward.components.ledger.models import JobState
-from mustardward.components.scheduling.commands import AskAdvice, Start, Stop
+from mustardward.components.scheduling.commands import RequestAdvice, Start, Stop
 from mustardward.components.scheduling.const import MISSING_GRACE_SECONDS
 from mustardward.components.scheduling.models import Phase, QueuePolicy
 from mustardward.platform.models import Room
@@ -196,11 +196,11 @@
     """
     bench = SchedulerBench()
     bench.worker("w1")
-    bench.scheduler.miss_worker("w1", bench.now)
+    bench.scheduler.mark_worker_missing("w1", bench.now)
     bench.now += MISSING_GRACE_SECONDS + 0.1
     bench.add(a_job(a_step(count=1, long_running=True, max_per_server=1)))
     assert bench.plan_starts() == []
-    bench.scheduler.see_worker("w1", an_entry(), bench.now)
+    bench.scheduler.update_worker("w1", an_entry(), bench.now)
     assert len(bench.plan_starts()) == 1
     bench.now += 1.0
     assert bench.plan_stops() == []
@@ -219,7 +219,7 @@
     bench = SchedulerBench()
     for number in range(4):
         bench.worker(f"w{number}")
-    bench.scheduler.set_due({"w0", "w1", "w2"})
+    bench.scheduler.set_maintenance_due({"w0", "w1", "w2"})
     bench.add(a_job(a_step(count=4, long_running=True, may_miss=2)))
     assert starts_by_worker(bench)["w3"] == 2
 
@@ -342,16 +342,16 @@
     bench.worker("w2")
     bench.add(a_job(a_step(count=1)))
     (ask,) = bench.plan()
-    assert isinstance(ask, AskAdvice)
+    assert isinstance(ask, RequestAdvice)
     assert set(ask.workers) == {"w1", "w2"}
-    bench.scheduler.give_tickets(ask.step, {"w2": "t"}, bench.now + 3.0)
+    bench.scheduler.set_tickets(ask.step, {"w2": "t"}, bench.now + 3.0)
     (start,) = [c for c in bench.plan() if isinstance(c, Start)]
     assert start.worker == "w2"
     bench.scheduler.reports.start_answered(
         start.task, start.run, REFUSED_TICKET, bench.now
     )
     assert start.task.phase is Phase.WAITING
-    assert isinstance(bench.plan()[0], AskAdvice)
+    assert isinstance(bench.plan()[0], RequestAdvice)
 
 
 def test_a_worker_whose_entry_cant_be_read_gets_nothing_and_keeps_its_room() -> None:
@@ -365,11 +365,11 @@
     worker = bench.worker("w-1")
     bench.add(a_job(a_step(count=1), a_step(count=1)))
     assert len(bench.plan_starts()) == 2
-    bench.scheduler.bar_worker("w-1")
+    bench.scheduler.mark_worker_absent("w-1")
     bench.add(a_job(job="00000000000000bb"))
     assert bench.plan_starts() == []
     assert len(worker.tasks) == 2 and worker.free_cpu == 6000
-    bench.scheduler.see_worker("w-1", an_entry(), bench.now)
+    bench.scheduler.update_worker("w-1", an_entry(), bench.now)
     assert {start.worker for start in bench.plan_starts()} == {"w-1"}
 
 
@@ -377,7 +377,7 @@
     """An incarnation never changes its pool, so another writer has written that."""
     bench = SchedulerBench()
     bench.worker("w-1")
-    bench.scheduler.see_worker("w-1", an_entry(service="elsewhere"), bench.now)
+    bench.scheduler.update_worker("w-1", an_entry(service="elsewhere"), bench.now)
     bench.add(a_job())
     assert bench.plan_starts() == []
 
--- a/tests/components/scheduling/test_quota_walks.py
+++ b/tests/components/scheduling/test_quota_walks.py
@@ -109,7 +109,7 @@
         known = board.workers.get(name)
         if known is not None and known.born != entry.born:
             self.scheduler.replace_worker(name, entry.born, entry, self.now)
-        self.scheduler.see_worker(name, entry, self.now)
+        self.scheduler.update_worker(name, entry, self.now)
 
     def submit(self, organisation: str, count: int) -> None:
         """Accept a job."""
@@ -119,7 +119,7 @@
         job = a_job(a_step(count=count), job=name, organisation=organisation)
         self.jobs[name] = job
         self.scheduler.add_job(job, self.now, self.now)
-        self.scheduler.note_stored([name])
+        self.scheduler.mark_stored([name])
         job.progress = Progress(JobState.RUNNING)
 
     def plan(self, fates: list[str]) -> None:
@@ -217,7 +217,7 @@
                 assert self.started_at[end.task] < at, "started after it was done"
                 self.known_done.add(end.task)
         answer = HoldAnswer(0.0, rows, list(worker.ended), worker.born)
-        self.scheduler.hold_worker(name, answer, self.now, self.now)
+        self.scheduler.apply_worker_report(name, answer, self.now, self.now)
 
     def carry_out_late(self, name: str, number: int) -> None:
         """Carry out an order that was left unanswered."""
@@ -253,7 +253,7 @@
                 # What ended under a lease that lapsed unread counts for nothing.
                 worker.ended.clear()
                 worker.ended_at.clear()
-                self.scheduler.lose_worker(name, LossCause.UNLISTED, self.now)
+                self.scheduler.remove_worker(name, LossCause.UNLISTED, self.now)
         self.scheduler.board.held_until = min(self.scheduler.board.held_until, self.now)
 
     def restart(self, name: str) -> None:
--- a/tests/components/scheduling/test_quotas.py
+++ b/tests/components/scheduling/test_quotas.py
@@ -82,7 +82,7 @@
     bench.worker("w1")
     bench.add(a_job(a_step(count=2), job=ANOTHER, organisation=DAIRY))
     assert bench.plan_starts() == []
-    bench.scheduler.lose_worker("w0", LossCause.UNLISTED, bench.now)
+    bench.scheduler.remove_worker("w0", LossCause.UNLISTED, bench.now)
     assert len(bench.plan_starts()) == 2
 
 
@@ -111,7 +111,7 @@
     bench.scheduler.replace_worker("w0", 7, an_entry(), bench.now)
     assert bench.scheduler.board.quotas.used(DAIRY).cpu == 0
     bench.hold("w0", running=[stray])
-    bench.scheduler.lose_worker("w0", LossCause.UNLISTED, bench.now)
+    bench.scheduler.remove_worker("w0", LossCause.UNLISTED, bench.now)
     assert bench.scheduler.board.quotas.used(DAIRY).cpu == 0
 
 
@@ -201,8 +201,8 @@
     for name in ("w0", "w1"):
         bench.hold(name)
         bench.hold(name)
-    bench.scheduler.lose_worker("w0", LossCause.UNLISTED, bench.now)
-    bench.scheduler.lose_worker("w1", LossCause.UNLISTED, bench.now)
+    bench.scheduler.remove_worker("w0", LossCause.UNLISTED, bench.now)
+    bench.scheduler.remove_worker("w1", LossCause.UNLISTED, bench.now)
     assert quotas.used(DAIRY) == Amount()
 
 
--- a/tests/components/scheduling/test_room_walks.py
+++ b/tests/components/scheduling/test_room_walks.py
@@ -39,7 +39,7 @@
         known = self.scheduler.board.workers.get(name)
         if known is not None and known.born != born:
             self.scheduler.replace_worker(name, born, entry, self.now)
-        self.scheduler.see_worker(name, entry, self.now)
+        self.scheduler.update_worker(name, entry, self.now)
 
     def _check_start(self, order: _Order) -> None:
         """Check nothing: strays are made on purpose."""
@@ -52,7 +52,7 @@
         worker.token = max(worker.token, self.epoch)
         rows = [RunningTask(t, r, "", 50.0, 0.0) for t, r in worker.running.items()]
         answer = HoldAnswer(0.0, rows, list(worker.ended), worker.born)
-        self.scheduler.hold_worker(name, answer, self.now, self.now)
+        self.scheduler.apply_worker_report(name, answer, self.now, self.now)
         self.strays_seen += len(known.strays)
 
     def fail(self, name: str) -> None:
@@ -96,7 +96,7 @@
         """Store what is due; jobs that are over are forgotten after that."""
         for job_id, progress in self.scheduler.take_dirty(self.now, self.now):
             self.jobs[job_id].progress = progress
-            self.scheduler.note_stored([job_id])
+            self.scheduler.mark_stored([job_id])
 
     def submit(self, organisation: str, count: int) -> None:
         """Accept a job, while there are few."""
--- a/tests/components/scheduling/test_rooms.py
+++ b/tests/components/scheduling/test_rooms.py
@@ -24,7 +24,7 @@
 def see(bench: SchedulerBench, room: Room, born: int = BORN) -> None:
     """Let the worker's entry tell of a room."""
     entry = an_entry(capacity=room, born=born)
-    bench.scheduler.see_worker("w1", entry, bench.now)
+    bench.scheduler.update_worker("w1", entry, bench.now)
 
 
 def test_a_worker_whose_room_has_shrunk_is_not_filled_beyond_it() -> None:
@@ -72,10 +72,10 @@
     bench.add(a_job(a_step(count=1, cpu=6000)))
     (start,) = bench.plan_starts()
     stray = a_row(start.task, 10.0)
-    bench.scheduler.lose_worker("w1", LossCause.LEASES_OVER, bench.now)
+    bench.scheduler.remove_worker("w1", LossCause.LEASES_EXPIRED, bench.now)
     bench.worker("w2")
     bench.plan_starts()
-    bench.scheduler.see_worker("w1", an_entry(born=BORN), bench.now)
+    bench.scheduler.update_worker("w1", an_entry(born=BORN), bench.now)
     bench.hold("w1", running=[stray])
     bench.add(a_job(a_step(count=1, cpu=4000), job="00000000000000bb"))
     assert bench.plan_starts() == []
--- a/tests/components/scheduling/test_takeover.py
+++ b/tests/components/scheduling/test_takeover.py
@@ -60,7 +60,7 @@
     ((job_id, progress),) = bench.scheduler.take_dirty(bench.now, bench.now)
     assert progress == Progress(JobState.QUEUED)
     assert bench.plan_starts() == []
-    bench.scheduler.note_stored([job_id])
+    bench.scheduler.mark_stored([job_id])
     assert len(bench.plan_starts()) == 2
 
 
@@ -83,7 +83,7 @@
     bench = a_successor()
     bench.scheduler.board.held_until = 0.0
     bench.add(a_job(a_step(count=2)))
-    bench.scheduler.see_worker("w1", an_entry(), bench.now)
+    bench.scheduler.update_worker("w1", an_entry(), bench.now)
     running = RunningTask(TaskName(JOB, 0, 0, 0), 1048577, "abc", 40.0, 0.0)
     bench.hold("w1", running=[running])
     starts = bench.plan_starts()
@@ -100,7 +100,7 @@
     job = a_job(a_step(count=1))
     job.progress = Progress(JobState.RUNNING, tasks=[TaskMark(0, 0, 0, (7,))])
     bench.add(job)
-    bench.scheduler.see_worker("w1", an_entry(), bench.now)
+    bench.scheduler.update_worker("w1", an_entry(), bench.now)
     bench.hold("w1", ended=[EndedTask(1, TaskName(JOB, 0, 0, 0), 7, "failed", "")])
     assert bench.task(0).failed_runs == (7,)
     assert len(bench.plan_starts()) == 1
@@ -129,7 +129,7 @@
 
 def test_what_runs_of_a_job_that_is_over_is_stopped() -> None:
     bench = a_successor()
-    bench.scheduler.see_worker("w1", an_entry(), bench.now)
+    bench.scheduler.update_worker("w1", an_entry(), bench.now)
     name = TaskName(OTHER, 0, 0, 0)
     bench.hold("w1", running=[RunningTask(name, 5, "", 10.0, 0.0)])
     stops = [c for c in bench.plan() if isinstance(c, Stop)]
--- a/tests/components/scheduling/test_uncertain_starts.py
+++ b/tests/components/scheduling/test_uncertain_starts.py
@@ -79,7 +79,7 @@
     bench, start = one_start()
     bench.accept(start)
     bench.hold(start.worker, running=[a_row(start.task, 50.0, "half")])
-    bench.scheduler.lose_worker(start.worker, LossCause.UNLISTED, bench.now)
+    bench.scheduler.remove_worker(start.worker, LossCause.UNLISTED, bench.now)
     (again,) = [c for c in bench.plan() if isinstance(c, Start)]
     assert again.worker != start.worker
     assert again.task.checkpoint == "half"
--- a/tests/components/scheduling/test_waits.py
+++ b/tests/components/scheduling/test_waits.py
@@ -524,7 +524,7 @@
     bench.add(a_job())
     bench.plan()
     step = bench.task(0).step
-    bench.scheduler.give_tickets(step, {"w1": "t"}, bench.now + 9.0)
+    bench.scheduler.set_tickets(step, {"w1": "t"}, bench.now + 9.0)
     wait_on(bench)
     (line,) = tell(bench, caplog)
     assert line["reason"] == Reason.RULES.value
@@ -636,7 +636,7 @@
 ) -> None:
     bench = SchedulerBench()
     bench.worker("w1")
-    bench.scheduler.miss_worker("w1", bench.now)
+    bench.scheduler.mark_worker_missing("w1", bench.now)
     bench.scheduler.board.workers["w1"].stale = True
     bench.add(a_job())
     wait_on(bench)
--- a/tests/components/scheduling/test_zones.py
+++ b/tests/components/scheduling/test_zones.py
@@ -30,7 +30,7 @@
 def store(bench: SchedulerBench) -> dict[str, Progress]:
     """Store what is due, and return it."""
     records = dict(bench.scheduler.take_dirty(bench.now, bench.now))
-    bench.scheduler.note_stored(records)
+    bench.scheduler.mark_stored(records)
     return records
 
 
@@ -67,7 +67,7 @@
     ((_, progress),) = told
     assert set(first) < set(progress.zones) and len(progress.zones) == 2
     assert bench.plan_starts() == []
-    bench.scheduler.note_stored([JOB])
+    bench.scheduler.mark_stored([JOB])
     more = bench.plan_starts()
     assert zones_of(bench, more) == set(progress.zones) - set(first)
     assert len(more) == 4
@@ -180,7 +180,7 @@
         elif move == 2:
             for job, record in under_way.items():
                 log[job] = set(record.zones)
-            bench.scheduler.note_stored(under_way)
+            bench.scheduler.mark_stored(under_way)
             under_way = {}
         elif move == 3:
             for worker in _busy(list(bench.scheduler.board.workers.values()))[:1]:
