--- a/bench/owner.py
+++ b/bench/owner.py
@@ -91,7 +91,7 @@
         scheduler.apply_worker_report(name, HoldAnswer(0, [], []), now, now)
     for number in range(jobs + workers):
         scheduler.add_job(_job(number), now, now)
-    scheduler.mark_stored(list(scheduler.board.jobs))
+    scheduler.mark_stored(list(scheduler.state.jobs))
     starts: list[Start] = []
     began = time.process_time()
     for _ in range(ROUNDS):
@@ -162,7 +162,7 @@
 
 def _end(scheduler: Scheduler, start: Start, now: float) -> None:
     scheduler.reports.start_answered(start.task, start.run, "", now)
-    worker = scheduler.board.workers[start.worker]
+    worker = scheduler.state.workers[start.worker]
     ended = EndedTask(1, start.task.name, start.run, "done", "")
     scheduler.reports.ended(worker, ended, now)
 
--- a/bench/turns.py
+++ b/bench/turns.py
@@ -202,12 +202,12 @@
     @property
     def going(self) -> bool:
         """Return whether something is left to be done."""
-        return bool(self._waiting or self._ends or self._scheduler.board.jobs)
+        return bool(self._waiting or self._ends or self._scheduler.state.jobs)
 
     def grow(self, now: float) -> None:
         """Let the pool's second part be known, and come."""
         kind = self._kind
-        coming = self._scheduler.board.coming
+        coming = self._scheduler.state.coming
         if self._grown:
             return
         if now >= kind.late_pool_at:
@@ -231,7 +231,7 @@
             _, run, worker, name = heapq.heappop(self._ends)
             self._numbers[worker] += 1
             ended = EndedTask(self._numbers[worker], name, run, "done", "")
-            state = self._scheduler.board.workers[worker]
+            state = self._scheduler.state.workers[worker]
             self._scheduler.reports.ended(state, ended, now)
 
     def plan(self, now: float) -> None:
--- a/mustardward/components/dispatch/session.py
+++ b/mustardward/components/dispatch/session.py
@@ -108,7 +108,7 @@
     async def async_run(self) -> None:
         """Hold the worker until it is surely gone."""
         while not self.gone:
-            worker = self.scheduler.board.workers.get(self.worker_id)
+            worker = self.scheduler.state.workers.get(self.worker_id)
             if worker is None:
                 return
             if self._idle(worker):
--- a/mustardward/components/fleet/services.py
+++ b/mustardward/components/fleet/services.py
@@ -105,10 +105,10 @@
         now = self.timers.monotonic()
         barred = self._barred()
         view = self._view()
-        self.scheduler.board.unusable = view.unusable
+        self.scheduler.state.unusable = view.unusable
         taken = self.planner.taken() | barred
         for move in self.pools.decide(
-            view, measure(self.scheduler.board, now), taken, now
+            view, measure(self.scheduler.state, now), taken, now
         ):
             self.tasks.start_soon(self._async_move, move)
         view = replace(
@@ -123,7 +123,7 @@
                 self.tasks.start_soon(self._async_maintain, decision)
         # Before a call is sent: a task that were placed until then would end.
         self._settle_leaving()
-        self.scheduler.board.coming = self._coming()
+        self.scheduler.state.coming = self._coming()
         self.scheduler.set_maintenance_due(
             {self._worker_of(machine) for machine in view.due}
         )
@@ -202,7 +202,7 @@
         """Lose the worker that an order was decided for, and none that came since."""
         if not order.worker:
             return
-        worker = self.scheduler.board.workers.get(order.worker)
+        worker = self.scheduler.state.workers.get(order.worker)
         if worker is not None and is_other_incarnation(worker.born, order.born):
             return
         self.dispatcher.remove_worker(order.worker, LossCause.ORDERED)
@@ -222,20 +222,20 @@
 
     def _look_for_unusable(self, standby: frozenset[str]) -> frozenset[str]:
         """Return the workers that nothing can be started on for a while."""
-        board = self.scheduler.board
+        state = self.scheduler.state
         counted = (
             instance
             for instance in self._instances.values()
             if instance.state == INSTANCE_UP and instance.pool not in standby
         )
         now = self.timers.monotonic()
-        return self._unusable.look(counted, board.workers, board.taken_over_at, now)
+        return self._unusable.look(counted, state.workers, state.taken_over_at, now)
 
     def _settle_leaving(self) -> None:
         """Let those workers leave, and no others, that are about to be taken."""
         now = self.timers.monotonic()
         leaving = find_leaving(self.planner.runs.values(), self.pools.orders.values())
-        for worker in self.scheduler.board.workers.values():
+        for worker in self.scheduler.state.workers.values():
             leaves = is_leaving(worker, leaving)
             if worker.leaving != leaves:
                 self.scheduler.set_leaving(worker.id, leaves, now)
@@ -255,7 +255,7 @@
     def _view(self) -> FleetView:
         loads = {
             worker.id: _load_of(worker)
-            for worker in self.scheduler.board.workers.values()
+            for worker in self.scheduler.state.workers.values()
             if worker.confirmed and not worker.stale
         }
         standby = frozenset(self.configuration.standby_pools())
@@ -270,7 +270,7 @@
             complete=self._complete,
             unusable=self._look_for_unusable(standby),
             due=frozenset(self.planner.due()),
-            rooms={w.id: w.capacity for w in self.scheduler.board.workers.values()},
+            rooms={w.id: w.capacity for w in self.scheduler.state.workers.values()},
         )
 
     def _store_wave(self, run: WaveRun) -> None:
--- a/mustardward/components/ownership/owner.py
+++ b/mustardward/components/ownership/owner.py
@@ -164,7 +164,7 @@
                 self._start_fleet(parts.fleet, dispatcher, tasks)
             takeover = Takeover(
                 self._epoch,
-                self.scheduler.board,
+                self.scheduler.state,
                 dispatcher,
                 parts.timers,
                 self._wake_up,
@@ -178,8 +178,8 @@
 
     async def async_release(self) -> None:
         """Give the shard up, so that another entry claims it at once."""
-        board = self.scheduler.board
-        settled = self._parts.timers.monotonic() >= board.held_until
+        state = self.scheduler.state
+        settled = self._parts.timers.monotonic() >= state.held_until
         await self._renewals.async_release(settled)
         self.depose()
 
@@ -225,8 +225,8 @@
         parts = self._parts
         now = parts.timers.monotonic()
         wall = parts.timers.wall()
-        board = self.scheduler.board
-        hold(board, self._before, now)
+        state = self.scheduler.state
+        hold(state, self._before, now)
         for job in sorted(
             parts.ledger.jobs.values(), key=lambda job: job.record.accepted_at
         ):
@@ -238,7 +238,7 @@
         parts.ahead.owner_knows = self.scheduler.is_job_done
         parts.configuration.on_change = self._configured
         _LOGGER.info(
-            "owner_started", node=parts.node, epoch=self._epoch, jobs=len(board.jobs)
+            "owner_started", node=parts.node, epoch=self._epoch, jobs=len(state.jobs)
         )
 
     def _unsubscribe(self) -> None:
@@ -288,7 +288,7 @@
                     self.dispatcher.orders.start_room(),
                 )
                 self.dispatcher.orders.execute(commands)
-                if self.scheduler.board.dirty:
+                if self.scheduler.state.dirty:
                     self._storing.kick()
             spent = timers.monotonic() - began
             await timers.async_sleep(_PLANNING.pause(spent))
@@ -313,7 +313,7 @@
             load.look(now)
             if now - told_at > TELL_SECONDS:
                 told_at = now
-                log_loads(self.scheduler.board, now)
+                log_loads(self.scheduler.state, now)
                 self.scheduler.waits.tell(now)
                 load.tell(now)
             if now - swept_at > SWEEP_SECONDS:
--- a/mustardward/components/ownership/takeover.py
+++ b/mustardward/components/ownership/takeover.py
@@ -12,7 +12,7 @@
 from ..fleet.services import Fleet
 from ..ledger.follower import TopicFollower
 from ..ledger.models import OwnerRecord
-from ..scheduling.board import Board
+from ..scheduling.scheduler_state import SchedulerState
 from .const import HELD_LOOK_SECONDS
 
 _LOGGER = get_logger(__name__)
@@ -30,7 +30,7 @@
     """
 
     epoch: int
-    board: Board
+    state: SchedulerState
     dispatcher: Dispatcher
     timers: TimerService
     wake: Callable[[], None]
@@ -42,7 +42,7 @@
         :param directory: reads workers' entries; before it did, none is known.
         """
         await directory.async_wait_loaded()
-        while self.timers.monotonic() < self.board.held_until:
+        while self.timers.monotonic() < self.state.held_until:
             self.release()
             await self.timers.async_sleep(HELD_LOOK_SECONDS)
         self.wake()
@@ -50,14 +50,14 @@
     def release(self) -> None:
         """Start again what was held, once every worker that may run it was heard of."""
         accounted = self._accounted()
-        if accounted != self.board.accounted:
-            self.board.accounted = accounted
+        if accounted != self.state.accounted:
+            self.state.accounted = accounted
             zones = ",".join(sorted(accounted))
             _LOGGER.info("zones_accounted", epoch=self.epoch, zones=zones)
             self.wake()
         if not self._all_heard():
             return
-        self.board.held_until = 0.0
+        self.state.held_until = 0.0
         _LOGGER.info("takeover_complete", epoch=self.epoch)
 
     def _accounted(self) -> frozenset[str]:
@@ -69,7 +69,7 @@
         listed = self.fleet.listed_workers() if self.fleet is not None else {}
         if listed is None:
             return frozenset()
-        workers = self.board.workers
+        workers = self.state.workers
         heard = {worker.zone for worker in workers.values() if worker.confirmed}
         silent = {
             workers[name].zone for name in self.dispatcher.unheard() if name in workers
@@ -99,7 +99,7 @@
         return all(name in self.dispatcher.sessions for name in listed)
 
 
-def hold(board: Board, before: OwnerRecord, now: float) -> None:
+def hold(state: SchedulerState, before: OwnerRecord, now: float) -> None:
     """Hold what the owner before may have started for as long as it may run.
 
     One that gave the shard up gives no more orders; one that fell silent may, for as
@@ -109,5 +109,5 @@
     """
     over = not before.node and before.settled
     authority = 0.0 if over else AUTHORITY_SECONDS
-    board.held_until = lease_bound(now) + authority
-    board.taken_over_at = now
+    state.held_until = lease_bound(now) + authority
+    state.taken_over_at = now
--- a/mustardward/components/scheduling/advice.py
+++ b/mustardward/components/scheduling/advice.py
@@ -4,10 +4,10 @@
 
 from typing import Final
 
-from .board import Board
 from .commands import RequestAdvice
 from .models import StepRun
 from .placement import fits, may_run
+from .scheduler_state import SchedulerState
 from .worker_state import WorkerState
 
 ADVICE_TIMEOUT_SECONDS: Final = 2.0
@@ -15,7 +15,7 @@
 
 
 def check_advice(
-    board: Board, step: StepRun, workers: list[WorkerState], now: float
+    state: SchedulerState, step: StepRun, workers: list[WorkerState], now: float
 ) -> bool:
     """Return whether advice allows any of some workers, asking for it where it is due.
 
@@ -32,5 +32,5 @@
     if is_new and now >= step.advice_requested_until:
         step.advice_requested_until = now + ADVICE_TIMEOUT_SECONDS
         step.advice_requested_for = names
-        board.give(RequestAdvice(step, tuple(worker.id for worker in workers)))
+        state.give(RequestAdvice(step, tuple(worker.id for worker in workers)))
     return bool(allowed)
--- a/mustardward/components/scheduling/crashes.py
+++ b/mustardward/components/scheduling/crashes.py
@@ -17,7 +17,6 @@
 from ...helpers.policies import switchable
 from ...platform.workers import encode_task
 from ..ledger.models import JobState
-from .board import Board
 from .const import (
     APART_CRASHES,
     APART_WAIT_SECONDS,
@@ -30,6 +29,7 @@
 )
 from .losses import MOST_IN_LINE, LossCause
 from .models import Job, Phase, StepRun, Task
+from .scheduler_state import SchedulerState
 from .worker_state import WorkerState
 
 _LOGGER = get_logger(__name__)
@@ -116,7 +116,7 @@
 class Crashes:
     """Suspect, clear and give up jobs."""
 
-    board: Board
+    state: SchedulerState
     _recent: deque[_Crash] = field(default_factory=deque)
 
     def note(
@@ -151,12 +151,12 @@
 
     def _suspect(self, task: Task, worker: WorkerState, now: float) -> None:
         if not task.step.job.state.final:
-            self.board.suspect(task, worker.incarnation)
+            self.state.suspect(task, worker.incarnation)
             task.judged_at = now + TOGETHER_SECONDS
 
     def judge(self, now: float) -> None:
         """Give up the jobs whose tasks crash their workers, and clear sound ones."""
-        for job in list(self.board.suspects.values()):
+        for job in list(self.state.suspects.values()):
             for step in job.steps.values():
                 for task in step.tasks:
                     if task.crashes:
@@ -170,7 +170,7 @@
             return
         if _is_sound(task):
             _LOGGER.info("suspect_cleared", task=encode_task(task.name))
-            self.board.clear(task)
+            self.state.clear(task)
             return
         if not self._is_due(task, now):
             return
@@ -190,7 +190,7 @@
         )
         if guilty:
             JOBS_GIVEN_UP.inc()
-            self.board.end_job(job, JobState.FAILED)
+            self.state.end_job(job, JobState.FAILED)
 
     def _is_due(self, task: Task, now: float) -> bool:
         """Return whether a task is to be judged; an owner before may not have."""
@@ -206,7 +206,7 @@
             for crash in self._recent
             if crash.service == service
         )
-        left = sum(w.service == service for w in self.board.workers.values())
+        left = sum(w.service == service for w in self.state.workers.values())
         return crashed > TOGETHER_SHARE * (crashed + left)
 
 
--- a/mustardward/components/scheduling/demand.py
+++ b/mustardward/components/scheduling/demand.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass, field
 
 from ...helpers.logging import get_logger
-from .board import Board
 from .crashes import tasks_apart
 from .inflow import Amount
 from .models import StepRun
+from .scheduler_state import SchedulerState
 
 _LOGGER = get_logger(__name__)
 
@@ -46,9 +46,9 @@
     apart: int = 0
 
 
-def log_loads(board: Board, now: float) -> None:
+def log_loads(state: SchedulerState, now: float) -> None:
     """Log each pool's load."""
-    for service, load in measure(board, now).items():
+    for service, load in measure(state, now).items():
         _LOGGER.info(
             "pool_load",
             service=service,
@@ -68,13 +68,13 @@
         )
 
 
-def measure(board: Board, now: float) -> dict[str, PoolLoad]:
+def measure(state: SchedulerState, now: float) -> dict[str, PoolLoad]:
     """Return the load of each pool that has workers or work."""
     loads: defaultdict[str, PoolLoad] = defaultdict(PoolLoad)
     steps: dict[int, StepRun] = {}
-    for worker in board.workers.values():
+    for worker in state.workers.values():
         load = loads[worker.service]
-        usable = not worker.leaving and worker.id not in board.unusable
+        usable = not worker.leaving and worker.id not in state.unusable
         if worker.confirmed and usable and not worker.absent:
             load.workers += 1
             load.capacity += worker.capacity.cpu
@@ -85,11 +85,11 @@
                 load.lasting.add(task.step.room)
             else:
                 load.running.add(task.step.room)
-                left = board.estimates.seconds(task.step) - (now - task.started_at)
+                left = state.estimates.seconds(task.step) - (now - task.started_at)
                 load.left.add(task.step.room, max(0.0, left))
-    _add_left(loads, board)
-    shares = _shares_that_may_start(board)
-    for step in board.ready.values():
+    _add_left(loads, state)
+    shares = _shares_that_may_start(state)
+    for step in state.ready.values():
         steps[id(step)] = step
         load = loads[step.job.policy.service]
         count = len(step.waiting) * shares.get(step.job.organisation, 1.0)
@@ -97,47 +97,47 @@
             load.lasting.add(step.room, count)
         else:
             load.waiting.add(step.room, count)
-            load.backlog.add(step.room, count * board.estimates.seconds(step))
+            load.backlog.add(step.room, count * state.estimates.seconds(step))
     for step in steps.values():
         load = loads[step.job.policy.service]
         load.spread = max(load.spread, _spread(step))
-    _add_apart(loads, board)
+    _add_apart(loads, state)
     for service, load in loads.items():
-        load.inflow = board.inflow.rate(service, now)
+        load.inflow = state.inflow.rate(service, now)
     return dict(loads)
 
 
-def _shares_that_may_start(board: Board) -> dict[str, float]:
+def _shares_that_may_start(state: SchedulerState) -> dict[str, float]:
     """Return which share of its waiting work each organisation's quota lets start.
 
     Instances for what a quota holds back would stand idle.
     """
     waiting: dict[str, Amount] = {}
-    for step in board.ready.values():
+    for step in state.ready.values():
         if step.job.organisation:
             amount = waiting.setdefault(step.job.organisation, Amount())
             amount.add(step.asked, len(step.waiting))
     return {
-        organisation: board.quotas.share_that_may_start(organisation, amount)
+        organisation: state.quotas.share_that_may_start(organisation, amount)
         for organisation, amount in waiting.items()
     }
 
 
-def _add_left(loads: defaultdict[str, PoolLoad], board: Board) -> None:
+def _add_left(loads: defaultdict[str, PoolLoad], state: SchedulerState) -> None:
     """Add what of the jobs' work has not begun."""
-    for job in board.jobs.values():
+    for job in state.jobs.values():
         if job.state.final:
             continue
         load = loads[job.policy.service]
         for step in job.steps.values():
             if not step.spec.long_running:
                 count = len(step.tasks) - step.done - step.active
-                load.left.add(step.room, count * board.estimates.seconds(step))
+                load.left.add(step.room, count * state.estimates.seconds(step))
 
 
-def _add_apart(loads: defaultdict[str, PoolLoad], board: Board) -> None:
+def _add_apart(loads: defaultdict[str, PoolLoad], state: SchedulerState) -> None:
     """Add the workers that suspected jobs need for themselves."""
-    for job in board.suspects.values():
+    for job in state.suspects.values():
         if tasks_apart(job):
             loads[job.policy.service].apart += 1
 
--- a/mustardward/components/scheduling/entries.py
+++ b/mustardward/components/scheduling/entries.py
@@ -8,9 +8,9 @@
 from ...helpers.logging import get_logger
 from ...helpers.unreadable import note_unreadable
 from ...platform.models import WORKER_DRAINING, WorkerEntry
-from .board import Board
 from .const import MISSING_GRACE_SECONDS
 from .incarnations import is_other_incarnation, make_worker
+from .scheduler_state import SchedulerState
 from .worker_state import WorkerState
 
 _LOGGER = get_logger(__name__)
@@ -33,16 +33,16 @@
 class Entries:
     """Keep workers as their entries describe them."""
 
-    board: Board
+    state: SchedulerState
     _disputes: dict[str, _Dispute] = field(default_factory=dict)
 
     def see(self, worker_id: str, entry: WorkerEntry, now: float) -> bool:
         """Take in a worker's entry; return whether the worker is new."""
-        worker = self.board.workers.get(worker_id)
+        worker = self.state.workers.get(worker_id)
         is_new = worker is None
         if worker is None:
             worker = make_worker(worker_id, entry)
-            self.board.workers[worker_id] = worker
+            self.state.workers[worker_id] = worker
         elif not worker.described and entry.born == worker.born:
             worker.describe(entry)
         elif is_other_incarnation(entry.born, worker.born):
@@ -62,20 +62,20 @@
     def miss(self, worker_id: str, now: float) -> None:
         """Take in that a worker's entry is gone; what runs there may go on."""
         self._disputes.pop(worker_id, None)
-        worker = self.board.workers.get(worker_id)
+        worker = self.state.workers.get(worker_id)
         if worker is not None and worker.missing_since is None:
             worker.missing_since = now
 
     def bar(self, worker_id: str) -> None:
         """Give a worker no new tasks until a good entry names it again."""
         self._disputes.pop(worker_id, None)
-        worker = self.board.workers.get(worker_id)
+        worker = self.state.workers.get(worker_id)
         if worker is not None:
             worker.absent = True
 
     def run(self, now: float) -> None:
         """Take in that entries stayed away, or stayed."""
-        for worker in self.board.workers.values():
+        for worker in self.state.workers.values():
             since = worker.missing_since
             if since is not None and now - since > MISSING_GRACE_SECONDS:
                 worker.absent = True
@@ -96,7 +96,7 @@
     def _settle(self, dispute: _Dispute, now: float) -> None:
         """Believe an entry that stays, once the worker answered and runs nothing."""
         worker = dispute.worker
-        if self.board.workers.get(worker.id) is not worker:
+        if self.state.workers.get(worker.id) is not worker:
             del self._disputes[worker.id]
             return
         if now - dispute.since < OWN_ENTRY_SECONDS or worker.has_runs:
--- a/mustardward/components/scheduling/evacuation.py
+++ b/mustardward/components/scheduling/evacuation.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass
 
-from .board import Board
 from .const import EVACUATION_SECONDS
 from .models import Phase, Task
+from .scheduler_state import SchedulerState
 from .worker_state import WorkerState
 
 REPORT_SECONDS = 2.5
@@ -36,11 +36,11 @@
 class Evacuation:
     """Stop what runs on workers that leave."""
 
-    board: Board
+    state: SchedulerState
 
     def run(self, now: float) -> None:
         """Give the stops that are due."""
-        for worker in self.board.workers.values():
+        for worker in self.state.workers.values():
             if worker.leaving or worker.draining or worker.absent:
                 self._empty(worker, now)
 
@@ -50,14 +50,14 @@
                 continue
             if task.step.spec.long_running:
                 if may_interrupt(task, now):
-                    self.board.stop(task, "evacuation")
+                    self.state.stop(task, "evacuation")
             elif self._not_worth_waiting(worker, task, now):
-                self.board.stop(task, "evacuation")
+                self.state.stop(task, "evacuation")
 
     def _not_worth_waiting(self, worker: WorkerState, task: Task, now: float) -> bool:
         if task.step.spec.saves_progress:
             return True
-        left = self.board.estimates.seconds(task.step) - (now - task.started_at)
+        left = self.state.estimates.seconds(task.step) - (now - task.started_at)
         if worker.draining:
             return now + left > worker.drains_at
         since = worker.leaving_since if worker.leaving else worker.missing_since
--- a/mustardward/components/scheduling/health.py
+++ b/mustardward/components/scheduling/health.py
@@ -9,9 +9,9 @@
 
 from ...helpers.logging import get_logger
 from ...helpers.policies import switchable
-from .board import Board
 from .const import FAILURES_TO_QUARANTINE, QUARANTINE_SECONDS, QUARANTINE_SHARE
 from .models import Task
+from .scheduler_state import SchedulerState
 from .worker_state import WorkerState
 
 _LOGGER = get_logger(__name__)
@@ -33,12 +33,12 @@
 class Health:
     """Put workers into quarantine, and let them try again."""
 
-    board: Board
+    state: SchedulerState
 
     def note_done(self, worker: WorkerState, task: Task, seconds: float) -> None:
         """Take in a run that a worker carried out."""
         worker.failed_jobs.clear()
-        expected = self.board.estimates.seconds(task.step)
+        expected = self.state.estimates.seconds(task.step)
         if seconds > 0:
             self._learn_speed(worker, expected / seconds)
 
@@ -70,6 +70,6 @@
         _LOGGER.warning("worker_quarantined", worker=worker.id, service=worker.service)
 
     def _may_quarantine(self, worker: WorkerState, now: float) -> bool:
-        pool = [w for w in self.board.workers.values() if w.service == worker.service]
+        pool = [w for w in self.state.workers.values() if w.service == worker.service]
         held = sum(other.quarantined_until > now for other in pool)
         return held + 1 <= QUARANTINE_SHARE * len(pool)
--- a/mustardward/components/scheduling/intake.py
+++ b/mustardward/components/scheduling/intake.py
@@ -7,10 +7,10 @@
 from ..ledger.ledger import LedgerJob
 from ..ledger.marks import unpack
 from ..ledger.models import JobState, Progress, StepMark
-from .board import Board
 from .const import LATE_FACTOR
 from .inflow import RECENT_SECONDS, Amount
 from .models import Job, Phase, QueuePolicy, StepRun, Task
+from .scheduler_state import SchedulerState
 from .shares import Shares
 from .zones import Zones
 
@@ -22,26 +22,26 @@
 class Intake:
     """Turn accepted jobs into steps and tasks."""
 
-    board: Board
+    state: SchedulerState
     zones: Zones
     shares: Shares = field(default_factory=Shares)
 
     def add(self, ledger_job: LedgerJob, now: float, wall: float) -> None:
         """Take a job in, with what is stored of it."""
         record = ledger_job.record
-        if ledger_job.state.final or record.is_stub or record.id in self.board.jobs:
+        if ledger_job.state.final or record.is_stub or record.id in self.state.jobs:
             return
-        known = self.board.policy_of(record.queue)
+        known = self.state.policy_of(record.queue)
         policy = known or QueuePolicy(service=record.service)
         age = max(0.0, wall - record.accepted_at)
         job = Job(record, policy, accepted_at=now - age)
         self._set_objective(job, job.accepted_at)
         job.beyond = self.shares.is_beyond(job.organisation, job.accepted_at)
-        self.board.jobs[record.id] = job
+        self.state.jobs[record.id] = job
         progress = ledger_job.progress
         if progress is None:
             self.zones.choose(job)
-            self.board.mark_dirty(job)
+            self.state.mark_dirty(job)
         else:
             job.stored = True
             job.held = True
@@ -57,13 +57,13 @@
 
     def cancel(self, job_id: str) -> None:
         """End a job that a caller cancelled."""
-        job = self.board.jobs.get(job_id)
+        job = self.state.jobs.get(job_id)
         if job is not None and not job.state.final:
-            self.board.end_job(job, JobState.CANCELLED)
+            self.state.end_job(job, JobState.CANCELLED)
 
     def open_due(self, now: float, wall: float) -> None:
         """Open the occurrences whose time has come."""
-        for job in self.board.jobs.values():
+        for job in self.state.jobs.values():
             record = job.record
             if not record.times or job.state.final:
                 continue
@@ -89,11 +89,11 @@
         if step.spec.gang:
             # Members end done together, and one such end speaks for all of them.
             for member in step.tasks:
-                self.board.finish(member)
+                self.state.finish(member)
         else:
-            self.board.finish(task)
+            self.state.finish(task)
         if step.complete:
-            self.board.ready.pop(id(step), None)
+            self.state.ready.pop(id(step), None)
             self._advance(step.job, now)
 
     def task_failed(self, task: Task) -> None:
@@ -104,10 +104,10 @@
         members = step.tasks if step.spec.gang else [task]
         failures = sum(len(member.failed_runs) for member in members)
         if failures >= step.job.policy.max_attempts and not step.job.state.final:
-            self.board.end_job(step.job, JobState.FAILED)
+            self.state.end_job(step.job, JobState.FAILED)
 
     def _set_objective(self, job: Job, begun_at: float) -> None:
-        chain = self.board.estimates.chain(job, only_left=False)
+        chain = self.state.estimates.chain(job, only_left=False)
         objective = job.policy.stretch * chain + job.policy.target_seconds
         job.objective_at = begun_at + objective
         job.late_at = begun_at + LATE_FACTOR * objective
@@ -125,7 +125,7 @@
         self._open_steps(job, occurrence, now)
         # What an owner before took in arrived in its time, which an owner that follows
         # within a turn has to know: it would else size the pool by what waits alone.
-        arrived_at = job.accepted_at if now <= self.board.taken_over_at else now
+        arrived_at = job.accepted_at if now <= self.state.taken_over_at else now
         if now - arrived_at < RECENT_SECONDS:
             self._note_arrival(job, occurrence, arrived_at)
 
@@ -134,9 +134,9 @@
         for number, spec in enumerate(job.record.steps):
             if not spec.long_running:
                 step = job.steps[(occurrence, number)]
-                work.add(step.room, spec.count * self.board.estimates.seconds(step))
+                work.add(step.room, spec.count * self.state.estimates.seconds(step))
         if work.cpu or work.mem_mb:
-            self.board.inflow.note(job.policy.service, at, work)
+            self.state.inflow.note(job.policy.service, at, work)
 
     def _open_steps(self, job: Job, occurrence: int, now: float) -> None:
         for number, spec in enumerate(job.record.steps):
@@ -147,7 +147,7 @@
                 step.open = True
                 for task in step.waiting:
                     task.ready_since = now
-                self.board.ready[id(step)] = step
+                self.state.ready[id(step)] = step
 
     def _advance(self, job: Job, now: float) -> None:
         if job.state.final:
@@ -159,7 +159,7 @@
             return
         if all(step.complete for step in job.steps.values()):
             job.state = JobState.DONE
-            self.board.mark_dirty(job)
+            self.state.mark_dirty(job)
 
     def _restore(self, job: Job, progress: Progress) -> None:
         for mark in progress.steps:
@@ -172,7 +172,7 @@
             task.failed_runs = task_mark.failed_runs
             task.checkpoint = task_mark.checkpoint
             task.crashes = task_mark.crashes
-        self.board.update_suspicion(job)
+        self.state.update_suspicion(job)
         self._make_begun(job)
 
     def _restore_done(self, job: Job, mark: StepMark) -> None:
--- a/mustardward/components/scheduling/pacing.py
+++ b/mustardward/components/scheduling/pacing.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass, field
 
 from ...helpers.policies import switchable
-from .board import Board
 from .commands import Pace
 from .models import Phase, Task
+from .scheduler_state import SchedulerState
 from .worker_state import WorkerState
 
 OVER_SHARE = 0.9
@@ -39,7 +39,7 @@
 class Pacing:
     """Halve what fills while a serving task is near its target; raise it slowly."""
 
-    board: Board
+    state: SchedulerState
     _throttles: dict[str, _Throttle] = field(default_factory=dict)
 
     @switchable(
@@ -49,7 +49,7 @@
     )
     def run(self, now: float) -> None:
         """Give the pace orders that are due."""
-        for worker in self.board.workers.values():
+        for worker in self.state.workers.values():
             filling = [t for t in worker.tasks.values() if _fills(t)]
             if filling:
                 self._control(worker, filling, now)
@@ -74,7 +74,7 @@
         for task in filling:
             if task.pace != throttle.percent:
                 task.pace = throttle.percent
-                self.board.give(Pace(task, worker.id, task.run, throttle.percent))
+                self.state.give(Pace(task, worker.id, task.run, throttle.percent))
 
 
 def _fills(task: Task) -> bool:
--- a/mustardward/components/scheduling/planner.py
+++ b/mustardward/components/scheduling/planner.py
@@ -8,7 +8,6 @@
 
 from ...platform.models import Room
 from .advice import check_advice
-from .board import Board
 from .crashes import (
     awaits_judgement,
     is_free_for,
@@ -27,6 +26,7 @@
     usable,
 )
 from .quota_waits import QuotaWaits
+from .scheduler_state import SchedulerState
 from .trials import put_trials_first, seconds_to_empty
 from .waits import Reason, Waits, reason_elsewhere
 from .worker_state import WorkerState
@@ -37,7 +37,7 @@
 class Planner:
     """Place what is ready, the most urgent first."""
 
-    board: Board
+    state: SchedulerState
     zones: Zones
     order: Order | None = None
     quota_waits: QuotaWaits = field(default_factory=QuotaWaits)
@@ -49,9 +49,9 @@
         """Give the starts that are possible, up to a number of them."""
         self._starts_left = most_starts
         self.waits.begin(now, most_starts)
-        self.board.quotas.set_unseen(self._unseen(now))
+        self.state.quotas.set_unseen(self._unseen(now))
         by_service: dict[str, list[StepRun]] = {}
-        for step in self.board.ready.values():
+        for step in self.state.ready.values():
             if step.waiting and not step.job.stored:
                 self.waits.note(step, Reason.NOT_STORED)
             elif step.waiting:
@@ -59,14 +59,14 @@
         for service in self._in_turn(sorted(by_service)):
             workers = [
                 worker
-                for worker in self.board.workers.values()
+                for worker in self.state.workers.values()
                 if worker.service == service and usable(worker, now)
             ]
             if workers:
                 self._place(workers, by_service[service], now)
             else:
                 self.waits.note_all(by_service[service], Reason.NO_USABLE_WORKER)
-        self.quota_waits.flush(self.board.quotas, now)
+        self.quota_waits.flush(self.state.quotas, now)
 
     def _in_turn(self, services: list[str]) -> list[str]:
         """Return the pools, another one first each time.
@@ -79,10 +79,10 @@
 
     def _unseen(self, now: float) -> Iterator[tuple[str, Room, int]]:
         """Yield the tasks that an owner before may have started, and that may run."""
-        if now >= self.board.held_until:
+        if now >= self.state.held_until:
             return
-        for job in self.board.jobs.values():
-            if job.organisation and self.board.is_held(job, now):
+        for job in self.state.jobs.values():
+            if job.organisation and self.state.is_held(job, now):
                 for step in job.steps.values():
                     count = len(step.tasks) - step.done - step.active
                     yield job.organisation, step.asked, count
@@ -91,9 +91,9 @@
         self, workers: list[WorkerState], steps: list[StepRun], now: float
     ) -> None:
         ranked = prioritise(
-            steps, now, self.board.estimates, self._capacity(workers, now), self.order
+            steps, now, self.state.estimates, self._capacity(workers, now), self.order
         )
-        apart = workers_apart(self.board.suspects.values())
+        apart = workers_apart(self.state.suspects.values())
         offers = Offers([worker for worker in workers if worker.id not in apart], apart)
         if len(offers.workers) == len(workers):
             # One trial at a time goes before what ranks first.
@@ -103,7 +103,7 @@
             if self._starts_left <= 0:
                 self.waits.note_all(ranked[number:], Reason.STARTS_USED_UP)
                 return
-            if self.board.is_held(step.job, now):
+            if self.state.is_held(step.job, now):
                 self.waits.note(step, Reason.HELD_AFTER_TAKEOVER)
                 continue
             if awaits_judgement(step.job):
@@ -115,7 +115,7 @@
             if step.waiting:
                 self._place_among_others(step, offers, promised, now)
             if suspects:
-                self.board.put_back(step, suspects)
+                self.state.put_back(step, suspects)
 
     def _place_among_others(
         self, step: StepRun, offers: Offers, promised: Counter[str], now: float
@@ -136,7 +136,7 @@
             return
         if step.spec.long_running:
             # A task that lasts would wait for ever while shorter ones take each hole.
-            offers.keep_for_lasting(step, self.board.estimates.left_at(now))
+            offers.keep_for_lasting(step, self.state.estimates.left_at(now))
             self.waits.note(step, Reason.NO_ROOM, offers)
             return
         elsewhere = self.zones.widen(step, offers.by_zone, promised)
@@ -173,7 +173,7 @@
             return
         self.waits.note(step, Reason.SUSPECTS_WAIT)
         if not (one_worker and used):
-            job, left = step.job, self.board.estimates.left_at(now)
+            job, left = step.job, self.state.estimates.left_at(now)
             offers.keep_to_empty(
                 step, suspects, free, lambda w: seconds_to_empty(w, job, left, now)
             )
@@ -197,14 +197,14 @@
             if worker is None:
                 return False
             self._starts_left -= 1
-            self.board.assign(task, worker, self.board.next_run(), now)
+            self.state.assign(task, worker, self.state.next_run(), now)
             if one_worker:
                 workers = [worker]
         return True
 
     def _capacity(self, workers: list[WorkerState], now: float) -> Capacity:
-        coming = self.board.coming.get(workers[0].service, 0)
-        return capacity_of(workers, coming, self.board.estimates, now)
+        coming = self.state.coming.get(workers[0].service, 0)
+        return capacity_of(workers, coming, self.state.estimates, now)
 
     def _place_tasks(
         self, step: StepRun, workers: list[WorkerState], now: float
@@ -226,9 +226,9 @@
                 return False
             step.waiting.popleft()
             self._starts_left -= 1
-            self.board.assign(task, worker, self.board.next_run(), now)
+            self.state.assign(task, worker, self.state.next_run(), now)
             shortlist.renew()
-        self.board.ready.pop(id(step), None)
+        self.state.ready.pop(id(step), None)
         return True
 
     def _may_start(self, step: StepRun, workers: list[WorkerState], now: float) -> bool:
@@ -249,7 +249,7 @@
         # All members of a suspected gang were taken off its queue.
         count = (len(step.waiting) or len(step.tasks)) if step.spec.gang else 1
         organisation = step.job.organisation
-        if self.board.quotas.allows(organisation, step.asked, count):
+        if self.state.quotas.allows(organisation, step.asked, count):
             return True
         self.quota_waits.note(organisation, max(count, len(step.waiting)))
         self.waits.note(step, Reason.QUOTA)
@@ -272,15 +272,15 @@
         if placed is None:
             return
         # Members wait for each other on their workers, so that all go or none.
-        run = self.board.next_run()
+        run = self.state.next_run()
         for task, worker in placed:
             self._starts_left -= 1
-            self.board.assign(task, worker, run, now)
+            self.state.assign(task, worker, run, now)
 
     def _has_advice(
         self, step: StepRun, workers: list[WorkerState], now: float
     ) -> bool:
-        if check_advice(self.board, step, workers, now):
+        if check_advice(self.state, step, workers, now):
             return True
         self.waits.note(step, Reason.ADVICE_UNANSWERED)
         return False
--- a/mustardward/components/scheduling/reports.py
+++ b/mustardward/components/scheduling/reports.py
@@ -15,13 +15,13 @@
     RunningTask,
     TaskName,
 )
-from .board import Board
 from .commands import Stop
 from .const import VANISHED_HOLDS
 from .health import Health
 from .intake import Intake
 from .models import ACTIVE, Phase, Task
 from .run_lines import RunLines
+from .scheduler_state import SchedulerState
 from .worker_state import WorkerState
 
 _LOGGER = get_logger(__name__)
@@ -33,9 +33,9 @@
 
 @dataclass(slots=True, eq=False)
 class Reports:
-    """Fold workers' reports into the board."""
+    """Fold workers' reports into the scheduler state."""
 
-    board: Board
+    state: SchedulerState
     intake: Intake
     health: Health
     lines: RunLines = field(default_factory=RunLines)
@@ -49,7 +49,7 @@
         """
         for ended in answer.ended:
             self.ended(worker, ended, now)
-        self.board.forget_strays(worker)
+        self.state.forget_strays(worker)
         listed: set[tuple[object, int]] = set()
         worker.clock_ms = answer.clock_ms
         for row in answer.running:
@@ -76,7 +76,7 @@
             task.started_at = now
             task.percent_since = now
             waited = now - task.ready_since
-            expected = self.board.estimates.seconds(task.step)
+            expected = self.state.estimates.seconds(task.step)
             self.lines.started(task, task.worker, waited, expected)
             return
         worker = task.worker
@@ -106,7 +106,7 @@
         if task.run == run and task.phase is Phase.STARTING and task.worker:
             # A worker may answer all else, and leave each start unanswered.
             task.avoid.add(task.worker.id)
-            self.board.doubt(task)
+            self.state.doubt(task)
 
     def stop_answered(self, task: Task, run: int, now: float) -> None:
         """Take in that a worker acknowledged a stop."""
@@ -115,12 +115,12 @@
 
     def _not_started(self, task: Task, now: float) -> None:
         step = task.step
-        self.board.end_run(task, now)
+        self.state.end_run(task, now)
         if step.spec.gang:
             # The others would wait for this one until they end alone.
             for member in step.tasks:
                 if member.phase in (Phase.STARTING, Phase.RUNNING):
-                    self.board.stop(member, "gang")
+                    self.state.stop(member, "gang")
 
     def ended(self, worker: WorkerState, ended: EndedTask, now: float) -> None:
         """Take in that a worker lists a run as ended."""
@@ -129,7 +129,7 @@
             return
         own = task.worker is worker and task.run == ended.run and task.phase in ACTIVE
         self.lines.ended(worker, ended, own)
-        self.board.note_begun(task.step.job)
+        self.state.note_begun(task.step.job)
         if ended.how == ENDED_DONE:
             self._done(worker, task, own, now)
             return
@@ -139,10 +139,10 @@
             self.health.note_failed(worker, task, now)
         if ended.checkpoint:
             task.checkpoint = ended.checkpoint
-        self.board.mark_dirty(task.step.job)
+        self.state.mark_dirty(task.step.job)
         if own:
             task.calm_runs += task.phase is not Phase.STOPPING
-            self.board.end_run(task, now)
+            self.state.end_run(task, now)
         if ended.how == ENDED_FAILED:
             self.intake.task_failed(task)
 
@@ -150,14 +150,14 @@
         if own:
             seconds = now - task.started_at
             if not task.checkpoint:
-                self.board.estimates.learn(task.step, seconds)
+                self.state.estimates.learn(task.step, seconds)
             self.health.note_done(worker, task, seconds)
         elif task.phase in ACTIVE and task.worker is not None:
-            self.board.give(Stop(task.name, task.worker.id, task.run, None))
+            self.state.give(Stop(task.name, task.worker.id, task.run, None))
         if not task.step.job.state.final:
             self.intake.task_done(task, now)
         elif own:
-            self.board.end_run(task, now)
+            self.state.end_run(task, now)
 
     def _running(
         self, worker: WorkerState, row: RunningTask, sent_at: float, now: float
@@ -170,7 +170,7 @@
             if task.step.job.state.final:
                 self._stop_stray(worker, row)
                 return
-            self.board.adopt(task, worker, row.run, now)
+            self.state.adopt(task, worker, row.run, now)
         elif task.worker is not worker or task.run != row.run:
             self._stop_stray(worker, row)
             return
@@ -190,15 +190,15 @@
             task.percent_at_ms = worker.clock_ms - 1000 * before
 
     def _stop_stray(self, worker: WorkerState, row: RunningTask) -> None:
-        self.board.note_stray(worker, row.task)
-        self.board.give(Stop(row.task, worker.id, row.run, None))
+        self.state.note_stray(worker, row.task)
+        self.state.give(Stop(row.task, worker.id, row.run, None))
 
     def _expected(self, name: TaskName) -> Task | None:
         """Return a task, also of an occurrence that is not open here yet."""
-        task = self.board.find(name)
+        task = self.state.find(name)
         if task is not None:
             return task
-        job = self.board.jobs.get(name.job)
+        job = self.state.jobs.get(name.job)
         if job is None:
             return None
         step = self.intake.step_of(job, name.occurrence, name.step)
@@ -219,9 +219,9 @@
             if task.phase in (Phase.UNCERTAIN, Phase.STOPPING):
                 at = task.stop_acknowledged_at
                 if at is not None and at <= sent_at:
-                    self.board.end_run(task, now)
+                    self.state.end_run(task, now)
             elif task.phase is Phase.RUNNING and task.started_at <= sent_at:
                 task.missed_holds += 1
                 if task.missed_holds >= VANISHED_HOLDS:
                     _LOGGER.warning("run_vanished", worker=worker.id, run=task.run)
-                    self.board.end_run(task, now)
+                    self.state.end_run(task, now)
--- a/mustardward/components/scheduling/scheduler.py
+++ b/mustardward/components/scheduling/scheduler.py
@@ -12,7 +12,6 @@
 from ...platform.workers import HoldAnswer
 from ..ledger.ledger import LedgerJob
 from ..ledger.models import JobState, Progress
-from .board import Board, PolicyLookup
 from .commands import Command
 from .const import (
     LOOK_SECONDS,
@@ -33,6 +32,7 @@
 from .progress import progress_of
 from .quotas import QuotaLookup, Quotas, no_quota
 from .reports import Reports
+from .scheduler_state import PolicyLookup, SchedulerState
 from .shares import RateLookup, Shares, no_rate
 from .wait_lines import WaitLines
 from .zones import Zones
@@ -62,17 +62,17 @@
         quota_of: QuotaLookup = no_quota,
         rate_of: RateLookup = no_rate,
     ) -> None:
-        self.board = Board(epoch, policy_of, quotas=Quotas(quota_of))
-        self.entries = Entries(self.board)
-        self._zones = Zones(self.board)
-        self.intake = Intake(self.board, self._zones, Shares(rate_of))
-        self.health = Health(self.board)
-        self.reports = Reports(self.board, self.intake, self.health)
-        self.pacing = Pacing(self.board)
-        self._crashes = Crashes(self.board)
-        self._evacuation = Evacuation(self.board)
-        self._planner = Planner(self.board, self._zones, ORDERS.get(order))
-        self.waits = WaitLines(self.board, self._planner.waits)
+        self.state = SchedulerState(epoch, policy_of, quotas=Quotas(quota_of))
+        self.entries = Entries(self.state)
+        self._zones = Zones(self.state)
+        self.intake = Intake(self.state, self._zones, Shares(rate_of))
+        self.health = Health(self.state)
+        self.reports = Reports(self.state, self.intake, self.health)
+        self.pacing = Pacing(self.state)
+        self._crashes = Crashes(self.state)
+        self._evacuation = Evacuation(self.state)
+        self._planner = Planner(self.state, self._zones, ORDERS.get(order))
+        self.waits = WaitLines(self.state, self._planner.waits)
         self._ending: dict[str, Job] = {}
         self._look_at = -math.inf
 
@@ -83,7 +83,7 @@
     def mark_stored(self, job_ids: Iterable[str]) -> None:
         """Take in that the log shows these jobs as taken in; they may start now."""
         for job_id in job_ids:
-            job = self.board.jobs.get(job_id)
+            job = self.state.jobs.get(job_id)
             if job is not None:
                 job.stored |= job.crashes_sent == job.crashes_noted
                 job.open_zones = job.sent_zones
@@ -94,19 +94,19 @@
 
     def is_job_done(self, job_id: str) -> bool:
         """Return whether a job is done, stored or not."""
-        job = self.board.jobs.get(job_id)
+        job = self.state.jobs.get(job_id)
         return job is not None and job.state is JobState.DONE
 
     def end_reported_job(self, job_id: str) -> None:
         """End a job that a caller was told as done by an owner before."""
-        job = self.board.jobs.get(job_id)
+        job = self.state.jobs.get(job_id)
         if job is not None and not job.state.final:
-            self.board.end_job(job, JobState.DONE)
+            self.state.end_job(job, JobState.DONE)
 
     def update_policies(self) -> None:
         """Apply a new configuration to the jobs at hand."""
-        for job in self.board.jobs.values():
-            policy = self.board.policy_of(job.record.queue)
+        for job in self.state.jobs.values():
+            policy = self.state.policy_of(job.record.queue)
             if policy is not None:
                 job.policy = policy
 
@@ -122,7 +122,7 @@
         :param entry: the newest one that is known; it may be of the incarnation before,
             and the worker gets nothing then until its own is read.
         """
-        old = self.board.workers.get(worker_id)
+        old = self.state.workers.get(worker_id)
         new = make_worker(worker_id, entry)
         new.born = born
         new.described = entry.born == born
@@ -135,11 +135,11 @@
             described=new.described,
         )
         if old is None:
-            self.board.workers[worker_id] = new
+            self.state.workers[worker_id] = new
         else:
             log_worker_lost(old, LossCause.REBORN, now)
             suspects = suspects_of(old, now)
-            self.board.replace_worker(old, new, now)
+            self.state.replace_worker(old, new, now)
             self._crashes.note(old, LossCause.REBORN, suspects, now)
 
     def mark_worker_missing(self, worker_id: str, now: float) -> None:
@@ -152,31 +152,31 @@
 
     def remove_worker(self, worker_id: str, cause: LossCause, now: float) -> None:
         """Take in that nothing runs on a worker any more."""
-        worker = self.board.workers.get(worker_id)
+        worker = self.state.workers.get(worker_id)
         if worker is not None:
             log_worker_lost(worker, cause, now)
             suspects = suspects_of(worker, now)
-            self.board.drop_worker(worker, now)
+            self.state.drop_worker(worker, now)
             self._crashes.note(worker, cause, suspects, now)
 
     def apply_worker_report(
         self, worker_id: str, answer: HoldAnswer, sent_at: float, now: float
     ) -> None:
         """Take in what runs and has ended on a worker."""
-        worker = self.board.workers.get(worker_id)
+        worker = self.state.workers.get(worker_id)
         if worker is not None:
             self.reports.held(worker, answer, sent_at, now)
 
     def set_leaving(self, worker_id: str, leaving: bool, now: float) -> None:
         """Give a worker no new tasks and empty it, or take that back."""
-        worker = self.board.workers.get(worker_id)
+        worker = self.state.workers.get(worker_id)
         if worker is not None and worker.leaving != leaving:
             worker.leaving = leaving
             worker.leaving_since = now
 
     def set_maintenance_due(self, worker_ids: set[str]) -> None:
         """Say on which workers nothing stays for long, since maintenance comes."""
-        for worker in self.board.workers.values():
+        for worker in self.state.workers.values():
             worker.due = worker.id in worker_ids
 
     def set_tickets(
@@ -205,12 +205,12 @@
         self._planner.run(now, most_starts)
         self._forget_ended()
         self.reports.lines.flush()
-        return self.board.take_commands()
+        return self.state.take_commands()
 
     def take_dirty(self, now: float, wall: float) -> list[tuple[str, Progress]]:
         """Return what has to be stored, and forget the jobs that are over."""
-        dirty = self.board.dirty
-        self.board.dirty = {}
+        dirty = self.state.dirty
+        self.state.dirty = {}
         records = [(job_id, progress_of(job, wall)) for job_id, job in dirty.items()]
         for job_id, job in dirty.items():
             job.sent_zones = job.zones
@@ -237,9 +237,9 @@
             if any(step.active for step in job.steps.values()):
                 continue
             del self._ending[job_id]
-            self.board.jobs.pop(job_id, None)
+            self.state.jobs.pop(job_id, None)
             for step in job.steps.values():
-                self.board.ready.pop(id(step), None)
+                self.state.ready.pop(id(step), None)
 
     @switchable(
         "stuck-runs",
@@ -247,12 +247,12 @@
         without=_stop_nothing,
     )
     def _stop_stuck(self, now: float) -> None:
-        for worker in self.board.workers.values():
+        for worker in self.state.workers.values():
             for task in list(worker.tasks.values()):
                 if self._is_stuck(task):
                     task.avoid.add(worker.id)
                     self.health.note_failed(worker, task, now)
-                    self.board.stop(task, "stuck")
+                    self.state.stop(task, "stuck")
 
     def _is_stuck(self, task: Task) -> bool:
         if task.phase is not Phase.RUNNING or task.percent >= 100:
@@ -260,5 +260,5 @@
         if task.worker is None or task.worker.stale:
             # Nothing is known of it, neither that it works nor that it stands still.
             return False
-        expected = STUCK_FACTOR * self.board.estimates.seconds(task.step)
+        expected = STUCK_FACTOR * self.state.estimates.seconds(task.step)
         return task.seconds_without_progress > max(STUCK_SECONDS, expected)
--- a/mustardward/components/scheduling/board.py
+++ b/mustardward/components/scheduling/scheduler_state.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Board:
+class SchedulerState:
     """Hold all jobs that are not over, all workers, and the commands not yet taken.
 
     :param epoch: the owner's; it stands in the upper bits of each run's number.
--- a/mustardward/components/scheduling/wait_inputs.py
+++ b/mustardward/components/scheduling/wait_inputs.py
@@ -46,7 +46,7 @@
 def _storing(wait: Wait) -> Inputs:
     job = wait.step.job
     return {
-        "dirty": job.record.id in wait.board.dirty,
+        "dirty": job.record.id in wait.state.dirty,
         "sent_seconds": _since(wait.sent_at, wait.now),
         "suspicion": job.suspicion,
     }
@@ -74,14 +74,14 @@
 
 @INPUTS.register(Reason.HELD_AFTER_TAKEOVER)
 def _held(wait: Wait) -> Inputs:
-    board = wait.board
+    state = wait.state
     where = wait.step.job.open_zones
-    zones = where if where is not None else {w.zone for w in board.workers.values()}
+    zones = where if where is not None else {w.zone for w in state.workers.values()}
     return {
-        "held_seconds_left": board.held_until - wait.now,
-        "taken_over_seconds": wait.now - board.taken_over_at,
+        "held_seconds_left": state.held_until - wait.now,
+        "taken_over_seconds": wait.now - state.taken_over_at,
         "open_zones": _named(where),
-        "unaccounted": _named(zones - board.accounted),
+        "unaccounted": _named(zones - state.accounted),
     }
 
 
@@ -160,7 +160,7 @@
 @INPUTS.register(Reason.QUOTA)
 def _quota(wait: Wait) -> Inputs:
     organisation = wait.step.job.organisation
-    quotas = wait.board.quotas
+    quotas = wait.state.quotas
     quota = quotas.quota_of(organisation)
     used = quotas.used(organisation)
     unseen = quotas.unseen(organisation)
@@ -208,7 +208,7 @@
     return {
         **_zones(wait),
         "sent_zones": _named(job.sent_zones),
-        "dirty": job.record.id in wait.board.dirty,
+        "dirty": job.record.id in wait.state.dirty,
         "sent_seconds": _since(wait.sent_at, wait.now),
     }
 
--- a/mustardward/components/scheduling/wait_lines.py
+++ b/mustardward/components/scheduling/wait_lines.py
@@ -10,8 +10,8 @@
 from ...helpers.logging import LogValue, get_logger
 from ...platform.models import Room
 from ...platform.workers import encode_task
-from .board import Board
 from .models import Job, Phase, StepRun, Task
+from .scheduler_state import SchedulerState
 from .wait_inputs import inputs_of, phases_of
 from .wait_views import Wait, settle
 from .waits import Held, Reason, Waits
@@ -72,7 +72,7 @@
 class WaitLines:
     """Look at all steps once in a while."""
 
-    board: Board
+    state: SchedulerState
     waits: Waits
     _sent: dict[str, float] = field(default_factory=dict)
     _told: dict[StepRun, _Told] = field(default_factory=dict)
@@ -85,7 +85,7 @@
     def tell(self, now: float) -> None:
         """Write the lines that are due, and bring counter and gauge up to date."""
         self.waits.forget()
-        self._sent = {k: at for k, at in self._sent.items() if k in self.board.jobs}
+        self._sent = {k: at for k, at in self._sent.items() if k in self.state.jobs}
         self._told = {
             step: told
             for step, told in self._told.items()
@@ -118,7 +118,7 @@
     def _find(self, now: float) -> Iterator[_Found]:
         pools = self._pools()
         orders = self._orders(now)
-        for job in self.board.jobs.values():
+        for job in self.state.jobs.values():
             for step in job.steps.values():
                 order = orders.get(step)
                 if order is None and not (step.open and _has_room(pools, step)):
@@ -139,14 +139,14 @@
             return Reason.NOT_PLANNED
         if held is not None:
             return held.reason
-        if id(step) not in self.board.ready:
+        if id(step) not in self.state.ready:
             return Reason.NOT_READY
         return Reason.NOT_NOTED
 
     def _pools(self) -> dict[str, list[Room]]:
         """Return the largest rooms of each pool's workers that are listed."""
         pools: dict[str, list[WorkerState]] = {}
-        for worker in self.board.workers.values():
+        for worker in self.state.workers.values():
             if worker.missing_since is None:
                 pools.setdefault(worker.service, []).append(worker)
         return {service: _largest(workers) for service, workers in pools.items()}
@@ -170,7 +170,7 @@
 
     def _between(self) -> Iterator[Task]:
         """Yield the tasks that are being started or stopped."""
-        for job in self.board.jobs.values():
+        for job in self.state.jobs.values():
             for step in job.steps.values():
                 if not step.active:
                     continue
@@ -187,12 +187,12 @@
         """Write a line; return how many workers were looked at for it."""
         step = item.step
         job = step.job
-        workers = self.board.workers.values()
+        workers = self.state.workers.values()
         service = job.policy.service
         wait = Wait(
             step,
             item.held,
-            self.board,
+            self.state,
             self.waits,
             [worker for worker in workers if worker.service == service],
             self._sent.get(job.record.id),
--- a/mustardward/components/scheduling/wait_views.py
+++ b/mustardward/components/scheduling/wait_views.py
@@ -4,10 +4,10 @@
 
 from dataclasses import dataclass, field
 
-from .board import Board
 from .crashes import runs_apart
 from .models import StepRun
 from .placement import fits, may_run, usable
+from .scheduler_state import SchedulerState
 from .waits import Held, Reason, Waits
 from .worker_state import WorkerState
 
@@ -27,7 +27,7 @@
 
     step: StepRun
     held: Held | None
-    board: Board
+    state: SchedulerState
     waits: Waits
     workers: list[WorkerState]
     sent_at: float | None
--- a/mustardward/components/scheduling/zones.py
+++ b/mustardward/components/scheduling/zones.py
@@ -14,9 +14,9 @@
 from dataclasses import dataclass, field
 
 from ...helpers.policies import switchable
-from .board import Board
 from .models import Job, StepRun
 from .placement import fits, may_run
+from .scheduler_state import SchedulerState
 from .worker_state import WorkerState
 
 Key = tuple[str, str]
@@ -35,7 +35,7 @@
     id, so that a job that comes costs no look at all others.
     """
 
-    board: Board
+    state: SchedulerState
     _promised: dict[Key, float] = field(default_factory=lambda: defaultdict(float))
     _shares: dict[str, tuple[list[Key], float]] = field(default_factory=dict)
 
@@ -66,7 +66,7 @@
         self.forget(job)
         if not job.zones:
             return
-        share = self.board.estimates.work_left(job) / len(job.zones)
+        share = self.state.estimates.work_left(job) / len(job.zones)
         keys = [(job.policy.service, zone) for zone in job.zones]
         for key in keys:
             self._promised[key] += share
@@ -105,21 +105,21 @@
             promised[best] += room.cpu * len(step.waiting)
             job.zones = job.zones | {best}
             self.promise(job)
-            self.board.mark_dirty(job)
+            self.state.mark_dirty(job)
         return True
 
     def _capacity(self, job: Job) -> dict[str, int]:
         """Return the processors of the job's pool by data centre."""
         capacity: Counter[str] = Counter()
-        for worker in self.board.workers.values():
+        for worker in self.state.workers.values():
             usable = worker.confirmed and not (worker.leaving or worker.draining)
-            usable = usable and worker.id not in self.board.unusable
+            usable = usable and worker.id not in self.state.unusable
             if worker.service == job.policy.service and usable and not worker.absent:
                 capacity[worker.zone] += worker.capacity.cpu
         return {zone: cpu for zone, cpu in capacity.items() if cpu > 0}
 
     def _least_promised(self, job: Job, capacity: dict[str, int]) -> str:
-        work = self.board.estimates.work_left(job)
+        work = self.state.estimates.work_left(job)
         service = job.policy.service
         return min(
             sorted(capacity),
@@ -132,7 +132,7 @@
             return set()
         return {
             worker.zone
-            for worker in self.board.workers.values()
+            for worker in self.state.workers.values()
             if worker.service == job.policy.service and worker.rack in racks
         }
 
--- a/tests/components/dispatch/test_gone_workers.py
+++ b/tests/components/dispatch/test_gone_workers.py
@@ -117,7 +117,7 @@
             self.workers[name].gone = gone
 
     def task(self) -> Task:
-        found = self.scheduler.board.find(TaskName(JOB, 0, 0, 0))
+        found = self.scheduler.state.find(TaskName(JOB, 0, 0, 0))
         assert found is not None
         return found
 
@@ -164,7 +164,7 @@
         bench.lose_rack(gone)
         bench.add()
         await bench.async_pass(6.0)
-        assert bench.scheduler.board.jobs[JOB].state is JobState.RUNNING
+        assert bench.scheduler.state.jobs[JOB].state is JobState.RUNNING
         assert bench.task().phase is Phase.RUNNING
         assert bench.task().crashes == ()
 
@@ -212,7 +212,7 @@
         bench.lose_rack(gone)
         bench.add()
         await bench.async_pass(6.0)
-        assert bench.scheduler.board.jobs[JOB].state is JobState.RUNNING
+        assert bench.scheduler.state.jobs[JOB].state is JobState.RUNNING
         assert len(bench.task().crashes) <= 1
 
 
--- a/tests/components/dispatch/test_held_up.py
+++ b/tests/components/dispatch/test_held_up.py
@@ -69,7 +69,7 @@
             address = self.estate.address_of(name)
             entry = WorkerEntry(POOL, address, capacity=worker.room)
             self.dispatcher.update_worker(name, entry)
-        workers = self.scheduler.board.workers.values()
+        workers = self.scheduler.state.workers.values()
         await async_until(lambda: all(worker.confirmed for worker in workers))
 
     def plan(self) -> None:
@@ -110,7 +110,7 @@
         time.sleep(HELD_UP_SECONDS)  # noqa: ASYNC251 - it holds the loop up
         await owner.async_go_on(2.0)
         assert not [c for c in owner.commands if isinstance(c, Stop)]
-        job = owner.scheduler.board.jobs[JOB]
+        job = owner.scheduler.state.jobs[JOB]
         assert {task.phase for task in job.steps[(0, 0)].tasks} == {Phase.RUNNING}
         begun = Counter(
             task for worker in estate.workers.values() for task, _ in worker.starts
@@ -139,7 +139,7 @@
         scheduler.mark_stored([JOB])
         entry = WorkerEntry(POOL, "127.0.0.1:9", capacity=Room(8000, 8000))
         scheduler.update_worker("w", entry, now)
-        worker = scheduler.board.workers["w"]
+        worker = scheduler.state.workers["w"]
         worker.confirmed = True
         (start,) = [c for c in scheduler.plan(now - 2.0, 0.0) if isinstance(c, Start)]
         dispatcher.orders.execute([start])
--- a/tests/components/dispatch/test_hold_walks.py
+++ b/tests/components/dispatch/test_hold_walks.py
@@ -317,11 +317,11 @@
 
 def held_of(walk: HoldWalk, job: str) -> list[str]:
     """Return what does not run of a job, and why its workers are not used."""
-    steps = walk.scheduler.board.jobs[job].steps
+    steps = walk.scheduler.state.jobs[job].steps
     tasks = steps[(0, 0)].tasks
     held = [f"{t.index}:{t.phase.value}" for t in tasks if t.phase is not Phase.RUNNING]
     if held:
-        held += [describe(w) for w in walk.scheduler.board.workers.values()]
+        held += [describe(w) for w in walk.scheduler.state.workers.values()]
     return held
 
 
--- a/tests/components/dispatch/test_holds.py
+++ b/tests/components/dispatch/test_holds.py
@@ -59,7 +59,7 @@
     assert not bench.worker.process.runs
     bench.add(WHOLE)
     await bench.async_pass(12.0)
-    worker = bench.scheduler.board.workers[WORKER]
+    worker = bench.scheduler.state.workers[WORKER]
     assert (worker.unknown_runs, worker.strays) == (False, [])
     assert (worker.free_cpu, bench.task().phase) == (0, Phase.RUNNING)
 
@@ -111,7 +111,7 @@
         bench.see()
         bench.add(a_step(count=1, long_running=True))
         await bench.async_pass(12.0)
-        worker = bench.scheduler.board.workers[WORKER]
+        worker = bench.scheduler.state.workers[WORKER]
         tasks.cancel_scope.cancel()
     assert (worker.absent, worker.service) == (False, POOL)
     assert bench.task().phase is Phase.RUNNING
@@ -133,7 +133,7 @@
         good = {**GOOD, "service": POOL, "born": BORN}
         for entry in (good, {**good, "state": "?"}, good):
             directory.apply(KeyedRecord(1, WORKER, msgspec.json.encode(entry)))
-            worker = bench.scheduler.board.workers[WORKER]
+            worker = bench.scheduler.state.workers[WORKER]
             assert worker.absent == (entry["state"] == "?")
         directory.apply(KeyedRecord(1, WORKER, b""))
         await bench.async_pass(4.0)
@@ -194,7 +194,7 @@
             await bench.async_pass(0.5)
             bench.see()
             await bench.async_pass(0.5)
-        worker = bench.scheduler.board.workers[WORKER]
+        worker = bench.scheduler.state.workers[WORKER]
         assert (worker.absent, worker.service) == (False, POOL)
         bench.see(service="no-such-service")
         bench.scheduler.mark_worker_absent(WORKER)
@@ -213,7 +213,7 @@
         await bench.async_pass(0.3)
         assert bench.task().phase is Phase.RUNNING
         bench.see(service="no-such-service")
-        worker = bench.scheduler.board.workers[WORKER]
+        worker = bench.scheduler.state.workers[WORKER]
         for _ in range(120):
             await bench.async_pass(0.1)
             bench.worker.process.advance(bench.worker._clock())
--- a/tests/components/dispatch/test_reborn.py
+++ b/tests/components/dispatch/test_reborn.py
@@ -161,7 +161,7 @@
         self.scheduler.mark_stored([JOB])
 
     def task(self, index: int = 0) -> Task:
-        found = self.scheduler.board.find(TaskName(JOB, 0, 0, index))
+        found = self.scheduler.state.find(TaskName(JOB, 0, 0, index))
         assert found is not None
         return found
 
@@ -210,7 +210,7 @@
         bench.worker.process.advance(600.0)
         assert bench.worker.process.has_news(0)
         bench.worker.seen.clear()
-        bench.scheduler.board.workers[WORKER].stale = True
+        bench.scheduler.state.workers[WORKER].stale = True
         bench.session.wake()
         await bench.async_pass(0.3, plans=False)
         assert bench.worker.seen and set(bench.worker.seen) == {0}
@@ -319,7 +319,7 @@
         blocked.set()
         await anyio.wait_all_tasks_blocked()
         assert bench.task().phase is Phase.WAITING
-        assert not bench.scheduler.board.workers[WORKER].confirmed
+        assert not bench.scheduler.state.workers[WORKER].confirmed
 
 
 async def test_a_refusal_of_the_incarnation_before_does_not_lose_the_next() -> None:
@@ -330,7 +330,7 @@
         await bench.async_pass(0.3)
         bench.dispatcher.orders._lose_session(old)
         assert not bench.session.gone
-        assert WORKER in bench.scheduler.board.workers
+        assert WORKER in bench.scheduler.state.workers
 
 
 async def test_an_entry_of_the_incarnation_before_is_not_used() -> None:
@@ -342,7 +342,7 @@
         session = bench.session
         bench.see(born=first, service="pool-b", state="draining")
         assert bench.session is session
-        worker = bench.scheduler.board.workers[WORKER]
+        worker = bench.scheduler.state.workers[WORKER]
         assert (worker.service, worker.draining, worker.absent) == (POOL, False, False)
 
 
@@ -352,7 +352,7 @@
         bench.worker.restart()
         room = Room(4000, 2000)
         bench.see(service="pool-b", labels=["b", "r2"], capacity=room)
-        worker = bench.scheduler.board.workers[WORKER]
+        worker = bench.scheduler.state.workers[WORKER]
         assert (worker.service, worker.labels) == ("pool-b", ("b", "r2"))
         assert (worker.free_cpu, worker.free_mem, worker.absent) == (4000, 2000, False)
 
@@ -362,14 +362,14 @@
 ):
     async with a_bench() as bench:
         bench.see(service="pool-b")
-        assert bench.scheduler.board.workers[WORKER].absent
+        assert bench.scheduler.state.workers[WORKER].absent
 
 
 async def test_a_worker_gets_nothing_until_its_own_entry_tells_its_pool() -> None:
     """Symptom: a task starts on a worker of a pool that its queue does not name."""
     async with a_bench() as bench:
         bench.worker.restart()
-        bench.scheduler.board.workers[WORKER].stale = True
+        bench.scheduler.state.workers[WORKER].stale = True
         bench.session.wake()
         await bench.async_pass(0.3)
         assert bench.session.born == bench.worker.born
@@ -407,21 +407,21 @@
     async with a_bench() as bench:
         bench.dispatcher.remove_worker(WORKER, LossCause.UNLISTED)
         bench.see()
-        assert WORKER not in bench.scheduler.board.workers
+        assert WORKER not in bench.scheduler.state.workers
         bench.worker.restart()
         bench.see()
-        assert WORKER in bench.scheduler.board.workers
+        assert WORKER in bench.scheduler.state.workers
         assert not bench.session.gone
 
 
 async def test_judgements_of_one_incarnation_end_with_it() -> None:
     async with a_bench() as bench:
-        worker = bench.scheduler.board.workers[WORKER]
+        worker = bench.scheduler.state.workers[WORKER]
         worker.quarantined_until = 1e9
         worker.speed = 0.2
         bench.worker.restart()
         bench.see()
-        worker = bench.scheduler.board.workers[WORKER]
+        worker = bench.scheduler.state.workers[WORKER]
         assert (worker.quarantined_until, worker.speed) == (0.0, 1.0)
 
 
@@ -438,13 +438,13 @@
         bench.add(a_step(count=1, long_running=True))
         await bench.async_pass(0.3)
         old = bench.session
-        bench.scheduler.board.stop(bench.task(), "test")
-        commands = bench.scheduler.board.take_commands()
+        bench.scheduler.state.stop(bench.task(), "test")
+        commands = bench.scheduler.state.take_commands()
         old.client = _Wrong()  # type: ignore[assignment]
         bench.dispatcher.orders.execute(commands)
         await anyio.wait_all_tasks_blocked()
         assert not bench.session.gone
-        assert WORKER in bench.scheduler.board.workers
+        assert WORKER in bench.scheduler.state.workers
 
 
 async def test_a_worker_that_does_not_say_when_it_was_born_is_told_by_its_clock() -> (
--- a/tests/components/dispatch/test_session.py
+++ b/tests/components/dispatch/test_session.py
@@ -92,7 +92,7 @@
         assert bench.dispatcher.unheard()
         await bench.async_pass(0.1)
         assert not bench.dispatcher.unheard()
-        assert bench.scheduler.board.workers[WORKER].confirmed
+        assert bench.scheduler.state.workers[WORKER].confirmed
 
 
 async def test_a_silent_worker_is_lost_when_its_longest_lease_is_over() -> None:
@@ -100,9 +100,9 @@
         bench.client.failure = CallUnknownError("silent")
         bench.see()
         await bench.async_pass(LEASE_SECONDS - 0.5)
-        assert WORKER in bench.scheduler.board.workers
+        assert WORKER in bench.scheduler.state.workers
         await bench.async_pass(1.5)
-        assert WORKER not in bench.scheduler.board.workers
+        assert WORKER not in bench.scheduler.state.workers
 
 
 async def test_a_new_owner_waits_for_leases_that_the_old_one_may_still_renew() -> None:
@@ -117,7 +117,7 @@
     """
     async with a_bench() as bench:
         held_until = lease_bound(bench.timers.monotonic()) + 4.0
-        bench.scheduler.board.held_until = held_until
+        bench.scheduler.state.held_until = held_until
         bench.client.failure = CallUnknownError("cut off")
         bench.see()
         await bench.async_pass(LEASE_SECONDS + 2.0)
@@ -131,7 +131,7 @@
         bench.client.failure = WrongIncarnationError("other")
         bench.see()
         await bench.async_pass(0.1)
-        assert WORKER not in bench.scheduler.board.workers
+        assert WORKER not in bench.scheduler.state.workers
         assert not bench.dispatcher.unheard()
 
 
@@ -145,7 +145,7 @@
         await bench.async_pass(1.0)
         assert set(bench.client.seen) == {0}
         session.acknowledge(7)
-        bench.scheduler.board.workers[WORKER].stale = True
+        bench.scheduler.state.workers[WORKER].stale = True
         session.wake()
         await bench.async_pass(1.0)
         assert bench.client.seen[-1] == 7
@@ -155,7 +155,7 @@
     async with a_bench() as bench:
         bench.see()
         await bench.async_pass(0.1)
-        bench.scheduler.board.workers[WORKER].stale = True
+        bench.scheduler.state.workers[WORKER].stale = True
         bench.dispatcher.sessions[WORKER].wake()
         await bench.async_pass(0.2)
         assert bench.client.deadlines[0] is None
--- a/tests/components/fleet/test_holds.py
+++ b/tests/components/fleet/test_holds.py
@@ -67,7 +67,7 @@
 
     def worker(self, name: str) -> WorkerState:
         """Return a worker."""
-        return self.bench.scheduler.board.workers[name]
+        return self.bench.scheduler.state.workers[name]
 
     def look(self, instances: list[Instance]) -> None:
         """Read a list, and decide."""
@@ -264,7 +264,7 @@
     instances += [an_instance(4, OTHER)]
     for came_since in (False, True):
         fleet = FleetBench(instances)
-        for worker in fleet.bench.scheduler.board.workers.values():
+        for worker in fleet.bench.scheduler.state.workers.values():
             worker.born = 1000
         if kind == "maintenance":
             fleet.waves.runs[1] = a_wave(["m-04"])
--- a/tests/components/fleet/test_unusable.py
+++ b/tests/components/fleet/test_unusable.py
@@ -56,7 +56,7 @@
     replaced = flag not in SHORT_STATES and not usable(worker, fleet.bench.now)
     moves = asked(fleet, SILENT_SECONDS + 2.0)
     assert {move.pool for move in moves} == ({POOL} if replaced else set())
-    assert ("i-00" in fleet.bench.scheduler.board.unusable) == replaced
+    assert ("i-00" in fleet.bench.scheduler.state.unusable) == replaced
 
 
 def test_a_worker_that_refuses_or_is_in_quarantine_counts() -> None:
@@ -73,15 +73,15 @@
 ) -> None:
     """Guards against as many instances more as there are, in the first seconds."""
     fleet = FleetBench(least_pools())
-    board = fleet.bench.scheduler.board
-    board.taken_over_at = fleet.bench.now
-    workers = dict(board.workers)
+    state = fleet.bench.scheduler.state
+    state.taken_over_at = fleet.bench.now
+    workers = dict(state.workers)
     for worker in workers.values():
         worker.confirmed = False
     if not known:
-        board.workers.clear()
+        state.workers.clear()
     assert asked(fleet, UNHEARD_SECONDS) == []
-    board.workers.update(workers)
+    state.workers.update(workers)
     for worker in workers.values():
         worker.confirmed = True
     assert asked(fleet, 10.0) == []
@@ -90,8 +90,8 @@
 def test_a_takeover_that_hears_of_no_worker_asks_once_for_what_is_missing() -> None:
     """Guards against instance after instance, none of which is heard of."""
     fleet = FleetBench(least_pools())
-    fleet.bench.scheduler.board.taken_over_at = fleet.bench.now
-    fleet.bench.scheduler.board.workers.clear()
+    fleet.bench.scheduler.state.taken_over_at = fleet.bench.now
+    fleet.bench.scheduler.state.workers.clear()
     bound = UNHEARD_SECONDS + 12 * HEARING_SECONDS_EACH
     first = asked(fleet, bound + 0.5)
     assert len({move.machine for move in first}) <= 2 * LEAST_INSTANCES
--- a/tests/components/ownership/test_log_walks.py
+++ b/tests/components/ownership/test_log_walks.py
@@ -134,13 +134,13 @@
         owners = [e.ownership.owner for e in self.entries if e.ownership.owner]
         if len(owners) != 1:
             return [f"owners={len(owners)}"]
-        board = owners[0].scheduler.board
+        state = owners[0].scheduler.state
         newest = self.store._topic(TOPIC).newest
         return [
             name
             for name in self.jobs
-            if name not in board.jobs
-            or not board.jobs[name].stored
+            if name not in state.jobs
+            or not state.jobs[name].stored
             or PREFIX_PROGRESS + name not in newest
         ]
 
--- a/tests/components/ownership/test_takeover.py
+++ b/tests/components/ownership/test_takeover.py
@@ -20,7 +20,7 @@
 
     def __init__(self, listed: dict[str, str] | None) -> None:
         self.bench = SchedulerBench(epoch=2)
-        self.board = self.bench.scheduler.board
+        self.state = self.bench.scheduler.state
         self.unheard = ["w1", "w2"]
         self.listed = listed
         self.woken = 0
@@ -29,7 +29,7 @@
             self.bench.scheduler.update_worker(name, entry, self.bench.now)
         for number, pool in enumerate((POOL, OTHER)):
             self.bench.add(a_job(job=f"{number:016x}", service=pool))
-            job = self.board.jobs[f"{number:016x}"]
+            job = self.state.jobs[f"{number:016x}"]
             job.policy = SimpleNamespace(service=pool)  # type: ignore[assignment]
         sessions = {"w1": None, "w2": None}
         dispatcher: Any = SimpleNamespace(
@@ -37,9 +37,9 @@
         )
         fleet: Any = SimpleNamespace(listed_workers=lambda: self.listed)
         self.takeover = Takeover(
-            2, self.board, dispatcher, DrivenTimerService(), self._wake, fleet
+            2, self.state, dispatcher, DrivenTimerService(), self._wake, fleet
         )
-        hold(self.board, OwnerRecord(1, "c", "node-1", 5), self.bench.now)
+        hold(self.state, OwnerRecord(1, "c", "node-1", 5), self.bench.now)
 
     def _wake(self) -> None:
         self.woken += 1
@@ -47,7 +47,7 @@
     def look(self) -> bool:
         """Look once, and return whether what was held may start."""
         self.takeover.release()
-        return self.board.held_until == 0.0
+        return self.state.held_until == 0.0
 
 
 def test_all_pools_wait_until_every_worker_was_heard_of() -> None:
@@ -78,11 +78,11 @@
 
 
 def test_an_owner_that_gave_the_shard_up_gives_no_more_orders() -> None:
-    board = SchedulerBench().scheduler.board
-    hold(board, OwnerRecord(1, "c", "", 5, settled=True), NOW)
-    assert board.held_until == lease_bound(NOW)
-    hold(board, OwnerRecord(1, "c", "node-1", 5), NOW)
-    assert board.held_until == lease_bound(NOW) + AUTHORITY_SECONDS
+    state = SchedulerBench().scheduler.state
+    hold(state, OwnerRecord(1, "c", "", 5, settled=True), NOW)
+    assert state.held_until == lease_bound(NOW)
+    hold(state, OwnerRecord(1, "c", "node-1", 5), NOW)
+    assert state.held_until == lease_bound(NOW) + AUTHORITY_SECONDS
 
 
 def test_an_owner_that_gives_up_before_it_heard_of_all_workers_says_so() -> None:
@@ -93,17 +93,17 @@
     and gave way to a larger one a second later; that one waited for a lease only.
     Cause: whoever gave the shard up was taken for the only one that may give orders.
     """
-    board = SchedulerBench().scheduler.board
-    hold(board, OwnerRecord(2, "c", "", 5, settled=False), NOW)
-    assert board.held_until == lease_bound(NOW) + AUTHORITY_SECONDS
+    state = SchedulerBench().scheduler.state
+    hold(state, OwnerRecord(2, "c", "", 5, settled=False), NOW)
+    assert state.held_until == lease_bound(NOW) + AUTHORITY_SECONDS
 
 
 def with_zones(listed: dict[str, str] | None) -> TakeoverBench:
     """Return a takeover whose workers stand in two data centres; w1 has answered."""
     bench = TakeoverBench(listed)
     for name, zone in (("w1", "z1"), ("w2", "z2")):
-        bench.board.workers[name].zone = zone
-    bench.board.workers["w1"].confirmed = True
+        bench.state.workers[name].zone = zone
+    bench.state.workers["w1"].confirmed = True
     bench.unheard = ["w2"]
     bench.look()
     return bench
@@ -111,24 +111,24 @@
 
 def test_a_data_centre_is_accounted_for_once_all_its_workers_were_heard_of() -> None:
     bench = with_zones({"w1": "z1", "w2": "z2"})
-    assert bench.board.accounted == {"z1"}
+    assert bench.state.accounted == {"z1"}
     assert bench.woken == 1
-    assert bench.board.held_until > 0
+    assert bench.state.held_until > 0
 
 
 def test_a_worker_that_only_the_list_names_keeps_its_data_centre_open() -> None:
-    assert with_zones({"w1": "z1", "w9": "z1"}).board.accounted == frozenset()
+    assert with_zones({"w1": "z1", "w9": "z1"}).state.accounted == frozenset()
 
 
 def test_no_data_centre_is_accounted_for_before_the_list_was_read() -> None:
-    assert with_zones(None).board.accounted == frozenset()
+    assert with_zones(None).state.accounted == frozenset()
 
 
 def test_a_data_centre_of_which_nobody_was_heard_is_not_accounted_for() -> None:
     """Its workers may have lapsed from entries and list, and run on behind a cut."""
     bench = with_zones({"w1": "z1"})
-    del bench.board.workers["w2"]
+    del bench.state.workers["w2"]
     bench.unheard = []
     bench.listed = {"w1": "z1", "w8": "z3"}
     bench.look()
-    assert bench.board.accounted == {"z1"}
+    assert bench.state.accounted == {"z1"}
--- a/tests/components/scheduling/builders.py
+++ b/tests/components/scheduling/builders.py
@@ -88,7 +88,7 @@
         """Add a worker that answered its first hold."""
         self.scheduler.update_worker(name, an_entry(**changes), self.now)
         self.hold(name)
-        return self.scheduler.board.workers[name]
+        return self.scheduler.state.workers[name]
 
     def add(self, job: LedgerJob, stored: bool = True) -> None:
         """Hand a job in, and store that it was taken in."""
@@ -154,7 +154,7 @@
         self, index: int, step: int = 0, job: str = JOB, occurrence: int = 0
     ) -> Task:
         """Return a task."""
-        found = self.scheduler.board.find(TaskName(job, occurrence, step, index))
+        found = self.scheduler.state.find(TaskName(job, occurrence, step, index))
         assert found is not None
         return found
 
--- a/tests/components/scheduling/liveness_mutants.py
+++ b/tests/components/scheduling/liveness_mutants.py
@@ -11,11 +11,11 @@
 from mustardward.components.dispatch.orders import Orders
 from mustardward.components.dispatch.session import WorkerSession
 from mustardward.components.scheduling import health, planner, reports
-from mustardward.components.scheduling.board import Board
 from mustardward.components.scheduling.crashes import Crashes
 from mustardward.components.scheduling.quotas import Quotas
 from mustardward.components.scheduling.reports import Reports
 from mustardward.components.scheduling.scheduler import Scheduler
+from mustardward.components.scheduling.scheduler_state import SchedulerState
 from mustardward.components.scheduling.zones import Zones
 
 Mutate = Callable[[pytest.MonkeyPatch], None]
@@ -38,7 +38,7 @@
 
 def _store_without_zones(scheduler: Scheduler, job_ids: list[str]) -> None:
     for job_id in job_ids:
-        job = scheduler.board.jobs.get(job_id)
+        job = scheduler.state.jobs.get(job_id)
         if job is not None:
             job.stored = True
 
@@ -76,10 +76,10 @@
     update_worker = Scheduler.update_worker
 
     def see(own: Scheduler, worker_id: str, entry: Any, now: float) -> bool:
-        worker = own.board.workers.get(worker_id)
+        worker = own.state.workers.get(worker_id)
         absent = worker is not None and worker.absent
         found = update_worker(own, worker_id, entry, now)
-        own.board.workers[worker_id].absent |= absent
+        own.state.workers[worker_id].absent |= absent
         return found
 
     patch.setattr(Scheduler, "update_worker", see)
@@ -108,31 +108,31 @@
 
 def _count_twice(patch: pytest.MonkeyPatch) -> None:
     """Count a doubted start once more, and give it back once."""
-    doubt = Board.doubt
+    doubt = SchedulerState.doubt
 
-    def again(own: Board, task: Any) -> None:
+    def again(own: SchedulerState, task: Any) -> None:
         doubt(own, task)
         own.quotas.take(task.step.job.organisation, task.step.asked)
 
-    patch.setattr(Board, "doubt", again)
+    patch.setattr(SchedulerState, "doubt", again)
 
 
 def _requeue_unready(patch: pytest.MonkeyPatch) -> None:
-    requeue = Board.requeue
+    requeue = SchedulerState.requeue
 
-    def unready(own: Board, task: Any, now: float) -> None:
+    def unready(own: SchedulerState, task: Any, now: float) -> None:
         ready = dict(own.ready)
         requeue(own, task, now)
         own.ready = ready
 
-    patch.setattr(Board, "requeue", unready)
+    patch.setattr(SchedulerState, "requeue", unready)
 
 
 def _stay_undescribed(patch: pytest.MonkeyPatch) -> None:
     update_worker = Scheduler.update_worker
 
     def see(own: Scheduler, worker_id: str, entry: Any, now: float) -> bool:
-        worker = own.board.workers.get(worker_id)
+        worker = own.state.workers.get(worker_id)
         if worker is not None and not worker.described:
             return False
         return update_worker(own, worker_id, entry, now)
@@ -159,19 +159,19 @@
     "no-data-centre-more": _replace(Zones, "widen", lambda *_: True),
     "advice-is-asked-once": _ask_once,
     "tickets-last-for-ever": _keep_tickets,
-    "suspects-stay-off-their-queue": _replace(Board, "put_back", _nothing),
+    "suspects-stay-off-their-queue": _replace(SchedulerState, "put_back", _nothing),
     "nobody-is-judged": _replace(Crashes, "_is_due", lambda *_: False),
     "suspects-wait-for-ever": _replace(planner, "is_free_for", lambda *_: False),
-    "suspects-are-not-cleared": _replace(Board, "clear", _nothing),
+    "suspects-are-not-cleared": _replace(SchedulerState, "clear", _nothing),
     "an-entry-that-is-back-is-not-read": _stay_absent,
     "leaving-is-not-taken-back": _only_leave,
     "a-quarantine-has-no-end": _replace(health, "QUARANTINE_SECONDS", math.inf),
     "a-takeover-holds-for-ever": _replace(
-        Board, "is_held", lambda own, job, now: job.held
+        SchedulerState, "is_held", lambda own, job, now: job.held
     ),
     "a-doubted-start-counts-twice": _count_twice,
     "quotas-are-not-given-back": _replace(Quotas, "give_back", _nothing),
-    "strays-stay": _replace(Board, "forget_strays", _nothing),
+    "strays-stay": _replace(SchedulerState, "forget_strays", _nothing),
     "a-silent-worker-stays-stale": _stay_stale,
     "a-silent-worker-is-asked-no-more": _hold_once,
     "no-room-once-is-no-room-ever": _replace(reports, "ROOM_PAUSE_SECONDS", math.inf),
--- a/tests/components/scheduling/liveness_owner.py
+++ b/tests/components/scheduling/liveness_owner.py
@@ -124,13 +124,13 @@
         )
         self.dispatcher.world = world
         self._listen()
-        hold(self.scheduler.board, before, world.now)
+        hold(self.scheduler.state, before, world.now)
         for job in sorted(world.jobs.values(), key=lambda j: j.record.accepted_at):
             self.scheduler.add_job(job, world.now, world.now)
         fleet: Any = self
         takeover = Takeover(
             self.epoch,
-            self.scheduler.board,
+            self.scheduler.state,
             self.dispatcher,
             timers,
             self.kick,
@@ -148,7 +148,7 @@
         def apply_worker_report(
             worker_id: str, answer: HoldAnswer, sent_at: float, now: float
         ) -> None:
-            if worker_id in self.scheduler.board.workers:
+            if worker_id in self.scheduler.state.workers:
                 for end in answer.ended:
                     if end.how == "done":
                         self._note_done(end.task)
@@ -204,7 +204,7 @@
             orders = self.dispatcher.orders
             if self.authorised:
                 orders.execute(self.scheduler.plan(now, now, orders.start_room()))
-            if self.scheduler.board.dirty:
+            if self.scheduler.state.dirty:
                 self._dirty.set()
             await anyio.sleep(PLAN_GAP_SECONDS)
 
--- a/tests/components/scheduling/liveness_walk.py
+++ b/tests/components/scheduling/liveness_walk.py
@@ -138,8 +138,8 @@
         rule = "room is there twice over" if twice else "room is there"
         owner = self._owner
         assert owner is not None
-        board = owner.scheduler.board
-        job = board.jobs.get(name.job)
+        state = owner.scheduler.state
+        job = state.jobs.get(name.job)
         lines = [f"{encode_task(name)} could run and does not: {rule}"]
         lines += [f"  record {self.world.jobs[name.job].record.steps[name.step]}"]
         lines += _job_lines(job) if job is not None else ["  not known to the owner"]
@@ -150,17 +150,17 @@
             f"unknown={w.unknown_runs} strays={len(w.strays)} "
             f"quarantine={w.quarantined_until:.1f} described={w.described} "
             f"tasks={[encode_task(t) for t in w.tasks]}"
-            for w in board.workers.values()
+            for w in state.workers.values()
         ]
         lines += [
             f"  truly {w.id} runs={[encode_task(n) for n in w.runs]}"
             for w in self.world.workers.values()
         ]
-        lines += [f"  now={self.world.now:.1f} held_until={board.held_until:.1f}"]
+        lines += [f"  now={self.world.now:.1f} held_until={state.held_until:.1f}"]
         lines += [
             f"  waits {step.job.record.id}.{step.number} {len(step.waiting)} "
             f"lasting={step.spec.long_running} most={step.spec.max_per_server}"
-            for step in board.ready.values()
+            for step in state.ready.values()
         ]
         return "\n".join(lines)
 
--- a/tests/components/scheduling/test_crash_walks.py
+++ b/tests/components/scheduling/test_crash_walks.py
@@ -274,7 +274,7 @@
 
     def _change_owner(self) -> None:
         """Let an owner end with what it has not stored yet."""
-        for job in self._scheduler.board.dirty.values():
+        for job in self._scheduler.state.dirty.values():
             for step in job.steps.values():
                 for task in step.tasks:
                     if task.crashes and task.crashes != self._known_crashes(task.name):
--- a/tests/components/scheduling/test_crashes.py
+++ b/tests/components/scheduling/test_crashes.py
@@ -244,7 +244,7 @@
     bench.plan_starts()
     suspected(bench)
     assert bench.plan_starts() == []
-    assert measure(bench.scheduler.board, bench.now)[POOL].apart == 1
+    assert measure(bench.scheduler.state, bench.now)[POOL].apart == 1
 
 
 def test_a_suspected_job_runs_beside_what_is_not_suspected_in_the_end() -> None:
@@ -273,7 +273,7 @@
         assert start.task.crashes == ()
         crash(bench, f"w{number}")
         bench.store()
-    assert bench.scheduler.board.jobs[JOB].state is JobState.RUNNING
+    assert bench.scheduler.state.jobs[JOB].state is JobState.RUNNING
 
 
 def test_only_runs_that_nobody_stopped_clear_a_lasting_suspect() -> None:
@@ -288,7 +288,7 @@
         bench.now += 1.0
         (start,) = bench.plan_starts()
         if number < TRIAL_RUNS:
-            bench.scheduler.board.stop(start.task, "test")
+            bench.scheduler.state.stop(start.task, "test")
         assert start.task.crashes == ("old-0", "old-1")
         bench.end(start.task, "stopped" if number < TRIAL_RUNS else "failed")
     bench.now += 1.0
@@ -327,7 +327,7 @@
     bench.worker("w1")
     (start,) = bench.plan_starts()
     bench.end(start.task, "done")
-    assert not bench.scheduler.board.suspects
+    assert not bench.scheduler.state.suspects
 
 
 def test_workers_that_crash_together_give_no_job_up_at_once() -> None:
--- a/tests/components/scheduling/test_demand.py
+++ b/tests/components/scheduling/test_demand.py
@@ -19,9 +19,9 @@
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=5, max_per_server=2, long_running=True)))
-    assert measure(bench.scheduler.board, bench.now)[POOL].spread == 3
+    assert measure(bench.scheduler.state, bench.now)[POOL].spread == 3
     assert len(bench.plan_starts()) == 2
-    assert measure(bench.scheduler.board, bench.now)[POOL].spread == 3
+    assert measure(bench.scheduler.state, bench.now)[POOL].spread == 3
 
 
 def test_what_runs_and_what_waits_is_told_apart() -> None:
@@ -29,7 +29,7 @@
     bench.worker("w1")
     bench.add(a_job(a_step(count=12, cpu=1000, mem_mb=100, estimate_ms=2000)))
     bench.plan_starts()
-    load = measure(bench.scheduler.board, bench.now)[POOL]
+    load = measure(bench.scheduler.state, bench.now)[POOL]
     assert (load.running.cpu, load.waiting.cpu) == (8000, 4000)
     assert load.backlog.cpu == 8000
     assert load.backlog.mem_mb == 800
@@ -39,8 +39,8 @@
     bench = SchedulerBench()
     bench.worker("w1")
     bench.worker("w2")
-    bench.scheduler.board.unusable = frozenset({"w2"})
-    load = measure(bench.scheduler.board, bench.now)[POOL]
+    bench.scheduler.state.unusable = frozenset({"w2"})
+    load = measure(bench.scheduler.state, bench.now)[POOL]
     assert (load.workers, load.capacity, load.memory) == (1, 8000, 8000)
 
 
@@ -53,7 +53,7 @@
 
 def inflow_of(bench: SchedulerBench) -> float:
     """Return what keeps up with the last arrivals, in thousandths of a core."""
-    return measure(bench.scheduler.board, bench.now)[POOL].inflow.cpu
+    return measure(bench.scheduler.state, bench.now)[POOL].inflow.cpu
 
 
 def test_the_first_arrivals_of_a_turn_tell_its_need() -> None:
@@ -98,12 +98,12 @@
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=100)))
-    assert measure(bench.scheduler.board, bench.now)[POOL].inflow.cpu == 0
+    assert measure(bench.scheduler.state, bench.now)[POOL].inflow.cpu == 0
 
 
 def test_what_an_owner_before_took_in_long_ago_is_no_arrival() -> None:
     bench = SchedulerBench()
-    bench.scheduler.board.taken_over_at = bench.now
+    bench.scheduler.state.taken_over_at = bench.now
     bench.worker("w1")
     for number in range(16):
         accepted_at = bench.now - RECENT_SECONDS - 0.1
@@ -119,7 +119,7 @@
     only what arrived under the new owner counted.
     """
     bench = SchedulerBench()
-    bench.scheduler.board.taken_over_at = bench.now
+    bench.scheduler.state.taken_over_at = bench.now
     bench.worker("w1")
     for number in range(16):
         accepted_at = bench.now - 0.8 + number * 0.05
--- a/tests/components/scheduling/test_evacuation.py
+++ b/tests/components/scheduling/test_evacuation.py
@@ -52,7 +52,7 @@
     Cause: a task's last report said that it was at work, however old the report was.
     """
     bench, tasks = lasting_on_three_workers()
-    bench.scheduler.board.workers["w1"].stale = True
+    bench.scheduler.state.workers["w1"].stale = True
     bench.scheduler.set_leaving("w2", True, bench.now)
     assert bench.plan_stops() == []
 
@@ -73,7 +73,7 @@
         bench.show_at_work(start.task)
     bench.scheduler.set_leaving("w1", True, bench.now)
     assert len(bench.plan_stops()) == 1
-    bench.scheduler.board.workers["w1"].stale = True
+    bench.scheduler.state.workers["w1"].stale = True
     assert bench.plan_stops() == []
 
 
--- a/tests/components/scheduling/test_hold_walks.py
+++ b/tests/components/scheduling/test_hold_walks.py
@@ -150,12 +150,12 @@
         name = self.chance.choice(list(self.places))
         place = self.places[name]
         place.silent = not place.silent
-        self.bench.scheduler.board.workers[name].stale = place.silent
+        self.bench.scheduler.state.workers[name].stale = place.silent
 
     def leave(self) -> None:
         """Let the fleet take a worker, or take that back."""
         name = self.chance.choice(list(self.places))
-        leaving = self.bench.scheduler.board.workers[name].leaving
+        leaving = self.bench.scheduler.state.workers[name].leaving
         self.bench.scheduler.set_leaving(name, not leaving, self.bench.now)
 
     def crash(self) -> None:
@@ -190,9 +190,9 @@
         self.bench = SchedulerBench(
             epoch=before.epoch + 1, now=before.now, quotas=QUOTAS
         )
-        board = self.bench.scheduler.board
-        board.taken_over_at = before.now
-        board.held_until = before.now + 1.5
+        state = self.bench.scheduler.state
+        state.taken_over_at = before.now
+        state.held_until = before.now + 1.5
         for job_id, job in self.accepted.items():
             job.progress = self.log.get(job_id)
             self.bench.scheduler.add_job(job, before.now, before.now)
@@ -276,14 +276,14 @@
 
     def waiting(self) -> list[str]:
         """Return what is neither over nor runs."""
-        board = self.bench.scheduler.board
+        state = self.bench.scheduler.state
         left: list[str] = []
         for job_id, job in self.accepted.items():
             if job.cancelled_at or (
                 job_id in self.log and self.log[job_id].state.final
             ):
                 continue
-            known = board.jobs.get(job_id)
+            known = state.jobs.get(job_id)
             steps = known.steps.values() if known is not None else ()
             lasts = [s for s in steps if s.spec.long_running]
             tasks = [task for step in lasts for task in step.tasks]
@@ -300,7 +300,7 @@
         walk.step()
     walk.calm_down()
     assert walk.waiting() == []
-    assert walk.bench.scheduler.board.quotas.used(TEAM).cpu == walk.taken(TEAM)
+    assert walk.bench.scheduler.state.quotas.used(TEAM).cpu == walk.taken(TEAM)
 
 
 def a_crowd(chance: random.Random) -> SchedulerBench:
@@ -345,18 +345,18 @@
     chance = random.Random(1)
     for _ in range(POOLS):
         bench = a_crowd(chance)
-        board = bench.scheduler.board
+        state = bench.scheduler.state
         for _ in range(ROUNDS):
             bench.store()
             bench.plan_starts()
             here = {
                 id(step): [
                     worker
-                    for worker in board.workers.values()
+                    for worker in state.workers.values()
                     if worker.zone in (step.job.open_zones or ZONES)
                 ]
-                for step in board.ready.values()
+                for step in state.ready.values()
             }
-            assert not [s for s in board.ready.values() if could_run(s, here[id(s)])]
-        workers = list(board.workers.values())
-        assert not [s for s in board.ready.values() if could_run(s, workers)]
+            assert not [s for s in state.ready.values() if could_run(s, here[id(s)])]
+        workers = list(state.workers.values())
+        assert not [s for s in state.ready.values() if could_run(s, workers)]
--- a/tests/components/scheduling/test_holds.py
+++ b/tests/components/scheduling/test_holds.py
@@ -49,7 +49,7 @@
         self.started += bench.plan_starts()
         bench.now += TICK_SECONDS
         bench.clock_ms += 1000 * TICK_SECONDS
-        for worker in bench.scheduler.board.workers.values():
+        for worker in bench.scheduler.state.workers.values():
             running = [t for t in worker.tasks.values() if not self._is_over(t)]
             over = [t for t in worker.tasks.values() if self._is_over(t)]
             bench.hold(
@@ -115,7 +115,7 @@
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=1, long_running=True), job=OTHER))
-    job = bench.scheduler.board.jobs[OTHER]
+    job = bench.scheduler.state.jobs[OTHER]
     job.policy = QueuePolicy(service=POOL, advice=True)
     bench.add(a_job())
     assert Play(bench).run(CALM_SECONDS) == [JOB, JOB]
@@ -198,7 +198,7 @@
     bench.worker("w2")
     lasting = a_step(count=2, long_running=True)
     bench.add(a_job(lasting, job=OTHER))
-    job = bench.scheduler.board.jobs[OTHER]
+    job = bench.scheduler.state.jobs[OTHER]
     job.policy = QueuePolicy(service=POOL, advice=True)
     step = job.steps[(0, 0)]
     bench.scheduler.set_tickets(step, {"w1": "t"}, bench.now + 100.0)
@@ -376,10 +376,10 @@
     bench.worker("w2")
     bench.add(suspected(crashes=1))
     (start,) = bench.plan_starts()
-    bench.scheduler.board.mark_dirty(start.task.step.job)
+    bench.scheduler.state.mark_dirty(start.task.step.job)
     under_way = dict(bench.scheduler.take_dirty(bench.now, bench.now))
-    bench.scheduler.board.end_run(start.task, bench.now)
-    bench.scheduler.board.suspect(start.task, "w1")
+    bench.scheduler.state.end_run(start.task, bench.now)
+    bench.scheduler.state.suspect(start.task, "w1")
     bench.scheduler.mark_stored(under_way)
     assert bench.plan_starts() == []
     bench.store()
@@ -417,7 +417,7 @@
     ends = [EndedTask(n, TaskName(JOB, n, 0, 0), 5, "failed", "") for n in (2, 3)]
     bench.hold("w1", ended=ends)
     assert bench.task(0, occurrence=2).failed_runs == (5,)
-    assert (3, 0) not in bench.scheduler.board.jobs[JOB].steps
+    assert (3, 0) not in bench.scheduler.state.jobs[JOB].steps
 
 
 def test_a_suspected_task_gets_a_worker_that_has_room_for_it() -> None:
@@ -464,7 +464,7 @@
     bench.worker("w1")
     done = pack([0, 1])
     bench.add(a_timed_job(StepMark(1, 0, done), StepMark(2, 0, done)))
-    assert bench.scheduler.board.jobs[JOB].state is JobState.RUNNING
+    assert bench.scheduler.state.jobs[JOB].state is JobState.RUNNING
 
 
 def test_a_job_that_is_found_running_is_stored_as_running() -> None:
--- a/tests/components/scheduling/test_planning.py
+++ b/tests/components/scheduling/test_planning.py
@@ -282,7 +282,7 @@
 def test_the_most_urgent_goes_first_while_all_can_be_in_time() -> None:
     """Load: one large job and five small ones, and instances on their way."""
     bench = SchedulerBench()
-    bench.scheduler.board.coming[POOL] = 40_000
+    bench.scheduler.state.coming[POOL] = 40_000
     assert set(starts_in_shortage(bench, 10)) == {OTHER}
 
 
@@ -310,14 +310,14 @@
         (start,) = bench.plan_starts()
         task = start.task
         if start.worker != "w1":
-            bench.scheduler.board.workers["w1"].failed_jobs.add(name)
+            bench.scheduler.state.workers["w1"].failed_jobs.add(name)
             bench.end(task, "done")
             continue
         bench.end(task, "failed")
         bench.plan_starts()
     bench.add(a_job(a_step(count=1), job=OTHER))
-    board = bench.scheduler.board
-    worker = board.workers["w1"]
+    state = bench.scheduler.state
+    worker = state.workers["w1"]
     worker.failed_jobs.update({"x", "y"})
     task = bench.task(0, job=OTHER)
     bench.scheduler.health.note_failed(worker, task, bench.now)
@@ -422,7 +422,7 @@
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job(a_step(count=9, gang=True)))
-    first = bench.scheduler.board.next_run()
+    first = bench.scheduler.state.next_run()
     for _ in range(5):
         assert bench.plan_starts() == []
-    assert bench.scheduler.board.next_run() == first + 1
+    assert bench.scheduler.state.next_run() == first + 1
--- a/tests/components/scheduling/test_quota_walks.py
+++ b/tests/components/scheduling/test_quota_walks.py
@@ -19,13 +19,13 @@
 
 from mustardward.components.ledger.ledger import LedgerJob
 from mustardward.components.ledger.models import JobState, Progress
-from mustardward.components.scheduling.board import Board
 from mustardward.components.scheduling.commands import Start, Stop
 from mustardward.components.scheduling.losses import LossCause
 from mustardward.components.scheduling.models import QueuePolicy
 from mustardward.components.scheduling.planner import Planner
 from mustardward.components.scheduling.quotas import Quotas
 from mustardward.components.scheduling.scheduler import Scheduler
+from mustardward.components.scheduling.scheduler_state import SchedulerState
 from mustardward.platform.models import Room
 from mustardward.platform.workers import (
     EndedTask,
@@ -105,8 +105,8 @@
 
     def _see(self, name: str) -> None:
         entry = an_entry(born=self.truth[name].born)
-        board = self.scheduler.board
-        known = board.workers.get(name)
+        state = self.scheduler.state
+        known = state.workers.get(name)
         if known is not None and known.born != entry.born:
             self.scheduler.replace_worker(name, entry.born, entry, self.now)
         self.scheduler.update_worker(name, entry, self.now)
@@ -207,7 +207,7 @@
 
     def _hold(self, name: str) -> None:
         worker = self.truth[name]
-        known = self.scheduler.board.workers.get(name)
+        known = self.scheduler.state.workers.get(name)
         if worker.silent or known is None or known.born != worker.born:
             return
         worker.token = max(worker.token, self.epoch)
@@ -229,7 +229,7 @@
         """Let a worker fall silent, or speak again."""
         worker = self.truth[name]
         worker.silent = not worker.silent
-        known = self.scheduler.board.workers.get(name)
+        known = self.scheduler.state.workers.get(name)
         if known is not None:
             known.stale = worker.silent
             if not worker.silent:
@@ -254,7 +254,7 @@
                 worker.ended.clear()
                 worker.ended_at.clear()
                 self.scheduler.remove_worker(name, LossCause.UNLISTED, self.now)
-        self.scheduler.board.held_until = min(self.scheduler.board.held_until, self.now)
+        self.scheduler.state.held_until = min(self.scheduler.state.held_until, self.now)
 
     def restart(self, name: str) -> None:
         """Start a worker again under its id; what it was told is still under way.
@@ -284,9 +284,9 @@
         for job_id, progress in self.scheduler.take_dirty(self.now, self.now):
             self.jobs[job_id].progress = progress
         self.scheduler = self._owner()
-        board = self.scheduler.board
-        board.held_until = ALWAYS
-        board.taken_over_at = self.now
+        state = self.scheduler.state
+        state.held_until = ALWAYS
+        state.taken_over_at = self.now
         for name in WORKERS:
             self._see(name)
         for job in self.jobs.values():
@@ -313,30 +313,30 @@
 
     def release(self) -> None:
         """End the hold of a takeover once all workers were heard of."""
-        board = self.scheduler.board
+        state = self.scheduler.state
         for name in WORKERS:
-            if name not in board.workers:
+            if name not in state.workers:
                 self._see(name)
             self._hold(name)
-        if all(worker.confirmed for worker in board.workers.values()):
-            board.held_until = 0.0
+        if all(worker.confirmed for worker in state.workers.values()):
+            state.held_until = 0.0
 
     def counts_match(self) -> None:
         """Compare the count with one made anew from all that is held."""
-        board = self.scheduler.board
+        state = self.scheduler.state
         for organisation in ORGANISATIONS:
             counted = sum(
                 task.step.asked.cpu
-                for worker in board.workers.values()
+                for worker in state.workers.values()
                 for task in worker.tasks.values()
                 if task.step.job.organisation == organisation
             ) + sum(
                 room.cpu
-                for worker in board.workers.values()
+                for worker in state.workers.values()
                 for owner, room in worker.strays
                 if owner == organisation
             )
-            assert board.quotas.used(organisation).cpu == counted
+            assert state.quotas.used(organisation).cpu == counted
 
 
 FATES = ("answered", "answered", "lost", "late")
@@ -377,15 +377,15 @@
 def _count_only_running(patch: pytest.MonkeyPatch) -> None:
     """Let what is being started or stopped count for nothing."""
     take, give_back = Quotas.take, Quotas.give_back
-    doubt = Board.doubt
+    doubt = SchedulerState.doubt
 
-    def forget(board: Board, task: object) -> None:
-        doubt(board, task)  # type: ignore[arg-type]
+    def forget(state: SchedulerState, task: object) -> None:
+        doubt(state, task)  # type: ignore[arg-type]
         step = task.step  # type: ignore[attr-defined]
-        give_back(board.quotas, step.job.organisation, step.asked)
-        take(board.quotas, "", step.asked)
+        give_back(state.quotas, step.job.organisation, step.asked)
+        take(state.quotas, "", step.asked)
 
-    patch.setattr(Board, "doubt", forget)
+    patch.setattr(SchedulerState, "doubt", forget)
 
 
 def _forget_unseen(patch: pytest.MonkeyPatch) -> None:
@@ -395,17 +395,17 @@
 
 def _forget_strays(patch: pytest.MonkeyPatch) -> None:
     """Let runs that are no task's any more count for nothing."""
-    patch.setattr(Board, "note_stray", lambda board, worker, name: None)
+    patch.setattr(SchedulerState, "note_stray", lambda state, worker, name: None)
 
 
 def _trust_rebirths(patch: pytest.MonkeyPatch) -> None:
     """Let unanswered orders end with the incarnation that they were meant for."""
 
-    def replace(board: Board, old: object, new: object, now: float) -> None:
-        board.drop_worker(old, now)  # type: ignore[arg-type]
-        board.workers[new.id] = new  # type: ignore[attr-defined]
+    def replace(state: SchedulerState, old: object, new: object, now: float) -> None:
+        state.drop_worker(old, now)  # type: ignore[arg-type]
+        state.workers[new.id] = new  # type: ignore[attr-defined]
 
-    patch.setattr(Board, "replace_worker", replace)
+    patch.setattr(SchedulerState, "replace_worker", replace)
 
 
 def _allow_all(patch: pytest.MonkeyPatch) -> None:
@@ -415,7 +415,7 @@
 
 def _start_unheld(patch: pytest.MonkeyPatch) -> None:
     """Let jobs of an owner before start at once."""
-    patch.setattr(Board, "is_held", lambda board, job, now: False)
+    patch.setattr(SchedulerState, "is_held", lambda state, job, now: False)
 
 
 @pytest.mark.parametrize(
--- a/tests/components/scheduling/test_quotas.py
+++ b/tests/components/scheduling/test_quotas.py
@@ -66,8 +66,8 @@
     bench = a_bench(Room(cpu=2000))
     bench.add(a_job(a_step(count=2), organisation=DAIRY))
     first, second = bench.plan_starts()
-    bench.scheduler.board.stop(first.task, "test")
-    bench.scheduler.board.doubt(second.task)
+    bench.scheduler.state.stop(first.task, "test")
+    bench.scheduler.state.doubt(second.task)
     bench.add(a_job(a_step(count=2), job=ANOTHER, organisation=DAIRY))
     assert bench.plan_starts() == []
     bench.end(first.task, "stopped")
@@ -78,7 +78,7 @@
     bench = a_bench(Room(cpu=2000), workers=1)
     bench.add(a_job(a_step(count=2), organisation=DAIRY))
     assert len(bench.plan_starts()) == 2
-    bench.scheduler.board.workers["w0"].stale = True
+    bench.scheduler.state.workers["w0"].stale = True
     bench.worker("w1")
     bench.add(a_job(a_step(count=2), job=ANOTHER, organisation=DAIRY))
     assert bench.plan_starts() == []
@@ -107,16 +107,16 @@
     stray = RunningTask(TaskName(bench_job(bench), 0, 0, 0), 5, "", 1.0, 0.0)
     bench.scheduler.cancel_job(stray.task.job)
     bench.hold("w0", running=[stray])
-    assert bench.scheduler.board.quotas.used(DAIRY).cpu == 1000
+    assert bench.scheduler.state.quotas.used(DAIRY).cpu == 1000
     bench.scheduler.replace_worker("w0", 7, an_entry(), bench.now)
-    assert bench.scheduler.board.quotas.used(DAIRY).cpu == 0
+    assert bench.scheduler.state.quotas.used(DAIRY).cpu == 0
     bench.hold("w0", running=[stray])
     bench.scheduler.remove_worker("w0", LossCause.UNLISTED, bench.now)
-    assert bench.scheduler.board.quotas.used(DAIRY).cpu == 0
+    assert bench.scheduler.state.quotas.used(DAIRY).cpu == 0
 
 
 def bench_job(bench: SchedulerBench) -> str:
-    (job,) = bench.scheduler.board.jobs
+    (job,) = bench.scheduler.state.jobs
     return job
 
 
@@ -128,14 +128,14 @@
     Cause: only what workers had told counted.
     """
     bench = a_bench(Room(cpu=3000))
-    board = bench.scheduler.board
-    board.held_until = bench.now + 9.0
+    state = bench.scheduler.state
+    state.held_until = bench.now + 9.0
     held = a_job(a_step(count=2), organisation=DAIRY)
     held.progress = Progress(JobState.RUNNING)
     bench.add(held)
     bench.add(a_job(a_step(count=3), job=ANOTHER, organisation=DAIRY))
     assert len(bench.plan_starts()) == 1
-    board.held_until = 0.0
+    state.held_until = 0.0
     assert len(bench.plan_starts()) == 2
 
 
@@ -182,7 +182,7 @@
 
 def test_counts_follow_every_way_in_which_a_run_ends() -> None:
     bench = a_bench(Room(cpu=4000))
-    quotas = bench.scheduler.board.quotas
+    quotas = bench.scheduler.state.quotas
     bench.add(a_job(a_step(count=4), organisation=DAIRY))
     done, failed, unanswered, refused = bench.plan()
     bench.accept(done)  # type: ignore[arg-type]
@@ -195,7 +195,7 @@
     assert unanswered.task.phase is Phase.UNCERTAIN  # type: ignore[union-attr]
     bench.end(done.task, "done")  # type: ignore[union-attr, arg-type]
     bench.end(failed.task, "failed")  # type: ignore[union-attr, arg-type]
-    for worker in list(bench.scheduler.board.workers.values()):
+    for worker in list(bench.scheduler.state.workers.values()):
         bench.hold(worker.id, running=[a_row(t, 1.0) for t in worker.tasks.values()])
     bench.scheduler.cancel_job(a_job().record.id)
     for name in ("w0", "w1"):
@@ -211,9 +211,9 @@
     bench = a_bench(Room(cpu=2000))
     bench.add(a_job(a_step(count=22), organisation=DAIRY))
     bench.plan_starts()
-    assert measure(bench.scheduler.board, bench.now)[POOL].waiting.cpu == 0
+    assert measure(bench.scheduler.state, bench.now)[POOL].waiting.cpu == 0
     bench.quotas[DAIRY] = Room(cpu=12_000)
-    assert measure(bench.scheduler.board, bench.now)[POOL].waiting.cpu == 10_000
+    assert measure(bench.scheduler.state, bench.now)[POOL].waiting.cpu == 10_000
 
 
 def test_an_organisation_without_a_quota_is_not_bounded() -> None:
--- a/tests/components/scheduling/test_room_walks.py
+++ b/tests/components/scheduling/test_room_walks.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from mustardward.components.scheduling.board import Board
 from mustardward.components.scheduling.models import ACTIVE, Task
+from mustardward.components.scheduling.scheduler_state import SchedulerState
 from mustardward.platform.models import Room
 from mustardward.platform.workers import EndedTask, HoldAnswer, RunningTask, TaskName
 
@@ -36,7 +36,7 @@
     def _see(self, name: str) -> None:
         born = self.truth[name].born
         entry = an_entry(born=born, capacity=self.rooms[name])
-        known = self.scheduler.board.workers.get(name)
+        known = self.scheduler.state.workers.get(name)
         if known is not None and known.born != born:
             self.scheduler.replace_worker(name, born, entry, self.now)
         self.scheduler.update_worker(name, entry, self.now)
@@ -46,7 +46,7 @@
 
     def _hold(self, name: str) -> None:
         worker = self.truth[name]
-        known = self.scheduler.board.workers.get(name)
+        known = self.scheduler.state.workers.get(name)
         if worker.silent or known is None or known.born != worker.born:
             return
         worker.token = max(worker.token, self.epoch)
@@ -78,7 +78,7 @@
     def repeat_end(self, name: str) -> None:
         """Let a worker list an end of a run that is not there."""
         worker = self.truth[name]
-        jobs = self.scheduler.board.jobs.values()
+        jobs = self.scheduler.state.jobs.values()
         tasks = [t for job in jobs for s in job.steps.values() for t in s.tasks]
         if tasks:
             task = self.random.choice(tasks)
@@ -109,9 +109,9 @@
 
     def counts_match(self) -> None:
         """Compare rooms, quotas and counts with what is held."""
-        board = self.scheduler.board
+        state = self.scheduler.state
         used: Counter[str] = Counter()
-        for worker in board.workers.values():
+        for worker in state.workers.values():
             steps = [task.step for task in worker.tasks.values()] + worker.strays
             used.update({o: 0 for o in ORGANISATIONS})
             for step in steps:
@@ -122,9 +122,9 @@
             for task in worker.tasks.values():
                 assert task.worker is worker and task.phase in ACTIVE, "task"
         for organisation in ORGANISATIONS:
-            counted = board.quotas.used(organisation).cpu
+            counted = state.quotas.used(organisation).cpu
             assert counted == used[organisation], "quota"
-        for job in board.jobs.values():
+        for job in state.jobs.values():
             for step in job.steps.values():
                 active = [t for t in step.tasks if t.worker is not None]
                 assert step.active == len(active), "active"
@@ -172,19 +172,21 @@
 
 def _keep_strays_of_the_lost(patch: pytest.MonkeyPatch) -> None:
     """Give nothing back for the strays of a worker."""
-    patch.setattr(Board, "forget_strays", lambda board, worker: worker.strays.clear())
+    patch.setattr(
+        SchedulerState, "forget_strays", lambda state, worker: worker.strays.clear()
+    )
 
 
 def _give_doubted_room_back_twice(patch: pytest.MonkeyPatch) -> None:
     """Give the room of a start without an answer back twice."""
-    doubt = Board.doubt
+    doubt = SchedulerState.doubt
 
-    def twice(board: Board, task: Task) -> None:
-        doubt(board, task)
+    def twice(state: SchedulerState, task: Task) -> None:
+        doubt(state, task)
         if task.worker is not None:
             task.worker.give_back(task.step.room)
 
-    patch.setattr(Board, "doubt", twice)
+    patch.setattr(SchedulerState, "doubt", twice)
 
 
 @pytest.mark.parametrize(
--- a/tests/components/scheduling/test_rooms.py
+++ b/tests/components/scheduling/test_rooms.py
@@ -33,7 +33,7 @@
     see(bench, HALF)
     bench.add(a_job(a_step(count=8)))
     assert len(bench.plan_starts()) == 4
-    assert measure(bench.scheduler.board, bench.now)[POOL].capacity == HALF.cpu
+    assert measure(bench.scheduler.state, bench.now)[POOL].capacity == HALF.cpu
 
 
 def test_nothing_starts_above_a_room_that_shrank_under_what_runs() -> None:
--- a/tests/components/scheduling/test_shares.py
+++ b/tests/components/scheduling/test_shares.py
@@ -65,7 +65,7 @@
                 bench.add(record)
         number += 1
         bench.plan_starts()
-        for worker in bench.scheduler.board.workers.values():
+        for worker in bench.scheduler.state.workers.values():
             for task in list(worker.tasks.values()):
                 if bench.now - task.started_at >= 0.5:
                     job = task.step.job
@@ -73,7 +73,7 @@
                     is_late = job.state.final and bench.now > job.objective_at
                     late += is_late and job.organisation == SMALL
         bench.now += 0.1
-    left = bench.scheduler.board.jobs.values()
+    left = bench.scheduler.state.jobs.values()
     return late + sum(
         job.organisation == SMALL and bench.now > job.objective_at
         for job in left
--- a/tests/components/scheduling/test_shortlist.py
+++ b/tests/components/scheduling/test_shortlist.py
@@ -51,12 +51,12 @@
         worker.free_cpu = 1000 * cores
         worker.speed = speed
     bench.add(a_job(a_step(**step)), stored=False)
-    board = bench.scheduler.board
-    run = board.jobs[JOB].steps[(0, 0)]
+    state = bench.scheduler.state
+    run = state.jobs[JOB].steps[(0, 0)]
     for index, worker_number in enumerate(avoiding):
         if index < len(run.tasks):
             run.tasks[index].avoid.add(f"w{worker_number}")
-    workers = list(board.workers.values())
+    workers = list(state.workers.values())
     run.job.home = choose_home(workers)
     for task in list(run.waiting):
         shortlist = Shortlist(workers, run, task.avoid)
@@ -65,7 +65,7 @@
         if expected is None:
             break
         run.waiting.remove(task)
-        board.assign(task, expected, board.next_run(), bench.now)
+        state.assign(task, expected, state.next_run(), bench.now)
         shortlist.renew()
         following = next(iter(run.waiting), None)
         if following is not None and following.avoid == task.avoid:
--- a/tests/components/scheduling/test_wait_lines.py
+++ b/tests/components/scheduling/test_wait_lines.py
@@ -117,7 +117,7 @@
     bench = a_bench_that_waits(jobs=2)
     tell(bench, caplog)
     assert oldest_seconds() == pytest.approx(4.002)
-    bench.scheduler.board.workers["w1"].stale = False
+    bench.scheduler.state.workers["w1"].stale = False
     starts = bench.plan_starts()
     tell(bench, caplog)
     assert len(starts) == 4
@@ -144,13 +144,13 @@
     tell(bench, caplog)
     waits = bench.scheduler.waits
     assert waits._told and waits.waits._held
-    bench.scheduler.board.workers["w1"].stale = False
+    bench.scheduler.state.workers["w1"].stale = False
     for _ in range(4):
         for start in bench.plan_starts():
             bench.end(start.task, ENDED_DONE)
         bench.store()
     bench.plan()
-    assert not bench.scheduler.board.jobs
+    assert not bench.scheduler.state.jobs
     wait_on(bench, TELL_AGAIN_SECONDS)
     tell(bench, caplog)
     assert not waits._told
--- a/tests/components/scheduling/test_waits.py
+++ b/tests/components/scheduling/test_waits.py
@@ -112,10 +112,10 @@
 @SCENES.register(Reason.HELD_AFTER_TAKEOVER)
 def held_after_takeover() -> tuple[SchedulerBench, dict[str, str]]:
     bench = SchedulerBench(epoch=2)
-    board = bench.scheduler.board
-    board.taken_over_at = bench.now
-    board.held_until = bench.now + 9.0
-    board.accounted = frozenset({"z1"})
+    state = bench.scheduler.state
+    state.taken_over_at = bench.now
+    state.held_until = bench.now + 9.0
+    state.accounted = frozenset({"z1"})
     bench.worker("w1", zone="z1")
     job = a_job()
     job.progress = Progress(JobState.RUNNING, zones=["z1", "z2"])
@@ -260,7 +260,7 @@
     bench.worker("w1", zone="z1")
     bench.add(a_job(), stored=False)
     bench.store()
-    bench.scheduler.board.workers["w1"].stale = True
+    bench.scheduler.state.workers["w1"].stale = True
     bench.worker("w2", zone="z2")
     wait_on(bench, 1.0)
     bench.scheduler.take_dirty(bench.now, bench.now)
@@ -281,7 +281,7 @@
     for job in (OTHER, JOB):
         bench.add(a_job(a_step(cpu=4000), job=job), stored=False)
     bench.store()
-    bench.scheduler.board.workers["w1"].stale = True
+    bench.scheduler.state.workers["w1"].stale = True
     bench.worker("w2", zone="z2")
     wait_on(bench)
     return bench, {
@@ -317,7 +317,7 @@
     bench = SchedulerBench()
     bench.worker("w1")
     bench.add(a_job())
-    bench.scheduler.board.ready.clear()
+    bench.scheduler.state.ready.clear()
     wait_on(bench)
     return bench, {"ready": "2", "allowed": "1"}
 
@@ -357,9 +357,9 @@
     bench.worker("w1")
     bench.add(a_job())
     step = bench.task(0).step
-    bench.scheduler.board.ready.clear()
+    bench.scheduler.state.ready.clear()
     wait_on(bench)
-    bench.scheduler.board.ready[id(step)] = step
+    bench.scheduler.state.ready[id(step)] = step
     return bench, {"reason_seconds": "-"}
 
 
@@ -549,7 +549,7 @@
         bench.scheduler.reports.start_unknown(first.task, first.run)
     else:
         bench.accept(first)
-        bench.scheduler.board.stop(first.task, "test")
+        bench.scheduler.state.stop(first.task, "test")
     assert tell(bench, caplog) == []
     if acknowledged:
         bench.scheduler.reports.stop_answered(first.task, first.run, bench.now)
@@ -637,7 +637,7 @@
     bench = SchedulerBench()
     bench.worker("w1")
     bench.scheduler.mark_worker_missing("w1", bench.now)
-    bench.scheduler.board.workers["w1"].stale = True
+    bench.scheduler.state.workers["w1"].stale = True
     bench.add(a_job())
     wait_on(bench)
     assert tell(bench, caplog) == []
--- a/tests/components/scheduling/test_zones.py
+++ b/tests/components/scheduling/test_zones.py
@@ -35,7 +35,7 @@
 
 
 def zones_of(bench: SchedulerBench, starts: list[Start]) -> set[str]:
-    return {bench.scheduler.board.workers[start.worker].zone for start in starts}
+    return {bench.scheduler.state.workers[start.worker].zone for start in starts}
 
 
 def taken_in(*zones: str, job: str = JOB) -> LedgerJob:
@@ -84,7 +84,7 @@
 def test_a_job_goes_where_workers_can_run_it() -> None:
     """Guards against jobs that wait for a data centre whose workers run nothing."""
     bench = a_bench()
-    bench.scheduler.board.unusable = frozenset({"z1-0", "z2-0"})
+    bench.scheduler.state.unusable = frozenset({"z1-0", "z2-0"})
     for number in range(3):
         bench.add(a_job(a_step(), job=f"{number:016x}"), stored=False)
     assert {tuple(record.zones) for record in store(bench).values()} == {("z3",)}
@@ -115,15 +115,15 @@
     not stored, so each job that the owner before had taken in might run behind the cut.
     """
     bench = SchedulerBench(epoch=2)
-    board = bench.scheduler.board
-    board.taken_over_at = bench.now
-    board.held_until = bench.now + 8.0
+    state = bench.scheduler.state
+    state.taken_over_at = bench.now
+    state.held_until = bench.now + 8.0
     bench.worker("z1-0", zone="z1")
     bench.worker("z2-0", zone="z2")
     for number, zones in enumerate((["z1"], ["z3"], ["z1", "z3"], [])):
         bench.add(taken_in(*zones, job=f"{number:016x}"))
     assert bench.plan_starts() == []
-    board.accounted = frozenset({"z1", "z2"})
+    state.accounted = frozenset({"z1", "z2"})
     starts = bench.plan_starts()
     assert {start.task.step.job.record.id for start in starts} == {f"{0:016x}"}
     bench.now += 9.0
@@ -135,7 +135,7 @@
     bench = a_bench()
     bench.add(a_job(), stored=False)
     (zone,) = store(bench)[JOB].zones
-    worker = bench.scheduler.board.workers[f"{zone}-0"]
+    worker = bench.scheduler.state.workers[f"{zone}-0"]
     worker.stale = True
     assert bench.plan_starts() == []
     assert len(store(bench)[JOB].zones) == 2
@@ -145,13 +145,13 @@
 def test_room_for_one_task_does_not_send_every_waiting_job_there() -> None:
     """Each job that goes on in one data centre more is held up by one cut more."""
     bench = a_bench()
-    for worker in bench.scheduler.board.workers.values():
+    for worker in bench.scheduler.state.workers.values():
         worker.free_cpu = 0
     for number in range(9):
         bench.add(a_job(a_step(count=1), job=f"{number:016x}"), stored=False)
     first = {job: record.zones for job, record in store(bench).items()}
     bench.plan()
-    bench.scheduler.board.workers["z1-0"].free_cpu = 1000
+    bench.scheduler.state.workers["z1-0"].free_cpu = 1000
     bench.plan()
     widened = [
         job for job, record in store(bench).items() if record.zones != first[job]
@@ -183,14 +183,14 @@
             bench.scheduler.mark_stored(under_way)
             under_way = {}
         elif move == 3:
-            for worker in _busy(list(bench.scheduler.board.workers.values()))[:1]:
+            for worker in _busy(list(bench.scheduler.state.workers.values()))[:1]:
                 bench.end(next(iter(worker.tasks.values())), ENDED_DONE)
         else:
-            worker = chance.choice(list(bench.scheduler.board.workers.values()))
+            worker = chance.choice(list(bench.scheduler.state.workers.values()))
             worker.stale = not worker.stale
         bench.now += 0.01
         for start in bench.plan_starts():
-            zone = bench.scheduler.board.workers[start.worker].zone
+            zone = bench.scheduler.state.workers[start.worker].zone
             assert zone in log[start.task.step.job.record.id]
 
 
@@ -214,9 +214,9 @@
     bench = a_bench()
     bench.add(a_job(a_step(fills=True)), stored=False)
     (zone,) = store(bench)[JOB].zones
-    for worker in bench.scheduler.board.workers.values():
+    for worker in bench.scheduler.state.workers.values():
         worker.free_cpu = 0
-    bench.scheduler.board.workers[f"{zone}-0"].stale = True
+    bench.scheduler.state.workers[f"{zone}-0"].stale = True
     bench.plan()
     assert len(store(bench)[JOB].zones) == 2
     assert len(bench.plan_starts()) == 2
