--- a/tests/components/fleet/test_unreadable_rows.py
+++ b/tests/components/fleet/test_unreadable_rows.py
@@ -1,4 +1,4 @@
-"""Test that a worker that the fleet was about to take is taken, or given back."""
+"""Test that an unreadable row doesn't leave a worker cordoned."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from mustardward.components.fleet.models import WaveRun
 from mustardward.components.fleet.services import Fleet
-from mustardward.components.fleet.waves import WavePlanner
+from mustardward.components.fleet.wave_planner import WavePlanner
 from mustardward.helpers.timer import DrivenTimerService
 from mustardward.platform.models import Instance, UpkeepWave
 
@@ -17,15 +17,15 @@
 MAINTENANCE_SECONDS = 2.0
 
 
-class FleetBench:
-    """Hold a fleet's work in driven time; its lists are handed to it."""
+class FleetHarness:
+    """Drive a fleet by instance lists and a manual clock."""
 
     def __init__(self, wave: UpkeepWave) -> None:
         self.timers = DrivenTimerService()
         self.bench = SchedulerBench(now=self.timers.monotonic())
-        self.planner = WavePlanner(MAINTENANCE_SECONDS)
+        self.wave_planner = WavePlanner(MAINTENANCE_SECONDS)
         now = self.timers.monotonic()
-        self.planner.runs[wave.wave] = WaveRun(wave, now)
+        self.wave_planner.runs[wave.wave] = WaveRun(wave, now)
         nothing: Any = SimpleNamespace
         self.fleet = Fleet(
             nothing(),
@@ -37,15 +37,15 @@
             nothing(standby_pools=lambda: [], config=None, waves={}),
             nothing(waves={}),
             nothing(post=lambda records: None),
-            self.planner,
-            nothing(tell=lambda view, now: []),
+            self.wave_planner,
+            nothing(report=lambda view, now: []),
             nothing(decide=lambda *_: [], orders={}),
             lambda: True,
             nothing(start_soon=lambda *_: None),
         )
 
-    def read(self, *rows: Instance, complete: bool = True) -> None:
-        """Take a list in, and decide by it."""
+    def apply_list(self, *rows: Instance, complete: bool = True) -> None:
+        """Apply an instance list and decide by it."""
         self.timers.pause(0.3)
         self.fleet._read_at = self.timers.monotonic()
         self.fleet._instances = {row.machine: row for row in rows}
@@ -53,17 +53,17 @@
         self.fleet._decide()
 
 
-def test_a_row_that_can_not_be_read_does_not_leave_a_worker_kept_back() -> None:
-    """A worker is given nothing for good, and is not maintained either."""
-    fleet = FleetBench(UpkeepWave(1, ["m-01"], 20.0, 2))
+def test_an_unreadable_row_does_not_leave_a_worker_cordoned() -> None:
+    """Guard against a worker that neither gets tasks again nor is maintained."""
+    fleet = FleetHarness(UpkeepWave(1, ["m-01"], 20.0, 2))
     worker = fleet.bench.worker("i-01")
     fleet.bench.add(a_job(a_step(count=1, long_running=True)))
     fleet.bench.plan_starts()
     first, second = an_instance(1), an_instance(2)
-    fleet.read(first, second)
+    fleet.apply_list(first, second)
     assert worker.leaving
-    fleet.read(second, complete=False)
-    fleet.read(first, second)
-    run = fleet.planner.runs[1]
-    assert not worker.leaving or "m-01" in run.emptying
+    fleet.apply_list(second, complete=False)
+    fleet.apply_list(first, second)
+    run = fleet.wave_planner.runs[1]
+    assert not worker.leaving or "m-01" in run.draining
     assert not run.done
